--- a/crates/passroad-choice/src/choice.rs
+++ b/crates/passroad-choice/src/choice.rs
@@ -14,8 +14,8 @@
 
 pub use crate::state::Balancer;
 use crate::state::{
-    ALARM_COPY, ALARM_GOAL, ALARM_LIST, ALARM_QUEUE, Command, DutySheet, Endpoint, Faded, Few, May, Need,
-    Pace, Relay, VerbDuty, fade, luck,
+    ALARM_COPY, ALARM_GOAL, ALARM_LIST, ALARM_QUEUE, Command, DutySheet, Endpoint, Faded, Few, May,
+    Need, Pace, Relay, VerbDuty, fade, luck,
 };
 use crate::*;
 use std::time::Duration;
@@ -45,7 +45,9 @@
     /// that hangs where others are answered; its failures fade, as nothing else would show their end.
     fn health(&self, now: Duration, verb: Option<usize>) -> f64 {
         let own = |few: &Few| 1.0 - (1.0 - few.good(OUTCOMES)) * fade(now, few.failed, 4 * CALM);
-        verb.and_then(|v| self.by_verb.get(v)).map_or(1.0, own).min(self.last.good(OUTCOMES))
+        verb.and_then(|v| self.by_verb.get(v))
+            .map_or(1.0, own)
+            .min(self.last.good(OUTCOMES))
     }
 }
 
@@ -55,22 +57,35 @@
     fn read(&self, now: Duration, calm: Duration, usual: &Pace) -> (f64, f64) {
         let n = self.count * fade(now, self.at, calm);
         let mean = (self.mean * n + usual.mean * 2.0) / (n + 2.0);
-        (mean, mean + 2.0 * (self.spread * n + usual.spread * 8.0) / (n + 8.0))
+        (
+            mean,
+            mean + 2.0 * (self.spread * n + usual.spread * 8.0) / (n + 8.0),
+        )
     }
 }
 
 impl Balancer {
     pub fn new(orders: StandingOrders) -> Self {
         let (seed, duty) = (orders.seed | 1, Balancer::duty(orders));
-        Balancer { limit: FIRST_LIMIT, spare: 2.0, ..Balancer::fresh(duty, seed) }
+        Balancer {
+            limit: FIRST_LIMIT,
+            spare: 2.0,
+            ..Balancer::fresh(duty, seed)
+        }
     }
 
     fn duty(orders: StandingOrders) -> DutySheet {
-        let goals = orders.verbs.iter().map(|v| v.goal).min().unwrap_or_default();
+        let goals = orders
+            .verbs
+            .iter()
+            .map(|v| v.goal)
+            .min()
+            .unwrap_or_default();
         let goal = goals.clamp(Duration::from_millis(1), Duration::from_secs(60));
         // Heartbeats may cost most of a hundredth of the service: none where one costs more and alone tells.
         let dear = orders.probe_price > 0.007;
-        let told = orders.reports == ReportsHow::Piggyback || orders.reports == ReportsHow::Pull && !dear;
+        let told =
+            orders.reports == ReportsHow::Piggyback || orders.reports == ReportsHow::Pull && !dear;
         let asks = orders.probes && told;
         let heartbeats = (0.007 / orders.probe_price.max(1e-4)).clamp(1.0, 4.0) as usize;
         let verb = |v: &VerbOrder| VerbDuty::of(v, v.goal / 4, orders.max_relays.max(1));
@@ -129,16 +144,30 @@
             Event::Whole { cmd } => self.whole(cmd),
             Event::Spent { cmd } => self.spent(cmd),
             Event::StreamStarted { cmd, .. } => self.streams(cmd),
-            Event::Finished { cmd, relay, outcome, spent, concluded, report } => {
+            Event::Finished {
+                cmd,
+                relay,
+                outcome,
+                spent,
+                concluded,
+                report,
+            } => {
                 if let Some(at) = self.finish(cmd, relay, outcome, spent) {
                     self.hear(at, report);
-                    if concluded { self.conclude(cmd, None) } else { self.go_on(cmd, outcome) }
+                    if concluded {
+                        self.conclude(cmd, None)
+                    } else {
+                        self.go_on(cmd, outcome)
+                    }
                 }
             }
             Event::Lapsed { cmd } => self.conclude(cmd, None),
-            Event::Checked { endpoint: at, outcome, spent, report } => {
-                self.checked(at, outcome, spent, report)
-            }
+            Event::Checked {
+                endpoint: at,
+                outcome,
+                spent,
+                report,
+            } => self.checked(at, outcome, spent, report),
             Event::PeerSaid { .. } => {}
             Event::Due { token } => self.due(token),
         }
@@ -156,7 +185,9 @@
                 self.out.push(Action::Listen { active: true });
             }
             // Guards against a lost command: an alarm that comes a hair early must not stop the queue.
-            ALARM_QUEUE if self.wake <= self.now + self.duty.tick / 100 => self.wake = Duration::ZERO,
+            ALARM_QUEUE if self.wake <= self.now + self.duty.tick / 100 => {
+                self.wake = Duration::ZERO
+            }
             ALARM_COPY => self.copy(cmd),
             ALARM_GOAL => self.past_goal(cmd),
             _ => {}
@@ -164,7 +195,10 @@
     }
 
     fn alarm(&mut self, after: Duration, token: u64) {
-        self.out.push(Action::Alarm { after: after.max(self.duty.tick), token });
+        self.out.push(Action::Alarm {
+            after: after.max(self.duty.tick),
+            token,
+        });
     }
 
     fn read_list(&mut self, kind: ListKind, entries: Vec<Listing>) {
@@ -180,20 +214,28 @@
                     false => self.duty.drain_grace / 4,
                 };
                 let after = step.min(Duration::from_secs(1)).mul_f64(0.5 + jitter);
-                self.log(format!("list refused {} times, again in {after:.2?}", self.list_fails));
+                self.log(format!(
+                    "list refused {} times, again in {after:.2?}",
+                    self.list_fails
+                ));
                 return self.alarm(after, ALARM_LIST);
             }
             ListKind::Remembered if self.duty.listen => {
                 self.alarm(self.duty.list_every.mul_f64(jitter / 4.0), ALARM_LIST);
             }
             ListKind::All | ListKind::Changes if self.list_fails > 0 => {
-                self.log(format!("list answers again after {} refusals", self.list_fails));
+                self.log(format!(
+                    "list answers again after {} refusals",
+                    self.list_fails
+                ));
                 self.list_fails = 0;
             }
             _ => {}
         }
         if kind != ListKind::Changes {
-            self.endpoints.iter_mut().for_each(|e| (e.up, e.listed, e.gone) = (false, false, e.known));
+            self.endpoints
+                .iter_mut()
+                .for_each(|e| (e.up, e.listed, e.gone) = (false, false, e.known));
         }
         for entry in &entries {
             let (now, len) = (self.now, self.endpoints.len().max(entry.endpoint + 1));
@@ -209,14 +251,18 @@
             }
             (e.up, e.gone) = (entry.mode == Mode::Running, entry.mode == Mode::Deleted);
             e.listed = e.up && e.banned.is_none();
-            let young = !entry.started.is_zero() && now.saturating_sub(entry.started) < self.duty.warm_within;
+            let young = !entry.started.is_zero()
+                && now.saturating_sub(entry.started) < self.duty.warm_within;
             if young && e.up_since.is_none_or(|at| entry.started > at) {
                 e.start_cold(entry.started);
             }
         }
         if self.duty.live_weights {
             // What is not named has not changed.
-            self.endpoints.iter_mut().filter(|e| e.listed).for_each(|e| e.heard = Some(self.now));
+            self.endpoints
+                .iter_mut()
+                .filter(|e| e.listed)
+                .for_each(|e| e.heard = Some(self.now));
         }
         self.survey();
     }
@@ -249,13 +295,15 @@
         }
         let old = |at: Duration, span: Duration| self.now.saturating_sub(at) > span;
         let gone = |e: &Endpoint| {
-            let silent = e.heard.is_none_or(|at| old(at, 8 * self.duty.believe)) && old(e.pace.at, 4 * CALM);
+            let silent =
+                e.heard.is_none_or(|at| old(at, 8 * self.duty.believe)) && old(e.pace.at, 4 * CALM);
             let idle = e.out.is_empty() && e.probing.is_none() && !self.linked(e);
             silent && idle && self.now >= e.try_at.max(e.pass_until)
         };
         let (gone, met): (Vec<_>, _) = self.met.iter().partition(|at| gone(&self.endpoints[**at]));
         self.met = met;
-        gone.into_iter().for_each(|at: EndpointIx| self.endpoints[at].forget());
+        gone.into_iter()
+            .for_each(|at: EndpointIx| self.endpoints[at].forget());
         for _ in 0..2 * self.duty.heartbeats.max(2) {
             let mass = self.chance() * self.table.last().copied().unwrap_or_default();
             let at = self.table.partition_point(|m| *m <= mass);
@@ -267,16 +315,31 @@
 
     // ---- what endpoints show ----
 
-    fn checked(&mut self, at: EndpointIx, outcome: Outcome, spent: Duration, report: Option<Report>) {
-        let Some(e) = self.endpoints.get_mut(at) else { return };
+    fn checked(
+        &mut self,
+        at: EndpointIx,
+        outcome: Outcome,
+        spent: Duration,
+        report: Option<Report>,
+    ) {
+        let Some(e) = self.endpoints.get_mut(at) else {
+            return;
+        };
         e.probing = None;
         if outcome == Outcome::Answered {
             self.rtt = (9 * self.rtt + spent) / 10;
             self.reached(at);
             self.hear(at, report);
-            let (e, counts) = (&self.endpoints[at], !self.duty.asks && !self.queue.is_empty());
+            let (e, counts) = (
+                &self.endpoints[at],
+                !self.duty.asks && !self.queue.is_empty(),
+            );
             let open = counts && self.load(e, self.usual_load()) < self.limit_of(e) * e.size;
-            self.found += if counts { 0.1 * (f64::from(u8::from(open)) - self.found) } else { 0.0 };
+            self.found += if counts {
+                0.1 * (f64::from(u8::from(open)) - self.found)
+            } else {
+                0.0
+            };
         } else if matches!(outcome, Outcome::NoConnection | Outcome::TimedOut) {
             self.missed(at);
         }
@@ -288,7 +351,9 @@
         e.misses += 1;
         e.try_at = self.now + self.duty.trust * (1 << e.misses.min(5));
         if e.misses == 3 {
-            self.log(format!("endpoint {at} could not be reached 3 times in a row"));
+            self.log(format!(
+                "endpoint {at} could not be reached 3 times in a row"
+            ));
         }
     }
 
@@ -302,27 +367,45 @@
         if misses >= 3 && e.up_since.is_none_or(|up| now.saturating_sub(up) > within) {
             e.start_cold(now);
             self.next_survey = now;
-            self.log(format!("endpoint {at} back after {misses} misses, taken as cold"));
+            self.log(format!(
+                "endpoint {at} back after {misses} misses, taken as cold"
+            ));
         }
     }
 
     fn hear(&mut self, at: EndpointIx, report: Option<Report>) {
-        let (Some(e), Some(report)) = (self.endpoints.get_mut(at), report) else { return };
+        let (Some(e), Some(report)) = (self.endpoints.get_mut(at), report) else {
+            return;
+        };
         let margin = 2 * (self.duty.fresh + self.rtt + self.duty.tick);
-        let sure = e.out.iter().filter(|sent| self.now.saturating_sub(**sent) > margin).count() as f64;
+        let sure = e
+            .out
+            .iter()
+            .filter(|sent| self.now.saturating_sub(**sent) > margin)
+            .count() as f64;
         let step = match report.outstanding.filter(|_| sure > 0.0) {
             Some(holds) if holds < 0.5 * sure => -0.25,
             known => known.map_or(0.0, |_| 0.02),
         };
         // A share of time stands for as many as a single server holds that is busy for it.
-        let busy = report.utilization.map(|u| u.clamp(0.0, 1.0)).map(|u| u / (1.1 - u));
-        let told = report.backlog.filter(|_| !self.duty.live_weights).map(|b| b + busy.unwrap_or(0.0));
+        let busy = report
+            .utilization
+            .map(|u| u.clamp(0.0, 1.0))
+            .map(|u| u / (1.1 - u));
+        let told = report
+            .backlog
+            .filter(|_| !self.duty.live_weights)
+            .map(|b| b + busy.unwrap_or(0.0));
         if let Some(holds) = report.outstanding.or(told).or(busy) {
             e.holds = holds.max(0.0);
             e.heard = Some(self.now);
         }
         if let (Some(errors), Some(rate)) = (report.errors_per_s, report.throughput) {
-            e.errs = if errors > 0.0 { (errors / (errors + rate).max(1e-9)).clamp(0.0, 1.0) } else { 0.0 };
+            e.errs = if errors > 0.0 {
+                (errors / (errors + rate).max(1e-9)).clamp(0.0, 1.0)
+            } else {
+                0.0
+            };
         }
         self.credit(at, step);
     }
@@ -338,7 +421,9 @@
         if e.doubted != (credit < if e.doubted { 0.75 } else { 0.5 }) {
             e.doubted = !e.doubted;
             let word = if e.doubted { "do not fit" } else { "fit again" };
-            self.log(format!("endpoint {at}: reports {word} (says {holds:.1}, credit {credit:.2})"));
+            self.log(format!(
+                "endpoint {at}: reports {word} (says {holds:.1}, credit {credit:.2})"
+            ));
         }
     }
 
@@ -357,14 +442,17 @@
     }
 
     fn trust(&self, e: &Endpoint) -> f64 {
-        e.heard.map_or(0.0, |at| e.credit * self.faith * fade(self.now, at, self.duty.believe))
+        e.heard.map_or(0.0, |at| {
+            e.credit * self.faith * fade(self.now, at, self.duty.believe)
+        })
     }
 
     /// Load in commands held; old and discredited reports lose trust and drift to the mean of the trusted.
     /// What is out from here counts in any case.
     fn load(&self, e: &Endpoint, usual: f64) -> f64 {
         let trust = self.trust(e);
-        (trust * e.holds.max(0.0) + (1.0 - trust) * usual * e.size * self.ramp(e)).max(e.out.len() as f64)
+        (trust * e.holds.max(0.0) + (1.0 - trust) * usual * e.size * self.ramp(e))
+            .max(e.out.len() as f64)
     }
 
     /// Mean of the trusted loads, in commands a usual size. Guards against a lock-up where nothing is heard
@@ -372,7 +460,9 @@
     fn usual_load(&self) -> f64 {
         let (mut sum, mut of) = (0.0, 0.0);
         for e in self.view().filter(|e| e.listed) {
-            let fresh = e.heard.map_or(0.0, |at| fade(self.now, at, 4 * self.duty.believe));
+            let fresh = e
+                .heard
+                .map_or(0.0, |at| fade(self.now, at, 4 * self.duty.believe));
             sum += fresh * e.credit * self.faith * e.holds.max(e.out.len() as f64);
             of += fresh * e.size;
         }
@@ -383,7 +473,9 @@
     /// Guards against hundreds of sidecars that each connect to all: a new connection is work, and endpoints
     /// take few. Where none is open from here an endpoint counts as fuller, by the stated price.
     fn linked(&self, e: &Endpoint) -> bool {
-        let open = e.used.is_some_and(|at| self.now.saturating_sub(at) < self.duty.idle_close);
+        let open = e
+            .used
+            .is_some_and(|at| self.now.saturating_sub(at) < self.duty.idle_close);
         open && (!self.duty.one_stream || e.out.is_empty())
     }
 
@@ -397,18 +489,39 @@
     fn weigh(&self, ats: &[usize], of: Option<(usize, usize)>, need: Need, may: May) -> Vec<f64> {
         let (verb, play) = (of.map(|(verb, _)| verb), of.map(|(_, play)| play));
         let (usual, risk) = (self.usual_load(), need.map_or(RISK, |(_, risk)| risk));
-        let ready = |e: &Endpoint| e.listed && self.now >= e.try_at && may(e) && self.base(e, play) > 0.0;
+        let ready =
+            |e: &Endpoint| e.listed && self.now >= e.try_at && may(e) && self.base(e, play) > 0.0;
         // Guards against a crowd of unheard ones, each a little likely, that outweighs one known to be idle,
         // and against one that fails fast: it looks idle, and draws what it then fails.
-        let doubt = if self.duty.heartbeats > 0 { (1.0 - usual).max(0.0) } else { 0.0 };
-        let link = |e: &Endpoint| if self.linked(e) || self.cold(e) { 0.0 } else { self.duty.new_link };
+        let doubt = if self.duty.heartbeats > 0 {
+            (1.0 - usual).max(0.0)
+        } else {
+            0.0
+        };
+        let link = |e: &Endpoint| {
+            if self.linked(e) || self.cold(e) {
+                0.0
+            } else {
+                self.duty.new_link
+            }
+        };
         let new = |e: &Endpoint| {
-            link(e) + doubt * (1.0 - self.trust(e)) + risk * e.harm(self.now, 2 * OUTCOMES, 4 * CALM)
+            link(e)
+                + doubt * (1.0 - self.trust(e))
+                + risk * e.harm(self.now, 2 * OUTCOMES, 4 * CALM)
+        };
+        let load = |e: &Endpoint| {
+            if ready(e) {
+                self.load(e, usual) / e.size
+            } else {
+                f64::INFINITY
+            }
         };
-        let load = |e: &Endpoint| if ready(e) { self.load(e, usual) / e.size } else { f64::INFINITY };
         let loads: Vec<f64> = ats.iter().map(|at| load(&self.endpoints[*at])).collect();
         let all = || ats.iter().map(|at| &self.endpoints[*at]).zip(&loads);
-        let least = all().map(|(e, load)| load / self.ramp(e) + new(e)).fold(f64::INFINITY, f64::min);
+        let least = all()
+            .map(|(e, load)| load / self.ramp(e) + new(e))
+            .fold(f64::INFINITY, f64::min);
         let tail_of_all = self.usual.mean + 2.0 * self.usual.spread;
         let weight = |(e, &load): (&Endpoint, &f64)| {
             let full = |v: f64| match self.duty.heartbeats {
@@ -426,13 +539,17 @@
                 0 => 10.0 - 9.0 * ((load / usual.max(1.0)).max(self.drawn(e)) - 1.0).max(0.0),
                 _ => 10.0 - 40.0 * (load - least),
             };
-            let mean = 10.0 - 9.0 * (mean / self.ramp(e) / self.usual.mean.max(1e-6) - 1.0).max(0.0);
+            let mean =
+                10.0 - 9.0 * (mean / self.ramp(e) / self.usual.mean.max(1e-6) - 1.0).max(0.0);
             let tail = 10.0 - 9.0 * (tail / tail_of_all.max(1e-6) - 1.0).max(0.0);
             let score = LOAD_SHARE * load + (1.0 - LOAD_SHARE) * (mean + tail) / 2.0;
             let health = (e.health(self.now, verb) * (1.0 - e.errs)).max(0.1).powi(3);
             // Called back by hand: tried soon, also where little is sent and nothing is heard of it.
-            let score =
-                if e.owed.is_some_and(|at| self.now >= at) { 200.0 } else { score.clamp(SCORE_FLOOR, 10.0) };
+            let score = if e.owed.is_some_and(|at| self.now >= at) {
+                200.0
+            } else {
+                score.clamp(SCORE_FLOOR, 10.0)
+            };
             self.base(e, play) * score / 10.0 * health
         };
         all().map(weight).collect()
@@ -451,7 +568,10 @@
             left -= w;
             *w > 0.0 && left < 0.0
         };
-        weights.iter().position(hit).or_else(|| weights.iter().rposition(|w| *w > 0.0))
+        weights
+            .iter()
+            .position(hit)
+            .or_else(|| weights.iter().rposition(|w| *w > 0.0))
     }
 
     /// Asks a few likely endpoints how they are before a command goes out. Guards against choosing by reports
@@ -460,16 +580,35 @@
         self.look_around();
         // None where they are not allowed, also not of an endpoint with a pass; where they are dear only for
         // what nothing takes, as often as that finds something open.
-        let odds = if of.is_none() { (self.found * self.duty.finds).max(0.05) } else { 0.0 };
+        let odds = if of.is_none() {
+            (self.found * self.duty.finds).max(0.05)
+        } else {
+            0.0
+        };
         let asks = self.duty.heartbeats > 0 && (self.duty.asks || self.chance() < odds);
-        let may = |e: &Endpoint| self.open(e) && of.is_none_or(|(verb, _)| self.duty.verbs[verb].placed(e));
-        let mut weights = if asks { self.weigh(&self.met, of, None, &may) } else { Vec::new() };
+        let may = |e: &Endpoint| {
+            self.open(e) && of.is_none_or(|(verb, _)| self.duty.verbs[verb].placed(e))
+        };
+        let mut weights = if asks {
+            self.weigh(&self.met, of, None, &may)
+        } else {
+            Vec::new()
+        };
         for (e, w) in self.view().zip(&mut weights) {
-            let known = e.heard.is_some_and(|at| self.now.saturating_sub(at) <= self.duty.fresh);
-            *w = if e.probing.is_some() || known || *w <= 0.0 { 0.0 } else { w.max(0.002) };
+            let known = e
+                .heard
+                .is_some_and(|at| self.now.saturating_sub(at) <= self.duty.fresh);
+            *w = if e.probing.is_some() || known || *w <= 0.0 {
+                0.0
+            } else {
+                w.max(0.002)
+            };
         }
         // Where most are idle, one asked is enough; the second round asks again if it is not.
-        let most = self.duty.heartbeats.min(1 + (4.0 * self.usual_load()) as usize);
+        let most = self
+            .duty
+            .heartbeats
+            .min(1 + (4.0 * self.usual_load()) as usize);
         // A pass is for now: its endpoint is asked in any case.
         let passed = |n: &usize| weights[*n] > 0.0 && self.cold(&self.endpoints[self.met[*n]]);
         let mut asked: Vec<_> = (0..weights.len()).filter(passed).collect();
@@ -478,7 +617,11 @@
             weights[n] = 0.0;
             asked.push(n);
         }
-        let hold = if asked.is_empty() { Duration::ZERO } else { 3 * self.rtt + 2 * self.duty.tick };
+        let hold = if asked.is_empty() {
+            Duration::ZERO
+        } else {
+            3 * self.rtt + 2 * self.duty.tick
+        };
         for endpoint in asked.into_iter().map(|n| self.met[n]) {
             self.endpoints[endpoint].probing = Some(self.now);
             self.out.push(Action::Probe { endpoint });
@@ -487,15 +630,21 @@
     }
 
     fn knows_idle(&self) -> bool {
-        let (usual, since) = (self.usual_load(), self.now.saturating_sub(2 * self.duty.fresh));
+        let (usual, since) = (
+            self.usual_load(),
+            self.now.saturating_sub(2 * self.duty.fresh),
+        );
         let known = |e: &&Endpoint| e.listed && e.heard.is_some_and(|at| at > since);
-        self.view().filter(known).any(|e| self.load(e, usual) < 0.5 * e.size)
+        self.view()
+            .filter(known)
+            .any(|e| self.load(e, usual) < 0.5 * e.size)
     }
 
     // ---- warm-up ----
 
     pub(crate) fn cold(&self, e: &Endpoint) -> bool {
-        e.up_since.is_some_and(|up| self.now.saturating_sub(up) < self.duty.warm_within)
+        e.up_since
+            .is_some_and(|up| self.now.saturating_sub(up) < self.duty.warm_within)
     }
 
     /// Warm, or with a pass that still holds.
@@ -505,7 +654,11 @@
 
     /// Answers a second of a warm one of this kind at size 1, or as last seen; of a new one the least of all.
     fn warm_rate(&self, kind: usize) -> f64 {
-        let all = self.warm_kinds.iter().filter(|k| k.some).map(|k| k.rate(self.now));
+        let all = self
+            .warm_kinds
+            .iter()
+            .filter(|k| k.some)
+            .map(|k| k.rate(self.now));
         let own = self.warm_kinds.get(kind).filter(|k| k.some || k.last > 0.0);
         own.map(|k| if k.some { k.rate(self.now) } else { k.last })
             .or(all.reduce(f64::min))
@@ -516,12 +669,20 @@
     /// and the own rate to warm ones of its kind: each arrival draws whether there is a pass for one send,
     /// and for which. Unused it is soon lost, so that hundreds of sidecars never hold a burst in hand.
     fn draw_pass(&mut self) {
-        let since = self.now.saturating_sub(std::mem::replace(&mut self.pass_at, self.now));
+        let since = self
+            .now
+            .saturating_sub(std::mem::replace(&mut self.pass_at, self.now));
         let since = since.min(self.duty.tip_after).as_secs_f64();
         let (count, nth, luck) = (self.colds.len() as f64, self.chance(), self.chance());
-        let due = |at: &EndpointIx| self.endpoints[*at].owed.is_some_and(|from| self.now >= from);
+        let due = |at: &EndpointIx| {
+            self.endpoints[*at]
+                .owed
+                .is_some_and(|from| self.now >= from)
+        };
         let drawn = self.colds.get((nth * count) as usize);
-        let Some(at) = self.colds.iter().copied().find(due).or(drawn.copied()) else { return };
+        let Some(at) = self.colds.iter().copied().find(due).or(drawn.copied()) else {
+            return;
+        };
         let e = &self.endpoints[at];
         // Where nearly all are cold there is no warm rate to go by, but a share of what arrives.
         let arrivals = 0.3 * self.arrivals.fair_rate(self.now, 4 * CALM) / self.listed;
@@ -541,7 +702,11 @@
         // a last try what is left of the limit, which tells how much is spent; where marked, only repeats.
         let odd = a.budget.abs_diff(v.budget) > v.budget / 50;
         let known = odd && v.budget_votes >= 4 && a.again == self.marked;
-        let gone = if known { v.limit.saturating_sub(a.budget) } else { Duration::ZERO };
+        let gone = if known {
+            v.limit.saturating_sub(a.budget)
+        } else {
+            Duration::ZERO
+        };
         // A marked repeat has spent some of its goal, no one knows how much.
         let values = self.values();
         let mut value = values[a.verb] * if a.again && !known { 0.3 } else { 1.0 };
@@ -568,10 +733,19 @@
         (self.spare, self.marked) = ((self.spare + 0.2).min(5.0), self.marked || a.again);
         self.arrivals.add(self.now, 4 * CALM);
         let key = a.key.filter(|_| self.duty.warm_keys);
-        key.into_iter().for_each(|key| self.keys[key as usize % KEY_SLOTS].add(self.now, 4 * CALM));
+        key.into_iter()
+            .for_each(|key| self.keys[key as usize % KEY_SLOTS].add(self.now, 4 * CALM));
         self.draw_pass();
-        let (due, best) = ((self.now + goal).saturating_sub(gone), values.into_iter().fold(1e-9, f64::max));
-        self.commands[a.cmd] = Some(Command { value, best, key, ..Command::come(&a, self.now, due) });
+        let (due, best) = (
+            (self.now + goal).saturating_sub(gone),
+            values.into_iter().fold(1e-9, f64::max),
+        );
+        self.commands[a.cmd] = Some(Command {
+            value,
+            best,
+            key,
+            ..Command::come(&a, self.now, due)
+        });
         self.enqueue(a.cmd);
         self.hold(a.cmd);
     }
@@ -579,9 +753,13 @@
     /// Holds a command while a few endpoints are asked how they are; tells whether it waits for them.
     fn hold(&mut self, cmd: CmdIx) -> bool {
         // Guards against holding a command longer than its client stays.
-        let Some(c) = self.held(cmd).filter(|c| self.now < c.last_call) else { return false };
+        let Some(c) = self.held(cmd).filter(|c| self.now < c.last_call) else {
+            return false;
+        };
         let until = self.now + self.heartbeat(Some((c.verb, c.play)));
-        self.commands[cmd].iter_mut().for_each(|c| c.hold_until = until);
+        self.commands[cmd]
+            .iter_mut()
+            .for_each(|c| c.hold_until = until);
         until > self.now
     }
 
@@ -589,27 +767,55 @@
     /// worth least for as long as the result counts the worst served.
     fn values(&self) -> Vec<f64> {
         let verbs = &self.duty.verbs;
-        let rates: Vec<f64> = verbs.iter().map(|v| v.asked.rate(self.now, 8 * CALM) + FEW).collect();
-        let served = verbs.iter().map(|v| v.served.rate(self.now, 8 * CALM) + FEW);
-        let services: Vec<f64> = served.zip(&rates).map(|(served, rate)| served / rate).collect();
-        let (all, least) = (rates.iter().sum::<f64>(), services.iter().copied().fold(1.0, f64::min));
-        let worth: f64 = verbs.iter().zip(&rates).map(|(v, rate)| rate * v.utility).sum();
+        let rates: Vec<f64> = verbs
+            .iter()
+            .map(|v| v.asked.rate(self.now, 8 * CALM) + FEW)
+            .collect();
+        let served = verbs
+            .iter()
+            .map(|v| v.served.rate(self.now, 8 * CALM) + FEW);
+        let services: Vec<f64> = served
+            .zip(&rates)
+            .map(|(served, rate)| served / rate)
+            .collect();
+        let (all, least) = (
+            rates.iter().sum::<f64>(),
+            services.iter().copied().fold(1.0, f64::min),
+        );
+        let worth: f64 = verbs
+            .iter()
+            .zip(&rates)
+            .map(|(v, rate)| rate * v.utility)
+            .sum();
         let behind = |n: usize| (1.0 - 10.0 * (services[n] - least)).max(0.0);
-        let (whole, worst) = (self.duty.goal_whole * all / worth, self.duty.goal_verb * all);
-        (0..verbs.len()).map(|n| whole * verbs[n].utility + worst * behind(n) / rates[n]).collect()
+        let (whole, worst) = (
+            self.duty.goal_whole * all / worth,
+            self.duty.goal_verb * all,
+        );
+        (0..verbs.len())
+            .map(|n| whole * verbs[n].utility + worst * behind(n) / rates[n])
+            .collect()
     }
 
     /// Until when a command may wait from now: what is left of its goal must fit a usual answer.
     fn last_call(&self, c: &Command) -> Duration {
         let v = &self.duty.verbs[c.verb];
         let need = Duration::from_secs_f64(v.usual.mean.clamp(0.0, 0.6 * v.goal.as_secs_f64()));
-        let end = if v.late_utility > 0.0 { c.leave } else { c.due.min(c.leave) };
+        let end = if v.late_utility > 0.0 {
+            c.leave
+        } else {
+            c.due.min(c.leave)
+        };
         end.saturating_sub(need).min(self.now + v.goal / 4)
     }
 
     fn enqueue(&mut self, cmd: CmdIx) {
-        let Some(last_call) = self.held(cmd).map(|c| self.last_call(c)) else { return };
-        self.commands[cmd].iter_mut().for_each(|c| (c.waits, c.last_call) = (true, last_call));
+        let Some(last_call) = self.held(cmd).map(|c| self.last_call(c)) else {
+            return;
+        };
+        self.commands[cmd]
+            .iter_mut()
+            .for_each(|c| (c.waits, c.last_call) = (true, last_call));
         self.queue.push(cmd);
     }
 
@@ -619,28 +825,45 @@
             return;
         }
         let mut waiting = std::mem::take(&mut self.queue);
-        let rank = |cmd: &CmdIx| self.held(*cmd).map_or((0.0, Duration::ZERO), |c| (-c.value, c.came));
-        waiting.sort_by(|a, b| rank(a).partial_cmp(&rank(b)).unwrap_or(std::cmp::Ordering::Equal));
+        let rank = |cmd: &CmdIx| {
+            self.held(*cmd)
+                .map_or((0.0, Duration::ZERO), |c| (-c.value, c.came))
+        };
+        waiting.sort_by(|a, b| {
+            rank(a)
+                .partial_cmp(&rank(b))
+                .unwrap_or(std::cmp::Ordering::Equal)
+        });
         let (now, hold) = (self.now, self.duty.hold);
-        let pending = self.view().any(|e| e.probing.is_some_and(|at| now < at + hold));
-        let room = (self.sends.young_rate(self.now, CALM) * self.duty.patience.as_secs_f64()).max(1.0);
+        let pending = self
+            .view()
+            .any(|e| e.probing.is_some_and(|at| now < at + hold));
+        let room =
+            (self.sends.young_rate(self.now, CALM) * self.duty.patience.as_secs_f64()).max(1.0);
         let mut idle = self.knows_idle();
         let mut line = 0; // those that nothing took; the rest only await heartbeats
         let mut shut = Vec::new(); // places in which nothing took a command that is worth more
         for cmd in waiting {
-            let Some(c) = self.held(cmd).filter(|c| c.waits && !c.over) else { continue };
+            let Some(c) = self.held(cmd).filter(|c| c.waits && !c.over) else {
+                continue;
+            };
             let bound = self.duty.verbs[c.verb].bound().then_some(c.verb);
             let (free, lost, play) = (c.relays.is_empty(), now >= c.last_call, (c.play, bound));
             // More rounds of heartbeats where none of those asked is idle.
             let held = c.hold_until > now && pending && !idle;
             let again = !held && !idle && c.rounds < ROUNDS && !self.shedding;
             if !lost && (held || again && self.hold(cmd)) {
-                self.commands[cmd].iter_mut().for_each(|c| c.rounds += u32::from(again));
+                self.commands[cmd]
+                    .iter_mut()
+                    .for_each(|c| c.rounds += u32::from(again));
                 self.queue.push(cmd);
                 continue;
             }
-            if let Some(at) = if lost || free && shut.contains(&play) { None } else { self.pick(cmd, false) }
-            {
+            if let Some(at) = if lost || free && shut.contains(&play) {
+                None
+            } else {
+                self.pick(cmd, false)
+            } {
                 self.send(cmd, at);
                 idle = self.knows_idle();
                 continue;
@@ -660,9 +883,24 @@
             self.heartbeat(None);
         }
         // One alarm for the whole queue, at the next time when something in it may change by itself.
-        let turn = |c: &Command| if c.hold_until > now { c.last_call.min(c.hold_until) } else { c.last_call };
-        let ask = if !shut.is_empty() && line > 0 { self.ask_at } else { Duration::MAX };
-        let turns = self.queue.iter().filter_map(|cmd| self.held(*cmd)).map(turn).min();
+        let turn = |c: &Command| {
+            if c.hold_until > now {
+                c.last_call.min(c.hold_until)
+            } else {
+                c.last_call
+            }
+        };
+        let ask = if !shut.is_empty() && line > 0 {
+            self.ask_at
+        } else {
+            Duration::MAX
+        };
+        let turns = self
+            .queue
+            .iter()
+            .filter_map(|cmd| self.held(*cmd))
+            .map(turn)
+            .min();
         if let Some(next) = turns.map(|at| at.min(ask).max(now + self.duty.tick))
             && (self.wake <= now || next < self.wake)
         {
@@ -671,7 +909,9 @@
         }
         if f64::from(line) + 1.0 > room {
             if !std::mem::replace(&mut self.shedding, true) {
-                self.log(format!("too much to carry: {line} commands wait, room for {room:.0}"));
+                self.log(format!(
+                    "too much to carry: {line} commands wait, room for {room:.0}"
+                ));
             }
             self.shed_at = now;
         } else if self.shedding && now.saturating_sub(self.shed_at) > 2 * CALM {
@@ -705,16 +945,31 @@
         };
         let may = |e: &Endpoint| self.open(e) && drops_repeats(e) && v.placed(e);
         // A second copy is a luxury: it goes only where there is room for the least worth.
-        let value = if copy { 0.0 } else { (c.value / c.best).clamp(0.0, 1.0) };
-        let homes = if home.is_none() { self.homes(c) } else { Vec::new() };
+        let value = if copy {
+            0.0
+        } else {
+            (c.value / c.best).clamp(0.0, 1.0)
+        };
+        let homes = if home.is_none() {
+            self.homes(c)
+        } else {
+            Vec::new()
+        };
         let ats = match home {
             None if !homes.is_empty() => homes.iter().map(|(at, _)| *at).collect(),
             None if !v.bound() => self.met.clone(),
             _ => (0..self.endpoints.len()).collect(),
         };
-        let risk = if v.effect == Effect::Effectful { 5.0 * RISK } else { RISK };
+        let risk = if v.effect == Effect::Effectful {
+            5.0 * RISK
+        } else {
+            RISK
+        };
         let mut weights = self.weigh(&ats, Some((c.verb, c.play)), Some((value, risk)), &may);
-        homes.iter().zip(&mut weights).for_each(|((_, share), w)| *w *= share);
+        homes
+            .iter()
+            .zip(&mut weights)
+            .for_each(|((_, share), w)| *w *= share);
         let tried = |at: &EndpointIx| c.relays.iter().any(|r| r.endpoint == *at);
         for (_, w) in ats.iter().zip(&mut weights).filter(|(at, _)| tried(at)) {
             *w *= if copy { 0.0 } else { 0.01 };
@@ -731,37 +986,73 @@
         let part = rate(&self.keys[key as usize % KEY_SLOTS]) / rate(&self.arrivals).max(1e-9);
         let wide = (HOMES * part * self.listed).max(1.0);
         let ready = |(at, e): &(usize, &Endpoint)| {
-            let here = e.listed && self.now >= e.try_at && self.open(e) && self.duty.verbs[c.verb].placed(e);
+            let here = e.listed
+                && self.now >= e.try_at
+                && self.open(e)
+                && self.duty.verbs[c.verb].placed(e);
             here && !c.relays.iter().any(|r| r.endpoint == *at)
         };
         let place = |(at, e): (usize, &Endpoint)| match self.cold(e) {
             true => (0.0, at),
-            false => (luck(e.mark, key) / self.base(e, Some(c.play)).sqrt().max(1e-9), at),
+            false => (
+                luck(e.mark, key) / self.base(e, Some(c.play)).sqrt().max(1e-9),
+                at,
+            ),
         };
-        let mut places: Vec<_> = self.endpoints.iter().enumerate().filter(ready).map(place).collect();
+        let mut places: Vec<_> = self
+            .endpoints
+            .iter()
+            .enumerate()
+            .filter(ready)
+            .map(place)
+            .collect();
         places.sort_unstable_by(|a, b| a.0.total_cmp(&b.0));
         let wide = wide + places.iter().filter(|(place, _)| *place == 0.0).count() as f64;
         let share = |(n, (_, at))| (at, (wide - n as f64).clamp(RESERVE, 1.0));
-        places.into_iter().take(wide.ceil() as usize + 2).enumerate().map(share).collect()
+        places
+            .into_iter()
+            .take(wide.ceil() as usize + 2)
+            .enumerate()
+            .map(share)
+            .collect()
     }
 
     fn send(&mut self, cmd: CmdIx, at: EndpointIx) {
         let (now, usual) = (self.now, self.usual_load());
         let e = &self.endpoints[at];
         let ahead = self.load(e, usual) / e.size;
-        let told = e.heard.filter(|_| !self.cold(e)).map_or(0.0, |at| fade(now, at, self.duty.believe));
+        let told = e
+            .heard
+            .filter(|_| !self.cold(e))
+            .map_or(0.0, |at| fade(now, at, self.duty.believe));
         self.meet(at);
-        let Some(c) = self.commands[cmd].as_mut() else { return };
+        let Some(c) = self.commands[cmd].as_mut() else {
+            return;
+        };
         let (first, coming, due, verb) = (c.relays.is_empty(), c.coming, c.due, c.verb);
         let v = &self.duty.verbs[verb];
-        let ran = c.relays.iter().find(|r| r.may_have_run() && v.effect == Effect::Receipted);
+        let ran = c
+            .relays
+            .iter()
+            .find(|r| r.may_have_run() && v.effect == Effect::Receipted);
         let window = ran.map(|first| v.window_left(first, now));
         c.waits = false;
-        c.relays.push(Relay { endpoint: at, sent: now, ahead, told, outcome: None });
+        c.relays.push(Relay {
+            endpoint: at,
+            sent: now,
+            ahead,
+            told,
+            outcome: None,
+        });
         let within = c.leave.saturating_sub(now).max(self.duty.tick);
         // Guards against a repeat whose connection comes up when its endpoint would no longer drop it.
         let begin = window.unwrap_or(within).min(within);
-        self.out.push(Action::Relay { cmd, endpoint: at, within, begin });
+        self.out.push(Action::Relay {
+            cmd,
+            endpoint: at,
+            within,
+            begin,
+        });
         let e = &mut self.endpoints[at];
         (e.used, e.pass_until, e.owed) = (Some(now), Duration::ZERO, None);
         self.book(at, now, coming);
@@ -770,7 +1061,8 @@
         self.endpoints[at].sends.add(now, 4 * CALM);
         let v = &self.duty.verbs[verb];
         let (until_due, slow) = (due.saturating_sub(now), v.slow());
-        let copies = self.duty.second_copies && v.effect != Effect::Effectful && slow < v.goal.mul_f64(0.8);
+        let copies =
+            self.duty.second_copies && v.effect != Effect::Effectful && slow < v.goal.mul_f64(0.8);
         if first && v.late_utility <= 0.0 && !coming {
             self.alarm(until_due, ALARM_GOAL | (cmd as u64) << 2);
         }
@@ -782,10 +1074,16 @@
     /// A second copy, where one relay takes unusually long. Guards against an endpoint that stands still; the
     /// budget of further relays keeps it from feeding an overload.
     fn copy(&mut self, cmd: CmdIx) {
-        let Some(c) = self.held(cmd).filter(|c| !c.over && !c.streams && !c.waits && !c.once) else { return };
+        let Some(c) = self
+            .held(cmd)
+            .filter(|c| !c.over && !c.streams && !c.waits && !c.once)
+        else {
+            return;
+        };
         let v = &self.duty.verbs[c.verb];
         let [only] = c.relays[..] else { return };
-        let slow = only.outcome.is_none() && self.now.saturating_sub(only.sent) >= v.slow().mul_f64(0.8);
+        let slow =
+            only.outcome.is_none() && self.now.saturating_sub(only.sent) >= v.slow().mul_f64(0.8);
         let time = c.due.saturating_sub(self.now).as_secs_f64() > v.usual.mean;
         let may = slow && time && self.spare >= 1.0 && !self.shedding;
         if let Some(at) = may.then(|| self.pick(cmd, true)).flatten() {
@@ -796,12 +1094,21 @@
 
     /// All of a long body has come; from here on it is as any other command.
     fn whole(&mut self, cmd: CmdIx) {
-        let Some(c) = self.commands.get_mut(cmd).and_then(Option::as_mut).filter(|c| c.coming) else {
+        let Some(c) = self
+            .commands
+            .get_mut(cmd)
+            .and_then(Option::as_mut)
+            .filter(|c| c.coming)
+        else {
             return;
         };
         let out = c.begin(self.now);
-        let (until_due, late) = (c.due.saturating_sub(self.now), self.duty.verbs[c.verb].late_utility);
-        out.into_iter().for_each(|at| self.book(at, self.now, false));
+        let (until_due, late) = (
+            c.due.saturating_sub(self.now),
+            self.duty.verbs[c.verb].late_utility,
+        );
+        out.into_iter()
+            .for_each(|at| self.book(at, self.now, false));
         if late <= 0.0 {
             self.alarm(until_due, ALARM_GOAL | (cmd as u64) << 2);
         }
@@ -811,20 +1118,35 @@
     /// off where something waits, here or at its endpoint; else it may end by itself and is not wasted.
     fn past_goal(&mut self, cmd: CmdIx) {
         let past = |c: &&Command| !c.over && !c.streams && !c.waits && self.now >= c.due;
-        let Some(c) = self.held(cmd).filter(past) else { return };
+        let Some(c) = self.held(cmd).filter(past) else {
+            return;
+        };
         let (usual, verb) = (self.usual_load(), c.verb);
-        let out: Vec<Relay> = c.relays.iter().filter(|r| r.outcome.is_none()).copied().collect();
+        let out: Vec<Relay> = c
+            .relays
+            .iter()
+            .filter(|r| r.outcome.is_none())
+            .copied()
+            .collect();
         // What can't be known of an endpoint without credit is taken for the worse.
-        let crowded = |e: &Endpoint| self.load(e, usual) / e.size > 1.2 || e.credit * self.faith < 0.5;
+        let crowded =
+            |e: &Endpoint| self.load(e, usual) / e.size > 1.2 || e.credit * self.faith < 0.5;
         let wanted = out.iter().any(|r| crowded(&self.endpoints[r.endpoint]));
         if wanted || self.shedding || !self.queue.is_empty() {
-            out.iter().for_each(|r| self.slow_answer(r, verb, self.now.saturating_sub(r.sent)));
+            out.iter()
+                .for_each(|r| self.slow_answer(r, verb, self.now.saturating_sub(r.sent)));
             self.give_up(cmd);
         }
     }
 
     /// Books the outcome of a relay; tells its endpoint.
-    fn finish(&mut self, cmd: CmdIx, n: usize, outcome: Outcome, spent: Duration) -> Option<EndpointIx> {
+    fn finish(
+        &mut self,
+        cmd: CmdIx,
+        n: usize,
+        outcome: Outcome,
+        spent: Duration,
+    ) -> Option<EndpointIx> {
         let now = self.now;
         let c = self.commands.get_mut(cmd)?.as_mut()?;
         let (verb, in_time, coming) = (c.verb, now <= c.due, c.coming);
@@ -848,7 +1170,8 @@
                 let pace = v.pace(&r, spent);
                 v.usual.note(now, spent.as_secs_f64(), 10 * CALM);
                 self.usual.note(now, pace, 10 * CALM);
-                self.kinds.resize(self.kinds.len().max(e.kind + 1), Pace::default());
+                self.kinds
+                    .resize(self.kinds.len().max(e.kind + 1), Pace::default());
                 self.kinds[e.kind].note(now, pace, 10 * CALM);
                 e.pace.note(now, pace, 2 * CALM);
                 let (goal, limit) = (v.goal, self.limit_of(&self.endpoints[at]));
@@ -857,7 +1180,14 @@
                 } else if spent < goal / 2 && r.ahead + 1.0 >= limit {
                     self.set_limit(at, (limit + GROWTH / limit).min(64.0));
                 }
-                self.credit(at, if pace > 3.0 * self.usual.mean { -0.1 * r.told } else { 0.0 });
+                self.credit(
+                    at,
+                    if pace > 3.0 * self.usual.mean {
+                        -0.1 * r.told
+                    } else {
+                        0.0
+                    },
+                );
                 self.reached(at);
                 self.judge(at, verb, outcome, OUTCOMES);
             }
@@ -889,7 +1219,11 @@
         self.well = (self.well + LEAST_GAIN * (f64::from(u8::from(answered)) - self.well)).max(0.1);
         let late = answered || outcome == Outcome::Recalled && !in_time;
         if answered && in_time {
-            self.window += if self.out_now + 2.0 >= 0.6 * self.window { 0.1 * value } else { 0.0 };
+            self.window += if self.out_now + 2.0 >= 0.6 * self.window {
+                0.1 * value
+            } else {
+                0.0
+            };
         } else if late || matches!(outcome, Outcome::TimedOut | Outcome::Full) {
             self.window = (self.window.min(2.0 * self.out_now + 4.0) - 0.5 * share).max(1.0);
         }
@@ -898,8 +1232,17 @@
     /// Failures never count as fast answers: a time-out is an answer at least as slow as it lasted.
     fn slow_answer(&mut self, r: &Relay, verb: usize, spent: Duration) {
         let pace = self.duty.verbs[verb].pace(r, spent).max(1.0);
-        self.endpoints[r.endpoint].pace.note(self.now, pace, 2 * CALM);
-        self.credit(r.endpoint, if pace > 2.0 * self.usual.mean { -0.1 * r.told } else { 0.0 });
+        self.endpoints[r.endpoint]
+            .pace
+            .note(self.now, pace, 2 * CALM);
+        self.credit(
+            r.endpoint,
+            if pace > 2.0 * self.usual.mean {
+                -0.1 * r.told
+            } else {
+                0.0
+            },
+        );
         // Guards against an endpoint that lets work hang while its probes are fine.
         self.judge(r.endpoint, verb, Outcome::TimedOut, OUTCOMES);
         self.cut(r.endpoint);
@@ -919,24 +1262,37 @@
     }
 
     fn set_limit(&mut self, at: EndpointIx, limit: f64) {
-        self.limit = (self.limit + LIMIT_SPREAD * (limit - self.limit_of(&self.endpoints[at]))).max(1.0);
+        self.limit =
+            (self.limit + LIMIT_SPREAD * (limit - self.limit_of(&self.endpoints[at]))).max(1.0);
         (self.endpoints[at].limit, self.endpoints[at].tried) = (limit, self.now);
     }
 
     /// What becomes of a command of which a relay ended without an answer.
     fn go_on(&mut self, cmd: CmdIx, outcome: Outcome) {
         let all_ended = |c: &&Command| c.over || c.relays.iter().all(|r| r.outcome.is_some());
-        let Some(c) = self.held(cmd).filter(all_ended) else { return };
+        let Some(c) = self.held(cmd).filter(all_ended) else {
+            return;
+        };
         if c.over {
             return self.tidy(cmd);
         }
         let ran = c.relays.iter().any(Relay::may_have_run);
         // Guards against what no endpoint can use and takes the budget of the rest: two words settle it.
-        let unfit = c.relays.iter().filter(|r| r.outcome == Some(Outcome::Unfit)).count();
-        let again = unfit < 2 && !c.once && (!ran || self.duty.verbs[c.verb].effect != Effect::Effectful);
+        let unfit = c
+            .relays
+            .iter()
+            .filter(|r| r.outcome == Some(Outcome::Unfit))
+            .count();
+        let again =
+            unfit < 2 && !c.once && (!ran || self.duty.verbs[c.verb].effect != Effect::Effectful);
         // A first relay proven not to have run, or not to fit, costs little to send again, but not nothing.
-        let price = if c.relays.len() < 2 && (outcome.never_ran() || unfit > 0) { 0.2 } else { 1.0 };
-        let time = self.now < self.last_call(c) && c.relays.len() < self.duty.verbs[c.verb].most_relays;
+        let price = if c.relays.len() < 2 && (outcome.never_ran() || unfit > 0) {
+            0.2
+        } else {
+            1.0
+        };
+        let time =
+            self.now < self.last_call(c) && c.relays.len() < self.duty.verbs[c.verb].most_relays;
         if time && again && self.spare >= price {
             self.spare -= price;
             self.enqueue(cmd);
@@ -954,16 +1310,27 @@
         let harmless = !ran || v.effect == Effect::Pure || drops_any;
         let rest = if late { v.limit } else { v.goal / 5 };
         let not_before = self.duty.return_after.map(|most| most.min(rest));
-        let action = if harmless { Action::Decline { cmd, not_before } } else { Action::Terminate { cmd } };
+        let action = if harmless {
+            Action::Decline { cmd, not_before }
+        } else {
+            Action::Terminate { cmd }
+        };
         self.conclude(cmd, Some(action));
     }
 
     fn conclude(&mut self, cmd: CmdIx, answer: Option<Action>) {
-        let Some(c) = self.commands.get_mut(cmd).and_then(Option::as_mut) else { return };
+        let Some(c) = self.commands.get_mut(cmd).and_then(Option::as_mut) else {
+            return;
+        };
         (c.over, c.waits) = (true, false);
         self.out.extend(answer);
         if self.duty.may_recall && !c.streams {
-            for (relay, _) in c.relays.iter().enumerate().filter(|(_, r)| r.outcome.is_none()) {
+            for (relay, _) in c
+                .relays
+                .iter()
+                .enumerate()
+                .filter(|(_, r)| r.outcome.is_none())
+            {
                 self.out.push(Action::Recall { cmd, relay });
             }
         }
@@ -975,7 +1342,9 @@
 impl VerbDuty {
     /// How long a repeat may still be sent; a tenth is left for the way.
     fn window_left(&self, first: &Relay, now: Duration) -> Duration {
-        self.window.mul_f64(0.9).saturating_sub(now.saturating_sub(first.sent))
+        self.window
+            .mul_f64(0.9)
+            .saturating_sub(now.saturating_sub(first.sent))
     }
 
     /// Like with like: a time against its verb's usual one, and for the place in line that it had.
--- a/crates/passroad-choice/src/choice/tests.rs
+++ b/crates/passroad-choice/src/choice/tests.rs
@@ -87,7 +87,13 @@
 fn a_report_that_hides_own_relays_loses_credit() {
     let mut b = sidecar(Effect::Pure, 1);
     b.endpoints[0].out = vec![NOW - Duration::from_secs(1); 2];
-    b.hear(0, Some(Report { outstanding: Some(0.0), ..Report::default() }));
+    b.hear(
+        0,
+        Some(Report {
+            outstanding: Some(0.0),
+            ..Report::default()
+        }),
+    );
     assert!(b.endpoints[0].credit < 1.0 && b.faith < 1.0);
 }
 
@@ -95,7 +101,13 @@
 fn a_report_that_shows_own_relays_keeps_credit() {
     let mut b = sidecar(Effect::Pure, 1);
     b.endpoints[0].out = vec![NOW - Duration::from_secs(1); 2];
-    b.hear(0, Some(Report { outstanding: Some(2.0), ..Report::default() }));
+    b.hear(
+        0,
+        Some(Report {
+            outstanding: Some(2.0),
+            ..Report::default()
+        }),
+    );
     assert_eq!((b.endpoints[0].credit, b.faith), (1.0, 1.0));
 }
 
@@ -134,7 +146,12 @@
 #[rstest]
 fn a_slow_endpoint_is_told_by_its_pace() {
     let mut b = sidecar(Effect::Pure, 2);
-    b.endpoints[0].pace = Pace { mean: 4.0, spread: 1.0, count: 8.0, at: NOW };
+    b.endpoints[0].pace = Pace {
+        mean: 4.0,
+        spread: 1.0,
+        count: 8.0,
+        at: NOW,
+    };
     let w = b.weigh(&b.met, None, None, &|_| true);
     assert!(w[0] < 0.1 * w[1], "{w:?}");
 }
@@ -143,14 +160,20 @@
 fn a_fast_failure_is_no_fast_answer() {
     let mut b = with_relay(Effect::Pure, 2);
     b.finish(0, 0, Outcome::Error, Duration::from_millis(1));
-    assert_eq!((b.endpoints[0].pace.count, b.endpoints[0].last.seen), (0.0, 1));
+    assert_eq!(
+        (b.endpoints[0].pace.count, b.endpoints[0].last.seen),
+        (0.0, 1)
+    );
 }
 
 // tunis-transport at its later size: nearly half of all relays got no connection, handshakes ate the rest.
 #[rstest]
 #[case(Duration::from_secs(1), true)]
 #[case(Duration::from_secs(61), false)]
-fn an_open_connection_is_preferred_where_new_ones_cost(#[case] ago: Duration, #[case] preferred: bool) {
+fn an_open_connection_is_preferred_where_new_ones_cost(
+    #[case] ago: Duration,
+    #[case] preferred: bool,
+) {
     let mut b = sidecar(Effect::Pure, 2);
     (b.duty.new_link, b.endpoints[0].used) = (0.2, Some(NOW - ago));
     let w = b.weigh(&b.met, None, None, &|_| true);
@@ -169,7 +192,11 @@
 #[rstest]
 fn failures_scale_the_weight_down_but_not_to_nothing() {
     let mut b = sidecar(Effect::Pure, 2);
-    b.endpoints[0].last = Few { bad: !0, seen: OUTCOMES, ..Few::default() };
+    b.endpoints[0].last = Few {
+        bad: !0,
+        seen: OUTCOMES,
+        ..Few::default()
+    };
     let w = b.weigh(&b.met, None, None, &|_| true);
     assert!(w[0] > 0.0 && w[0] < 0.01 * w[1], "{w:?}");
 }
@@ -220,7 +247,10 @@
     b.endpoints[0].listed = false;
     b.commands[0] = Some(command());
     b.queue = vec![0];
-    let out = b.decide(NOW + Duration::from_millis(300), Event::Due { token: ALARM_QUEUE });
+    let out = b.decide(
+        NOW + Duration::from_millis(300),
+        Event::Due { token: ALARM_QUEUE },
+    );
     assert!(matches!(out[0], Action::Decline { cmd: 0, .. }), "{out:?}");
 }
 
@@ -232,7 +262,16 @@
     b.commands[0] = Some(command());
     (b.queue, b.wake) = (vec![0], NOW + Duration::from_nanos(239));
     let out = b.decide(NOW, Event::Due { token: ALARM_QUEUE });
-    assert!(out.iter().any(|a| matches!(a, Action::Alarm { token: ALARM_QUEUE, .. })), "{out:?}");
+    assert!(
+        out.iter().any(|a| matches!(
+            a,
+            Action::Alarm {
+                token: ALARM_QUEUE,
+                ..
+            }
+        )),
+        "{out:?}"
+    );
 }
 
 // Fresh day of sahel-ambulances: each alarm of the queue set another, 290 thousand in a day.
@@ -243,7 +282,16 @@
     b.commands[0] = Some(command());
     (b.queue, b.wake) = (vec![0], NOW + b.duty.tick);
     let out = b.decide(NOW, Event::Due { token: ALARM_QUEUE });
-    assert!(!out.iter().any(|a| matches!(a, Action::Alarm { token: ALARM_QUEUE, .. })), "{out:?}");
+    assert!(
+        !out.iter().any(|a| matches!(
+            a,
+            Action::Alarm {
+                token: ALARM_QUEUE,
+                ..
+            }
+        )),
+        "{out:?}"
+    );
 }
 
 #[rstest]
@@ -251,7 +299,10 @@
     let mut b = with_relay(Effect::Pure, 1);
     b.duty.return_after = None;
     b.give_up(0);
-    assert!(b.out.contains(&Action::Decline { cmd: 0, not_before: None }));
+    assert!(b.out.contains(&Action::Decline {
+        cmd: 0,
+        not_before: None
+    }));
 }
 
 #[rstest]
@@ -259,7 +310,10 @@
 #[case(Mode::Deleted)]
 fn a_draining_endpoint_gets_nothing_new(#[case] mode: Mode) {
     let mut b = sidecar(Effect::Pure, 1);
-    let entry = Listing { mode, ..listing(0, Duration::ZERO) };
+    let entry = Listing {
+        mode,
+        ..listing(0, Duration::ZERO)
+    };
     b.read_list(ListKind::Changes, vec![entry]);
     assert_eq!(b.weigh(&[0], None, None, &|_| true), [0.0]);
 }
@@ -287,14 +341,20 @@
     b.endpoints[30..].iter_mut().for_each(|e| e.start_cold(NOW));
     b.survey();
     let long = |n: u32| NOW - n * Duration::from_millis(266);
-    (0..300).rev().for_each(|n| b.warm_kinds[0].served.add(long(n), 4 * CALM));
-    let (mut drawn, each) =
-        (0.0, b.duty.cold_share * b.warm_kinds[0].served.rate(NOW, 4 * CALM) / 30.0 * 0.2);
+    (0..300)
+        .rev()
+        .for_each(|n| b.warm_kinds[0].served.add(long(n), 4 * CALM));
+    let (mut drawn, each) = (
+        0.0,
+        b.duty.cold_share * b.warm_kinds[0].served.rate(NOW, 4 * CALM) / 30.0 * 0.2,
+    );
     for _ in 0..2000 {
         b.pass_at = NOW - Duration::from_millis(100);
         b.draw_pass();
         drawn += b.endpoints.iter().filter(|e| e.pass_until > NOW).count() as f64;
-        b.endpoints.iter_mut().for_each(|e| e.pass_until = Duration::ZERO);
+        b.endpoints
+            .iter_mut()
+            .for_each(|e| e.pass_until = Duration::ZERO);
     }
     let due = 2000.0 * 0.1 * 30.0 * each;
     assert!((drawn / due - 1.0).abs() < 0.2, "{drawn} {due}");
@@ -307,7 +367,9 @@
         b.pass_at = now - gap;
         b.draw_pass();
         drawn += u32::from(b.endpoints[at].pass_until > now);
-        b.endpoints.iter_mut().for_each(|e| e.pass_until = Duration::ZERO);
+        b.endpoints
+            .iter_mut()
+            .for_each(|e| e.pass_until = Duration::ZERO);
     }
     f64::from(drawn) / 20_000.0 / gap.as_secs_f64()
 }
@@ -327,17 +389,24 @@
 #[case::half_have_left(6, 20.0)]
 #[case::one_is_left(1, 20.0)]
 #[case::none_is_left(0, 20.0)]
-fn what_went_to_those_that_left_is_no_rate_of_those_that_stay(#[case] stay: usize, #[case] each: f64) {
+fn what_went_to_those_that_left_is_no_rate_of_those_that_stay(
+    #[case] stay: usize,
+    #[case] each: f64,
+) {
     let mut b = sidecar(Effect::Pure, 13);
     b.endpoints[12].start_cold(NOW);
     b.survey();
     answered(&mut b, 0..12, 20);
-    b.endpoints[stay..12].iter_mut().for_each(|e| e.listed = false);
+    b.endpoints[stay..12]
+        .iter_mut()
+        .for_each(|e| e.listed = false);
     b.survey();
     let passes = passes_a_second(&mut b, 12) / b.duty.cold_share / 0.2;
     assert!((passes / each - 1.0).abs() < 0.25, "{passes}");
     // Back cold, they are no rate either.
-    b.endpoints[stay..12].iter_mut().for_each(|e| (e.listed, e.up_since) = (true, Some(NOW)));
+    b.endpoints[stay..12]
+        .iter_mut()
+        .for_each(|e| (e.listed, e.up_since) = (true, Some(NOW)));
     b.survey();
     let passes = passes_a_second(&mut b, 12) / b.duty.cold_share / 0.2;
     assert!((passes / each - 1.0).abs() < 0.25, "{passes}");
@@ -351,7 +420,9 @@
     b.endpoints.iter_mut().for_each(|e| e.listed = false);
     b.survey();
     b.now = NOW + 10 * CALM;
-    b.endpoints.iter_mut().for_each(|e| (e.listed, e.up_since) = (true, Some(NOW + 10 * CALM)));
+    b.endpoints
+        .iter_mut()
+        .for_each(|e| (e.listed, e.up_since) = (true, Some(NOW + 10 * CALM)));
     b.survey();
     let passes = passes_a_second(&mut b, 3) / b.duty.cold_share / 0.2;
     assert!((passes / 20.0 - 1.0).abs() < 0.25, "{passes}");
@@ -363,7 +434,10 @@
 #[case::large(1, 80.0)]
 #[case::of_a_kind_with_none_warm(2, 20.0)]
 #[case::of_a_kind_never_seen(7, 20.0)]
-fn a_cold_endpoint_is_sent_what_warm_ones_of_its_kind_answer(#[case] kind: usize, #[case] each: f64) {
+fn a_cold_endpoint_is_sent_what_warm_ones_of_its_kind_answer(
+    #[case] kind: usize,
+    #[case] each: f64,
+) {
     let mut b = sidecar(Effect::Pure, 9);
     b.endpoints[4..8].iter_mut().for_each(|e| e.kind = 1);
     b.endpoints[8].kind = kind;
@@ -394,11 +468,16 @@
 #[rstest]
 fn while_commands_wait_full_endpoints_are_asked_again() {
     let mut b = sidecar(Effect::Pure, 2);
-    b.endpoints.iter_mut().for_each(|e| (e.holds, e.heard) = (9.0, Some(NOW - b.duty.fresh * 2)));
+    b.endpoints
+        .iter_mut()
+        .for_each(|e| (e.holds, e.heard) = (9.0, Some(NOW - b.duty.fresh * 2)));
     b.commands[0] = Some(command());
     b.queue = vec![0];
     let out = b.decide(NOW, Event::Due { token: ALARM_QUEUE });
-    assert!(out.iter().any(|a| matches!(a, Action::Probe { .. })), "{out:?}");
+    assert!(
+        out.iter().any(|a| matches!(a, Action::Probe { .. })),
+        "{out:?}"
+    );
 }
 
 // Incident i1a0a9a: hundreds of quiet sidecars with two waiting each met at the next idle endpoint.
@@ -406,10 +485,20 @@
 fn past_the_room_the_least_worth_is_declined_at_once() {
     let mut b = sidecar(Effect::Pure, 1);
     b.endpoints[0].holds = 9.0;
-    b.commands = (0..4).map(|n| Some(Command { value: f64::from(n), ..command() })).collect();
+    b.commands = (0..4)
+        .map(|n| {
+            Some(Command {
+                value: f64::from(n),
+                ..command()
+            })
+        })
+        .collect();
     b.queue = vec![0, 1, 2, 3];
     let out = b.decide(NOW, Event::Due { token: ALARM_QUEUE });
-    let declined = |cmd| out.iter().any(|a| matches!(a, Action::Decline { cmd: c, .. } if *c == cmd));
+    let declined = |cmd| {
+        out.iter()
+            .any(|a| matches!(a, Action::Decline { cmd: c, .. } if *c == cmd))
+    };
     assert_eq!([0, 1, 2, 3].map(declined), [true, true, true, false]);
 }
 
@@ -422,7 +511,10 @@
     b.commands = (0..4).map(|_| Some(command())).collect();
     b.queue = vec![0, 1, 2, 3];
     let out = b.decide(NOW, Event::Due { token: ALARM_QUEUE });
-    assert!(!out.iter().any(|a| matches!(a, Action::Decline { .. })), "{out:?}");
+    assert!(
+        !out.iter().any(|a| matches!(a, Action::Decline { .. })),
+        "{out:?}"
+    );
 }
 
 // Incident ree4900: clients who gave some first tries less time had them declined on the spot, idle endpoints beside.
@@ -438,7 +530,9 @@
     let mut b = sidecar(Effect::Pure, 1);
     (b.marked, b.duty.verbs[0].limit) = (marked, Duration::from_secs(1));
     (b.duty.verbs[0].budget, b.duty.verbs[0].budget_votes) = (Duration::from_millis(800), 20);
-    let Event::Arrived(a) = arrival(0) else { unreachable!() };
+    let Event::Arrived(a) = arrival(0) else {
+        unreachable!()
+    };
     let out = b.decide(NOW, Event::Arrived(Arrival { again, ..a }));
     assert_eq!(relays(&out).len(), sent, "{out:?}");
 }
@@ -500,11 +594,21 @@
         (0..20).for_each(|at| b.endpoints[at].mark = mark(&format!("endpoint {at}")));
         b.arrivals = Faded::default();
         (0..40).for_each(|_| b.arrivals.add(NOW, CALM));
-        let c = Command { key: Some(key), ..command() };
+        let c = Command {
+            key: Some(key),
+            ..command()
+        };
         let homes = b.homes(&c);
-        homes.into_iter().max_by(|a, b| a.1.total_cmp(&b.1)).map(|(at, _)| at)
+        homes
+            .into_iter()
+            .max_by(|a, b| a.1.total_cmp(&b.1))
+            .map(|(at, _)| at)
+    };
+    let all = |seed| {
+        (0..50)
+            .map(|key| home(seed, mark(&format!("key {key}"))))
+            .collect::<Vec<_>>()
     };
-    let all = |seed| (0..50).map(|key| home(seed, mark(&format!("key {key}")))).collect::<Vec<_>>();
     assert_eq!(all(3), all(5));
     let spread: std::collections::BTreeSet<_> = all(3).into_iter().collect();
     assert!(spread.len() > 12, "{spread:?}");
@@ -516,11 +620,25 @@
     let mut b = sidecar(Effect::Pure, 2);
     (b.duty.heartbeats, b.duty.live_weights) = (0, true);
     for rating in [1.5, 0.5] {
-        let entries = vec![Listing { rating, ..listing(0, Duration::ZERO) }];
-        b.decide(NOW, Event::Listed { kind: ListKind::Changes, entries });
+        let entries = vec![Listing {
+            rating,
+            ..listing(0, Duration::ZERO)
+        }];
+        b.decide(
+            NOW,
+            Event::Listed {
+                kind: ListKind::Changes,
+                entries,
+            },
+        );
     }
     let e = &b.endpoints[0];
-    assert!((e.holds - 2.0).abs() < 1e-9 && e.rating == 1.5, "{} {}", e.holds, e.rating);
+    assert!(
+        (e.holds - 2.0).abs() < 1e-9 && e.rating == 1.5,
+        "{} {}",
+        e.holds,
+        e.rating
+    );
 }
 
 // kochi-main weighs all alike, and its kinds differ by 2.5 in speed.
@@ -533,7 +651,10 @@
     (0..50).for_each(|n| b.kinds[n % 2].note(NOW, if n % 2 == 0 { 0.5 } else { 1.5 }, CALM));
     b.survey();
     let ratio = b.endpoints[0].size / b.endpoints[1].size;
-    assert!(ratio >= at_least && (heartbeats == 0 || ratio == 1.0), "{ratio}");
+    assert!(
+        ratio >= at_least && (heartbeats == 0 || ratio == 1.0),
+        "{ratio}"
+    );
 }
 
 // rahti-tampere zone+mass: each probe cost more than it was worth and only probes reported, so next to nothing was heard; limits
@@ -548,7 +669,11 @@
     #[case] probe_price: f64,
     #[case] heartbeats: usize,
 ) {
-    let duty = Balancer::duty(StandingOrders { reports, probe_price, ..orders(Effect::Pure) });
+    let duty = Balancer::duty(StandingOrders {
+        reports,
+        probe_price,
+        ..orders(Effect::Pure)
+    });
     assert_eq!(duty.heartbeats, heartbeats);
 }
 
@@ -556,10 +681,16 @@
 #[rstest]
 #[case::past_its_goal(500, true)]
 #[case::answered_elsewhere(100, false)]
-fn a_relay_called_off_past_its_goal_cuts_the_limit_on_all(#[case] after_ms: u64, #[case] cuts: bool) {
+fn a_relay_called_off_past_its_goal_cuts_the_limit_on_all(
+    #[case] after_ms: u64,
+    #[case] cuts: bool,
+) {
     let mut b = with_relay(Effect::Pure, 2);
     (b.window, b.out_now) = (20.0, 19.0);
-    b.decide(NOW + Duration::from_millis(after_ms), finished(0, Outcome::Recalled));
+    b.decide(
+        NOW + Duration::from_millis(after_ms),
+        finished(0, Outcome::Recalled),
+    );
     assert_eq!(b.window < 20.0, cuts, "{}", b.window);
 }
 
@@ -570,7 +701,16 @@
         let mut b = sidecar(Effect::Pure, 2);
         (b.window, b.out_now) = (20.0, 19.0);
         (0..OUTCOMES).for_each(|_| {
-            b.judge(0, 0, if failing { Outcome::TimedOut } else { Outcome::Answered }, OUTCOMES)
+            b.judge(
+                0,
+                0,
+                if failing {
+                    Outcome::TimedOut
+                } else {
+                    Outcome::Answered
+                },
+                OUTCOMES,
+            )
         });
         b.widen(0, 0, Outcome::TimedOut, false, 1.0);
         20.0 - b.window
@@ -592,11 +732,19 @@
     let mut b = sidecar(Effect::Pure, 20);
     (b.duty.warm_keys, b.keys) = (true, vec![Faded::default(); KEY_SLOTS]);
     (0..20).for_each(|at| b.endpoints[at].mark = mark(&format!("endpoint {at}")));
-    let c = Command { key: Some(7), ..command() };
+    let c = Command {
+        key: Some(7),
+        ..command()
+    };
     let before: Vec<_> = b.homes(&c).into_iter().map(|(at, _)| at).collect();
-    before.iter().for_each(|at| b.endpoints[*at].try_at = NOW + CALM);
+    before
+        .iter()
+        .for_each(|at| b.endpoints[*at].try_at = NOW + CALM);
     let after = b.homes(&c);
-    assert!(after.len() == before.len() && after.iter().all(|(at, _)| !before.contains(at)), "{after:?}");
+    assert!(
+        after.len() == before.len() && after.iter().all(|(at, _)| !before.contains(at)),
+        "{after:?}"
+    );
 }
 
 // A key that half of all commands name would fill one endpoint: it is remembered by as many as it needs.
@@ -608,7 +756,10 @@
     (0..40).for_each(|_| b.arrivals.add(NOW, 4 * CALM));
     (0..20).for_each(|_| b.keys[7].add(NOW, 4 * CALM));
     let full = |b: &Balancer, key| {
-        let homes = b.homes(&Command { key: Some(key), ..command() });
+        let homes = b.homes(&Command {
+            key: Some(key),
+            ..command()
+        });
         homes.iter().filter(|(_, share)| *share == 1.0).count()
     };
     assert_eq!((full(&b, 8), full(&b, 7)), (1, (HOMES * 10.0) as usize));
@@ -623,7 +774,10 @@
     b.endpoints[1].pass_until = NOW + CALM;
     b.endpoints[1].heard = None;
     let out = b.decide(NOW, arrival(0));
-    assert!(!out.iter().any(|a| matches!(a, Action::Probe { .. })), "{out:?}");
+    assert!(
+        !out.iter().any(|a| matches!(a, Action::Probe { .. })),
+        "{out:?}"
+    );
 }
 
 // Replay of id7bedd without heartbeats: nothing was heard any more, the last mean stayed over every limit.
@@ -631,7 +785,9 @@
 fn without_news_the_fleet_is_not_taken_for_full() {
     let mut b = sidecar(Effect::Pure, 2);
     b.duty.heartbeats = 0;
-    b.endpoints.iter_mut().for_each(|e| (e.holds, e.heard) = (9.0, Some(NOW - Duration::from_secs(9))));
+    b.endpoints
+        .iter_mut()
+        .for_each(|e| (e.holds, e.heard) = (9.0, Some(NOW - Duration::from_secs(9))));
     assert_eq!(relays(&b.decide(NOW, arrival(0))).len(), 1);
 }
 
@@ -639,8 +795,20 @@
 fn a_refused_list_is_asked_again_later() {
     let mut b = sidecar(Effect::Pure, 1);
     b.listening = true;
-    let out = b.decide(NOW, Event::Listed { kind: ListKind::Refused, entries: vec![] });
-    assert!(out.iter().any(|a| matches!(a, Action::Alarm { token: ALARM_LIST, .. })));
+    let out = b.decide(
+        NOW,
+        Event::Listed {
+            kind: ListKind::Refused,
+            entries: vec![],
+        },
+    );
+    assert!(out.iter().any(|a| matches!(
+        a,
+        Action::Alarm {
+            token: ALARM_LIST,
+            ..
+        }
+    )));
     assert!(b.endpoints[0].listed);
 }
 
@@ -654,14 +822,27 @@
     let mut after = Vec::new();
     for _ in 0..8 {
         b.listening = true;
-        let out = b.decide(NOW, Event::Listed { kind: ListKind::Refused, entries: vec![] });
+        let out = b.decide(
+            NOW,
+            Event::Listed {
+                kind: ListKind::Refused,
+                entries: vec![],
+            },
+        );
         let alarm = out.iter().find_map(|a| match a {
-            Action::Alarm { after, token: ALARM_LIST } => Some(*after),
+            Action::Alarm {
+                after,
+                token: ALARM_LIST,
+            } => Some(*after),
             _ => None,
         });
         after.push(alarm.unwrap());
     }
-    assert_eq!(after.iter().all(|wait| *wait <= Duration::from_millis(200)), !listen, "{after:?}");
+    assert_eq!(
+        after.iter().all(|wait| *wait <= Duration::from_millis(200)),
+        !listen,
+        "{after:?}"
+    );
 }
 
 #[rstest]
@@ -683,11 +864,23 @@
 #[rstest]
 #[case::time_left(150, false)]
 #[case::none_left(390, true)]
-fn a_failed_relay_is_followed_by_another_while_a_usual_answer_fits(#[case] spent: u64, #[case] over: bool) {
+fn a_failed_relay_is_followed_by_another_while_a_usual_answer_fits(
+    #[case] spent: u64,
+    #[case] over: bool,
+) {
     let mut b = with_relay(Effect::Pure, 2);
-    b.commands[0].iter_mut().for_each(|c| c.last_call = NOW + Duration::from_millis(100));
-    let out = b.decide(NOW + Duration::from_millis(spent), finished(0, Outcome::Error));
-    assert_eq!(out.iter().any(|a| matches!(a, Action::Decline { .. })), over, "{out:?}");
+    b.commands[0]
+        .iter_mut()
+        .for_each(|c| c.last_call = NOW + Duration::from_millis(100));
+    let out = b.decide(
+        NOW + Duration::from_millis(spent),
+        finished(0, Outcome::Error),
+    );
+    assert_eq!(
+        out.iter().any(|a| matches!(a, Action::Decline { .. })),
+        over,
+        "{out:?}"
+    );
 }
 
 // Day rude of sahel-ambulances: each command that no endpoint could use went to five and took all that the usual ones
@@ -699,7 +892,10 @@
     let before = b.spare;
     assert_eq!(relays(&b.decide(NOW, finished(0, Outcome::Unfit))).len(), 1);
     let out = b.decide(NOW, finished(1, Outcome::Unfit));
-    assert!(out.iter().any(|a| matches!(a, Action::Decline { .. })), "{out:?}");
+    assert!(
+        out.iter().any(|a| matches!(a, Action::Decline { .. })),
+        "{out:?}"
+    );
     assert!(before - b.spare < 0.3, "{} of {before}", b.spare);
 }
 
@@ -708,9 +904,21 @@
 fn a_command_with_no_time_left_is_declined_at_once() {
     let mut b = sidecar(Effect::Pure, 2);
     b.endpoints.iter_mut().for_each(|e| e.heard = None);
-    let Event::Arrived(a) = arrival(0) else { unreachable!() };
-    let out = b.decide(NOW, Event::Arrived(Arrival { budget: Duration::from_millis(1), ..a }));
-    assert!(out.iter().any(|a| matches!(a, Action::Decline { cmd: 0, .. })), "{out:?}");
+    let Event::Arrived(a) = arrival(0) else {
+        unreachable!()
+    };
+    let out = b.decide(
+        NOW,
+        Event::Arrived(Arrival {
+            budget: Duration::from_millis(1),
+            ..a
+        }),
+    );
+    assert!(
+        out.iter()
+            .any(|a| matches!(a, Action::Decline { cmd: 0, .. })),
+        "{out:?}"
+    );
 }
 
 // Incident i3e941c: endpoints let work hang while their probes were fine.
@@ -732,7 +940,9 @@
     #[case] back: bool,
 ) {
     let mut b = sidecar(Effect::Pure, 2);
-    b.duty.verbs.push(VerbDuty::of(&verb(Effect::Pure), CALM, 3));
+    b.duty
+        .verbs
+        .push(VerbDuty::of(&verb(Effect::Pure), CALM, 3));
     for _ in 0..OUTCOMES {
         b.judge(0, 0, Outcome::TimedOut, OUTCOMES);
         (0..3).for_each(|_| b.judge(0, 1, Outcome::Answered, OUTCOMES));
@@ -742,7 +952,13 @@
         let w = b.weigh(&b.met, Some((verb, 0)), None, &|_| true);
         w[0] / w[1]
     };
-    assert_eq!((share(0) > 0.1, share(1) > 0.1), (back, true), "{} {}", share(0), share(1));
+    assert_eq!(
+        (share(0) > 0.1, share(1) > 0.1),
+        (back, true),
+        "{} {}",
+        share(0),
+        share(1)
+    );
 }
 
 // Incidents ic477d7 and ibbfe5c: the verb worth least got a third of what the best got.
@@ -751,7 +967,10 @@
 #[case(0.2, false)]
 fn the_worst_served_verb_goes_first(#[case] served: f64, #[case] richer_first: bool) {
     let mut b = sidecar(Effect::Pure, 1);
-    let mut other = VerbDuty { utility: 3.0, ..VerbDuty::of(&verb(Effect::Pure), CALM, 3) };
+    let mut other = VerbDuty {
+        utility: 3.0,
+        ..VerbDuty::of(&verb(Effect::Pure), CALM, 3)
+    };
     for n in 0..100 {
         b.duty.verbs[0].asked.add(NOW, CALM);
         other.asked.add(NOW, CALM);
@@ -772,7 +991,12 @@
 fn a_failing_endpoint_is_well_again_at_three_quarters(#[case] good: u32, #[case] ailing: bool) {
     let mut b = sidecar(Effect::Pure, 1);
     let e = &mut b.endpoints[0];
-    e.last = Few { bad: !0 << (good - 1), seen: OUTCOMES, ailing: true, ..Few::default() };
+    e.last = Few {
+        bad: !0 << (good - 1),
+        seen: OUTCOMES,
+        ailing: true,
+        ..Few::default()
+    };
     b.judge(0, 0, Outcome::Answered, OUTCOMES);
     assert_eq!(b.endpoints[0].last.ailing, ailing);
 }
@@ -781,7 +1005,11 @@
 #[rstest]
 fn three_failures_in_a_row_take_most_of_the_weight() {
     let mut b = sidecar(Effect::Pure, 2);
-    b.endpoints[0].last = Few { bad: 0b111, seen: OUTCOMES, ..Few::default() };
+    b.endpoints[0].last = Few {
+        bad: 0b111,
+        seen: OUTCOMES,
+        ..Few::default()
+    };
     let w = b.weigh(&b.met, None, None, &|_| true);
     assert!(w[0] < 0.3 * w[1], "{w:?}");
 }
@@ -793,8 +1021,13 @@
 fn a_last_try_tells_by_its_budget_what_is_spent(#[case] budget: u64, #[case] left: u64) {
     let mut b = sidecar(Effect::Pure, 1);
     (b.duty.verbs[0].budget, b.duty.verbs[0].budget_votes) = (Duration::from_millis(500), 9);
-    let Event::Arrived(a) = arrival(0) else { unreachable!() };
-    b.take(Arrival { budget: Duration::from_millis(budget), ..a });
+    let Event::Arrived(a) = arrival(0) else {
+        unreachable!()
+    };
+    b.take(Arrival {
+        budget: Duration::from_millis(budget),
+        ..a
+    });
     assert_eq!(b.held(0).unwrap().due, NOW + Duration::from_millis(left));
 }
 
@@ -805,10 +1038,18 @@
 #[case::can_go_on(Effect::Pure, 0.5)]
 fn an_endpoint_that_fails_fast_draws_little(#[case] effect: Effect, #[case] most: f64) {
     let mut b = sidecar(effect, 4);
-    b.endpoints.iter_mut().for_each(|e| (e.holds, e.last.seen) = (1.0, OUTCOMES));
-    (b.endpoints[0].holds, b.endpoints[0].harm, b.endpoints[0].harmed) = (0.0, 0b0101_0101_0101_0101, NOW);
+    b.endpoints
+        .iter_mut()
+        .for_each(|e| (e.holds, e.last.seen) = (1.0, OUTCOMES));
+    (
+        b.endpoints[0].holds,
+        b.endpoints[0].harm,
+        b.endpoints[0].harmed,
+    ) = (0.0, 0b0101_0101_0101_0101, NOW);
     b.commands = (0..400).map(|_| Some(command())).collect();
-    let drawn = (0..400).filter(|cmd| b.pick(*cmd, false) == Some(0)).count();
+    let drawn = (0..400)
+        .filter(|cmd| b.pick(*cmd, false) == Some(0))
+        .count();
     assert!(drawn as f64 <= 400.0 * most, "{drawn}");
 }
 
@@ -841,8 +1082,18 @@
 fn an_endpoint_whose_connections_break_was_reached(#[case] outcome: Outcome, #[case] misses: u32) {
     let mut b = with_relay(Effect::Pure, 1);
     for _ in 0..3 {
-        let relay = Relay { endpoint: 0, sent: NOW, ahead: 0.0, told: 0.0, outcome: None };
-        b.commands[0] = Some(Command { waits: false, relays: vec![relay], ..command() });
+        let relay = Relay {
+            endpoint: 0,
+            sent: NOW,
+            ahead: 0.0,
+            told: 0.0,
+            outcome: None,
+        };
+        b.commands[0] = Some(Command {
+            waits: false,
+            relays: vec![relay],
+            ..command()
+        });
         b.finish(0, 0, outcome, Duration::from_millis(5));
         b.checked(0, outcome, Duration::from_millis(5), None);
     }
@@ -854,21 +1105,43 @@
 #[case::nothing_out(false, false, 1)]
 #[case::a_relay_out(true, false, 0)]
 #[case::a_probe_out(false, true, 0)]
-fn an_endpoint_that_left_gives_its_slot_back(#[case] relay: bool, #[case] probe: bool, #[case] freed: usize) {
+fn an_endpoint_that_left_gives_its_slot_back(
+    #[case] relay: bool,
+    #[case] probe: bool,
+    #[case] freed: usize,
+) {
     let mut b = with_relay(Effect::Effectful, 3);
     b.commands[0].as_mut().unwrap().relays[0].endpoint = if relay { 1 } else { 0 };
     b.endpoints[1].probing = probe.then_some(NOW);
     (b.endpoints[1].pace.mean, b.endpoints[1].misses) = (9.0, 3);
-    let entries = vec![Listing { mode: Mode::Deleted, ..listing(1, Duration::ZERO) }];
-    let out = b.decide(NOW, Event::Listed { kind: ListKind::Changes, entries });
-    let released = out.iter().filter(|a| matches!(a, Action::Release { endpoint: 1 })).count();
+    let entries = vec![Listing {
+        mode: Mode::Deleted,
+        ..listing(1, Duration::ZERO)
+    }];
+    let out = b.decide(
+        NOW,
+        Event::Listed {
+            kind: ListKind::Changes,
+            entries,
+        },
+    );
+    let released = out
+        .iter()
+        .filter(|a| matches!(a, Action::Release { endpoint: 1 }))
+        .count();
     let e = &b.endpoints[1];
     assert_eq!(
         (released, e.known, e.misses, b.met.len()),
         (freed, freed == 0, 3 * (1 - freed as u32), 3 - freed)
     );
     // Once: a free slot is not given back again.
-    let out = b.decide(NOW, Event::Listed { kind: ListKind::Changes, entries: vec![] });
+    let out = b.decide(
+        NOW,
+        Event::Listed {
+            kind: ListKind::Changes,
+            entries: vec![],
+        },
+    );
     assert!(!out.iter().any(|a| matches!(a, Action::Release { .. })));
 }
 
@@ -883,7 +1156,13 @@
     let mut b = sidecar(Effect::Pure, 2);
     b.endpoints.iter_mut().for_each(|e| e.known = true);
     let out = b.decide(NOW, Event::Listed { kind, entries });
-    let slot = |a: &Action| if let Action::Release { endpoint } = a { Some(*endpoint) } else { None };
+    let slot = |a: &Action| {
+        if let Action::Release { endpoint } = a {
+            Some(*endpoint)
+        } else {
+            None
+        }
+    };
     assert_eq!(out.iter().filter_map(slot).collect::<Vec<_>>(), freed);
 }
 
@@ -896,14 +1175,23 @@
     orders.verbs = names
         .iter()
         .enumerate()
-        .map(|(n, name)| VerbOrder { name: (*name).into(), ..verb(effect(n)) })
+        .map(|(n, name)| VerbOrder {
+            name: (*name).into(),
+            ..verb(effect(n))
+        })
         .collect();
     orders.max_relays = max_relays;
     Event::Retuned(Box::new(orders))
 }
 
 fn numbers(out: &[Action]) -> Vec<usize> {
-    let told = |a: &Action| if let Action::Numbered { verbs } = a { Some(verbs.clone()) } else { None };
+    let told = |a: &Action| {
+        if let Action::Numbered { verbs } = a {
+            Some(verbs.clone())
+        } else {
+            None
+        }
+    };
     out.iter().find_map(told).expect("numbers")
 }
 
@@ -911,13 +1199,28 @@
 fn what_did_not_change_keeps_its_slot_and_what_changed_gets_another() {
     let mut b = sidecar(Effect::Pure, 1);
     b.duty.verbs[0].usual.mean = 0.7;
-    assert_eq!(numbers(&b.decide(NOW, retuned(&["v", "w"], Effect::Pure, 3))), [0, 1]);
-    assert_eq!(numbers(&b.decide(NOW, retuned(&["v", "w"], Effect::Effectful, 3))), [2, 1]);
+    assert_eq!(
+        numbers(&b.decide(NOW, retuned(&["v", "w"], Effect::Pure, 3))),
+        [0, 1]
+    );
+    assert_eq!(
+        numbers(&b.decide(NOW, retuned(&["v", "w"], Effect::Effectful, 3))),
+        [2, 1]
+    );
     // What was seen of it holds; another verb begins from nothing.
-    assert_eq!((b.duty.verbs[2].usual.mean, b.duty.verbs[1].usual.mean), (0.7, 0.1));
+    assert_eq!(
+        (b.duty.verbs[2].usual.mean, b.duty.verbs[1].usual.mean),
+        (0.7, 0.1)
+    );
     // Each slot again once it has long been out of use, and no sooner.
-    assert_eq!(numbers(&b.decide(NOW + CALM, retuned(&["x"], Effect::Pure, 3))), [3]);
-    assert_eq!(numbers(&b.decide(NOW + 60 * CALM, retuned(&["x", "y", "z"], Effect::Pure, 3))), [3, 0, 1]);
+    assert_eq!(
+        numbers(&b.decide(NOW + CALM, retuned(&["x"], Effect::Pure, 3))),
+        [3]
+    );
+    assert_eq!(
+        numbers(&b.decide(NOW + 60 * CALM, retuned(&["x", "y", "z"], Effect::Pure, 3))),
+        [3, 0, 1]
+    );
 }
 
 // An effectful command was open when its verb became pure: it is not sent again, and the other way round it may be.
@@ -933,7 +1236,9 @@
     b.decide(NOW, retuned(&["v"], now, 3));
     let out = b.decide(NOW, finished(0, Outcome::Broken));
     assert_eq!(!relays(&out).is_empty(), again, "{out:?}");
-    let terminated = out.iter().any(|a| matches!(a, Action::Terminate { cmd: 0 }));
+    let terminated = out
+        .iter()
+        .any(|a| matches!(a, Action::Terminate { cmd: 0 }));
     assert_eq!(terminated, !again, "{out:?}");
 }
 
@@ -955,8 +1260,14 @@
 #[rstest]
 fn a_slot_that_a_command_holds_is_not_given_out() {
     let mut b = with_relay(Effect::Effectful, 2);
-    assert_eq!(numbers(&b.decide(NOW, retuned(&["w"], Effect::Pure, 3))), [1]);
-    assert_eq!(numbers(&b.decide(NOW + 60 * CALM, retuned(&["w", "x"], Effect::Pure, 3))), [1, 2]);
+    assert_eq!(
+        numbers(&b.decide(NOW, retuned(&["w"], Effect::Pure, 3))),
+        [1]
+    );
+    assert_eq!(
+        numbers(&b.decide(NOW + 60 * CALM, retuned(&["w", "x"], Effect::Pure, 3))),
+        [1, 2]
+    );
 }
 
 // herd: seven in ten sidecars are killed in a release; started again, each counted its rates as over eight seconds and gave
@@ -964,7 +1275,11 @@
 #[rstest]
 #[case::steady(50, 40.0, 60.0)]
 #[case::at_once(0, 0.0, 110.0)]
-fn a_rate_counts_over_the_time_that_there_was(#[case] apart: u64, #[case] least: f64, #[case] most: f64) {
+fn a_rate_counts_over_the_time_that_there_was(
+    #[case] apart: u64,
+    #[case] least: f64,
+    #[case] most: f64,
+) {
     let mut count = Faded::default();
     (0..=100).for_each(|n| count.add(NOW + Duration::from_millis(n * apart * 2 / 5), 4 * CALM));
     let rate = count.fair_rate(NOW + Duration::from_millis(100 * apart * 2 / 5), 4 * CALM);
@@ -986,13 +1301,20 @@
     #[case] expected: std::ops::RangeInclusive<usize>,
 ) {
     let mut b = sidecar(Effect::Pure, 8);
-    b.duty = Balancer::duty(StandingOrders { probe_price: price, ..orders(Effect::Pure) });
+    b.duty = Balancer::duty(StandingOrders {
+        probe_price: price,
+        ..orders(Effect::Pure)
+    });
     b.found = found;
     let mut probes = 0;
     for n in 0..1000 {
         b.now = NOW + CALM * n;
         b.heartbeat(Some((0, 0)).filter(|_| !waits));
-        probes += b.out.drain(..).filter(|a| matches!(a, Action::Probe { .. })).count();
+        probes += b
+            .out
+            .drain(..)
+            .filter(|a| matches!(a, Action::Probe { .. }))
+            .count();
         b.endpoints.iter_mut().for_each(|e| e.probing = None);
     }
     assert!(expected.contains(&probes), "{probes}");
@@ -1010,10 +1332,16 @@
     #[case] found: f64,
 ) {
     let mut b = sidecar(Effect::Pure, 1);
-    b.duty = Balancer::duty(StandingOrders { probe_price, ..orders(Effect::Pure) });
+    b.duty = Balancer::duty(StandingOrders {
+        probe_price,
+        ..orders(Effect::Pure)
+    });
     (b.now, b.found) = (NOW, 0.5);
     b.queue.extend(waits.then_some(0));
-    let report = Some(Report { outstanding: Some(holds), ..Report::default() });
+    let report = Some(Report {
+        outstanding: Some(holds),
+        ..Report::default()
+    });
     b.checked(0, Outcome::Answered, Duration::from_millis(1), report);
     assert!((b.found - found).abs() < 1e-9, "{}", b.found);
 }
@@ -1033,7 +1361,9 @@
 /// A command whose body still comes, with its relay out.
 fn uploading() -> Balancer {
     let mut b = sidecar(Effect::Effectful, 1);
-    let Event::Arrived(a) = arrival(0) else { unreachable!() };
+    let Event::Arrived(a) = arrival(0) else {
+        unreachable!()
+    };
     b.decide(NOW, Event::Arrived(Arrival { uploads: true, ..a }));
     b
 }
@@ -1046,7 +1376,13 @@
     let later = NOW + 5 * CALM;
     b.decide(later, Event::Whole { cmd: 0 });
     let c = b.held(0).unwrap();
-    assert_eq!((c.due, c.leave), (later + Duration::from_millis(400), later + Duration::from_millis(500)));
+    assert_eq!(
+        (c.due, c.leave),
+        (
+            later + Duration::from_millis(400),
+            later + Duration::from_millis(500)
+        )
+    );
     assert_eq!((b.endpoints[0].out.len(), b.out_now), (1, 1.0));
     b.decide(later, finished(0, Outcome::Answered));
     assert_eq!((b.endpoints[0].out.len(), b.out_now), (0, 0.0));
@@ -1061,7 +1397,12 @@
         b.decide(NOW, Event::Spent { cmd: 0 });
     }
     let out = b.decide(NOW, finished(0, Outcome::NoConnection));
-    assert_eq!(out.iter().any(|a| matches!(a, Action::Decline { cmd: 0, .. })), spent, "{out:?}");
+    assert_eq!(
+        out.iter()
+            .any(|a| matches!(a, Action::Decline { cmd: 0, .. })),
+        spent,
+        "{out:?}"
+    );
 }
 
 // ---- taking another's place ----
@@ -1074,18 +1415,37 @@
     old.endpoints.iter_mut().for_each(|e| e.known = true);
     let e = &mut old.endpoints[1];
     (e.pace.mean, e.limit, e.up_since, e.out) = (3.0, 7.0, Some(NOW - CALM), vec![NOW]);
-    e.by_verb = vec![Few::default(), Few { bad: 1, seen: 4, ..Few::default() }];
+    e.by_verb = vec![
+        Few::default(),
+        Few {
+            bad: 1,
+            seen: 4,
+            ..Few::default()
+        },
+    ];
     (old.window, old.duty.verbs[0].usual.mean, old.out_now) = (5.0, 0.7, 1.0);
     let memory = old.memory(|at| Some(format!("s-{at}")));
     assert_eq!(memory.ids().collect::<Vec<_>>(), ["s-0", "s-1"]);
     let mut new = sidecar(Effect::Pure, 1);
     new.endpoints[0].banned = Some(NOW);
-    new.decide(NOW, Event::Inherited { memory: Box::new(memory), slots: vec![None, Some(0)] });
+    new.decide(
+        NOW,
+        Event::Inherited {
+            memory: Box::new(memory),
+            slots: vec![None, Some(0)],
+        },
+    );
     let e = &new.endpoints[0];
-    assert_eq!((e.pace.mean, e.limit, e.up_since), (3.0, 7.0, Some(NOW - CALM)));
+    assert_eq!(
+        (e.pace.mean, e.limit, e.up_since),
+        (3.0, 7.0, Some(NOW - CALM))
+    );
     assert_eq!((e.out.len(), e.banned, new.out_now), (0, Some(NOW), 0.0));
     assert_eq!((new.window, new.duty.verbs[0].usual.mean), (5.0, 0.7));
-    assert_eq!(e.by_verb.iter().map(|few| few.seen).collect::<Vec<_>>(), [0]);
+    assert_eq!(
+        e.by_verb.iter().map(|few| few.seen).collect::<Vec<_>>(),
+        [0]
+    );
 }
 
 // upgrade+hand: a new process, which had seen no rate yet, gave cold endpoints next to nothing for eight seconds.
@@ -1114,9 +1474,18 @@
     let memory = Box::new(old.memory(|at| Some(at.to_string())));
     let mut new = sidecar(Effect::Pure, 4);
     new.endpoints[0].start_cold(NOW);
-    new.decide(NOW, Event::Inherited { memory, slots: (0..4).map(Some).collect() });
+    new.decide(
+        NOW,
+        Event::Inherited {
+            memory,
+            slots: (0..4).map(Some).collect(),
+        },
+    );
     let (before, after) = (passes(&mut old), passes(&mut new));
-    assert!(after > 0 && after.abs_diff(before) < before / 3 + 3, "{before} and {after}");
+    assert!(
+        after > 0 && after.abs_diff(before) < before / 3 + 3,
+        "{before} and {after}"
+    );
 }
 
 // ---- out by hand ----
@@ -1137,13 +1506,27 @@
     let mut b = sidecar(Effect::Pure, 2);
     b.decide(NOW, cordoned(0, true));
     for entry in entries {
-        b.decide(NOW, Event::Listed { kind, entries: vec![entry, listing(1, Duration::ZERO)] });
+        b.decide(
+            NOW,
+            Event::Listed {
+                kind,
+                entries: vec![entry, listing(1, Duration::ZERO)],
+            },
+        );
     }
     b.endpoints[1].holds = 9.0;
     let mut out = b.decide(NOW, arrival(0));
     (1..50).for_each(|cmd| out.extend(b.decide(NOW + CALM, arrival(cmd))));
-    let met = |a: &Action| matches!(a, Action::Probe { endpoint: 0 } | Action::Release { endpoint: 0 });
-    assert!(!relays(&out).is_empty() && !relays(&out).contains(&0) && !out.iter().any(met), "{out:?}");
+    let met = |a: &Action| {
+        matches!(
+            a,
+            Action::Probe { endpoint: 0 } | Action::Release { endpoint: 0 }
+        )
+    };
+    assert!(
+        !relays(&out).is_empty() && !relays(&out).contains(&0) && !out.iter().any(met),
+        "{out:?}"
+    );
 }
 
 #[rstest]
@@ -1170,14 +1553,27 @@
 ) {
     let mut b = sidecar(Effect::Pure, 2);
     b.endpoints[0].up = true;
-    b.endpoints[0].last = Few { bad: 0xff, seen: 8, ..Few::default() };
+    b.endpoints[0].last = Few {
+        bad: 0xff,
+        seen: 8,
+        ..Few::default()
+    };
     b.decide(NOW, cordoned(0, true));
     if let Some(at) = told {
-        b.decide(at, Event::Listed { kind: ListKind::Changes, entries: vec![listing(0, at)] });
+        b.decide(
+            at,
+            Event::Listed {
+                kind: ListKind::Changes,
+                entries: vec![listing(0, at)],
+            },
+        );
     }
     b.decide(NOW + CALM, cordoned(0, false));
     let e = &b.endpoints[0];
-    assert_eq!((e.up_since, e.health(NOW + CALM, None), e.heard), (Some(cold_from), 1.0, None));
+    assert_eq!(
+        (e.up_since, e.health(NOW + CALM, None), e.heard),
+        (Some(cold_from), 1.0, None)
+    );
 }
 
 #[rstest]
@@ -1192,23 +1588,41 @@
         let mut out = b.decide(now, arrival(n));
         for at in 0.. {
             // Probes are answered at once, as of an idle endpoint, and so are relays.
-            let (outcome, report) =
-                (Outcome::Answered, Some(Report { outstanding: Some(0.0), ..Report::default() }));
+            let (outcome, report) = (
+                Outcome::Answered,
+                Some(Report {
+                    outstanding: Some(0.0),
+                    ..Report::default()
+                }),
+            );
             let event = match out.get(at) {
                 None => break,
-                Some(Action::Probe { endpoint }) => {
-                    Event::Checked { endpoint: *endpoint, outcome, spent, report }
-                }
+                Some(Action::Probe { endpoint }) => Event::Checked {
+                    endpoint: *endpoint,
+                    outcome,
+                    spent,
+                    report,
+                },
                 Some(Action::Relay { cmd, endpoint, .. }) => {
                     tried = tried.or((*endpoint == 0).then_some(now - NOW));
-                    Event::Finished { cmd: *cmd, relay: 0, outcome, spent, concluded: true, report }
+                    Event::Finished {
+                        cmd: *cmd,
+                        relay: 0,
+                        outcome,
+                        spent,
+                        concluded: true,
+                        report,
+                    }
                 }
                 Some(_) => continue,
             };
             out.extend(b.decide(now, event));
         }
     }
-    assert!(tried.is_some_and(|after| after < Duration::from_secs(4)), "{tried:?}");
+    assert!(
+        tried.is_some_and(|after| after < Duration::from_secs(4)),
+        "{tried:?}"
+    );
 }
 
 #[rstest]
@@ -1217,17 +1631,25 @@
     b.endpoints.iter_mut().for_each(|e| e.up = true);
     (0..2).for_each(|at| drop(b.decide(NOW, cordoned(at, true))));
     let out = b.decide(NOW, arrival(0));
-    assert!(out.iter().any(|a| matches!(a, Action::Decline { cmd: 0, .. })), "{out:?}");
+    assert!(
+        out.iter()
+            .any(|a| matches!(a, Action::Decline { cmd: 0, .. })),
+        "{out:?}"
+    );
 }
 
 // Held for heartbeats when the ban came.
 #[rstest]
 fn a_waiting_command_does_not_go_to_what_is_out_by_hand() {
     let mut b = sidecar(Effect::Pure, 2);
-    b.endpoints.iter_mut().for_each(|e| (e.up, e.heard) = (true, None));
+    b.endpoints
+        .iter_mut()
+        .for_each(|e| (e.up, e.heard) = (true, None));
     assert_eq!(relays(&b.decide(NOW, arrival(0))), []);
     let mut out = b.decide(NOW, cordoned(0, true));
-    (1..5).for_each(|n| out.extend(b.decide(NOW + n * CALM / 200, Event::Due { token: ALARM_QUEUE })));
+    (1..5).for_each(|n| {
+        out.extend(b.decide(NOW + n * CALM / 200, Event::Due { token: ALARM_QUEUE }))
+    });
     assert_eq!(relays(&out), [1]);
 }
 
@@ -1236,10 +1658,17 @@
 #[case::of_that_kind(None, Some(vec![1]))]
 #[case::in_that_zone(Some(vec![1]), None)]
 #[case::both(Some(vec![0, 1]), Some(vec![1]))]
-fn a_bound_verb_goes_nowhere_else(#[case] zones: Option<Vec<usize>>, #[case] kinds: Option<Vec<usize>>) {
+fn a_bound_verb_goes_nowhere_else(
+    #[case] zones: Option<Vec<usize>>,
+    #[case] kinds: Option<Vec<usize>>,
+) {
     let mut b = sidecar(Effect::Pure, 5);
     b.duty.verbs[0].only = [zones, kinds];
-    (b.endpoints[3].kind, b.endpoints[3].zone, b.endpoints[3].holds) = (1, 1, 1.0);
+    (
+        b.endpoints[3].kind,
+        b.endpoints[3].zone,
+        b.endpoints[3].holds,
+    ) = (1, 1, 1.0);
     // The first relay, though all others are idle; the second copy and the second relay find nowhere to go.
     let first = b.decide(NOW, arrival(0));
     assert_eq!(relays(&first), [3]);
@@ -1257,19 +1686,41 @@
     // It waits, and is declined; a verb that is not bound finds the others meanwhile.
     b.endpoints[3].listed = false;
     (1..20).for_each(|n| {
-        then.extend(b.decide(NOW + CALM / 10 + n * CALM / 40, Event::Due { token: ALARM_QUEUE }))
+        then.extend(b.decide(
+            NOW + CALM / 10 + n * CALM / 40,
+            Event::Due { token: ALARM_QUEUE },
+        ))
     });
     assert!(relays(&then).iter().all(|to| *to == 3), "{then:?}");
-    assert!(then.iter().any(|a| matches!(a, Action::Decline { cmd: 0, .. })), "{then:?}");
+    assert!(
+        then.iter()
+            .any(|a| matches!(a, Action::Decline { cmd: 0, .. })),
+        "{then:?}"
+    );
 }
 
 // One that nothing takes, worth more, says nothing of where the others may go.
 #[rstest]
 fn a_bound_verb_that_waits_keeps_no_other_from_its_place() {
     let mut b = sidecar(Effect::Pure, 2);
-    b.duty.verbs.push(VerbDuty::of(&VerbOrder { utility: 9.0, ..verb(Effect::Pure) }, CALM / 20, 3));
+    b.duty.verbs.push(VerbDuty::of(
+        &VerbOrder {
+            utility: 9.0,
+            ..verb(Effect::Pure)
+        },
+        CALM / 20,
+        3,
+    ));
     b.duty.verbs[1].only = [None, Some(vec![1])];
-    b.commands = vec![Some(Command { verb: 1, value: 9.0, best: 9.0, ..command() }), None];
+    b.commands = vec![
+        Some(Command {
+            verb: 1,
+            value: 9.0,
+            best: 9.0,
+            ..command()
+        }),
+        None,
+    ];
     b.queue = vec![0];
     assert_eq!(relays(&b.decide(NOW, arrival(1))).len(), 1);
 }
@@ -1334,7 +1785,9 @@
     let mut b = Balancer::new(orders(effect));
     b.now = NOW;
     b.endpoints = (0..endpoints).map(|_| Endpoint::unknown()).collect();
-    b.endpoints.iter_mut().for_each(|e| (e.listed, e.heard) = (true, Some(NOW)));
+    b.endpoints
+        .iter_mut()
+        .for_each(|e| (e.listed, e.heard) = (true, Some(NOW)));
     b.commands = vec![None];
     b.survey();
     (0..endpoints).for_each(|at| b.meet(at));
@@ -1366,8 +1819,18 @@
 /// One command with one relay out, at endpoint 0.
 fn with_relay(effect: Effect, endpoints: usize) -> Balancer {
     let mut b = sidecar(effect, endpoints);
-    let relay = Relay { endpoint: 0, sent: NOW, ahead: 0.0, told: 0.0, outcome: None };
-    b.commands[0] = Some(Command { waits: false, relays: vec![relay], ..command() });
+    let relay = Relay {
+        endpoint: 0,
+        sent: NOW,
+        ahead: 0.0,
+        told: 0.0,
+        outcome: None,
+    };
+    b.commands[0] = Some(Command {
+        waits: false,
+        relays: vec![relay],
+        ..command()
+    });
     b
 }
 
@@ -1389,7 +1852,14 @@
 
 fn finished(relay: usize, outcome: Outcome) -> Event {
     let spent = Duration::from_millis(5);
-    Event::Finished { cmd: 0, relay, outcome, spent, concluded: false, report: None }
+    Event::Finished {
+        cmd: 0,
+        relay,
+        outcome,
+        spent,
+        concluded: false,
+        report: None,
+    }
 }
 
 fn listing(endpoint: EndpointIx, started: Duration) -> Listing {
@@ -1406,7 +1876,13 @@
 }
 
 fn relays(out: &[Action]) -> Vec<EndpointIx> {
-    let to = |a: &Action| if let Action::Relay { endpoint, .. } = a { Some(*endpoint) } else { None };
+    let to = |a: &Action| {
+        if let Action::Relay { endpoint, .. } = a {
+            Some(*endpoint)
+        } else {
+            None
+        }
+    };
     out.iter().filter_map(to).collect()
 }
 
@@ -1415,9 +1891,17 @@
 #[case::first_play(0, vec![1])]
 #[case::second_play(1, vec![0, 2])]
 #[case::unknown_play(7, vec![])]
-fn a_steered_command_goes_where_its_play_has_weight(#[case] play: usize, #[case] to: Vec<EndpointIx>) {
+fn a_steered_command_goes_where_its_play_has_weight(
+    #[case] play: usize,
+    #[case] to: Vec<EndpointIx>,
+) {
     let mut b = sidecar(Effect::Pure, 3);
-    b.decide(NOW, Event::Steered { weights: vec![(0, 1, 1.0), (1, 0, 1.0), (1, 2, 0.5), (1, 1, 0.0)] });
+    b.decide(
+        NOW,
+        Event::Steered {
+            weights: vec![(0, 1, 1.0), (1, 0, 1.0), (1, 2, 0.5), (1, 1, 0.0)],
+        },
+    );
     b.commands[0] = Some(Command { play, ..command() });
     let mut seen: Vec<_> = (0..200).filter_map(|_| b.pick(0, false)).collect();
     seen.sort_unstable();
@@ -1429,11 +1913,20 @@
 #[rstest]
 fn a_play_that_is_shut_leaves_the_others_open() {
     let mut b = sidecar(Effect::Pure, 2);
-    b.decide(NOW, Event::Steered { weights: vec![(0, 0, 1.0), (1, 1, 1.0)] });
+    b.decide(
+        NOW,
+        Event::Steered {
+            weights: vec![(0, 0, 1.0), (1, 1, 1.0)],
+        },
+    );
     b.endpoints[0].listed = false;
     for cmd in 0..2 {
         b.commands.resize_with(2, || None);
-        b.commands[cmd] = Some(Command { play: cmd, value: 2.0 - cmd as f64, ..command() });
+        b.commands[cmd] = Some(Command {
+            play: cmd,
+            value: 2.0 - cmd as f64,
+            ..command()
+        });
         b.queue.push(cmd);
     }
     b.pump();
--- a/crates/passroad-choice/src/door.rs
+++ b/crates/passroad-choice/src/door.rs
@@ -5,8 +5,9 @@
 
 /// A number made of a text (FNV-1a): the same at every sidecar, in every build.
 pub fn mark(text: &str) -> u64 {
-    text.bytes()
-        .fold(0xcbf2_9ce4_8422_2325, |sum, byte| (sum ^ u64::from(byte)).wrapping_mul(0x100_0000_01b3))
+    text.bytes().fold(0xcbf2_9ce4_8422_2325, |sum, byte| {
+        (sum ^ u64::from(byte)).wrapping_mul(0x100_0000_01b3)
+    })
 }
 
 /// Gives each id the lowest free index. Iteration order never shows.
@@ -19,7 +20,11 @@
 
 impl<K: Eq + Hash + Clone> Door<K> {
     pub fn new() -> Self {
-        Door { inside: FxHashMap::default(), outside: Vec::new(), free: Vec::new() }
+        Door {
+            inside: FxHashMap::default(),
+            outside: Vec::new(),
+            free: Vec::new(),
+        }
     }
 
     /// The index of an id, new if it is a stranger.
--- a/crates/passroad-choice/src/lib.rs
+++ b/crates/passroad-choice/src/lib.rs
@@ -97,8 +97,13 @@
         let kind_at: Vec<usize> = self.kinds.iter().map(|kind| kinds.admit(kind)).collect();
         self.zone = zone_at.get(self.zone).copied().unwrap_or(usize::MAX);
         for verb in &mut self.verbs {
-            for (only, at) in [(&mut verb.only_zones, &zone_at), (&mut verb.only_kinds, &kind_at)] {
-                only.iter_mut().flatten().for_each(|ix| *ix = at.get(*ix).copied().unwrap_or(usize::MAX));
+            for (only, at) in [
+                (&mut verb.only_zones, &zone_at),
+                (&mut verb.only_kinds, &kind_at),
+            ] {
+                only.iter_mut()
+                    .flatten()
+                    .for_each(|ix| *ix = at.get(*ix).copied().unwrap_or(usize::MAX));
             }
         }
     }
--- a/crates/passroad-choice/src/state.rs
+++ b/crates/passroad-choice/src/state.rs
@@ -45,7 +45,9 @@
 pub fn luck(mark: u64, key: u64) -> f64 {
     let mixed = (mark ^ key).wrapping_mul(0x9e37_79b9_7f4a_7c15);
     let mixed = (mixed ^ mixed >> 32).wrapping_mul(0xd6e8_feb8_6659_fd93);
-    -(((mixed ^ mixed >> 32) & 0xffff_ffff) as f64 / 4_294_967_296.0).max(1e-12).ln()
+    -(((mixed ^ mixed >> 32) & 0xffff_ffff) as f64 / 4_294_967_296.0)
+        .max(1e-12)
+        .ln()
 }
 
 /// A count that fades.
@@ -59,7 +61,11 @@
 impl Faded {
     pub fn add(&mut self, now: Duration, over: Duration) {
         let from = if self.sum > 0.0 { self.from } else { now };
-        *self = Faded { sum: self.sum * fade(now, self.at, over) + 1.0, at: now, from };
+        *self = Faded {
+            sum: self.sum * fade(now, self.at, over) + 1.0,
+            at: now,
+            from,
+        };
     }
 
     /// Both counts in one.
@@ -69,11 +75,18 @@
         }
         let at = self.at.max(other.at);
         let faded = |f: &Faded| f.sum * fade(at, f.at, OVER_WARM);
-        Faded { sum: faded(self) + faded(other), at, from: self.from.min(other.from) }
+        Faded {
+            sum: faded(self) + faded(other),
+            at,
+            from: self.from.min(other.from),
+        }
     }
 
     fn part(&self, share: f64) -> Faded {
-        Faded { sum: self.sum * share, ..*self }
+        Faded {
+            sum: self.sum * share,
+            ..*self
+        }
     }
 
     /// One less, of those just added.
@@ -83,7 +96,10 @@
 
     /// Counts a second, also while there are counts of a shorter time only.
     pub fn young_rate(&self, now: Duration, over: Duration) -> f64 {
-        let young = now.saturating_sub(self.from).clamp(over / 32, over).as_secs_f64();
+        let young = now
+            .saturating_sub(self.from)
+            .clamp(over / 32, over)
+            .as_secs_f64();
         self.rate(now, over) * over.as_secs_f64() / young
     }
 
@@ -113,17 +129,29 @@
 impl WarmKind {
     /// Other endpoints of it are warm now; what one of them answers stays as it was.
     fn turn(&mut self, now: Duration, size: f64) {
-        self.last = if self.some && size <= 0.0 { self.rate(now) } else { self.last };
+        self.last = if self.some && size <= 0.0 {
+            self.rate(now)
+        } else {
+            self.last
+        };
         self.some = size > 0.0;
         if self.some {
-            self.served.sum *= if self.size > 0.0 { size / self.size } else { 1.0 };
+            self.served.sum *= if self.size > 0.0 {
+                size / self.size
+            } else {
+                1.0
+            };
             self.size = size;
         }
     }
 
     /// Answers a second, for one of size 1.
     pub fn rate(&self, now: Duration) -> f64 {
-        if self.size > 0.0 { self.served.fair_rate(now, OVER_WARM) / self.size } else { 0.0 }
+        if self.size > 0.0 {
+            self.served.fair_rate(now, OVER_WARM) / self.size
+        } else {
+            0.0
+        }
     }
 }
 
@@ -164,7 +192,10 @@
             budget_votes: 0,
             asked: Faded::default(),
             served: Faded::default(),
-            usual: Pace { mean: usual.as_secs_f64(), ..Pace::default() },
+            usual: Pace {
+                mean: usual.as_secs_f64(),
+                ..Pace::default()
+            },
             most_relays,
             only: [v.only_zones.clone(), v.only_kinds.clone()],
             retired: None,
@@ -176,8 +207,10 @@
         let times = |v: &VerbDuty| [v.window, v.goal, v.limit];
         let numbers = |v: &VerbDuty| [v.stretch, v.utility, v.late_utility];
         self.name == other.name
-            && (self.effect, self.group, self.most_relays) == (other.effect, other.group, other.most_relays)
-            && (times(self), numbers(self), &self.only) == (times(other), numbers(other), &other.only)
+            && (self.effect, self.group, self.most_relays)
+                == (other.effect, other.group, other.most_relays)
+            && (times(self), numbers(self), &self.only)
+                == (times(other), numbers(other), &other.only)
     }
 
     pub fn bound(&self) -> bool {
@@ -392,7 +425,8 @@
     /// One more outcome among the last few.
     pub fn note(&mut self, now: Duration, verb: usize, outcome: Outcome, few: u32) {
         let harm = matches!(outcome, Outcome::Error | Outcome::Broken);
-        self.by_verb.resize(self.by_verb.len().max(verb + 1), Few::default());
+        self.by_verb
+            .resize(self.by_verb.len().max(verb + 1), Few::default());
         for last in [&mut self.last, &mut self.by_verb[verb]] {
             last.note(now, outcome, few);
         }
@@ -402,8 +436,10 @@
 
     /// Nothing of what was learnt of it.
     pub fn forget(&mut self) {
-        (self.last, self.by_verb, self.harm, self.pace) = (Few::default(), Vec::new(), 0, Pace::default());
-        (self.misses, self.try_at, self.tried, self.met) = (0, Duration::ZERO, Duration::ZERO, false);
+        (self.last, self.by_verb, self.harm, self.pace) =
+            (Few::default(), Vec::new(), 0, Pace::default());
+        (self.misses, self.try_at, self.tried, self.met) =
+            (0, Duration::ZERO, Duration::ZERO, false);
     }
 
     /// Another process now, or taken for one: nothing that is known of the old one holds.
@@ -549,7 +585,10 @@
             rtt: duty.tick,
             duty,
             dice,
-            usual: Pace { mean: 1.0, ..Pace::default() },
+            usual: Pace {
+                mean: 1.0,
+                ..Pace::default()
+            },
             window: 1e6,
             worth: 0.5,
             well: 1.0,
@@ -564,7 +603,9 @@
     pub(crate) fn steer(&mut self, weights: Vec<(usize, EndpointIx, f64)>) {
         self.steered = true;
         for (play, endpoint, weight) in weights {
-            let Some(e) = self.endpoints.get_mut(endpoint) else { continue };
+            let Some(e) = self.endpoints.get_mut(endpoint) else {
+                continue;
+            };
             e.plays.resize(e.plays.len().max(play + 1), 0.0);
             e.plays[play] = weight.clamp(0.0, 1e6);
         }
@@ -578,11 +619,23 @@
         if duty.portions != self.duty.portions {
             self.mix = vec![Faded::default(); duty.portions.len()];
         }
-        self.keys.resize(if duty.warm_keys { self.keys.len().max(KEY_SLOTS) } else { 0 }, Faded::default());
+        self.keys.resize(
+            if duty.warm_keys {
+                self.keys.len().max(KEY_SLOTS)
+            } else {
+                0
+            },
+            Faded::default(),
+        );
         self.duty = duty;
         let live = |v: &VerbDuty| v.retired.is_none();
         let stay = |old: &VerbDuty| new.iter().any(|v| v.same(old));
-        for old in self.duty.verbs.iter_mut().filter(|v| v.retired.is_none() && !stay(v)) {
+        for old in self
+            .duty
+            .verbs
+            .iter_mut()
+            .filter(|v| v.retired.is_none() && !stay(v))
+        {
             old.retired = Some(now);
         }
         let mut verbs = Vec::with_capacity(new.len());
@@ -592,7 +645,9 @@
                 verbs.push(at);
                 continue;
             }
-            let before = slots.iter().rposition(|old| old.name == v.name && old.retired == Some(now));
+            let before = slots
+                .iter()
+                .rposition(|old| old.name == v.name && old.retired == Some(now));
             before.iter().for_each(|at| v.learn(&slots[*at]));
             let held = |at: usize| self.commands.iter().flatten().any(|c| c.verb == at);
             let free = |at: &usize| {
@@ -601,8 +656,12 @@
             };
             let at = (0..slots.len()).find(free).unwrap_or(slots.len());
             for e in &mut self.endpoints {
-                let few = before.and_then(|at| e.by_verb.get(at)).copied().unwrap_or_default();
-                e.by_verb.resize(e.by_verb.len().max(at + 1), Few::default());
+                let few = before
+                    .and_then(|at| e.by_verb.get(at))
+                    .copied()
+                    .unwrap_or_default();
+                e.by_verb
+                    .resize(e.by_verb.len().max(at + 1), Few::default());
                 e.by_verb[at] = few;
             }
             if at == slots.len() {
@@ -612,10 +671,18 @@
             }
             verbs.push(at);
         }
-        for gone in self.duty.verbs.iter_mut().filter(|v| v.retired == Some(now)) {
+        for gone in self
+            .duty
+            .verbs
+            .iter_mut()
+            .filter(|v| v.retired == Some(now))
+        {
             (gone.asked, gone.served) = (Faded::default(), Faded::default());
         }
-        let names: Vec<_> = verbs.iter().map(|at| self.duty.verbs[*at].name.as_str()).collect();
+        let names: Vec<_> = verbs
+            .iter()
+            .map(|at| self.duty.verbs[*at].name.as_str())
+            .collect();
         let line = format!("other orders: verbs {}", names.join(", "));
         self.log(line);
         self.out.push(Action::Numbered { verbs });
@@ -625,8 +692,12 @@
     /// How an endpoint seems from here, for whoever is to take machines out: the share of what it may hold that it holds,
     /// where it has said so lately, and whether it fails or can't be reached.
     pub fn seems(&self, at: EndpointIx) -> (Option<f64>, bool) {
-        let Some(e) = self.endpoints.get(at) else { return (None, true) };
-        let told = e.heard.is_some_and(|at| self.now.saturating_sub(at) < Duration::from_secs(5));
+        let Some(e) = self.endpoints.get(at) else {
+            return (None, true);
+        };
+        let told = e
+            .heard
+            .is_some_and(|at| self.now.saturating_sub(at) < Duration::from_secs(5));
         let busy = (e.holds.max(e.out.len() as f64) / (e.size * e.limit).max(1e-6)).clamp(0.0, 1.0);
         (told.then_some(busy), e.last.ailing || e.try_at > self.now)
     }
@@ -641,17 +712,36 @@
             served: v.served,
             usual: v.usual,
         };
-        let verbs = self.duty.verbs.iter().enumerate().filter(|(_, v)| v.retired.is_none());
+        let verbs = self
+            .duty
+            .verbs
+            .iter()
+            .enumerate()
+            .filter(|(_, v)| v.retired.is_none());
         Memory {
-            endpoints: known.filter_map(|(at, e)| Some((name(at)?, e.clone()))).collect(),
-            verbs: verbs.map(|(at, v)| (v.name.clone(), at, habit(v))).collect(),
+            endpoints: known
+                .filter_map(|(at, e)| Some((name(at)?, e.clone())))
+                .collect(),
+            verbs: verbs
+                .map(|(at, v)| (v.name.clone(), at, habit(v)))
+                .collect(),
             mix: self.mix.clone(),
             usual: self.usual,
             rtt: self.rtt,
             sends: [self.sends, self.all_sends],
-            warm_served: self.warm_kinds.iter().fold(Faded::default(), |all, k| all.with(&k.served)),
+            warm_served: self
+                .warm_kinds
+                .iter()
+                .fold(Faded::default(), |all, k| all.with(&k.served)),
             arrivals: self.arrivals,
-            numbers: [self.limit, self.window, self.worth, self.well, self.faith, self.spare],
+            numbers: [
+                self.limit,
+                self.window,
+                self.worth,
+                self.well,
+                self.faith,
+                self.spare,
+            ],
             marked: self.marked,
         }
     }
@@ -661,7 +751,12 @@
         let (now, count) = (self.now, memory.endpoints.len());
         let mut from = vec![None; self.duty.verbs.len()];
         for (name, slot, habit) in memory.verbs {
-            let Some(at) = self.duty.verbs.iter().position(|v| v.retired.is_none() && v.name == name) else {
+            let Some(at) = self
+                .duty
+                .verbs
+                .iter()
+                .position(|v| v.retired.is_none() && v.name == name)
+            else {
                 continue;
             };
             let v = &mut self.duty.verbs[at];
@@ -670,18 +765,31 @@
             from[at] = Some(slot);
         }
         for ((_, old), at) in memory.endpoints.into_iter().zip(slots) {
-            let Some(e) = at.and_then(|at| self.endpoints.get_mut(at)) else { continue };
-            let by_verb = from.iter().map(|slot| slot.and_then(|slot| old.by_verb.get(slot)).copied());
+            let Some(e) = at.and_then(|at| self.endpoints.get_mut(at)) else {
+                continue;
+            };
+            let by_verb = from
+                .iter()
+                .map(|slot| slot.and_then(|slot| old.by_verb.get(slot)).copied());
             let by_verb = by_verb.map(Option::unwrap_or_default).collect();
             // Guards against times of a clock that ran ahead: an endpoint would stay cold, or untried, for as long.
             let up_since = e.up_since.max(old.up_since.map(|up| up.min(now)));
             let try_at = old.try_at.min(now + LONGEST_PAUSE);
-            let new = std::mem::replace(e, Endpoint { by_verb, up_since, try_at, ..old });
+            let new = std::mem::replace(
+                e,
+                Endpoint {
+                    by_verb,
+                    up_since,
+                    try_at,
+                    ..old
+                },
+            );
             (e.mark, e.zone, e.kind, e.cell) = (new.mark, new.zone, new.kind, new.cell);
             (e.rating, e.nominal, e.size, e.known) =
                 (new.rating, new.nominal.max(e.nominal), new.size, new.known);
             (e.up, e.listed, e.gone, e.banned) = (new.up, new.listed, new.gone, new.banned);
-            (e.out, e.used, e.probing, e.met, e.plays) = (new.out, new.used, new.probing, new.met, new.plays);
+            (e.out, e.used, e.probing, e.met, e.plays) =
+                (new.out, new.used, new.probing, new.met, new.plays);
         }
         if memory.mix.len() == self.mix.len() {
             self.mix = memory.mix;
@@ -689,8 +797,17 @@
         (self.usual, self.rtt, self.marked) = (memory.usual, memory.rtt, memory.marked);
         [self.sends, self.all_sends] = memory.sends;
         self.arrivals = memory.arrivals;
-        [self.limit, self.window, self.worth, self.well, self.faith, self.spare] = memory.numbers;
-        self.log(format!("what was learnt of {count} endpoints is taken over"));
+        [
+            self.limit,
+            self.window,
+            self.worth,
+            self.well,
+            self.faith,
+            self.spare,
+        ] = memory.numbers;
+        self.log(format!(
+            "what was learnt of {count} endpoints is taken over"
+        ));
         self.survey();
         let all: f64 = self.warm_kinds.iter().map(|k| k.size).sum();
         for kind in &mut self.warm_kinds {
@@ -701,7 +818,8 @@
     /// An answer of a warm endpoint.
     pub(crate) fn note_warm(&mut self, at: EndpointIx) {
         let kind = self.endpoints[at].kind;
-        self.warm_kinds.resize(self.warm_kinds.len().max(kind + 1), WarmKind::default());
+        self.warm_kinds
+            .resize(self.warm_kinds.len().max(kind + 1), WarmKind::default());
         self.warm_kinds[kind].served.add(self.now, OVER_WARM);
     }
 
@@ -716,11 +834,19 @@
     }
 
     pub(crate) fn streams(&mut self, cmd: CmdIx) {
-        self.commands.get_mut(cmd).into_iter().flatten().for_each(|c| c.streams = true);
+        self.commands
+            .get_mut(cmd)
+            .into_iter()
+            .flatten()
+            .for_each(|c| c.streams = true);
     }
 
     pub(crate) fn spent(&mut self, cmd: CmdIx) {
-        self.commands.get_mut(cmd).into_iter().flatten().for_each(|c| c.once = true);
+        self.commands
+            .get_mut(cmd)
+            .into_iter()
+            .flatten()
+            .for_each(|c| c.once = true);
     }
 
     /// One more relay is at work there, unless its body still comes.
@@ -740,7 +866,10 @@
         }
         let e = &mut self.endpoints[at];
         e.holds -= 1.0;
-        e.out.iter().position(|held| *held == sent).map(|gone| e.out.swap_remove(gone));
+        e.out
+            .iter()
+            .position(|held| *held == sent)
+            .map(|gone| e.out.swap_remove(gone));
         self.out_now -= 1.0;
     }
 
@@ -754,8 +883,10 @@
             if last.ailing != (good < if last.ailing { 0.75 } else { 0.5 }) {
                 last.ailing = !last.ailing;
                 let word = if last.ailing { "failing" } else { "well again" };
-                let line =
-                    format!("endpoint {at} {word}, {what}: {:.0}% of its last outcomes good", good * 100.0);
+                let line = format!(
+                    "endpoint {at} {word}, {what}: {:.0}% of its last outcomes good",
+                    good * 100.0
+                );
                 self.out.push(Action::Log(line));
             }
         }
@@ -784,12 +915,22 @@
     }
 
     /// Takes over what another instance did in place of what this one would have done, for the watch.
-    pub(crate) fn follow(&mut self, now: Duration, lead: &Balancer, done: &[Action], would: &[Action]) {
+    pub(crate) fn follow(
+        &mut self,
+        now: Duration,
+        lead: &Balancer,
+        done: &[Action],
+        would: &[Action],
+    ) {
         let over = 4 * Duration::from_secs(2);
         for (actions, back) in [(would, true), (done, false)] {
             for action in actions {
-                let Action::Relay { endpoint, .. } = action else { continue };
-                let Some(e) = self.endpoints.get_mut(*endpoint) else { continue };
+                let Action::Relay { endpoint, .. } = action else {
+                    continue;
+                };
+                let Some(e) = self.endpoints.get_mut(*endpoint) else {
+                    continue;
+                };
                 if back {
                     e.sends.take_back();
                     self.sends.take_back();
@@ -803,19 +944,26 @@
                 }
             }
         }
-        let keys: Vec<_> = self.commands.iter().map(|c| c.as_ref().and_then(|c| c.key)).collect();
+        let keys: Vec<_> = self
+            .commands
+            .iter()
+            .map(|c| c.as_ref().and_then(|c| c.key))
+            .collect();
         self.commands = lead.commands.clone();
         for (command, key) in self.commands.iter_mut().zip(keys) {
             command.iter_mut().for_each(|c| c.key = key);
         }
-        self.endpoints.resize_with(lead.endpoints.len(), Endpoint::unknown);
+        self.endpoints
+            .resize_with(lead.endpoints.len(), Endpoint::unknown);
         for (e, led) in self.endpoints.iter_mut().zip(&lead.endpoints) {
             e.out.clone_from(&led.out);
-            (e.used, e.probing, e.pass_until, e.owed) = (led.used, led.probing, led.pass_until, led.owed);
+            (e.used, e.probing, e.pass_until, e.owed) =
+                (led.used, led.probing, led.pass_until, led.owed);
         }
         self.queue.clone_from(&lead.queue);
         (self.spare, self.wake, self.ask_at) = (lead.spare, lead.wake, lead.ask_at);
-        (self.shedding, self.shed_at, self.listening) = (lead.shedding, lead.shed_at, lead.listening);
+        (self.shedding, self.shed_at, self.listening) =
+            (lead.shedding, lead.shed_at, lead.listening);
         self.out_now = self.endpoints.iter().map(|e| e.out.len() as f64).sum();
     }
 
@@ -829,7 +977,8 @@
                 continue;
             }
             let tried = |c: &Command| c.relays.iter().any(|r| r.endpoint == at);
-            if e.out.is_empty() && e.probing.is_none() && !self.commands.iter().flatten().any(tried) {
+            if e.out.is_empty() && e.probing.is_none() && !self.commands.iter().flatten().any(tried)
+            {
                 self.endpoints[at] = Endpoint::unknown();
                 self.met.retain(|met| *met != at);
                 self.out.push(Action::Release { endpoint: at });
@@ -854,7 +1003,12 @@
     pub(crate) fn survey(&mut self) {
         let wait = self.part();
         let sizes: Vec<f64> = self.endpoints.iter().map(|e| self.size(e)).collect();
-        let ratings = self.endpoints.iter().zip(&sizes).filter(|(e, _)| e.listed).map(|(_, size)| *size);
+        let ratings = self
+            .endpoints
+            .iter()
+            .zip(&sizes)
+            .filter(|(e, _)| e.listed)
+            .map(|(_, size)| *size);
         let (sum, count) = ratings.fold((0.0, 0.0), |(s, n): (f64, f64), r| (s + r, n + 1.0));
         (self.listed, self.warm, self.next_survey) = (f64::max(count, 1.0), 0.0, Duration::MAX);
         if wait {
@@ -880,7 +1034,10 @@
             self.table.push(mass);
         }
         self.warm_kinds.resize(kinds.len(), WarmKind::default());
-        self.warm_kinds.iter_mut().zip(kinds).for_each(|(kind, size)| kind.turn(self.now, size));
+        self.warm_kinds
+            .iter_mut()
+            .zip(kinds)
+            .for_each(|(kind, size)| kind.turn(self.now, size));
         if self.duty.heartbeats == 0 {
             self.next_survey = self.next_survey.min(self.now + Duration::from_secs(1));
         }
--- a/crates/passroad-choice/src/watch.rs
+++ b/crates/passroad-choice/src/watch.rs
@@ -29,7 +29,16 @@
 
 impl fmt::Display for Counts {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let Counts { same, elsewhere, turned_away, waited, copies, taken, sooner, probes } = self;
+        let Counts {
+            same,
+            elsewhere,
+            turned_away,
+            waited,
+            copies,
+            taken,
+            sooner,
+            probes,
+        } = self;
         write!(
             f,
             "same {same}, elsewhere {elsewhere}, turned away {turned_away}, waited {waited}, no copy {copies}, \
@@ -47,7 +56,10 @@
 impl Watched {
     pub fn new(orders: StandingOrders, watch: Option<StandingOrders>) -> Self {
         let beside = watch.map(|orders| Box::new((Balancer::new(orders), Counts::default())));
-        Watched { lead: Balancer::new(orders), beside }
+        Watched {
+            lead: Balancer::new(orders),
+            beside,
+        }
     }
 
     pub fn seems(&self, at: EndpointIx) -> (Option<f64>, bool) {
@@ -65,7 +77,9 @@
 
     /// As the module's own entry: what comes back is the lead's word alone.
     pub fn decide(&mut self, now: Duration, event: Event) -> Vec<Action> {
-        let Some((other, counts)) = self.beside.as_deref_mut() else { return self.lead.decide(now, event) };
+        let Some((other, counts)) = self.beside.as_deref_mut() else {
+            return self.lead.decide(now, event);
+        };
         other.dice = self.lead.dice; // the same draws as far as they are as many
         // Under other orders the two would no longer speak of the same verbs.
         if matches!(event, Event::Retuned(_)) {
@@ -104,8 +118,9 @@
         };
         let mut seen = Vec::new();
         for action in done.iter().chain(would) {
-            let (Action::Relay { cmd, .. } | Action::Decline { cmd, .. } | Action::Terminate { cmd }) =
-                action
+            let (Action::Relay { cmd, .. }
+            | Action::Decline { cmd, .. }
+            | Action::Terminate { cmd }) = action
             else {
                 continue;
             };
@@ -113,8 +128,9 @@
                 continue;
             }
             seen.push(*cmd);
-            let copy =
-                lead.held(*cmd).is_some_and(|c| c.relays.iter().filter(|r| r.outcome.is_none()).count() > 1);
+            let copy = lead
+                .held(*cmd)
+                .is_some_and(|c| c.relays.iter().filter(|r| r.outcome.is_none()).count() > 1);
             let kind = match (fate(done, *cmd), fate(would, *cmd)) {
                 (Some(a), Some(b)) if a == b => &mut self.same,
                 (Some(Some(_)), Some(Some(_))) => &mut self.elsewhere,
@@ -128,7 +144,12 @@
             };
             *kind += 1;
         }
-        let asked = |actions: &[Action]| actions.iter().filter(|a| matches!(a, Action::Probe { .. })).count();
+        let asked = |actions: &[Action]| {
+            actions
+                .iter()
+                .filter(|a| matches!(a, Action::Probe { .. }))
+                .count()
+        };
         self.probes += asked(done).saturating_sub(asked(would)) as u64;
     }
 }
@@ -193,10 +214,25 @@
         let at = |n: u64| Duration::from_millis(100_000 + 10 * n);
         let listing = |endpoint| {
             let (mark, started) = (door::mark(&format!("e{endpoint}")), Duration::ZERO);
-            Listing { endpoint, mark, zone: 0, cell: 0, kind: 0, rating: 1.0, started, mode: Mode::Running }
+            Listing {
+                endpoint,
+                mark,
+                zone: 0,
+                cell: 0,
+                kind: 0,
+                rating: 1.0,
+                started,
+                mode: Mode::Running,
+            }
         };
         let entries = (0..10).map(listing).collect();
-        let mut all = watched.decide(at(0), Event::Listed { kind: ListKind::All, entries });
+        let mut all = watched.decide(
+            at(0),
+            Event::Listed {
+                kind: ListKind::All,
+                entries,
+            },
+        );
         for n in 0..200u64 {
             let cmd = n as usize;
             let arrival = Arrival {
@@ -220,14 +256,30 @@
                 })
                 .collect();
             let (spent, outcome) = (Duration::from_millis(20), Outcome::Answered);
-            let report = Some(Report { outstanding: Some(0.0), ..Report::default() });
+            let report = Some(Report {
+                outstanding: Some(0.0),
+                ..Report::default()
+            });
             for endpoint in asked {
-                actions.extend(
-                    watched.decide(at(2 * n + 1), Event::Checked { endpoint, outcome, spent, report }),
-                );
+                actions.extend(watched.decide(
+                    at(2 * n + 1),
+                    Event::Checked {
+                        endpoint,
+                        outcome,
+                        spent,
+                        report,
+                    },
+                ));
             }
             if fate(&actions, cmd).is_some() {
-                let ended = Event::Finished { cmd, relay: 0, outcome, spent, concluded: true, report };
+                let ended = Event::Finished {
+                    cmd,
+                    relay: 0,
+                    outcome,
+                    spent,
+                    concluded: true,
+                    report,
+                };
                 actions.extend(watched.decide(at(2 * n + 3), ended));
             }
             all.extend(actions);
@@ -246,17 +298,31 @@
 
     #[rstest]
     fn the_same_orders_never_decide_otherwise() {
-        let (_, counts) = run(Watched::new(orders(true, true, false), Some(orders(true, true, false))));
+        let (_, counts) = run(Watched::new(
+            orders(true, true, false),
+            Some(orders(true, true, false)),
+        ));
         let counts = counts.unwrap();
-        assert_eq!(counts, Counts { same: 200, ..Counts::default() });
+        assert_eq!(
+            counts,
+            Counts {
+                same: 200,
+                ..Counts::default()
+            }
+        );
     }
 
     #[rstest]
     fn another_shape_is_counted_by_kind() {
-        let (actions, counts) =
-            run(Watched::new(orders(true, true, false), Some(orders(false, false, true))));
+        let (actions, counts) = run(Watched::new(
+            orders(true, true, false),
+            Some(orders(false, false, true)),
+        ));
         let counts = counts.unwrap();
-        let probes = actions.iter().filter(|a| matches!(a, Action::Probe { .. })).count() as u64;
+        let probes = actions
+            .iter()
+            .filter(|a| matches!(a, Action::Probe { .. }))
+            .count() as u64;
         assert_eq!(counts.probes, probes);
         assert!(probes > 0 && counts.elsewhere > 50, "{counts}");
     }
--- a/crates/passroad-lease/src/council.rs
+++ b/crates/passroad-lease/src/council.rs
@@ -19,7 +19,11 @@
 /// The voters on a duty: an odd number, so that no half of them can stand against the other.
 pub fn council(duty: Duty, members: usize, voters: usize) -> Vec<Member> {
     let most = voters.min(members).max(1);
-    let odd = if most.is_multiple_of(2) { most - 1 } else { most };
+    let odd = if most.is_multiple_of(2) {
+        most - 1
+    } else {
+        most
+    };
     let mut council = ranked(duty, members, 0);
     council.truncate(odd);
     council
--- a/crates/passroad-lease/src/explore.rs
+++ b/crates/passroad-lease/src/explore.rs
@@ -47,7 +47,11 @@
 
 impl World {
     fn new(bounds: Bounds, planted: Planted) -> World {
-        let planted = Planted { no_chance: true, no_look: !bounds.looks, ..planted };
+        let planted = Planted {
+            no_chance: true,
+            no_look: !bounds.looks,
+            ..planted
+        };
         let mut world = World {
             nodes: Vec::new(),
             paused: [false; 3],
@@ -71,7 +75,10 @@
         let at = usize::from(me);
         let wall = if self.left.clock_stands { 1 } else { self.time };
         let steady = STEP.mul_f64(f64::from(self.time - self.began[at]) * RATES[at]);
-        Times { steady, wall: STEP * wall }
+        Times {
+            steady,
+            wall: STEP * wall,
+        }
     }
 
     /// Carries out what a node asks for; it hears itself at once. What breaks is told.
@@ -101,12 +108,19 @@
             let times = self.times(me);
             // Whoever is stopped does nothing; when it wakes it looks at its clock.
             if !self.paused[usize::from(me)]
-                && self.nodes[usize::from(me)].clone().owned(times, DUTY).is_some()
+                && self.nodes[usize::from(me)]
+                    .clone()
+                    .owned(times, DUTY)
+                    .is_some()
             {
                 owners.push(me);
             }
         }
-        if owners.len() > 1 { Err(format!("{owners:?} own it at once")) } else { Ok(()) }
+        if owners.len() > 1 {
+            Err(format!("{owners:?} own it at once"))
+        } else {
+            Ok(())
+        }
     }
 
     fn next(&self) -> Vec<(String, Result<World, String>)> {
@@ -184,7 +198,11 @@
                     let planted = world.nodes[at].planted;
                     let mut node = Lease::new(terms(me), world.times(me), kept);
                     node.planted = planted;
-                    node.stand(world.times(me), DUTY, (me < world.left.candidates).then_some(0));
+                    node.stand(
+                        world.times(me),
+                        DUTY,
+                        (me < world.left.candidates).then_some(0),
+                    );
                     world.nodes[at] = node;
                     Ok(())
                 });
@@ -195,7 +213,13 @@
 }
 
 fn terms(me: Member) -> Terms {
-    Terms { me, members: 3, voters: 3, lease: LEASE, seed: 1 }
+    Terms {
+        me,
+        members: 3,
+        voters: 3,
+        lease: LEASE,
+        seed: 1,
+    }
 }
 
 #[derive(Debug, Default)]
@@ -215,7 +239,10 @@
         hasher.finish()
     };
     let mut known = HashSet::from([mark(&first)]);
-    let mut seen = Seen { states: 1, ..Seen::default() };
+    let mut seen = Seen {
+        states: 1,
+        ..Seen::default()
+    };
     let mut steps: Vec<(usize, String)> = vec![(usize::MAX, String::new())];
     let mut level = vec![(0, first)];
     for _ in 0..bounds.depth {
@@ -268,13 +295,41 @@
     looks: false,
 };
 /// What each case may bring; deeper ones are for a machine that has time (`PASSROAD_EXPLORE=2`).
-const LOSSY: Bounds = Bounds { lost: 1, twice: 1, depth: 12, ..NOTHING };
-const STOPPED: Bounds = Bounds { pauses: 1, steps: 3, under_way: 7, ..NOTHING };
-const AGAIN: Bounds =
-    Bounds { candidates: 1, steps: 6, depth: 13, under_way: 7, clock_stands: true, ..NOTHING };
-const FORGETTING: Bounds = Bounds { restarts: 1, forgets: true, ..NOTHING };
-const REMEMBERING: Bounds = Bounds { restarts: 1, clock_stands: true, ..NOTHING };
-const TWICE: Bounds = Bounds { twice: 1, clock_stands: true, ..NOTHING };
+const LOSSY: Bounds = Bounds {
+    lost: 1,
+    twice: 1,
+    depth: 12,
+    ..NOTHING
+};
+const STOPPED: Bounds = Bounds {
+    pauses: 1,
+    steps: 3,
+    under_way: 7,
+    ..NOTHING
+};
+const AGAIN: Bounds = Bounds {
+    candidates: 1,
+    steps: 6,
+    depth: 13,
+    under_way: 7,
+    clock_stands: true,
+    ..NOTHING
+};
+const FORGETTING: Bounds = Bounds {
+    restarts: 1,
+    forgets: true,
+    ..NOTHING
+};
+const REMEMBERING: Bounds = Bounds {
+    restarts: 1,
+    clock_stands: true,
+    ..NOTHING
+};
+const TWICE: Bounds = Bounds {
+    twice: 1,
+    clock_stands: true,
+    ..NOTHING
+};
 
 #[rstest]
 #[case::lossy(LOSSY)]
@@ -285,12 +340,26 @@
 #[case::again(AGAIN)]
 #[case::looking(Bounds { looks: true, restarts: 1, forgets: true, ..NOTHING })]
 fn in_no_order_do_two_own_it_or_epochs_fall(#[case] bounds: Bounds) {
-    let deeper = std::env::var("PASSROAD_EXPLORE").ok().and_then(|n| n.parse().ok()).unwrap_or(0);
-    let bounds = Bounds { depth: bounds.depth + deeper, ..bounds };
+    let deeper = std::env::var("PASSROAD_EXPLORE")
+        .ok()
+        .and_then(|n| n.parse().ok())
+        .unwrap_or(0);
+    let bounds = Bounds {
+        depth: bounds.depth + deeper,
+        ..bounds
+    };
     let seen = explore(bounds, Planted::default());
-    println!("{} states, {} with a new owner, {} cut", seen.states, seen.won, seen.cut);
+    println!(
+        "{} states, {} with a new owner, {} cut",
+        seen.states, seen.won, seen.cut
+    );
     assert!(seen.broken.is_none(), "{:#?}", seen.broken);
-    assert!(seen.won > 0 && seen.states > 1000, "{} states, {} owners", seen.states, seen.won);
+    assert!(
+        seen.won > 0 && seen.states > 1000,
+        "{} states, {} owners",
+        seen.states,
+        seen.won
+    );
 }
 
 #[rstest]
@@ -299,9 +368,17 @@
 #[case::no_own_end(STOPPED, Planted { no_own_end: true, ..Planted::default() }, "own it at once")]
 #[case::any_owner(TWICE, Planted { any_owner: true, ..Planted::default() }, "won epoch")]
 #[case::equal_epochs(AGAIN, Planted { equal_epochs: true, ..Planted::default() }, "won epoch")]
-fn each_planted_fault_is_found(#[case] bounds: Bounds, #[case] planted: Planted, #[case] what: &str) {
+fn each_planted_fault_is_found(
+    #[case] bounds: Bounds,
+    #[case] planted: Planted,
+    #[case] what: &str,
+) {
     let seen = explore(bounds, planted);
     let path = seen.broken.unwrap_or_default();
     println!("{} states: {path:#?}", seen.states);
-    assert!(path.last().is_some_and(|last| last.contains(what)), "not found in {} states", seen.states);
+    assert!(
+        path.last().is_some_and(|last| last.contains(what)),
+        "not found in {} states",
+        seen.states
+    );
 }
--- a/crates/passroad-lease/src/lib.rs
+++ b/crates/passroad-lease/src/lib.rs
@@ -148,7 +148,10 @@
 
     /// None for what is no word, or has something behind it.
     pub fn read(bytes: &[u8]) -> Option<Word> {
-        postcard::take_from_bytes(bytes).ok().filter(|(_, rest)| rest.is_empty()).map(|(word, _)| word)
+        postcard::take_from_bytes(bytes)
+            .ok()
+            .filter(|(_, rest)| rest.is_empty())
+            .map(|(word, _)| word)
     }
 }
 
@@ -277,7 +280,9 @@
         };
         let mut votes = kept.unwrap_or_default();
         // How long ago it was granted is not known: for all of its time from here.
-        votes.values_mut().for_each(|vote| vote.read_again(times.steady));
+        votes
+            .values_mut()
+            .for_each(|vote| vote.read_again(times.steady));
         Lease {
             dice: terms.seed | 1,
             terms,
@@ -309,17 +314,33 @@
         if stands && c.part == Part::Off {
             c.part = Part::Rest { until: now };
         }
-        if stands { Vec::new() } else { self.leave(times, duty, Why::Left) }
+        if stands {
+            Vec::new()
+        } else {
+            self.leave(times, duty, Why::Left)
+        }
     }
 
     /// Gives up a duty at once, so that the next owner need not wait for the lease to run out.
     pub fn leave(&mut self, times: Times, duty: Duty, why: Why) -> Vec<Out> {
         let now = self.pass(times);
-        let Some(c) = self.candidates.get_mut(&duty) else { return Vec::new() };
-        let rest = if c.stands { Part::Rest { until: now + self.terms.lease } } else { Part::Off };
+        let Some(c) = self.candidates.get_mut(&duty) else {
+            return Vec::new();
+        };
+        let rest = if c.stands {
+            Part::Rest {
+                until: now + self.terms.lease,
+            }
+        } else {
+            Part::Off
+        };
         match c.part {
             Part::Owner { epoch, .. } => {
-                c.part = Part::Leaving { epoch, again: now + LEAVES_APART, left: LEAVES - 1 };
+                c.part = Part::Leaving {
+                    epoch,
+                    again: now + LEAVES_APART,
+                    left: LEAVES - 1,
+                };
                 let mut out = vec![Out::Lost { duty, epoch, why }];
                 out.extend(c.say(Word::Leave { duty, epoch }));
                 out
@@ -338,7 +359,9 @@
 
     /// An epoch of this duty was heard of: what is asked for next is higher. An owner of a lower one has been outrun.
     pub fn learn(&mut self, times: Times, duty: Duty, epoch: Epoch) -> Vec<Out> {
-        let Some(c) = self.candidates.get_mut(&duty) else { return Vec::new() };
+        let Some(c) = self.candidates.get_mut(&duty) else {
+            return Vec::new();
+        };
         c.highest = c.highest.max(epoch);
         match c.part {
             Part::Owner { epoch: own, .. } if own < epoch => self.leave(times, duty, Why::Outrun),
@@ -377,16 +400,26 @@
         let due = |c: &Candidate| match &c.part {
             Part::Off => None,
             Part::Rest { until } => Some(*until),
-            Part::Looking { since, .. } | Part::Asking { since, .. } | Part::Taking { since, .. } => {
-                Some(*since + part)
-            }
-            Part::Owner { since, until, done, .. } => {
-                let next = if *done { self.terms.lease / RENEW_PART } else { part };
+            Part::Looking { since, .. }
+            | Part::Asking { since, .. }
+            | Part::Taking { since, .. } => Some(*since + part),
+            Part::Owner {
+                since, until, done, ..
+            } => {
+                let next = if *done {
+                    self.terms.lease / RENEW_PART
+                } else {
+                    part
+                };
                 Some((*since + next).min(*until))
             }
             Part::Leaving { again, .. } => Some(*again),
         };
-        self.candidates.values().filter_map(due).min().map(|at| at.saturating_sub(self.own))
+        self.candidates
+            .values()
+            .filter_map(due)
+            .min()
+            .map(|at| at.saturating_sub(self.own))
     }
 
     /// Moves the owner's clock on by what passed on the faster of the two.
@@ -421,7 +454,9 @@
         let luck = self.chance();
         let (no_own_end, no_look) = (planted!(self, no_own_end), planted!(self, no_look));
         let equal = planted!(self, equal_epochs);
-        let Some(c) = self.candidates.get_mut(&duty) else { return };
+        let Some(c) = self.candidates.get_mut(&duty) else {
+            return;
+        };
         match &mut c.part {
             Part::Off => {}
             Part::Rest { until } if now >= *until => {
@@ -429,45 +464,83 @@
                     return c.ask(now, times, equal, duty, out);
                 }
                 c.looks = c.looks.wrapping_add(1);
-                c.part = Part::Looking { since: now, clear: vec![], held: vec![] };
-                out.extend(c.say(Word::Look { duty, round: c.looks }));
+                c.part = Part::Looking {
+                    since: now,
+                    clear: vec![],
+                    held: vec![],
+                };
+                out.extend(c.say(Word::Look {
+                    duty,
+                    round: c.looks,
+                }));
             }
             Part::Looking { since, .. } if now >= *since + part => {
-                c.part = Part::Rest { until: now + part.mul_f64(0.3 + 2.0 * luck) };
+                c.part = Part::Rest {
+                    until: now + part.mul_f64(0.3 + 2.0 * luck),
+                };
             }
             Part::Asking { since, .. } if now >= *since + part => {
                 // Guards against candidates that ask in step, each in the other's way.
-                c.part = Part::Rest { until: now + part.mul_f64(0.3 + 2.0 * luck) };
+                c.part = Part::Rest {
+                    until: now + part.mul_f64(0.3 + 2.0 * luck),
+                };
             }
             Part::Taking { epoch, since, .. } if now >= *since + part => {
                 // What some have granted is in nobody's way for longer.
                 let epoch = *epoch;
-                c.part = Part::Rest { until: now + part.mul_f64(0.3 + 2.0 * luck) };
+                c.part = Part::Rest {
+                    until: now + part.mul_f64(0.3 + 2.0 * luck),
+                };
                 out.extend(c.say(Word::Leave { duty, epoch }));
             }
             Part::Owner { epoch, until, .. } if now >= *until && !no_own_end => {
                 let epoch = *epoch;
-                c.part = if c.stands { Part::Rest { until: now } } else { Part::Off };
-                out.push(Out::Lost { duty, epoch, why: Why::RanOut });
+                c.part = if c.stands {
+                    Part::Rest { until: now }
+                } else {
+                    Part::Off
+                };
+                out.push(Out::Lost {
+                    duty,
+                    epoch,
+                    why: Why::RanOut,
+                });
             }
-            Part::Owner { rising: rising @ Some(_), .. }
-                if rising.as_ref().is_some_and(|rising| now >= rising.since + part) =>
+            Part::Owner {
+                rising: rising @ Some(_),
+                ..
+            } if rising
+                .as_ref()
+                .is_some_and(|rising| now >= rising.since + part) =>
             {
                 *rising = None;
             }
-            Part::Owner { epoch, since, round, granted, done, .. }
-                if now >= *since + if *done { lease / RENEW_PART } else { part } =>
-            {
+            Part::Owner {
+                epoch,
+                since,
+                round,
+                granted,
+                done,
+                ..
+            } if now >= *since + if *done { lease / RENEW_PART } else { part } => {
                 (*since, *round, *done) = (now, *round + 1, false);
                 granted.clear();
-                let word =
-                    Word::Take { duty, epoch: *epoch, round: *round, lease_ms: lease.as_millis() as u32 };
+                let word = Word::Take {
+                    duty,
+                    epoch: *epoch,
+                    round: *round,
+                    lease_ms: lease.as_millis() as u32,
+                };
                 out.extend(c.say(word));
             }
             Part::Leaving { epoch, again, left } if now >= *again => {
                 let epoch = *epoch;
                 if *left == 0 {
-                    c.part = if c.stands { Part::Rest { until: now + lease } } else { Part::Off };
+                    c.part = if c.stands {
+                        Part::Rest { until: now + lease }
+                    } else {
+                        Part::Off
+                    };
                 } else {
                     (*again, *left) = (now + LEAVES_APART, *left - 1);
                     out.extend(c.say(Word::Leave { duty, epoch }));
@@ -504,15 +577,18 @@
         let mut say = |to: Member, word: Word| out.push(Out::Say { to, word });
         // In the way is a live grant, but not one's own that is renewed or risen from.
         let held = |vote: &Vote, asked: Epoch, own: Option<Epoch>| {
-            let grant =
-                vote.live(now).filter(|g| g.owner != from || g.epoch != asked && Some(g.epoch) != own);
-            grant.filter(|g| !any_owner || g.epoch != asked).map(|g| Word::Held {
-                duty,
-                asked,
-                epoch: g.epoch,
-                owner: g.owner,
-                left_ms: g.until.saturating_sub(now).as_millis() as u32 + 1,
-            })
+            let grant = vote
+                .live(now)
+                .filter(|g| g.owner != from || g.epoch != asked && Some(g.epoch) != own);
+            grant
+                .filter(|g| !any_owner || g.epoch != asked)
+                .map(|g| Word::Held {
+                    duty,
+                    asked,
+                    epoch: g.epoch,
+                    owner: g.owner,
+                    left_ms: g.until.saturating_sub(now).as_millis() as u32 + 1,
+                })
         };
         let before = vote.clone();
         match word {
@@ -528,20 +604,46 @@
                     vote.turned_away(from);
                     say(from, word);
                 }
-                None if vote.promise(epoch, from, any_owner) => say(from, Word::Yes { duty, epoch }),
-                None => say(from, Word::Low { duty, asked: epoch, highest: vote.promised }),
+                None if vote.promise(epoch, from, any_owner) => {
+                    say(from, Word::Yes { duty, epoch })
+                }
+                None => say(
+                    from,
+                    Word::Low {
+                        duty,
+                        asked: epoch,
+                        highest: vote.promised,
+                    },
+                ),
             },
             // What was promised beside a grant was promised to its owner, in place of it.
-            Word::Take { epoch, round, lease_ms, .. } => match held(vote, epoch, vote.risen(epoch, from)) {
+            Word::Take {
+                epoch,
+                round,
+                lease_ms,
+                ..
+            } => match held(vote, epoch, vote.risen(epoch, from)) {
                 Some(word) => say(from, word),
                 // Guards against leases that outlast the time for which a voter that forgot is mute.
                 None if Duration::from_millis(lease_ms.into()) > longest => {}
                 None if vote.is_for(epoch, from, any_owner) => {
                     let lease = Duration::from_millis(lease_ms.into());
-                    vote.grant = Some(Grant { epoch, owner: from, until: now + lease, lease });
+                    vote.grant = Some(Grant {
+                        epoch,
+                        owner: from,
+                        until: now + lease,
+                        lease,
+                    });
                     say(from, Word::Granted { duty, epoch, round });
                 }
-                None => say(from, Word::Low { duty, asked: epoch, highest: vote.promised }),
+                None => say(
+                    from,
+                    Word::Low {
+                        duty,
+                        asked: epoch,
+                        highest: vote.promised,
+                    },
+                ),
             },
             Word::Leave { epoch, .. } if vote.is_for(epoch, from, false) => {
                 for to in vote.free() {
@@ -551,7 +653,13 @@
             _ => {}
         }
         if vote.on_disk() != before.on_disk() {
-            out.insert(0, Out::Keep { duty, vote: vote.clone() });
+            out.insert(
+                0,
+                Out::Keep {
+                    duty,
+                    vote: vote.clone(),
+                },
+            );
         }
         out
     }
@@ -560,7 +668,9 @@
         let (part, lease) = (self.terms.lease / ANSWER_PART, self.terms.lease);
         let (luck, equal) = (self.chance(), planted!(self, equal_epochs));
         let duty = word.duty();
-        let Some(c) = self.candidates.get_mut(&duty) else { return Vec::new() };
+        let Some(c) = self.candidates.get_mut(&duty) else {
+            return Vec::new();
+        };
         // Only voters have a say.
         if !c.council.contains(&from) {
             return Vec::new();
@@ -574,11 +684,17 @@
             to.len() >= majority
         };
         match (&mut c.part, word) {
-            (Part::Asking { epoch, yes, .. }, Word::Yes { duty, epoch: said }) if said == *epoch => {
+            (Part::Asking { epoch, yes, .. }, Word::Yes { duty, epoch: said })
+                if said == *epoch =>
+            {
                 let enough = add(yes);
                 if enough {
                     let epoch = *epoch;
-                    c.part = Part::Taking { epoch, since: now, granted: vec![] };
+                    c.part = Part::Taking {
+                        epoch,
+                        since: now,
+                        granted: vec![],
+                    };
                     out.extend(c.say(Word::Take {
                         duty,
                         epoch,
@@ -593,9 +709,15 @@
                     c.ask(now, times, equal, duty, &mut out);
                 }
             }
-            (Part::Looking { held, .. }, Word::Held { asked, left_ms, epoch, .. })
-                if asked == Epoch::from(c.looks) =>
-            {
+            (
+                Part::Looking { held, .. },
+                Word::Held {
+                    asked,
+                    left_ms,
+                    epoch,
+                    ..
+                },
+            ) if asked == Epoch::from(c.looks) => {
                 c.highest = c.highest.max(epoch);
                 if !held.iter().any(|(who, _)| *who == from) {
                     held.push((from, Duration::from_millis(left_ms.into())));
@@ -605,22 +727,40 @@
                     // When enough of them are free, as far as they have said.
                     let left = held[held.len() + majority - voters - 1].1;
                     // Guards against two that stand and split the voters.
-                    c.part = Part::Rest { until: now + left + c.place * PLACES_APART };
+                    c.part = Part::Rest {
+                        until: now + left + c.place * PLACES_APART,
+                    };
                 }
             }
             (
                 Part::Asking { epoch, no, .. },
-                Word::Held { asked, epoch: highest, .. } | Word::Low { asked, highest, .. },
+                Word::Held {
+                    asked,
+                    epoch: highest,
+                    ..
+                }
+                | Word::Low { asked, highest, .. },
             ) if asked == *epoch => {
                 c.highest = c.highest.max(highest);
                 add(no);
                 if no.len() > voters - majority {
-                    c.part = Part::Rest { until: now + part.mul_f64(luck) };
+                    c.part = Part::Rest {
+                        until: now + part.mul_f64(luck),
+                    };
                 }
             }
-            (Part::Taking { epoch, since, granted }, Word::Granted { duty, epoch: said, round: 0 })
-                if said == *epoch =>
-            {
+            (
+                Part::Taking {
+                    epoch,
+                    since,
+                    granted,
+                },
+                Word::Granted {
+                    duty,
+                    epoch: said,
+                    round: 0,
+                },
+            ) if said == *epoch => {
                 let enough = add(granted);
                 if enough {
                     // From when it was asked for: what is under way has run out of it.
@@ -628,13 +768,33 @@
                     let until = since + lease.mul_f64(OWN_SHARE);
                     let granted = std::mem::take(granted);
                     let rising = None;
-                    c.part = Part::Owner { epoch, until, since, round: 0, granted, done: true, rising };
+                    c.part = Part::Owner {
+                        epoch,
+                        until,
+                        since,
+                        round: 0,
+                        granted,
+                        done: true,
+                        rising,
+                    };
                     out.push(Out::Won { duty, epoch });
                 }
             }
             (
-                Part::Owner { epoch, until, since, round, granted, done, .. },
-                Word::Granted { epoch: said, round: of, .. },
+                Part::Owner {
+                    epoch,
+                    until,
+                    since,
+                    round,
+                    granted,
+                    done,
+                    ..
+                },
+                Word::Granted {
+                    epoch: said,
+                    round: of,
+                    ..
+                },
             ) if (said, of) == (*epoch, *round) => {
                 // What ran out before this was heard stays lost.
                 let enough = add(granted);
@@ -643,25 +803,57 @@
                 }
             }
             // A voter that has forgotten is asked for its promise again, or it would be lost to this owner.
-            (Part::Owner { epoch, .. }, Word::Low { duty, asked, highest })
-                if asked == *epoch && highest < *epoch =>
-            {
-                let word = Word::Ask { duty, epoch: *epoch, instead: None };
+            (
+                Part::Owner { epoch, .. },
+                Word::Low {
+                    duty,
+                    asked,
+                    highest,
+                },
+            ) if asked == *epoch && highest < *epoch => {
+                let word = Word::Ask {
+                    duty,
+                    epoch: *epoch,
+                    instead: None,
+                };
                 out.push(Out::Say { to: from, word });
             }
             // Guards against votes that are promised to others and lost one by one: it goes above them.
-            (Part::Owner { epoch, rising: rising @ None, .. }, Word::Low { duty, asked, highest })
-                if asked == *epoch =>
-            {
+            (
+                Part::Owner {
+                    epoch,
+                    rising: rising @ None,
+                    ..
+                },
+                Word::Low {
+                    duty,
+                    asked,
+                    highest,
+                },
+            ) if asked == *epoch => {
                 let instead = Some(*epoch);
-                let epoch = (times.wall.as_millis() as Epoch).max(c.highest.max(highest).saturating_add(1));
+                let epoch =
+                    (times.wall.as_millis() as Epoch).max(c.highest.max(highest).saturating_add(1));
                 c.highest = epoch;
-                *rising = Some(Rising { epoch, since: now, yes: vec![], granted: vec![] });
-                out.extend(c.say(Word::Ask { duty, epoch, instead }));
+                *rising = Some(Rising {
+                    epoch,
+                    since: now,
+                    yes: vec![],
+                    granted: vec![],
+                });
+                out.extend(c.say(Word::Ask {
+                    duty,
+                    epoch,
+                    instead,
+                }));
             }
-            (Part::Owner { rising: Some(rising), .. }, Word::Yes { duty, epoch })
-                if epoch == rising.epoch =>
-            {
+            (
+                Part::Owner {
+                    rising: Some(rising),
+                    ..
+                },
+                Word::Yes { duty, epoch },
+            ) if epoch == rising.epoch => {
                 let before = rising.yes.len();
                 let enough = add(&mut rising.yes);
                 if enough && before < majority {
@@ -674,14 +866,27 @@
                     }));
                 }
             }
-            (Part::Owner { rising: Some(rising), until, .. }, Word::Granted { duty, epoch, .. })
-                if epoch == rising.epoch && rising.yes.len() >= majority =>
-            {
+            (
+                Part::Owner {
+                    rising: Some(rising),
+                    until,
+                    ..
+                },
+                Word::Granted { duty, epoch, .. },
+            ) if epoch == rising.epoch && rising.yes.len() >= majority => {
                 let enough = add(&mut rising.granted);
                 if enough && now < *until {
                     let (since, granted) = (rising.since, std::mem::take(&mut rising.granted));
                     let until = since + lease.mul_f64(OWN_SHARE);
-                    c.part = Part::Owner { epoch, until, since, round: 0, granted, done: true, rising: None };
+                    c.part = Part::Owner {
+                        epoch,
+                        until,
+                        since,
+                        round: 0,
+                        granted,
+                        done: true,
+                        rising: None,
+                    };
                     out.push(Out::Won { duty, epoch });
                 }
             }
@@ -704,14 +909,33 @@
 impl Candidate {
     /// Asks all voters for an epoch above all that were heard of.
     fn ask(&mut self, now: Duration, times: Times, equal: bool, duty: Duty, out: &mut Vec<Out>) {
-        let least = if equal { self.highest } else { self.highest.saturating_add(1) };
+        let least = if equal {
+            self.highest
+        } else {
+            self.highest.saturating_add(1)
+        };
         let epoch = (times.wall.as_millis() as Epoch).max(least);
         self.highest = epoch;
-        self.part = Part::Asking { epoch, since: now, yes: vec![], no: vec![] };
-        out.extend(self.say(Word::Ask { duty, epoch, instead: None }));
+        self.part = Part::Asking {
+            epoch,
+            since: now,
+            yes: vec![],
+            no: vec![],
+        };
+        out.extend(self.say(Word::Ask {
+            duty,
+            epoch,
+            instead: None,
+        }));
     }
 
     fn say(&self, word: Word) -> Vec<Out> {
-        self.council.iter().map(|to| Out::Say { to: *to, word: word.clone() }).collect()
+        self.council
+            .iter()
+            .map(|to| Out::Say {
+                to: *to,
+                word: word.clone(),
+            })
+            .collect()
     }
 }
--- a/crates/passroad-lease/src/voter.rs
+++ b/crates/passroad-lease/src/voter.rs
@@ -29,7 +29,11 @@
 
 impl Vote {
     pub fn promised(promised: Epoch, to: Member) -> Vote {
-        Vote { promised, to: Some(to), ..Vote::default() }
+        Vote {
+            promised,
+            to: Some(to),
+            ..Vote::default()
+        }
     }
 
     pub(crate) fn live(&self, now: Duration) -> Option<Grant> {
@@ -38,7 +42,12 @@
 
     /// What a restart has to know: a grant that is renewed is the same there.
     pub(crate) fn on_disk(&self) -> (Epoch, Option<Member>, Option<(Epoch, Member, Duration)>) {
-        (self.promised, self.to, self.grant.map(|grant| (grant.epoch, grant.owner, grant.lease)))
+        (
+            self.promised,
+            self.to,
+            self.grant
+                .map(|grant| (grant.epoch, grant.owner, grant.lease)),
+        )
     }
 
     /// Promises what is higher than all before, or again what was promised to the same one.
@@ -58,7 +67,9 @@
 
     /// The epoch of the live grant's owner, where that was promised a higher one in its place.
     pub(crate) fn risen(&self, epoch: Epoch, owner: Member) -> Option<Epoch> {
-        let own = self.grant.filter(|grant| grant.owner == owner && self.is_for(epoch, owner, false));
+        let own = self
+            .grant
+            .filter(|grant| grant.owner == owner && self.is_for(epoch, owner, false));
         own.map(|grant| grant.epoch)
     }
 
@@ -78,6 +89,8 @@
 
     /// How long ago it was kept is not known.
     pub(crate) fn read_again(&mut self, now: Duration) {
-        self.grant.iter_mut().for_each(|grant| grant.until = now + grant.lease);
+        self.grant
+            .iter_mut()
+            .for_each(|grant| grant.until = now + grant.lease);
     }
 }
--- a/crates/passroad-msgpack/src/lib.rs
+++ b/crates/passroad-msgpack/src/lib.rs
@@ -17,9 +17,20 @@
 /// One message, its values as they came.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Message {
-    Request { id: u32, method: Bytes, params: Bytes },
-    Response { id: u32, error: Bytes, result: Bytes },
-    Notification { method: Bytes, params: Bytes },
+    Request {
+        id: u32,
+        method: Bytes,
+        params: Bytes,
+    },
+    Response {
+        id: u32,
+        error: Bytes,
+        result: Bytes,
+    },
+    Notification {
+        method: Bytes,
+        params: Bytes,
+    },
 }
 
 /// Why a stream can't be read on. What was read before stands.
@@ -68,7 +79,12 @@
 
 impl Reader {
     pub fn new(limits: Limits) -> Self {
-        Reader { limits, held: BytesMut::new(), scan: Scan::new(limits), fault: None }
+        Reader {
+            limits,
+            held: BytesMut::new(),
+            scan: Scan::new(limits),
+            fault: None,
+        }
     }
 
     /// Takes bytes as they came. After a fault they are passed over: where the next message begins is not known.
@@ -112,7 +128,10 @@
 
 /// Takes a value off the front, as its bytes. The message is known to be whole.
 fn value(rest: &mut Bytes) -> Result<Bytes, Fault> {
-    let anything = Limits { length: usize::MAX, depth: usize::MAX };
+    let anything = Limits {
+        length: usize::MAX,
+        depth: usize::MAX,
+    };
     let length = Scan::new(anything).run(rest)?.ok_or(Fault::NoMessage)?;
     Ok(rest.split_to(length))
 }
--- a/crates/passroad-msgpack/src/scan.rs
+++ b/crates/passroad-msgpack/src/scan.rs
@@ -15,7 +15,10 @@
 
 impl Default for Limits {
     fn default() -> Self {
-        Limits { length: 128 << 10, depth: 64 }
+        Limits {
+            length: 128 << 10,
+            depth: 64,
+        }
     }
 }
 
@@ -37,7 +40,12 @@
 
 impl Scan {
     pub fn new(limits: Limits) -> Self {
-        Scan { limits, at: 0, open: Vec::new(), begun: false }
+        Scan {
+            limits,
+            at: 0,
+            open: Vec::new(),
+            begun: false,
+        }
     }
 
     /// The length of the value at the front of what is held; none until it is whole. Called again with more bytes behind
@@ -51,12 +59,15 @@
             if self.at >= held.len() {
                 return Ok(None);
             }
-            let Some(header) = header(&held[self.at..])? else { return Ok(None) };
+            let Some(header) = header(&held[self.at..])? else {
+                return Ok(None);
+            };
             self.begun = true;
             let end = (self.at + header.length) as u64 + header.bytes;
             // Each value takes a byte at least: more of them than the limit leaves is a lie, found before they come.
-            let least =
-                self.open.iter().fold(end + header.values, |sum, n| sum.saturating_add(n.saturating_sub(1)));
+            let least = self.open.iter().fold(end + header.values, |sum, n| {
+                sum.saturating_add(n.saturating_sub(1))
+            });
             if least > self.limits.length as u64 {
                 return Err(Fault::TooLong);
             }
@@ -85,18 +96,35 @@
     };
     // A size of so many bytes that follows the marker.
     let size = |width: usize| -> Option<u64> {
-        rest.get(..width).map(|b| b.iter().fold(0u64, |n, byte| n << 8 | u64::from(*byte)))
+        rest.get(..width)
+            .map(|b| b.iter().fold(0u64, |n, byte| n << 8 | u64::from(*byte)))
+    };
+    let plain = |bytes: u64| {
+        Some(Header {
+            length: 1,
+            bytes,
+            values: 0,
+        })
     };
-    let plain = |bytes: u64| Some(Header { length: 1, bytes, values: 0 });
     let sized = |width: usize, more: u64| {
-        size(width).map(|n| Header { length: 1 + width, bytes: n + more, values: 0 })
+        size(width).map(|n| Header {
+            length: 1 + width,
+            bytes: n + more,
+            values: 0,
+        })
     };
     let holds = |width: usize, each: u64| {
-        size(width).map(|n| Header { length: 1 + width, bytes: 0, values: n * each })
+        size(width).map(|n| Header {
+            length: 1 + width,
+            bytes: 0,
+            values: n * each,
+        })
     };
     Ok(match first {
         Marker::Reserved => return Err(Fault::Reserved),
-        Marker::FixPos(_) | Marker::FixNeg(_) | Marker::Null | Marker::True | Marker::False => plain(0),
+        Marker::FixPos(_) | Marker::FixNeg(_) | Marker::Null | Marker::True | Marker::False => {
+            plain(0)
+        }
         Marker::U8 | Marker::I8 => plain(1),
         Marker::U16 | Marker::I16 => plain(2),
         Marker::U32 | Marker::I32 | Marker::F32 => plain(4),
@@ -113,10 +141,18 @@
         Marker::Ext8 => sized(1, 1),
         Marker::Ext16 => sized(2, 1),
         Marker::Ext32 => sized(4, 1),
-        Marker::FixArray(n) => Some(Header { length: 1, bytes: 0, values: u64::from(n) }),
+        Marker::FixArray(n) => Some(Header {
+            length: 1,
+            bytes: 0,
+            values: u64::from(n),
+        }),
         Marker::Array16 => holds(2, 1),
         Marker::Array32 => holds(4, 1),
-        Marker::FixMap(n) => Some(Header { length: 1, bytes: 0, values: 2 * u64::from(n) }),
+        Marker::FixMap(n) => Some(Header {
+            length: 1,
+            bytes: 0,
+            values: 2 * u64::from(n),
+        }),
         Marker::Map16 => holds(2, 2),
         Marker::Map32 => holds(4, 2),
     })
--- a/crates/passroad-msgpack/src/tests.rs
+++ b/crates/passroad-msgpack/src/tests.rs
@@ -3,7 +3,10 @@
 use rmpv::Value;
 use rstest::rstest;
 
-const LIMITS: Limits = Limits { length: 4096, depth: 8 };
+const LIMITS: Limits = Limits {
+    length: 4096,
+    depth: 8,
+};
 
 fn bytes_of(value: &Value) -> Vec<u8> {
     let mut out = Vec::new();
@@ -29,7 +32,11 @@
 }
 
 fn sample() -> Vec<u8> {
-    let params = bytes_of(&Value::Array(vec![Value::from("seat"), Value::from(7), Value::Nil]));
+    let params = bytes_of(&Value::Array(vec![
+        Value::from("seat"),
+        Value::from(7),
+        Value::Nil,
+    ]));
     let error = bytes_of(&Value::Map(vec![(Value::from("code"), Value::from(3))]));
     let long = "x".repeat(300);
     [
@@ -46,16 +53,27 @@
     let stream = sample();
     let (whole, fault) = all(&stream, stream.len(), LIMITS);
     assert_eq!((whole.len(), fault), (4, None));
-    assert!(matches!(&whole[0], Message::Request { id: 1, method, .. } if method[..] == b"book-trip"[..]));
-    assert!(matches!(&whole[1], Message::Request { id: u32::MAX, params, .. } if params[..] == [0x90]));
+    assert!(
+        matches!(&whole[0], Message::Request { id: 1, method, .. } if method[..] == b"book-trip"[..])
+    );
+    assert!(
+        matches!(&whole[1], Message::Request { id: u32::MAX, params, .. } if params[..] == [0x90])
+    );
     assert!(matches!(&whole[2], Message::Response { id: 300, result, .. } if result[..] == [0xc0]));
     for piece in 1..40 {
-        assert_eq!(all(&stream, piece, LIMITS), (whole.clone(), None), "pieces of {piece}");
+        assert_eq!(
+            all(&stream, piece, LIMITS),
+            (whole.clone(), None),
+            "pieces of {piece}"
+        );
     }
     // Cut off at any byte it is no fault, only not whole.
     for end in 0..stream.len() {
         let (messages, fault) = all(&stream[..end], 7, LIMITS);
-        assert!(fault.is_none() && messages.len() < 4 && whole.starts_with(&messages), "cut at {end}");
+        assert!(
+            fault.is_none() && messages.len() < 4 && whole.starts_with(&messages),
+            "cut at {end}"
+        );
     }
 }
 
@@ -94,7 +112,10 @@
     // The message's own array is the first.
     let mut params = vec![0x91; depth - 1];
     params.push(0xc0);
-    let limits = Limits { length: 1 << 20, depth: 8 };
+    let limits = Limits {
+        length: 1 << 20,
+        depth: 8,
+    };
     assert_eq!(all(&request(1, "a", &params), 1000, limits).1, fault);
 }
 
@@ -104,13 +125,25 @@
     reader.feed(&[0xc1]);
     assert_eq!(reader.next_message(), Err(Fault::Reserved));
     reader.feed(&sample());
-    assert_eq!((reader.next_message(), reader.pending()), (Err(Fault::Reserved), 0));
+    assert_eq!(
+        (reader.next_message(), reader.pending()),
+        (Err(Fault::Reserved), 0)
+    );
 }
 
 #[rstest]
 fn a_message_may_be_as_long_as_allowed_and_no_longer() {
-    let message = |n: usize| request(1, "a", &bytes_of(&Value::Array(vec![Value::from("x".repeat(n))])));
-    let fits = (0..5000).rev().find(|n| message(*n).len() == LIMITS.length).expect("one that fits");
+    let message = |n: usize| {
+        request(
+            1,
+            "a",
+            &bytes_of(&Value::Array(vec![Value::from("x".repeat(n))])),
+        )
+    };
+    let fits = (0..5000)
+        .rev()
+        .find(|n| message(*n).len() == LIMITS.length)
+        .expect("one that fits");
     assert_eq!(all(&message(fits), 100, LIMITS).0.len(), 1);
     assert_eq!(all(&message(fits + 1), 100, LIMITS).1, Some(Fault::TooLong));
 }
--- a/crates/passroad-orders/src/lib.rs
+++ b/crates/passroad-orders/src/lib.rs
@@ -10,7 +10,9 @@
     fn number(&self, path: &str, absent: f64) -> Result<f64, String> {
         match self.0.pointer(path) {
             None | Some(Value::Null) => Ok(absent),
-            Some(v) => v.as_f64().ok_or_else(|| format!("settings: {path} is not a number")),
+            Some(v) => v
+                .as_f64()
+                .ok_or_else(|| format!("settings: {path} is not a number")),
         }
     }
 
@@ -46,23 +48,28 @@
     fn word(&self, path: &str, absent: &str) -> Result<String, String> {
         match self.0.pointer(path) {
             None | Some(Value::Null) => Ok(absent.to_string()),
-            Some(v) => {
-                v.as_str().map(str::to_string).ok_or_else(|| format!("settings: {path} is not a word"))
-            }
+            Some(v) => v
+                .as_str()
+                .map(str::to_string)
+                .ok_or_else(|| format!("settings: {path} is not a word")),
         }
     }
 
     fn items(&self, path: &str) -> Result<&[Value], String> {
         match self.0.pointer(path) {
             None | Some(Value::Null) => Ok(&[]),
-            Some(v) => {
-                v.as_array().map(Vec::as_slice).ok_or_else(|| format!("settings: {path} is not a list"))
-            }
+            Some(v) => v
+                .as_array()
+                .map(Vec::as_slice)
+                .ok_or_else(|| format!("settings: {path} is not a list")),
         }
     }
 
     fn words(&self, path: &str) -> Result<Vec<String>, String> {
-        self.items(path)?.iter().map(|v| At(v).word("", "")).collect()
+        self.items(path)?
+            .iter()
+            .map(|v| At(v).word("", ""))
+            .collect()
     }
 }
 
@@ -79,32 +86,55 @@
         "read_like" => Effect::Pure,
         "idempotency_key" => Effect::Receipted,
         "non_idempotent" => Effect::Effectful,
-        other => return Err(format!("settings: verb {name} has the unknown effect '{other}'")),
+        other => {
+            return Err(format!(
+                "settings: verb {name} has the unknown effect '{other}'"
+            ));
+        }
     };
     let group = match at.word("/key_scope", "all")?.as_str() {
         "all" => Group::All,
         "zone" => Group::Zone,
         "cell" => Group::Cell,
-        other => return Err(format!("settings: verb {name} has the unknown scope '{other}'")),
+        other => {
+            return Err(format!(
+                "settings: verb {name} has the unknown scope '{other}'"
+            ));
+        }
     };
     for path in ["/time_limit", "/response_goal"] {
-        at.above_zero(path, 1.0).map_err(|fault| format!("{fault} (verb {name})"))?;
+        at.above_zero(path, 1.0)
+            .map_err(|fault| format!("{fault} (verb {name})"))?;
     }
     let one_zone = at.flag("/own_zone", false)?;
     let open = match (at.0.get("dcs_open").filter(|v| !v.is_null()), one_zone) {
-        (Some(_), true) => return Err(format!("settings: verb {name} has both /own_zone and /dcs_open")),
-        (Some(_), false) => Some(at.words("/dcs_open").map_err(|fault| format!("{fault} (verb {name})"))?),
+        (Some(_), true) => {
+            return Err(format!(
+                "settings: verb {name} has both /own_zone and /dcs_open"
+            ));
+        }
+        (Some(_), false) => Some(
+            at.words("/dcs_open")
+                .map_err(|fault| format!("{fault} (verb {name})"))?,
+        ),
         (None, true) => Some(vec![own.to_string()]),
         (None, false) => None,
     };
     let zone = |zone: &String| {
         let place = if one_zone { "/own_zone" } else { "/dcs_open" };
         let known = zones.iter().position(|z| z == zone);
-        known.ok_or_else(|| format!("settings: verb {name}: {place} names the unknown zone '{zone}'"))
+        known.ok_or_else(|| {
+            format!("settings: verb {name}: {place} names the unknown zone '{zone}'")
+        })
     };
-    let only_zones = open.map(|open| open.iter().map(zone).collect::<Result<Vec<_>, _>>()).transpose()?;
+    let only_zones = open
+        .map(|open| open.iter().map(zone).collect::<Result<Vec<_>, _>>())
+        .transpose()?;
     let bound = at.0.get("bound_to").filter(|v| !v.is_null());
-    let bound = bound.map(|_| at.words("/bound_to").map_err(|fault| format!("{fault} (verb {name})")));
+    let bound = bound.map(|_| {
+        at.words("/bound_to")
+            .map_err(|fault| format!("{fault} (verb {name})"))
+    });
     for (place, empty) in [
         ("/dcs_open", only_zones.as_ref().is_some_and(Vec::is_empty)),
         (
@@ -113,7 +143,9 @@
         ),
     ] {
         if empty {
-            return Err(format!("settings: verb {name}: {place} names nothing, so it may run nowhere"));
+            return Err(format!(
+                "settings: verb {name}: {place} names nothing, so it may run nowhere"
+            ));
         }
     }
     let mut kind = |kind: &String| {
@@ -124,10 +156,17 @@
     };
     // Where the settings name all kinds, one that is not among them is a slip.
     let unknown = |kind: &&String| !known_kinds.is_empty() && !known_kinds.contains(kind);
-    if let Some(kind) = bound.as_ref().and_then(|b| b.as_ref().ok()?.iter().find(unknown)) {
-        return Err(format!("settings: verb {name}: /bound_to names the unknown kind '{kind}'"));
+    if let Some(kind) = bound
+        .as_ref()
+        .and_then(|b| b.as_ref().ok()?.iter().find(unknown))
+    {
+        return Err(format!(
+            "settings: verb {name}: /bound_to names the unknown kind '{kind}'"
+        ));
     }
-    let only_kinds = bound.transpose()?.map(|bound| bound.iter().map(&mut kind).collect());
+    let only_kinds = bound
+        .transpose()?
+        .map(|bound| bound.iter().map(&mut kind).collect());
     let limit = at.span("/time_limit", Duration::from_secs(1))?;
     Ok(VerbOrder {
         effect,
@@ -147,7 +186,10 @@
 
 /// The orders in a settings text.
 pub fn read(seed: u64, text: &str) -> Result<StandingOrders, String> {
-    from_value(seed, &serde_json::from_str(text).map_err(|e| format!("settings: {e}"))?)
+    from_value(
+        seed,
+        &serde_json::from_str(text).map_err(|e| format!("settings: {e}"))?,
+    )
 }
 
 /// How long an endpoint may take to accept a connection.
@@ -163,23 +205,35 @@
     let at = At(value);
     let known = at.words("/kinds")?;
     let (zones, own, mut kinds) = (at.words("/dcs")?, at.word("/az", "")?, Vec::new());
-    let verbs = at.items("/verbs")?.iter().map(|v| verb(v, &zones, &own, &mut kinds, &known));
+    let verbs = at
+        .items("/verbs")?
+        .iter()
+        .map(|v| verb(v, &zones, &own, &mut kinds, &known));
     let verbs = verbs.collect::<Result<Vec<_>, _>>()?;
     if verbs.is_empty() {
         return Err("settings: no verbs".into());
     }
-    let twice = |n: usize| verbs[..n].iter().any(|v: &VerbOrder| v.name == verbs[n].name);
+    let twice = |n: usize| {
+        verbs[..n]
+            .iter()
+            .any(|v: &VerbOrder| v.name == verbs[n].name)
+    };
     if let Some(n) = (0..verbs.len()).find(|n| twice(*n)) {
         return Err(format!("settings: /verbs names '{}' twice", verbs[n].name));
     }
     at.above_zero("/allowed/max_relays", 1.0)?;
     let companies = at.items("/tenants")?.iter().map(|t| {
         let at = At(t);
-        Ok(CompanyOrder { name: at.word("/name", "")?, portion: at.number("/portion", 0.0)? })
+        Ok(CompanyOrder {
+            name: at.word("/name", "")?,
+            portion: at.number("/portion", 0.0)?,
+        })
     });
     let weights = at.word("/weights", "silent")?;
     if !["silent", "nominal", "rough", "live"].contains(&weights.as_str()) {
-        return Err(format!("settings: /weights is '{weights}', not silent, nominal, rough or live"));
+        return Err(format!(
+            "settings: /weights is '{weights}', not silent, nominal, rough or live"
+        ));
     }
     Ok(StandingOrders {
         seed,
@@ -248,7 +302,10 @@
         #[case] kinds: Option<Vec<usize>>,
     ) {
         let verbs = orders(more).unwrap().verbs;
-        assert_eq!((&verbs[1].only_zones, &verbs[1].only_kinds), (&zones, &kinds));
+        assert_eq!(
+            (&verbs[1].only_zones, &verbs[1].only_kinds),
+            (&zones, &kinds)
+        );
         assert_eq!((&verbs[0].only_zones, &verbs[0].only_kinds), (&None, &None));
     }
 
@@ -263,12 +320,18 @@
     #[case::no_flag(r#","own_zone":"b""#, "/own_zone is not true or false")]
     fn places_that_can_not_be_are_named(#[case] more: &str, #[case] what: &str) {
         let fault = orders(more).unwrap_err();
-        assert!(fault.contains(what) && fault.contains("settings: "), "{fault}");
+        assert!(
+            fault.contains(what) && fault.contains("settings: "),
+            "{fault}"
+        );
     }
 
     #[rstest]
     fn doors_have_their_own_numbers() {
-        let (mut zones, mut kinds) = (passroad_choice::door::Door::new(), passroad_choice::door::Door::new());
+        let (mut zones, mut kinds) = (
+            passroad_choice::door::Door::new(),
+            passroad_choice::door::Door::new(),
+        );
         ["b", "x"].iter().for_each(|name| {
             zones.admit(&name.to_string());
         });
--- a/crates/passroad-peers/src/frame.rs
+++ b/crates/passroad-peers/src/frame.rs
@@ -33,15 +33,21 @@
 
 /// Channel, incarnation of the sender, and body.
 pub fn open(bytes: &[u8]) -> Result<(u8, Incarnation, &[u8]), Ill> {
-    let [MARK, version, rest @ ..] = bytes else { return Err(Ill::Foreign) };
+    let [MARK, version, rest @ ..] = bytes else {
+        return Err(Ill::Foreign);
+    };
     if *version != VERSION {
         return Err(Ill::Version);
     }
-    let [length, rest @ ..] = rest else { return Err(Ill::Length) };
+    let [length, rest @ ..] = rest else {
+        return Err(Ill::Length);
+    };
     let (channel, incarnation, body) = match rest {
-        [channel, a, b, c, d, e, f, g, h, body @ ..] if rest.len() == usize::from(*length) => {
-            (*channel, Incarnation::from_be_bytes([*a, *b, *c, *d, *e, *f, *g, *h]), body)
-        }
+        [channel, a, b, c, d, e, f, g, h, body @ ..] if rest.len() == usize::from(*length) => (
+            *channel,
+            Incarnation::from_be_bytes([*a, *b, *c, *d, *e, *f, *g, *h]),
+            body,
+        ),
         _ => return Err(Ill::Length),
     };
     Ok((channel, incarnation, body))
--- a/crates/passroad-peers/src/lib.rs
+++ b/crates/passroad-peers/src/lib.rs
@@ -160,7 +160,11 @@
 impl Peers {
     pub fn new(terms: Terms, now: Duration) -> Peers {
         let count = terms.members;
-        let start = Known { standing: Standing::Here, incarnation: 0, since: now };
+        let start = Known {
+            standing: Standing::Here,
+            incarnation: 0,
+            since: now,
+        };
         let mut peers = Peers {
             dice: terms.seed | 1,
             incarnation: terms.incarnation,
@@ -202,7 +206,9 @@
     }
 
     pub fn standing(&self, member: Member) -> Standing {
-        self.known.get(usize::from(member)).map_or(Standing::Gone, |known| known.standing)
+        self.known
+            .get(usize::from(member))
+            .map_or(Standing::Gone, |known| known.standing)
     }
 
     pub fn note_of(&self, topic: u64) -> Option<Note> {
@@ -238,7 +244,9 @@
         let newer = match self.notes.get(&note.topic) {
             Some((known, _)) => {
                 note.number > known.number
-                    || note.number == known.number && note.holder.is_none() && known.holder.is_some()
+                    || note.number == known.number
+                        && note.holder.is_none()
+                        && known.holder.is_some()
             }
             None => self.notes.len() < MOST_NOTES,
         };
@@ -250,23 +258,40 @@
 
     /// Whether a datagram of this incarnation of a member is heard: not of one that is over. Hearing of a later one is
     /// hearing that it is here.
-    pub fn admit(&mut self, now: Duration, from: Member, incarnation: Incarnation) -> (bool, Vec<Out>) {
+    pub fn admit(
+        &mut self,
+        now: Duration,
+        from: Member,
+        incarnation: Incarnation,
+    ) -> (bool, Vec<Out>) {
         let mut out = Vec::new();
-        let Some(known) = self.known.get(usize::from(from)).copied() else { return (false, out) };
+        let Some(known) = self.known.get(usize::from(from)).copied() else {
+            return (false, out);
+        };
         // What a process said before it was doubted it has still said.
         if from == self.terms.me || life(incarnation) < life(known.incarnation) {
             self.counts.old += 1;
             return (false, out);
         }
         if incarnation > known.incarnation {
-            self.believe(now, Told { member: from, standing: Standing::Here, incarnation }, &mut out);
+            self.believe(
+                now,
+                Told {
+                    member: from,
+                    standing: Standing::Here,
+                    incarnation,
+                },
+                &mut out,
+            );
         }
         (true, out)
     }
 
     /// A body that came on this part's channel, of a sender that [`Peers::admit`] let in.
     pub fn hear(&mut self, now: Duration, from: Member, body: &[u8]) -> Vec<Out> {
-        let read = postcard::take_from_bytes::<Letter>(body).ok().filter(|(_, rest)| rest.is_empty());
+        let read = postcard::take_from_bytes::<Letter>(body)
+            .ok()
+            .filter(|(_, rest)| rest.is_empty());
         let Some((letter, _)) = read else {
             self.counts.unreadable += 1;
             return Vec::new();
@@ -276,16 +301,25 @@
             self.believe(now, told, &mut out);
         }
         for note in letter.notes {
-            if note.holder.is_none_or(|holder| usize::from(holder) < self.known.len()) && self.note(note) {
+            if note
+                .holder
+                .is_none_or(|holder| usize::from(holder) < self.known.len())
+                && self.note(note)
+            {
                 out.push(Out::Heard(note));
             }
         }
         match letter.word {
             Word::Ask { round } => {
-                let word = Word::Answer { round, of: self.terms.me };
+                let word = Word::Answer {
+                    round,
+                    of: self.terms.me,
+                };
                 self.say(now, from, word, &mut out);
             }
-            Word::Help { round, of } if usize::from(of) < self.known.len() && of != self.terms.me => {
+            Word::Help { round, of }
+                if usize::from(of) < self.known.len() && of != self.terms.me =>
+            {
                 self.round = self.round.wrapping_add(1);
                 self.helped.push_back((self.round, from, round));
                 if self.helped.len() > MOST_HELPED {
@@ -296,7 +330,11 @@
             }
             Word::Help { .. } => {}
             Word::Answer { round, of } => {
-                if self.open.as_ref().is_some_and(|open| open.round == round && open.of == of) {
+                if self
+                    .open
+                    .as_ref()
+                    .is_some_and(|open| open.round == round && open.of == of)
+                {
                     self.open = None;
                     self.unanswered = 0;
                     self.clear(now, of, &mut out);
@@ -317,13 +355,18 @@
         // Of one that is told of as in doubt only a higher incarnation, its own word, clears it for all.
         if known.standing == Standing::Doubt && known.incarnation == 0 {
             (known.standing, known.since) = (Standing::Here, now);
-            out.push(Out::Turned { member, standing: Standing::Here });
+            out.push(Out::Turned {
+                member,
+                standing: Standing::Here,
+            });
         }
     }
 
     /// Takes what is told of a member where it is newer: a higher incarnation, or worse of the same.
     fn believe(&mut self, now: Duration, told: Told, out: &mut Vec<Out>) {
-        let Some(known) = self.known.get(usize::from(told.member)).copied() else { return };
+        let Some(known) = self.known.get(usize::from(told.member)).copied() else {
+            return;
+        };
         let newer = told.incarnation > known.incarnation
             || told.incarnation == known.incarnation && told.standing > known.standing;
         if !newer {
@@ -345,10 +388,16 @@
         if known.standing == Standing::Doubt && told.standing == Standing::Here {
             self.counts.refuted += 1;
         }
-        self.known[usize::from(told.member)] =
-            Known { standing: told.standing, incarnation: told.incarnation, since: now };
+        self.known[usize::from(told.member)] = Known {
+            standing: told.standing,
+            incarnation: told.incarnation,
+            since: now,
+        };
         if told.standing != known.standing {
-            out.push(Out::Turned { member: told.member, standing: told.standing });
+            out.push(Out::Turned {
+                member: told.member,
+                standing: told.standing,
+            });
         }
         self.spread(told.member);
     }
@@ -380,7 +429,11 @@
                 self.open = Some(open);
                 self.say(now, of, Word::Ask { round }, &mut out);
                 // Of one that is thought gone a plain question tells as much.
-                let helpers = if self.standing(of) == Standing::Here { self.helpers(of) } else { Vec::new() };
+                let helpers = if self.standing(of) == Standing::Here {
+                    self.helpers(of)
+                } else {
+                    Vec::new()
+                };
                 for helper in helpers {
                     self.say(now, helper, Word::Help { round, of }, &mut out);
                 }
@@ -406,10 +459,16 @@
                 self.order.swap(n, other);
             }
         }
-        let Some(of) = self.order.get(self.next).copied() else { return };
+        let Some(of) = self.order.get(self.next).copied() else {
+            return;
+        };
         self.next += 1;
         self.round = self.round.wrapping_add(1);
-        self.open = Some(Open { of, round: self.round, tries: 0 });
+        self.open = Some(Open {
+            of,
+            round: self.round,
+            tries: 0,
+        });
         self.say(now, of, Word::Ask { round: self.round }, out);
     }
 
@@ -417,7 +476,9 @@
         let mut helpers = Vec::new();
         for _ in 0..4 * HELPERS {
             let n = self.below(self.order.len());
-            let Some(helper) = self.order.get(n).copied() else { break };
+            let Some(helper) = self.order.get(n).copied() else {
+                break;
+            };
             let fit = helper != of && self.known[usize::from(helper)].standing == Standing::Here;
             if fit && !helpers.contains(&helper) {
                 helpers.push(helper);
@@ -437,7 +498,11 @@
             self.counts.doubts += 1;
             self.believe(
                 now,
-                Told { member: of, standing: Standing::Doubt, incarnation: known.incarnation },
+                Told {
+                    member: of,
+                    standing: Standing::Doubt,
+                    incarnation: known.incarnation,
+                },
                 out,
             );
         }
@@ -447,13 +512,24 @@
     fn settle(&mut self, now: Duration, out: &mut Vec<Out>) {
         let rounds = 2 * (self.known.len() + 1).ilog2().max(2);
         let gone = |known: &Known| {
-            known.standing == Standing::Doubt && now.saturating_sub(known.since) > self.terms.period * rounds
+            known.standing == Standing::Doubt
+                && now.saturating_sub(known.since) > self.terms.period * rounds
         };
-        let all: Vec<Member> =
-            (0..self.known.len()).filter(|n| gone(&self.known[*n])).map(|n| n as Member).collect();
+        let all: Vec<Member> = (0..self.known.len())
+            .filter(|n| gone(&self.known[*n]))
+            .map(|n| n as Member)
+            .collect();
         for member in all {
             let incarnation = self.known[usize::from(member)].incarnation;
-            self.believe(now, Told { member, standing: Standing::Gone, incarnation }, out);
+            self.believe(
+                now,
+                Told {
+                    member,
+                    standing: Standing::Gone,
+                    incarnation,
+                },
+                out,
+            );
         }
     }
 
@@ -474,7 +550,11 @@
             self.counts.held_back += 1;
             return;
         }
-        let mut letter = Letter { word, notes: Vec::new(), told: Vec::new() };
+        let mut letter = Letter {
+            word,
+            notes: Vec::new(),
+            told: Vec::new(),
+        };
         let mut room = ROOM - 16;
         let size = |told: &Told| 2 + told.incarnation.checked_ilog2().unwrap_or(0) as usize / 7 + 3;
         for (note, times) in self.notes.values_mut().filter(|(_, times)| *times > 0) {
@@ -487,7 +567,11 @@
         let mut fresh = std::mem::take(&mut self.fresh);
         for (member, times) in &mut fresh {
             let known = self.known[usize::from(*member)];
-            let told = Told { member: *member, standing: known.standing, incarnation: known.incarnation };
+            let told = Told {
+                member: *member,
+                standing: known.standing,
+                incarnation: known.incarnation,
+            };
             if size(&told) <= room {
                 room -= size(&told);
                 *times -= 1;
@@ -515,7 +599,9 @@
         }
         let topics: Vec<u64> = self.notes.keys().copied().collect();
         if room >= 26 && letter.notes.is_empty() && !topics.is_empty() {
-            letter.notes.push(self.notes[&topics[self.round as usize % topics.len()]].0);
+            letter
+                .notes
+                .push(self.notes[&topics[self.round as usize % topics.len()]].0);
         }
         match postcard::to_stdvec(&letter) {
             Ok(body) if body.len() <= ROOM => {
--- a/crates/passroad-peers/src/tests.rs
+++ b/crates/passroad-peers/src/tests.rs
@@ -54,7 +54,10 @@
                 }
             }
             while let Some((from, to, bytes)) = mail.pop() {
-                self.dice = self.dice.wrapping_mul(1_664_525).wrapping_add(1_013_904_223);
+                self.dice = self
+                    .dice
+                    .wrapping_mul(1_664_525)
+                    .wrapping_add(1_013_904_223);
                 if !self.up[to] || (self.dice >> 16) % 100 < self.loss {
                     continue;
                 }
@@ -73,7 +76,11 @@
             match out {
                 Out::Say { to, body } => {
                     self.sent[from] += 1;
-                    mail.push((from, usize::from(to), seal(0, self.all[from].incarnation(), &body).unwrap()));
+                    mail.push((
+                        from,
+                        usize::from(to),
+                        seal(0, self.all[from].incarnation(), &body).unwrap(),
+                    ));
                 }
                 Out::Starved(_) => self.starved += 1,
                 _ => {}
@@ -94,7 +101,10 @@
     world.up[3] = false;
     world.run(PERIOD * 40);
     assert_eq!(world.thought(3), [Standing::Gone; 7]);
-    let terms = Terms { incarnation: 2_000_000, ..peers(3, 8).terms };
+    let terms = Terms {
+        incarnation: 2_000_000,
+        ..peers(3, 8).terms
+    };
     (world.all[3], world.up[3]) = (Peers::new(terms, world.now), true);
     world.run(PERIOD * 12);
     assert_eq!(world.thought(3), [Standing::Here; 7]);
@@ -129,10 +139,20 @@
     let (all, alone) = (std::mem::replace(&mut world.up, vec![false; 9]), 4);
     world.up[alone] = true;
     world.run(PERIOD * 60);
-    assert!(world.all[alone].counts().doubts <= 4, "{:?}", world.all[alone].counts());
+    assert!(
+        world.all[alone].counts().doubts <= 4,
+        "{:?}",
+        world.all[alone].counts()
+    );
     world.up = all;
     world.run(PERIOD * 30);
-    assert_eq!((0..9).flat_map(|n| world.thought(n)).filter(|s| *s != Standing::Here).count(), 0);
+    assert_eq!(
+        (0..9)
+            .flat_map(|n| world.thought(n))
+            .filter(|s| *s != Standing::Here)
+            .count(),
+        0
+    );
 }
 
 #[rstest]
@@ -151,13 +171,22 @@
 #[rstest]
 fn a_fact_comes_to_all_and_an_older_one_does_not_undo_it() {
     let mut world = World::new(30);
-    let note = |number, holder| Note { topic: 9, number, holder };
+    let note = |number, holder| Note {
+        topic: 9,
+        number,
+        holder,
+    };
     world.all[3].note(note(5, Some(3)));
     world.run(PERIOD * 12);
     world.all[7].note(note(6, Some(7)));
     assert!(!world.all[7].note(note(5, Some(3))));
     world.run(PERIOD * 12);
-    assert!(world.all.iter().all(|p| p.note_of(9) == Some(note(6, Some(7)))));
+    assert!(
+        world
+            .all
+            .iter()
+            .all(|p| p.note_of(9) == Some(note(6, Some(7))))
+    );
 }
 
 #[rstest]
@@ -183,13 +212,35 @@
 // work-late: each doubt that one refuted voided what it had acknowledged, and no machine was ever empty.
 #[rstest]
 fn one_that_refutes_a_doubt_lives_on() {
-    let mut peers = Peers::new(Terms { incarnation: begun(PERIOD), ..peers(0, 3).terms }, Duration::ZERO);
+    let mut peers = Peers::new(
+        Terms {
+            incarnation: begun(PERIOD),
+            ..peers(0, 3).terms
+        },
+        Duration::ZERO,
+    );
     let before = peers.incarnation();
     let mut out = Vec::new();
-    peers.believe(PERIOD, Told { member: 0, standing: Standing::Doubt, incarnation: before }, &mut out);
+    peers.believe(
+        PERIOD,
+        Told {
+            member: 0,
+            standing: Standing::Doubt,
+            incarnation: before,
+        },
+        &mut out,
+    );
     assert!(peers.incarnation() > before && life(peers.incarnation()) == life(before));
     // Another process of this name has had a later one.
-    peers.believe(PERIOD, Told { member: 0, standing: Standing::Here, incarnation: 9 << 20 }, &mut out);
+    peers.believe(
+        PERIOD,
+        Told {
+            member: 0,
+            standing: Standing::Here,
+            incarnation: 9 << 20,
+        },
+        &mut out,
+    );
     assert!(life(peers.incarnation()) > life(9 << 20));
     // What it said before the doubt is still heard of it elsewhere.
     let mut other = self::peers(1, 3);
