--- a/crates/passroad-rig/src/added_latency/between.rs
+++ b/crates/passroad-rig/src/added_latency/between.rs
@@ -65,13 +65,24 @@
         let list = list(endpoints);
         let discovery = discovery(list.clone())?;
         for _ in 0..TRIES {
-            match Sidecar::once(program, folder, name, &list, discovery, endpoints.len(), probes, seed) {
+            match Sidecar::once(
+                program,
+                folder,
+                name,
+                &list,
+                discovery,
+                endpoints.len(),
+                probes,
+                seed,
+            ) {
                 // A port that was free may have been taken for a connection meanwhile; the next one is another.
                 Err(fault) if fault.to_string().contains("Address already in use") => {}
                 other => return other,
             }
         }
-        Err(io::Error::other(format!("sidecar {name}: no free port in {TRIES} tries")))
+        Err(io::Error::other(format!(
+            "sidecar {name}: no free port in {TRIES} tries"
+        )))
     }
 
     #[expect(clippy::too_many_arguments, reason = "what one process is told")]
@@ -85,14 +96,19 @@
         probes: bool,
         seed: u64,
     ) -> io::Result<Sidecar> {
-        let free = || TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).and_then(|listener| listener.local_addr());
+        let free = || {
+            TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).and_then(|listener| listener.local_addr())
+        };
         let (listen, door) = (free()?, free()?);
         let told = json!({
             "name": name, "listen": listen.to_string(), "management": door.to_string(),
             "discovery": discovery.to_string(), "seed": format!("{seed:x}"), "known": list,
             "limits": { "sockets": 1024, "memory_mb": 64 }, "settings": settings(endpoints, probes)?,
         });
-        let (file, log) = (folder.join(format!("{name}.json")), folder.join(format!("{name}.log")));
+        let (file, log) = (
+            folder.join(format!("{name}.json")),
+            folder.join(format!("{name}.log")),
+        );
         std::fs::write(&file, told.to_string())?;
         let child = Command::new(&program.path)
             .args(&program.arguments)
@@ -108,14 +124,21 @@
             .stderr(File::create(&log)?)
             .spawn()
             .map_err(|e| io::Error::new(e.kind(), format!("{}: {e}", program.path.display())))?;
-        let mut sidecar = Sidecar { address: listen, child };
+        let mut sidecar = Sidecar {
+            address: listen,
+            child,
+        };
         let began = Instant::now();
         while !sidecar.ready() {
             let ended = sidecar.child.try_wait()?;
             if ended.is_some() || began.elapsed() > PATIENCE {
                 let said = std::fs::read_to_string(&log).unwrap_or_default();
                 let last = said.lines().last().unwrap_or("it said nothing").to_string();
-                let word = if ended.is_some() { "ended" } else { "did not come up" };
+                let word = if ended.is_some() {
+                    "ended"
+                } else {
+                    "did not come up"
+                };
                 return Err(io::Error::other(format!("sidecar {name} {word}: {last}")));
             }
             std::thread::sleep(Duration::from_millis(10));
@@ -124,13 +147,20 @@
     }
 
     fn ready(&self) -> bool {
-        Door::new(&[self.address], true).call(0, "0", 1000).is_ok_and(|status| status == 200)
+        Door::new(&[self.address], true)
+            .call(0, "0", 1000)
+            .is_ok_and(|status| status == 200)
     }
 
     /// From the kernel's counters; nothing where it tells none.
     pub fn used(&self) -> Used {
         let tasks = std::fs::read_dir(format!("/proc/{}/task", self.child.id()));
-        tasks.into_iter().flatten().flatten().map(|task| used(&task.path())).fold(Used::default(), Used::and)
+        tasks
+            .into_iter()
+            .flatten()
+            .flatten()
+            .map(|task| used(&task.path()))
+            .fold(Used::default(), Used::and)
     }
 }
 
@@ -145,12 +175,19 @@
 fn used(task: &Path) -> Used {
     let text = |name: &str| std::fs::read_to_string(task.join(name)).unwrap_or_default();
     let (stat, status) = (text("schedstat"), text("status"));
-    let mut times = stat.split_whitespace().filter_map(|n| n.parse().ok()).map(Duration::from_nanos);
-    let wakes = status.lines().find_map(|line| line.strip_prefix("voluntary_ctxt_switches:"));
+    let mut times = stat
+        .split_whitespace()
+        .filter_map(|n| n.parse().ok())
+        .map(Duration::from_nanos);
+    let wakes = status
+        .lines()
+        .find_map(|line| line.strip_prefix("voluntary_ctxt_switches:"));
     Used {
         running: times.next().unwrap_or_default(),
         waiting: times.next().unwrap_or_default(),
-        wakes: wakes.and_then(|n| n.trim().parse().ok()).unwrap_or_default(),
+        wakes: wakes
+            .and_then(|n| n.trim().parse().ok())
+            .unwrap_or_default(),
     }
 }
 
@@ -162,7 +199,9 @@
          [[verb]]\nname = \"look\"\neffect = \"pure\"\nwork = \"1ms\"\ngoal = \"400ms\"\nlimit = \"1s\"\n\
          [load]\nper_second = 230\n[allowed]\nprobes = {probes}\n"
     );
-    experiment::read(&text).map(|plan| plan.settings(0)).map_err(|wrong| io::Error::other(wrong.to_string()))
+    experiment::read(&text)
+        .map(|plan| plan.settings(0))
+        .map_err(|wrong| io::Error::other(wrong.to_string()))
 }
 
 fn list(endpoints: &[SocketAddr]) -> Value {
@@ -184,9 +223,14 @@
         for stream in listener.incoming().flatten() {
             let list = list.clone();
             let _ = thread("discovery", move || {
-                let Ok(mut wire) = Wire::new(stream) else { return };
+                let Ok(mut wire) = Wire::new(stream) else {
+                    return;
+                };
                 while let Ok(Some(message)) = wire.read(true) {
-                    let hold = message.target.split_once("&hold_ms=").and_then(|(_, ms)| ms.parse().ok());
+                    let hold = message
+                        .target
+                        .split_once("&hold_ms=")
+                        .and_then(|(_, ms)| ms.parse().ok());
                     let text = match hold {
                         Some(ms) => {
                             std::thread::sleep(Duration::from_millis(ms));
@@ -213,8 +257,13 @@
         listener.set_nonblocking(true)?;
         listeners.push(listener);
     }
-    let addresses = listeners.iter().map(TcpListener::local_addr).collect::<io::Result<_>>()?;
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
+    let addresses = listeners
+        .iter()
+        .map(TcpListener::local_addr)
+        .collect::<io::Result<_>>()?;
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()?;
     let pairs: Vec<_> = listeners.into_iter().zip(endpoints.to_vec()).collect();
     thread("relay", move || {
         runtime.block_on(async move {
--- a/crates/passroad-rig/src/added_latency/door.rs
+++ b/crates/passroad-rig/src/added_latency/door.rs
@@ -38,7 +38,10 @@
 impl Wire {
     pub fn new(stream: TcpStream) -> io::Result<Wire> {
         stream.set_nodelay(true)?;
-        Ok(Wire { stream, ahead: Vec::new() })
+        Ok(Wire {
+            stream,
+            ahead: Vec::new(),
+        })
     }
 
     fn to(address: SocketAddr) -> io::Result<Wire> {
@@ -92,24 +95,45 @@
     let mut room = [httparse::EMPTY_HEADER; MOST_HEADERS];
     let (mut message, head, headers) = if request {
         let mut parsed = httparse::Request::new(&mut room);
-        let httparse::Status::Complete(head) = parsed.parse(bytes).map_err(|e| odd(e.to_string()))? else {
+        let httparse::Status::Complete(head) =
+            parsed.parse(bytes).map_err(|e| odd(e.to_string()))?
+        else {
             return Ok(None);
         };
         let target = parsed.path.unwrap_or_default().to_string();
-        (Message { target, ..Message::default() }, head, parsed.headers)
+        (
+            Message {
+                target,
+                ..Message::default()
+            },
+            head,
+            parsed.headers,
+        )
     } else {
         let mut parsed = httparse::Response::new(&mut room);
-        let httparse::Status::Complete(head) = parsed.parse(bytes).map_err(|e| odd(e.to_string()))? else {
+        let httparse::Status::Complete(head) =
+            parsed.parse(bytes).map_err(|e| odd(e.to_string()))?
+        else {
             return Ok(None);
         };
-        (Message { status: parsed.code.unwrap_or_default(), ..Message::default() }, head, parsed.headers)
+        (
+            Message {
+                status: parsed.code.unwrap_or_default(),
+                ..Message::default()
+            },
+            head,
+            parsed.headers,
+        )
     };
     let mut body = 0;
     for header in headers.iter() {
         let value = String::from_utf8_lossy(header.value);
         match header.name.to_ascii_lowercase().as_str() {
             "content-length" => {
-                body = value.trim().parse().map_err(|_| odd(format!("a length of '{value}'")))?;
+                body = value
+                    .trim()
+                    .parse()
+                    .map_err(|_| odd(format!("a length of '{value}'")))?;
             }
             "connection" => message.closes = value.trim().eq_ignore_ascii_case("close"),
             "req-id" => message.id = value.trim().to_string(),
@@ -134,14 +158,25 @@
 impl Door {
     /// With `closes` each call opens a connection of its own, and asks that it be closed behind the answer.
     pub fn new(addresses: &[SocketAddr], closes: bool) -> Door {
-        let sides = addresses.iter().map(|address| (*address, Mutex::default())).collect();
-        Door { sides, closes, stale: AtomicU64::new(0) }
+        let sides = addresses
+            .iter()
+            .map(|address| (*address, Mutex::default()))
+            .collect();
+        Door {
+            sides,
+            closes,
+            stale: AtomicU64::new(0),
+        }
     }
 
     /// One call, and the status that it was answered with. `pick` says to which address, where there are several.
     pub fn call(&self, pick: usize, id: &str, left_ms: u64) -> io::Result<u16> {
         let (address, kept) = &self.sides[pick % self.sides.len()];
-        let close = if self.closes { "Connection: close\r\n" } else { "" };
+        let close = if self.closes {
+            "Connection: close\r\n"
+        } else {
+            ""
+        };
         let request = format!(
             "GET /look HTTP/1.1\r\nHost: rig\r\nReq-Id: {id}\r\nReq-Deadline-Ms: {left_ms}\r\n{close}\r\n"
         );
@@ -152,7 +187,9 @@
                 Some(wire) => wire,
                 None => Wire::to(*address)?,
             };
-            let answer = wire.write(request.as_bytes()).and_then(|()| wire.read(false));
+            let answer = wire
+                .write(request.as_bytes())
+                .and_then(|()| wire.read(false));
             match answer {
                 Ok(Some(answer)) => {
                     if !answer.closes && !self.closes {
--- a/crates/passroad-rig/src/added_latency/endpoint.rs
+++ b/crates/passroad-rig/src/added_latency/endpoint.rs
@@ -82,7 +82,11 @@
                 }
             })?;
         }
-        Ok(Tier { addresses, tally, over })
+        Ok(Tier {
+            addresses,
+            tally,
+            over,
+        })
     }
 }
 
@@ -90,12 +94,18 @@
     fn drop(&mut self) {
         self.over.store(true, Relaxed);
         // Wakes each listener, so that it sees the end.
-        self.addresses.iter().for_each(|at| drop(TcpStream::connect(at)));
+        self.addresses
+            .iter()
+            .for_each(|at| drop(TcpStream::connect(at)));
     }
 }
 
 pub fn thread(name: &str, run: impl FnOnce() + Send + 'static) -> io::Result<()> {
-    std::thread::Builder::new().name(name.into()).stack_size(STACK).spawn(run).map(drop)
+    std::thread::Builder::new()
+        .name(name.into())
+        .stack_size(STACK)
+        .spawn(run)
+        .map(drop)
 }
 
 struct Endpoint {
@@ -122,7 +132,9 @@
                 let gap = (at.elapsed().as_micros() as u64).clamp(1, LONGEST_GAP);
                 held(&self.tally.behind).saturating_record(gap);
             }
-            let Some(message) = wire.read(true)? else { return Ok(()) };
+            let Some(message) = wire.read(true)? else {
+                return Ok(());
+            };
             if ["/load", "/healthz"].contains(&message.target.as_str()) {
                 self.tally.probes.fetch_add(1, Relaxed);
                 wire.write(answer("200 OK", "", &self.load()).as_bytes())?;
@@ -135,13 +147,21 @@
                 std::thread::sleep(self.make.work);
             }
             let onward = self.make.next.as_ref().map_or(Ok(200), |next| {
-                next.call(self.turn.fetch_add(1, Relaxed), &message.id, message.left_ms)
+                next.call(
+                    self.turn.fetch_add(1, Relaxed),
+                    &message.id,
+                    message.left_ms,
+                )
             });
             self.inflight.fetch_sub(1, Relaxed);
             let closes = self.make.closes || message.closes;
             let close = if closes { "Connection: close\r\n" } else { "" };
             let headers = format!("Srv-Load: {}\r\n{close}", self.load());
-            let status = if matches!(onward, Ok(200)) { "200 OK" } else { "500 Onward" };
+            let status = if matches!(onward, Ok(200)) {
+                "200 OK"
+            } else {
+                "500 Onward"
+            };
             wire.write(answer(status, &headers, "seat").as_bytes())?;
             if closes {
                 return Ok(());
@@ -153,10 +173,16 @@
 
     fn load(&self) -> String {
         let inflight = self.inflight.load(Relaxed);
-        format!("TEXT inflight={inflight}, queue=0, util={:.2}", (inflight as f64 / 8.0).min(1.0))
+        format!(
+            "TEXT inflight={inflight}, queue=0, util={:.2}",
+            (inflight as f64 / 8.0).min(1.0)
+        )
     }
 }
 
 fn answer(status: &str, headers: &str, body: &str) -> String {
-    format!("HTTP/1.1 {status}\r\n{headers}Content-Length: {}\r\n\r\n{body}", body.len())
+    format!(
+        "HTTP/1.1 {status}\r\n{headers}Content-Length: {}\r\n\r\n{body}",
+        body.len()
+    )
 }
--- a/crates/passroad-rig/src/added_latency/mod.rs
+++ b/crates/passroad-rig/src/added_latency/mod.rs
@@ -84,16 +84,39 @@
 }
 
 impl Way {
-    pub const SHIPPED: Way = Way::Sidecar { probes: true, spread: false, flipped: false };
-    pub const UNPROBED: Way = Way::Sidecar { probes: false, spread: false, flipped: false };
-    pub const SPREAD: Way = Way::Sidecar { probes: false, spread: true, flipped: false };
-    pub const FLIPPED: Way = Way::Sidecar { probes: true, spread: false, flipped: true };
+    pub const SHIPPED: Way = Way::Sidecar {
+        probes: true,
+        spread: false,
+        flipped: false,
+    };
+    pub const UNPROBED: Way = Way::Sidecar {
+        probes: false,
+        spread: false,
+        flipped: false,
+    };
+    pub const SPREAD: Way = Way::Sidecar {
+        probes: false,
+        spread: true,
+        flipped: false,
+    };
+    pub const FLIPPED: Way = Way::Sidecar {
+        probes: true,
+        spread: false,
+        flipped: true,
+    };
 
     pub fn all(depth: usize, parts: bool) -> Vec<Way> {
         match (parts, depth) {
             (false, _) => vec![Way::Direct, Way::SHIPPED],
             (true, 1) => {
-                vec![Way::Direct, Way::Relay, Way::SHIPPED, Way::UNPROBED, Way::SPREAD, Way::FLIPPED]
+                vec![
+                    Way::Direct,
+                    Way::Relay,
+                    Way::SHIPPED,
+                    Way::UNPROBED,
+                    Way::SPREAD,
+                    Way::FLIPPED,
+                ]
             }
             // Each arm is a tree of its own.
             (true, _) => vec![Way::Direct, Way::Relay, Way::SHIPPED, Way::UNPROBED],
@@ -163,7 +186,10 @@
     let mut all = Vec::new();
     for rate in &asked.rates {
         for connections in &asked.connections {
-            all.push(measure(asked, *rate, *connections, program, &folder.0).map_err(|e| e.to_string())?);
+            all.push(
+                measure(asked, *rate, *connections, program, &folder.0)
+                    .map_err(|e| e.to_string())?,
+            );
         }
     }
     Ok(all)
@@ -205,21 +231,32 @@
     ) -> io::Result<Built> {
         let cold = connections == Connections::Cold;
         let (count, closes) = match way {
-            Way::Sidecar { spread, flipped, .. } => {
-                (asked.endpoints * if spread { SPREAD } else { 1 }, cold != flipped)
-            }
+            Way::Sidecar {
+                spread, flipped, ..
+            } => (
+                asked.endpoints * if spread { SPREAD } else { 1 },
+                cold != flipped,
+            ),
             Way::Direct | Way::Relay => (asked.endpoints, cold),
         };
         let (mut sidecars, mut tiers, mut door) = (Vec::new(), Vec::new(), None);
         for tier in 0..asked.depth {
-            let started = Tier::start(count, &Make { work: asked.work, closes, next: door.take() })?;
+            let started = Tier::start(
+                count,
+                &Make {
+                    work: asked.work,
+                    closes,
+                    next: door.take(),
+                },
+            )?;
             let addresses = match way {
                 Way::Direct => started.addresses.clone(),
                 Way::Relay => relay(&started.addresses)?,
                 Way::Sidecar { probes, .. } => {
                     let name = format!("added-{n}-{tier}");
                     let seed = Chance::stream(asked.seed, &name, 0).number();
-                    let sidecar = Sidecar::start(program, folder, &name, &started.addresses, probes, seed)?;
+                    let sidecar =
+                        Sidecar::start(program, folder, &name, &started.addresses, probes, seed)?;
                     let address = sidecar.address;
                     sidecars.push(sidecar);
                     vec![address]
@@ -229,11 +266,19 @@
             door = Some(Arc::new(Door::new(&addresses, cold)));
         }
         let door = door.ok_or_else(|| io::Error::other("no tier"))?;
-        Ok(Built { way, door, sidecars, tiers })
+        Ok(Built {
+            way,
+            door,
+            sidecars,
+            tiers,
+        })
     }
 
     fn used(&self) -> Used {
-        self.sidecars.iter().map(Sidecar::used).fold(Used::default(), Used::and)
+        self.sidecars
+            .iter()
+            .map(Sidecar::used)
+            .fold(Used::default(), Used::and)
     }
 
     fn seen(&self) -> Seen {
@@ -245,7 +290,10 @@
             calls: sum(|t| t.calls.load(Relaxed)),
             probes: sum(|t| t.probes.load(Relaxed)),
             accepted: sum(|t| t.accepted.load(Relaxed)),
-            left_ms: self.tiers.first().map_or(0, |tier| tier.tally.left_ms.load(Relaxed)),
+            left_ms: self
+                .tiers
+                .first()
+                .map_or(0, |tier| tier.tally.left_ms.load(Relaxed)),
             open: sum(|t| t.open.load(Relaxed)),
         }
     }
@@ -335,18 +383,29 @@
         built.push(Built::new(asked, connections, *way, n, program, folder)?);
     }
     let due = schedule(rate, asked.seed, built.len(), asked.rounds, asked.slice);
-    let (next, made, begins) = (AtomicUsize::new(0), Mutex::new(Vec::new()), Instant::now() + LEAD);
+    let (next, made, begins) = (
+        AtomicUsize::new(0),
+        Mutex::new(Vec::new()),
+        Instant::now() + LEAD,
+    );
     let before = clock();
     let mut sums = vec![(Seen::default(), Used::default(), Used::default()); built.len()];
     std::thread::scope(|scope| -> io::Result<()> {
         for _ in 0..CALLERS {
-            let caller = std::thread::Builder::new().name("caller".into()).stack_size(256 << 10);
+            let caller = std::thread::Builder::new()
+                .name("caller".into())
+                .stack_size(256 << 10);
             caller.spawn_scoped(scope, || {
                 let own = call_all(&built, &due, &next, begins);
                 held(&made).extend(own);
             })?;
         }
-        let look = || built.iter().map(|b| (b.seen(), b.used())).collect::<Vec<_>>();
+        let look = || {
+            built
+                .iter()
+                .map(|b| (b.seen(), b.used()))
+                .collect::<Vec<_>>()
+        };
         sleep_until(begins);
         let mut before = look();
         for round in 0..=asked.rounds {
@@ -371,10 +430,16 @@
     let mut late = histogram()?;
     let mut arms = Vec::new();
     for (built, (seen, used, resting)) in built.iter().zip(sums) {
-        let rounds = || (0..asked.rounds).map(|_| histogram()).collect::<io::Result<Vec<_>>>();
+        let rounds = || {
+            (0..asked.rounds)
+                .map(|_| histogram())
+                .collect::<io::Result<Vec<_>>>()
+        };
         let mut behind = Histogram::new_with_bounds(1, 60_000_000, 3).map_err(io::Error::other)?;
         for tier in &built.tiers {
-            behind.add(&*held(&tier.tally.behind)).map_err(io::Error::other)?;
+            behind
+                .add(&*held(&tier.tally.behind))
+                .map_err(io::Error::other)?;
         }
         arms.push(Arm {
             way: built.way,
@@ -408,15 +473,29 @@
     }
     let (all, stolen) = clock();
     let stolen = (stolen - before.1) / (all - before.0).max(1.0);
-    Ok(Measured { rate, connections, arms, late, stolen })
+    Ok(Measured {
+        rate,
+        connections,
+        arms,
+        late,
+        stolen,
+    })
 }
 
 /// Ticks of all cores so far, and of those the ones that the machine's host gave to others; none where it is not told.
 fn clock() -> (f64, f64) {
     let stat = std::fs::read_to_string("/proc/stat").unwrap_or_default();
-    let ticks = stat.lines().next().unwrap_or_default().split_whitespace().skip(1);
+    let ticks = stat
+        .lines()
+        .next()
+        .unwrap_or_default()
+        .split_whitespace()
+        .skip(1);
     let ticks: Vec<f64> = ticks.take(8).filter_map(|n| n.parse().ok()).collect();
-    (ticks.iter().sum(), ticks.get(7).copied().unwrap_or_default())
+    (
+        ticks.iter().sum(),
+        ticks.get(7).copied().unwrap_or_default(),
+    )
 }
 
 /// One caller: takes the next call that nobody has, waits until it is due, and makes it.
@@ -428,11 +507,18 @@
         let at = begins + call.at;
         sleep_until(at);
         let sent = Instant::now();
-        let status = built[call.arm].door.call(call.pick, &format!("{n:016x}"), LIMIT_MS);
+        let status = built[call.arm]
+            .door
+            .call(call.pick, &format!("{n:016x}"), LIMIT_MS);
         let took = sent.elapsed();
         if let Err(fault) = &status {
             log::debug!("call {n}: {fault}");
         }
-        made.push((n, sent.saturating_duration_since(at), took, matches!(status, Ok(200))));
+        made.push((
+            n,
+            sent.saturating_duration_since(at),
+            took,
+            matches!(status, Ok(200)),
+        ));
     }
 }
--- a/crates/passroad-rig/src/added_latency/report.rs
+++ b/crates/passroad-rig/src/added_latency/report.rs
@@ -48,18 +48,31 @@
 fn gains(more: &[Histogram<u64>], less: &[Histogram<u64>], seed: u64) -> [Gain; 3] {
     let rounds = more.len().min(less.len());
     let differences = |rounds: &[usize]| {
-        let (more, less) = (sum(rounds.iter().map(|n| &more[*n])), sum(rounds.iter().map(|n| &less[*n])));
+        let (more, less) = (
+            sum(rounds.iter().map(|n| &more[*n])),
+            sum(rounds.iter().map(|n| &less[*n])),
+        );
         QUANTILES.map(|(_, quantile)| ms(&more, quantile) - ms(&less, quantile))
     };
     let all = differences(&(0..rounds).collect::<Vec<_>>());
     let mut chance = Chance::stream(seed, "redraw", 0);
     let drawn: Vec<[f64; 3]> = (0..REDRAWS)
-        .map(|_| differences(&(0..rounds).map(|_| chance.below(rounds)).collect::<Vec<_>>()))
+        .map(|_| {
+            differences(
+                &(0..rounds)
+                    .map(|_| chance.below(rounds))
+                    .collect::<Vec<_>>(),
+            )
+        })
         .collect();
     std::array::from_fn(|n| {
         let mean = drawn.iter().map(|d| d[n]).sum::<f64>() / drawn.len() as f64;
-        let variance = drawn.iter().map(|d| (d[n] - mean).powi(2)).sum::<f64>() / (drawn.len() - 1) as f64;
-        Gain { ms: all[n], error: 2.0 * variance.sqrt() }
+        let variance =
+            drawn.iter().map(|d| (d[n] - mean).powi(2)).sum::<f64>() / (drawn.len() - 1) as f64;
+        Gain {
+            ms: all[n],
+            error: 2.0 * variance.sqrt(),
+        }
     })
 }
 
@@ -72,13 +85,35 @@
             Way::Relay,
             Way::Direct,
         ),
-        ("http-and-desk", "never probed nor resting less the relay", Way::SPREAD, Way::Relay),
-        ("rest", "never probed, less the same with 4 x the endpoints", Way::UNPROBED, Way::SPREAD),
-        ("probe", "as shipped less probes forbidden", Way::SHIPPED, Way::UNPROBED),
-        ("endpoint-connections", flipped(measured.connections), Way::FLIPPED, Way::SHIPPED),
+        (
+            "http-and-desk",
+            "never probed nor resting less the relay",
+            Way::SPREAD,
+            Way::Relay,
+        ),
+        (
+            "rest",
+            "never probed, less the same with 4 x the endpoints",
+            Way::UNPROBED,
+            Way::SPREAD,
+        ),
+        (
+            "probe",
+            "as shipped less probes forbidden",
+            Way::SHIPPED,
+            Way::UNPROBED,
+        ),
+        (
+            "endpoint-connections",
+            flipped(measured.connections),
+            Way::FLIPPED,
+            Way::SHIPPED,
+        ),
     ];
     all.into_iter()
-        .filter_map(|(name, what, more, less)| Some((name, what, measured.arm(more)?, measured.arm(less)?)))
+        .filter_map(|(name, what, more, less)| {
+            Some((name, what, measured.arm(more)?, measured.arm(less)?))
+        })
         .collect()
 }
 
@@ -93,7 +128,10 @@
     match way {
         Way::Direct => "direct".into(),
         Way::Relay => "relay of bytes".into(),
-        Way::SPREAD => format!("via, no probes, {} endpoints", asked.endpoints * super::SPREAD),
+        Way::SPREAD => format!(
+            "via, no probes, {} endpoints",
+            asked.endpoints * super::SPREAD
+        ),
         Way::UNPROBED => "via, no probes".into(),
         Way::FLIPPED => "via, endpoints' connections other".into(),
         Way::Sidecar { .. } => "via, as shipped".into(),
@@ -114,8 +152,10 @@
 
 fn costs(arm: &Arm, asked: &Asked, arms: usize) -> Costs {
     let each = |n: f64| n / (arm.seen.calls.max(1) as f64);
-    let (sidecars, seconds) =
-        (arm.sidecars.max(1) as f64, asked.slice.as_secs_f64() * asked.rounds.max(1) as f64);
+    let (sidecars, seconds) = (
+        arm.sidecars.max(1) as f64,
+        asked.slice.as_secs_f64() * asked.rounds.max(1) as f64,
+    );
     let resting = seconds * arms.saturating_sub(1).max(1) as f64;
     Costs {
         cpu_us: each(arm.used.running.as_secs_f64() * 1e6),
@@ -132,12 +172,19 @@
 /// median of those in milliseconds.
 fn rested(arm: &Arm) -> (f64, f64) {
     let mut waited = Histogram::<u64>::new(3).expect("three digits are allowed");
-    let within =
-        arm.behind.iter_recorded().filter(|v| (RESTED.0..=RESTED.1).contains(&v.value_iterated_to()));
+    let within = arm
+        .behind
+        .iter_recorded()
+        .filter(|v| (RESTED.0..=RESTED.1).contains(&v.value_iterated_to()));
     for value in within {
-        waited.record_n(value.value_iterated_to(), value.count_at_value()).expect("it grows");
+        waited
+            .record_n(value.value_iterated_to(), value.count_at_value())
+            .expect("it grows");
     }
-    (waited.len() as f64 / arm.behind.len().max(1) as f64, ms(&waited, 0.5))
+    (
+        waited.len() as f64 / arm.behind.len().max(1) as f64,
+        ms(&waited, 0.5),
+    )
 }
 
 /// A table for each rate and kind of connections.
@@ -177,10 +224,18 @@
         "over"
     )?;
     for arm in &measured.arms {
-        write!(out, "{:<34} {:>7} {:>6} ", name(arm.way, asked), arm.calls, arm.failed)?;
+        write!(
+            out,
+            "{:<34} {:>7} {:>6} ",
+            name(arm.way, asked),
+            arm.calls,
+            arm.failed
+        )?;
         for rounds in [&arm.sent, &arm.due] {
             let whole = sum(rounds);
-            QUANTILES.iter().try_for_each(|(_, q)| write!(out, " {:>8.3}", ms(&whole, *q)))?;
+            QUANTILES
+                .iter()
+                .try_for_each(|(_, q)| write!(out, " {:>8.3}", ms(&whole, *q)))?;
             write!(out, "  ")?;
         }
         match measured.arm(Way::Direct) {
@@ -191,9 +246,17 @@
     if let (Some(via), Some(direct)) = (measured.arm(Way::SHIPPED), measured.arm(Way::Direct)) {
         let added = gains(&via.sent, &direct.sent, asked.seed);
         line(out, "added", "as shipped less direct, from sent", added)?;
-        line(out, "added", "the same, from due", gains(&via.due, &direct.due, asked.seed))?;
+        line(
+            out,
+            "added",
+            "the same, from due",
+            gains(&via.due, &direct.due, asked.seed),
+        )?;
         let (p99, error) = (added[1].ms / BUDGET_MS, added[1].error / BUDGET_MS);
-        writeln!(out, "  budget {BUDGET_MS} ms for 99 in 100: {p99:.2} +- {error:.2} of it")?;
+        writeln!(
+            out,
+            "  budget {BUDGET_MS} ms for 99 in 100: {p99:.2} +- {error:.2} of it"
+        )?;
         writeln!(
             out,
             "  over: share of calls that took {BUDGET_MS} ms longer than the median straight one; as shipped less direct {:.2}%",
@@ -257,12 +320,19 @@
 
 /// Points for slopes. `run` is the command that made them, `commit` the program measured.
 pub fn json(asked: &Asked, all: &[Measured], run: &str, commit: &str) -> Value {
-    let points: Vec<Value> = all.iter().flat_map(|measured| points(asked, measured)).collect();
+    let points: Vec<Value> = all
+        .iter()
+        .flat_map(|measured| points(asked, measured))
+        .collect();
     json!({ "run": run, "commit": commit, "seed": asked.seed, "simulated": false, "points": points })
 }
 
 fn points(asked: &Asked, measured: &Measured) -> Vec<Value> {
-    let role = if asked.depth == 9 { "client-nine-deep" } else { "call-path" };
+    let role = if asked.depth == 9 {
+        "client-nine-deep"
+    } else {
+        "call-path"
+    };
     let mut points = Vec::new();
     let mut put = |quantity: String, unit: &str, statistic: &str, value: f64| {
         points.push(json!({
@@ -278,16 +348,28 @@
     if let (Some(via), Some(direct)) = (via, direct) {
         for (word, arm) in [("direct", direct), ("via", via)] {
             let whole = sum(&arm.sent);
-            QUANTILES.iter().for_each(|(q, at)| put(format!("{word}-{q}"), "ms", "mean", ms(&whole, *at)));
+            QUANTILES
+                .iter()
+                .for_each(|(q, at)| put(format!("{word}-{q}"), "ms", "mean", ms(&whole, *at)));
         }
         let from_sent = gains(&via.sent, &direct.sent, asked.seed);
         let from_due = gains(&via.due, &direct.due, asked.seed);
         for (n, (q, _)) in QUANTILES.iter().enumerate() {
             put(format!("added-{q}"), "ms", "mean", from_sent[n].ms);
-            put(format!("added-{q}-error"), "ms", "twice-standard-error", from_sent[n].error);
+            put(
+                format!("added-{q}-error"),
+                "ms",
+                "twice-standard-error",
+                from_sent[n].error,
+            );
             put(format!("added-{q}-from-due"), "ms", "mean", from_due[n].ms);
         }
-        put("direct-over-budget".into(), "share", "mean", over(direct, direct));
+        put(
+            "direct-over-budget".into(),
+            "share",
+            "mean",
+            over(direct, direct),
+        );
         put("via-over-budget".into(), "share", "mean", over(via, direct));
         let costs = costs(via, asked, measured.arms.len());
         put("cpu-per-call".into(), "us", "mean", costs.cpu_us);
@@ -296,7 +378,12 @@
         put("attempts-per-call".into(), "count", "mean", costs.attempts);
         put("connections".into(), "count", "most", via.seen.open as f64);
         put("wakes-per-call".into(), "count", "mean", costs.wakes);
-        put("ready-without-core-per-call".into(), "us", "mean", costs.wait_us);
+        put(
+            "ready-without-core-per-call".into(),
+            "us",
+            "mean",
+            costs.wait_us,
+        );
     }
     for (part, _, more, less) in parts(measured) {
         let gains = gains(&more.sent, &less.sent, asked.seed);
@@ -324,7 +411,11 @@
 /// The commit of the folder that it is run in, marked where files differ from it; right where the program was built there.
 pub fn commit() -> String {
     let words = ["describe", "--always", "--dirty", "--exclude", "*"];
-    let said = std::process::Command::new("git").args(words).output().ok().filter(|o| o.status.success());
+    let said = std::process::Command::new("git")
+        .args(words)
+        .output()
+        .ok()
+        .filter(|o| o.status.success());
     let said = said.map(|o| String::from_utf8_lossy(&o.stdout).trim().to_string());
     said.unwrap_or_else(|| "unknown".into())
 }
--- a/crates/passroad-rig/src/baseline.rs
+++ b/crates/passroad-rig/src/baseline.rs
@@ -26,7 +26,12 @@
 }
 
 /// A policy by its name, for one instance. `seed` is the instance's own.
-pub fn policy(name: &str, plan: &Plan, instance: usize, seed: u64) -> Result<Box<dyn Policy>, String> {
+pub fn policy(
+    name: &str,
+    plan: &Plan,
+    instance: usize,
+    seed: u64,
+) -> Result<Box<dyn Policy>, String> {
     let how = match name {
         "passroad" | "passroad-routes" => {
             let settings = plan.settings(plan.zone_of(instance));
@@ -34,9 +39,10 @@
             // As the sidecar does it: what it counts on is what it keeps.
             orders.idle_close = orders.idle_close.mul_f64(IDLE_SHARE);
             let routes = match (name, &plan.routes) {
-                ("passroad-routes", Some(text)) => {
-                    Some(passroad_routes::read(text, &orders).map_err(|wrong| format!("routes: {wrong}"))?)
-                }
+                ("passroad-routes", Some(text)) => Some(
+                    passroad_routes::read(text, &orders)
+                        .map_err(|wrong| format!("routes: {wrong}"))?,
+                ),
                 ("passroad-routes", None) => {
                     return Err("passroad-routes: the experiment has no routes".into());
                 }
@@ -59,10 +65,16 @@
         instance,
         effects: plan.verbs.iter().map(|v| v.effect).collect(),
         patience: {
-            let best = plan.verbs.iter().map(|v| v.utility / v.work).fold(1e-9, f64::max);
+            let best = plan
+                .verbs
+                .iter()
+                .map(|v| v.utility / v.work)
+                .fold(1e-9, f64::max);
             let mean = plan.verbs.iter().map(|v| v.work).sum::<f64>() / plan.verbs.len() as f64;
-            let room =
-                plan.endpoints.iter().map(|e| e.make.queue as f64 / e.make.cores as f64 / e.make.speed);
+            let room = plan
+                .endpoints
+                .iter()
+                .map(|e| e.make.queue as f64 / e.make.cores as f64 / e.make.speed);
             let room = room.fold(f64::INFINITY, f64::min) * mean;
             let patience = |v: &VerbPlan| match v.utility / v.work / best {
                 worth if worth > 0.999 => v.goal.as_secs_f64(),
@@ -117,14 +129,18 @@
     fn read_list(&mut self, kind: ListKind, entries: Vec<Listing>, out: &mut Vec<Action>) {
         match kind {
             ListKind::Refused => {
-                out.push(Action::Alarm { after: Duration::from_secs(1), token: 1 });
+                out.push(Action::Alarm {
+                    after: Duration::from_secs(1),
+                    token: 1,
+                });
                 return;
             }
             ListKind::Changes => {}
             ListKind::All | ListKind::Remembered => self.listed.clear(),
         }
         for entry in entries {
-            self.listed.insert(entry.endpoint, entry.mode == Mode::Running);
+            self.listed
+                .insert(entry.endpoint, entry.mode == Mode::Running);
         }
         if !std::mem::replace(&mut self.asked, true) {
             out.push(Action::Listen { active: true });
@@ -132,10 +148,21 @@
     }
 
     fn pick(&mut self, cmd: CmdIx, sight: &dyn Sight) -> Option<usize> {
-        let tried: Vec<usize> = self.commands.get(&cmd)?.relays.iter().map(|(e, _)| *e).collect();
+        let tried: Vec<usize> = self
+            .commands
+            .get(&cmd)?
+            .relays
+            .iter()
+            .map(|(e, _)| *e)
+            .collect();
         let up = |e: &usize| self.listed[e];
-        let mut may: Vec<usize> =
-            self.listed.keys().copied().filter(up).filter(|e| !tried.contains(e)).collect();
+        let mut may: Vec<usize> = self
+            .listed
+            .keys()
+            .copied()
+            .filter(up)
+            .filter(|e| !tried.contains(e))
+            .collect();
         if may.is_empty() {
             may = self.listed.keys().copied().filter(up).collect();
         }
@@ -149,35 +176,55 @@
                 Some(may[self.turn % may.len()])
             }
             How::LeastOfTwo => {
-                let pair = [may[self.chance.below(may.len())], may[self.chance.below(may.len())]];
-                pair.into_iter().min_by_key(|e| self.out.get(e).copied().unwrap_or_default())
+                let pair = [
+                    may[self.chance.below(may.len())],
+                    may[self.chance.below(may.len())],
+                ];
+                pair.into_iter()
+                    .min_by_key(|e| self.out.get(e).copied().unwrap_or_default())
             }
             How::FullSight => {
-                let times = may.iter().filter_map(|e| Some((sight.would_take(self.instance, *e, cmd)?, *e)));
+                let times = may
+                    .iter()
+                    .filter_map(|e| Some((sight.would_take(self.instance, *e, cmd)?, *e)));
                 let best = times.min_by(|a, b| a.0.1.total_cmp(&b.0.1));
                 // What would wait too long is not sent, and the less a verb is worth the sooner that is too long.
                 let patience = self.patience[self.commands.get(&cmd)?.verb];
-                best.filter(|((wait, _), _)| *wait < patience).map(|(_, e)| e)
+                best.filter(|((wait, _), _)| *wait < patience)
+                    .map(|(_, e)| e)
             }
         }
     }
 
     fn send(&mut self, now: Duration, cmd: CmdIx, sight: &dyn Sight, out: &mut Vec<Action>) {
         let endpoint = self.pick(cmd, sight);
-        let Some(held) = self.commands.get_mut(&cmd) else { return };
+        let Some(held) = self.commands.get_mut(&cmd) else {
+            return;
+        };
         match endpoint {
             Some(endpoint) if now < held.leave => {
                 held.relays.push((endpoint, None));
                 *self.out.entry(endpoint).or_default() += 1;
                 let within = held.leave - now;
-                out.push(Action::Relay { cmd, endpoint, within, begin: within });
+                out.push(Action::Relay {
+                    cmd,
+                    endpoint,
+                    within,
+                    begin: within,
+                });
             }
             _ => {
                 held.over = true;
-                let never = held.relays.iter().all(|(_, o)| o.is_some_and(Outcome::never_ran));
+                let never = held
+                    .relays
+                    .iter()
+                    .all(|(_, o)| o.is_some_and(Outcome::never_ran));
                 let harmless = never || self.effects[held.verb] == Effect::Pure;
                 out.push(match harmless {
-                    true => Action::Decline { cmd, not_before: None },
+                    true => Action::Decline {
+                        cmd,
+                        not_before: None,
+                    },
                     false => Action::Terminate { cmd },
                 });
             }
@@ -200,27 +247,51 @@
         match event {
             Event::Listed { kind, entries } => self.read_list(kind, entries, &mut out),
             Event::Due { .. } => out.push(Action::Listen { active: true }),
-            Event::Arrived(Arrival { cmd, verb, budget, .. }) => {
-                let held = Held { verb, leave: now + budget, relays: Vec::new(), over: false };
+            Event::Arrived(Arrival {
+                cmd, verb, budget, ..
+            }) => {
+                let held = Held {
+                    verb,
+                    leave: now + budget,
+                    relays: Vec::new(),
+                    over: false,
+                };
                 self.commands.insert(cmd, held);
                 self.send(now, cmd, sight, &mut out);
             }
-            Event::Finished { cmd, relay, outcome, concluded, .. } => {
-                let Some(held) = self.commands.get_mut(&cmd) else { return out };
-                let Some((endpoint, end)) = held.relays.get_mut(relay).filter(|(_, o)| o.is_none()) else {
+            Event::Finished {
+                cmd,
+                relay,
+                outcome,
+                concluded,
+                ..
+            } => {
+                let Some(held) = self.commands.get_mut(&cmd) else {
+                    return out;
+                };
+                let Some((endpoint, end)) = held.relays.get_mut(relay).filter(|(_, o)| o.is_none())
+                else {
                     return out;
                 };
                 *end = Some(outcome);
-                self.out.entry(*endpoint).and_modify(|n| *n = n.saturating_sub(1));
+                self.out
+                    .entry(*endpoint)
+                    .and_modify(|n| *n = n.saturating_sub(1));
                 held.over |= concluded;
-                let ran = held.relays.iter().any(|(_, o)| !o.is_some_and(Outcome::never_ran));
+                let ran = held
+                    .relays
+                    .iter()
+                    .any(|(_, o)| !o.is_some_and(Outcome::never_ran));
                 let again = !held.over && (!ran || self.effects[held.verb] == Effect::Pure);
                 if again && held.relays.len() < self.most {
                     self.send(now, cmd, sight, &mut out);
                 } else if !held.over {
                     held.over = true;
                     out.push(if again {
-                        Action::Decline { cmd, not_before: None }
+                        Action::Decline {
+                            cmd,
+                            not_before: None,
+                        }
                     } else {
                         Action::Terminate { cmd }
                     });
@@ -228,9 +299,15 @@
                 self.tidy(cmd, &mut out);
             }
             Event::Lapsed { cmd } => {
-                let Some(held) = self.commands.get_mut(&cmd) else { return out };
+                let Some(held) = self.commands.get_mut(&cmd) else {
+                    return out;
+                };
                 held.over = true;
-                let open = held.relays.iter().enumerate().filter(|(_, (_, o))| o.is_none());
+                let open = held
+                    .relays
+                    .iter()
+                    .enumerate()
+                    .filter(|(_, (_, o))| o.is_none());
                 out.extend(open.map(|(relay, _)| Action::Recall { cmd, relay }));
                 self.tidy(cmd, &mut out);
             }
--- a/crates/passroad-rig/src/capacity/fit.rs
+++ b/crates/passroad-rig/src/capacity/fit.rs
@@ -62,12 +62,19 @@
     if spread <= 0.0 {
         return None;
     }
-    let slope = points.iter().map(|p| (form.of(p.0) - middle) * (p.1 - mean)).sum::<f64>() / spread;
+    let slope = points
+        .iter()
+        .map(|p| (form.of(p.0) - middle) * (p.1 - mean))
+        .sum::<f64>()
+        / spread;
     Some((mean - slope * middle, slope))
 }
 
 fn residual(form: Form, (constant, slope): (f64, f64), points: &[(f64, f64)]) -> f64 {
-    let sum: f64 = points.iter().map(|p| (constant + slope * form.of(p.0) - p.1).powi(2)).sum();
+    let sum: f64 = points
+        .iter()
+        .map(|p| (constant + slope * form.of(p.0) - p.1).powi(2))
+        .sum();
     (sum / points.len().max(1) as f64).sqrt()
 }
 
@@ -94,11 +101,22 @@
             let error = |form: Form| foretelling(form, points, &sizes);
             // What is nought but for rounding is as good as nought.
             let floor = 1e-9 * mean.abs().max(1e-9);
-            let bent = if count < SIZES_FOR_CURVES { 1 } else { GROWING.len() };
+            let bent = if count < SIZES_FOR_CURVES {
+                1
+            } else {
+                GROWING.len()
+            };
             let line = GROWING[..bent].iter().copied();
-            let growing = line.min_by(|a, b| error(*a).total_cmp(&error(*b))).unwrap_or(Form::Linear);
-            let straight = if error(growing) < BETTER * error(Form::Linear) { growing } else { Form::Linear };
-            let grows = error(Form::Constant) > floor && error(straight) < BETTER * error(Form::Constant);
+            let growing = line
+                .min_by(|a, b| error(*a).total_cmp(&error(*b)))
+                .unwrap_or(Form::Linear);
+            let straight = if error(growing) < BETTER * error(Form::Linear) {
+                growing
+            } else {
+                Form::Linear
+            };
+            let grows =
+                error(Form::Constant) > floor && error(straight) < BETTER * error(Form::Constant);
             if grows { straight } else { Form::Constant }
         }
     };
@@ -106,8 +124,18 @@
         let slope = squares(form, points).map_or(0.0, |line| line.1);
         slope * (form.of(sizes[sizes.len() - 1]) - form.of(sizes[0]))
     };
-    let form = if rise(form).abs() <= NO_GROWTH * mean.abs() { Form::Constant } else { form };
+    let form = if rise(form).abs() <= NO_GROWTH * mean.abs() {
+        Form::Constant
+    } else {
+        form
+    };
     let line = squares(form, points)?;
     let error = residual(form, line, points);
-    Some(Fit { form, constant: line.0, slope: line.1, error, sizes: sizes.len() })
+    Some(Fit {
+        form,
+        constant: line.0,
+        slope: line.1,
+        error,
+        sizes: sizes.len(),
+    })
 }
--- a/crates/passroad-rig/src/capacity/mod.rs
+++ b/crates/passroad-rig/src/capacity/mod.rs
@@ -43,7 +43,12 @@
     #[arg(long, value_delimiter = ',', requires = "simulate")]
     sizes: Vec<usize>,
     /// Of --simulate.
-    #[arg(long, value_delimiter = ',', default_value = "1", requires = "simulate")]
+    #[arg(
+        long,
+        value_delimiter = ',',
+        default_value = "1",
+        requires = "simulate"
+    )]
     seeds: Vec<u64>,
     /// Of --simulate: the commit of what was played.
     #[arg(long, default_value = "unknown", requires = "simulate")]
@@ -64,7 +69,10 @@
         for seed in &told.seeds {
             let points = simulate::points(file, &told.sizes, *seed, &told.commit)?;
             let text = serde_json::to_string_pretty(&points).map_err(|e| e.to_string())?;
-            let path = path.display().to_string().replace("{seed}", &seed.to_string());
+            let path = path
+                .display()
+                .to_string()
+                .replace("{seed}", &seed.to_string());
             write(Path::new(&path), &(text + "\n"))?;
         }
         return Ok(true);
@@ -73,14 +81,18 @@
     let target = read_target(told.target.as_deref().unwrap_or(&at(TARGET)))?;
     let fitted = || -> Result<String, String> {
         let assumed = slopes::read_assumed(&at(ASSUMED), &target)?;
-        slopes::text(&slopes::from_points(&slopes::read_points(&at(POINTS))?, assumed))
+        slopes::text(&slopes::from_points(
+            &slopes::read_points(&at(POINTS))?,
+            assumed,
+        ))
     };
     if told.fit {
         write(&at(SLOPES), &fitted()?)?;
     }
     let slopes = slopes::read(&at(SLOPES))?;
     if told.check {
-        let text = |name: &str| std::fs::read_to_string(at(name)).map_err(|e| format!("{name}: {e}"));
+        let text =
+            |name: &str| std::fs::read_to_string(at(name)).map_err(|e| format!("{name}: {e}"));
         let mut good = same(SLOPES, &text(SLOPES)?, &fitted()?);
         let old = text(PAGE)?;
         let new = page::with_tables(&old, &page::tables(&slopes, &target)).ok_or_else(no_marks)?;
@@ -92,7 +104,8 @@
     }
     let on_output = told.json.as_deref() == Some(Path::new("-"));
     if let Some(path) = &told.json {
-        let text = serde_json::to_string_pretty(&page::json(&slopes, &target)).map_err(|e| e.to_string())?;
+        let text = serde_json::to_string_pretty(&page::json(&slopes, &target))
+            .map_err(|e| e.to_string())?;
         match on_output {
             true => println!("{text}"),
             false => write(path, &(text + "\n"))?,
@@ -110,14 +123,21 @@
     }
     if told.json.is_none() && told.html.is_none() {
         let old = std::fs::read_to_string(at(PAGE)).map_err(|e| format!("{PAGE}: {e}"))?;
-        write(&at(PAGE), &page::with_tables(&old, &tables).ok_or_else(no_marks)?)?;
+        write(
+            &at(PAGE),
+            &page::with_tables(&old, &tables).ok_or_else(no_marks)?,
+        )?;
         println!("{PAGE}: written from {SLOPES} and {TARGET}");
     }
     Ok(true)
 }
 
 fn no_marks() -> String {
-    format!("{PAGE}: the marks are not there once each: {} and {}", page::BEGIN, page::END)
+    format!(
+        "{PAGE}: the marks are not there once each: {} and {}",
+        page::BEGIN,
+        page::END
+    )
 }
 
 /// Tells the first line that differs.
@@ -127,7 +147,10 @@
     }
     let differs = old.lines().zip(new.lines()).position(|(a, b)| a != b);
     let line = differs.unwrap_or_else(|| old.lines().count().min(new.lines().count()));
-    println!("{name}: line {} is not what the figures make; passroad-rig capacity --fit writes it", line + 1);
+    println!(
+        "{name}: line {} is not what the figures make; passroad-rig capacity --fit writes it",
+        line + 1
+    );
     if let (Some(a), Some(b)) = (old.lines().nth(line), new.lines().nth(line)) {
         println!("  there: {a}\n  made:  {b}");
     }
--- a/crates/passroad-rig/src/capacity/page.rs
+++ b/crates/passroad-rig/src/capacity/page.rs
@@ -25,9 +25,20 @@
 /// Two standard errors of a figure, where its run left them as points beside it.
 fn told_error(slopes: &Slopes, law: &Law, target: &Target) -> Option<f64> {
     let name = format!("{}-error", law.quantity);
-    let key = |l: &Law| (l.role.clone(), l.condition.clone(), l.kind.clone(), l.source);
+    let key = |l: &Law| {
+        (
+            l.role.clone(),
+            l.condition.clone(),
+            l.kind.clone(),
+            l.source,
+        )
+    };
     let same = |l: &&Law| l.quantity == name && key(l) == key(law) && l.fixed == law.fixed;
-    slopes.laws.iter().find(same).and_then(|l| l.at(target, 1.0))
+    slopes
+        .laws
+        .iter()
+        .find(same)
+        .and_then(|l| l.at(target, 1.0))
 }
 
 impl<'a> Figure<'a> {
@@ -39,22 +50,36 @@
         row: &Row,
         condition: &str,
     ) -> Option<Figure<'a>> {
-        let laws = row.parts.iter().map(|part| law(slopes, target, role, row, part, condition));
+        let laws = row
+            .parts
+            .iter()
+            .map(|part| law(slopes, target, role, row, part, condition));
         let laws = laws.collect::<Option<Vec<_>>>()?;
         let error = match &laws[..] {
             [law] => told_error(slopes, law, target),
             _ => None,
         };
-        Some(Figure { laws, target, error })
+        Some(Figure {
+            laws,
+            target,
+            error,
+        })
     }
 
     pub fn at(&self, times: f64) -> f64 {
-        self.laws.iter().filter_map(|l| l.at(self.target, times)).sum()
+        self.laws
+            .iter()
+            .filter_map(|l| l.at(self.target, times))
+            .sum()
     }
 
     /// The weakest of its parts' sources.
     pub fn source(&self) -> Source {
-        self.laws.iter().map(|l| l.source).max().unwrap_or(Source::Assumed)
+        self.laws
+            .iter()
+            .map(|l| l.source)
+            .max()
+            .unwrap_or(Source::Assumed)
     }
 
     /// Means of what was measured at the target's own size, if all parts were.
@@ -65,8 +90,9 @@
     /// Whether a part was taken at one number of sidecars only, so that nothing is known of growth. What was taken at one
     /// sidecar alone has no such number, and doesn't grow: its own calls stay.
     fn one_size(&self) -> bool {
-        let one =
-            |l: &&Law| l.source != Source::Assumed && l.by.is_empty() && l.fixed.contains_key("sidecars");
+        let one = |l: &&Law| {
+            l.source != Source::Assumed && l.by.is_empty() && l.fixed.contains_key("sidecars")
+        };
         self.laws.iter().any(one)
     }
 
@@ -85,7 +111,11 @@
         let (mut low, mut high) = (first / (LARGEST / SMALLEST).powf(1.0 / steps as f64), first);
         for _ in 0..40 {
             let middle = (low + high) / 2.0;
-            if over(middle) { high = middle } else { low = middle }
+            if over(middle) {
+                high = middle
+            } else {
+                low = middle
+            }
         }
         Some(high)
     }
@@ -115,9 +145,19 @@
         same && with && law.at(target, 1.0).is_some()
     };
     let rank = |law: &&Law| {
-        let statistic = order.iter().position(|s| *s == law.statistic).unwrap_or(order.len());
+        let statistic = order
+            .iter()
+            .position(|s| *s == law.statistic)
+            .unwrap_or(order.len());
         let whole = law.played(target).is_none();
-        (law.source, law.strangeness(target), statistic, whole, Reverse(law.sizes()), law.kind.clone())
+        (
+            law.source,
+            law.strangeness(target),
+            statistic,
+            whole,
+            Reverse(law.sizes()),
+            law.kind.clone(),
+        )
     };
     slopes.laws.iter().filter(fits).min_by_key(rank)
 }
@@ -139,7 +179,9 @@
     // Three digits count, the rest are noughts.
     let step = libm::pow(10.0, libm::floor(libm::log10(value.abs())) - 2.0).max(1.0);
     let digits = format!("{:.0}", (value / step).round() * step);
-    let (sign, digits) = digits.strip_prefix('-').map_or(("", &digits[..]), |d| ("-", d));
+    let (sign, digits) = digits
+        .strip_prefix('-')
+        .map_or(("", &digits[..]), |d| ("-", d));
     let mut out = String::new();
     for (n, c) in digits.chars().enumerate() {
         if n > 0 && (digits.len() - n).is_multiple_of(3) {
@@ -159,7 +201,8 @@
 }
 
 fn plus_minus(f: &Figure) -> String {
-    f.error.map_or(String::new(), |error| format!(" +- {}", figure(error)))
+    f.error
+        .map_or(String::new(), |error| format!(" +- {}", figure(error)))
 }
 
 fn told(figure_of: Option<&Figure>, times: f64) -> String {
@@ -179,14 +222,25 @@
 /// A row's budget in its unit.
 fn budget(row: &Row, target: &Target) -> Option<f64> {
     let budget = row.budget.as_ref()?;
-    budget.keys.iter().map(|key| target.value(key)).product::<Option<f64>>().map(|v| v * budget.factor)
+    budget
+        .keys
+        .iter()
+        .map(|key| target.value(key))
+        .product::<Option<f64>>()
+        .map(|v| v * budget.factor)
 }
 
 /// Names of the events after a prefix: those that the page knows, then others that points name.
 fn events(slopes: &Slopes) -> Vec<(String, String)> {
-    let mut all: Vec<(String, String)> = EVENTS.iter().map(|(k, t)| ((*k).into(), (*t).into())).collect();
+    let mut all: Vec<(String, String)> = EVENTS
+        .iter()
+        .map(|(k, t)| ((*k).into(), (*t).into()))
+        .collect();
     for law in &slopes.laws {
-        let name = law.condition.strip_prefix("event:").or(law.condition.strip_prefix("return:"));
+        let name = law
+            .condition
+            .strip_prefix("event:")
+            .or(law.condition.strip_prefix("return:"));
         if let Some(name) = name.filter(|name| all.iter().all(|(key, _)| key != name)) {
             all.push((name.into(), name.into()));
         }
@@ -203,12 +257,16 @@
     prefix: &str,
 ) -> Option<(String, Figure<'a>)> {
     let one = |(key, title): (String, String)| {
-        Some((title, Figure::find(slopes, target, role, row, &format!("{prefix}:{key}"))?))
+        Some((
+            title,
+            Figure::find(slopes, target, role, row, &format!("{prefix}:{key}"))?,
+        ))
     };
-    events(slopes)
-        .into_iter()
-        .filter_map(one)
-        .max_by(|a, b| a.1.at(1.0).total_cmp(&b.1.at(1.0)).then_with(|| b.0.cmp(&a.0)))
+    events(slopes).into_iter().filter_map(one).max_by(|a, b| {
+        a.1.at(1.0)
+            .total_cmp(&b.1.at(1.0))
+            .then_with(|| b.0.cmp(&a.0))
+    })
 }
 
 /// A budget, and where a figure passes it.
@@ -228,7 +286,9 @@
     let mut all = Vec::new();
     for role in &ROLES {
         for row in role.rows {
-            let Some(budget) = budget(row, target) else { continue };
+            let Some(budget) = budget(row, target) else {
+                continue;
+            };
             let mut figures: Vec<(String, Figure)> = Vec::new();
             for (condition, title) in [("rest", "at rest"), ("ordinary", "ordinary rate")] {
                 if let Some(figure) = Figure::find(slopes, target, role, row, condition) {
@@ -242,16 +302,33 @@
             }
             if figures.is_empty() {
                 let condition = "any".into();
-                all.push(Breaking { role, row, condition, figure: None, budget, passes: None });
+                all.push(Breaking {
+                    role,
+                    row,
+                    condition,
+                    figure: None,
+                    budget,
+                    passes: None,
+                });
             }
             // At the ordinary rate and in a worst second apart: a budget may be meant for either.
             let steady = |c: &str| c == "at rest" || c == "ordinary rate";
-            let (usual, event): (Vec<_>, Vec<_>) = figures.into_iter().partition(|(c, _)| steady(c));
+            let (usual, event): (Vec<_>, Vec<_>) =
+                figures.into_iter().partition(|(c, _)| steady(c));
             for group in [usual, event] {
-                let most = group.into_iter().max_by(|a, b| a.1.at(1.0).total_cmp(&b.1.at(1.0)));
+                let most = group
+                    .into_iter()
+                    .max_by(|a, b| a.1.at(1.0).total_cmp(&b.1.at(1.0)));
                 if let Some((condition, figure)) = most {
                     let passes = figure.passes(budget);
-                    all.push(Breaking { role, row, condition, figure: Some(figure), budget, passes });
+                    all.push(Breaking {
+                        role,
+                        row,
+                        condition,
+                        figure: Some(figure),
+                        budget,
+                        passes,
+                    });
                 }
             }
         }
@@ -267,7 +344,9 @@
     let source = |b: &Breaking| b.figure.as_ref().filter(|_| over(b)).map(Figure::source);
     let first = |b: &Breaking| (rank(b) >= 0.0, !over(b), source(b));
     all.sort_by(|a, b| {
-        let by_size = first(a).cmp(&first(b)).then_with(|| rank(a).total_cmp(&rank(b)));
+        let by_size = first(a)
+            .cmp(&first(b))
+            .then_with(|| rank(a).total_cmp(&rank(b)));
         by_size.then_with(|| ratio(b).total_cmp(&ratio(a)))
     });
     all
@@ -279,10 +358,19 @@
 
 /// At which size a budget is passed.
 fn size_of(b: &Breaking, target: &Target) -> String {
-    let sidecars = |times: f64| figure(target.variable("sidecars", times).unwrap_or_default().round());
+    let sidecars = |times: f64| {
+        figure(
+            target
+                .variable("sidecars", times)
+                .unwrap_or_default()
+                .round(),
+        )
+    };
     match (&b.figure, b.passes) {
         (None, _) => "not measured".into(),
-        (Some(f), Some(_)) if f.one_size() => format!("{} sidecars or fewer, of one size", sidecars(1.0)),
+        (Some(f), Some(_)) if f.one_size() => {
+            format!("{} sidecars or fewer, of one size", sidecars(1.0))
+        }
         (Some(f), None) if f.one_size() => "not known, of one size".into(),
         (_, Some(times)) if times <= 0.0 => "any size".into(),
         (_, Some(times)) => format!("{} sidecars (x{})", sidecars(times), figure(times)),
@@ -340,11 +428,19 @@
     let Some(f) = &b.figure else {
         // What the role would have to carry, where the row itself has nothing to show.
         let sent = b.role.rows.iter().find(|r| r.parts == ["messages-out"]);
-        let sent =
-            sent.and_then(|row| Some((Figure::find(slopes, target, b.role, row, "ordinary")?, row.unit)));
-        let load =
-            sent.map_or(String::new(), |(f, unit)| format!("; {} would have to go out", spoken(&f, unit)));
-        return format!("{what}: {budget} allowed, no figure{load}; {}", carried(b.row.carried));
+        let sent = sent.and_then(|row| {
+            Some((
+                Figure::find(slopes, target, b.role, row, "ordinary")?,
+                row.unit,
+            ))
+        });
+        let load = sent.map_or(String::new(), |(f, unit)| {
+            format!("; {} would have to go out", spoken(&f, unit))
+        });
+        return format!(
+            "{what}: {budget} allowed, no figure{load}; {}",
+            carried(b.row.carried)
+        );
     };
     let passes = format!("passed at {}", size_of(b, target));
     format!(
@@ -358,14 +454,21 @@
 
 fn first_missing(slopes: &Slopes, target: &Target, out: &mut String) {
     let all = breaking(slopes, target);
-    let _ = writeln!(out, "\n### The first missing mechanism, and the three rows after it\n");
+    let _ = writeln!(
+        out,
+        "\n### The first missing mechanism, and the three rows after it\n"
+    );
     let missing = |b: &Breaking| b.row.carried.file.is_none() && !b.row.otherwise;
     let Some(at) = all.iter().position(missing) else {
         let _ = writeln!(out, "No row with a budget is without a mechanism.");
         return;
     };
     let first = &all[at];
-    let _ = writeln!(out, "1. **Missing first.** {}.", in_words(first, slopes, target));
+    let _ = writeln!(
+        out,
+        "1. **Missing first.** {}.",
+        in_words(first, slopes, target)
+    );
     // One row of a role: others of it stand in the table below.
     let mut seen = vec![first.role.key];
     for b in &all {
@@ -389,7 +492,11 @@
         .filter(passes)
         .map(|b| format!("{}: {} ({})", b.role.key, b.row.title, b.condition))
         .collect();
-    if names.is_empty() { "none".into() } else { names.join("; ") }
+    if names.is_empty() {
+        "none".into()
+    } else {
+        names.join("; ")
+    }
 }
 
 fn breaks(slopes: &Slopes, target: &Target, out: &mut String) {
@@ -422,7 +529,11 @@
                     return "not known".into();
                 }
                 let value = figure(f.at(times) / b.budget);
-                if f.at(times) > b.budget { format!("**{value}**") } else { value }
+                if f.at(times) > b.budget {
+                    format!("**{value}**")
+                } else {
+                    value
+                }
             })
         };
         let unknown = b.figure.as_ref().is_some_and(Figure::one_size);
@@ -431,7 +542,11 @@
             "| {} | {}, {} | {} | {}{} | {} | {} | {} | {} | {} | {} |",
             b.role.key,
             b.row.title,
-            if b.row.otherwise { format!("{} (other reading)", b.row.unit) } else { b.row.unit.into() },
+            if b.row.otherwise {
+                format!("{} (other reading)", b.row.unit)
+            } else {
+                b.row.unit.into()
+            },
             b.condition,
             told(b.figure.as_ref(), 1.0),
             if unknown { " =" } else { "" },
@@ -464,16 +579,23 @@
     let outer = target.with_calls_times(depth);
     let cpu = |target| {
         let row = call_path.rows.iter().find(|r| r.parts == ["cpu"])?;
-        Some(told(Figure::find(slopes, target, call_path, row, "ordinary").as_ref(), 1.0))
+        Some(told(
+            Figure::find(slopes, target, call_path, row, "ordinary").as_ref(),
+            1.0,
+        ))
     };
     if let (Some(inner), Some(outer)) = (cpu(target), cpu(&outer)) {
-        let _ = writeln!(out, "| the same, in cores of a sidecar on the way | {inner} | {outer} |");
+        let _ = writeln!(
+            out,
+            "| the same, in cores of a sidecar on the way | {inner} | {outer} |"
+        );
     }
     let control = &ROLES[1];
     let with = |part: &[&str]| control.rows.iter().find(|r| r.parts == part);
     for (condition, words) in [("rest", "at rest"), ("ordinary", "at the ordinary rate")] {
-        let find =
-            |part: &[&str]| with(part).and_then(|row| Figure::find(slopes, target, control, row, condition));
+        let find = |part: &[&str]| {
+            with(part).and_then(|row| Figure::find(slopes, target, control, row, condition))
+        };
         let apart = find(&["bytes-in", "bytes-out"]);
         let both = find(&["bytes-in", "bytes-out", "probe-bytes"]);
         if apart.is_some() || both.is_some() {
@@ -486,7 +608,11 @@
         }
         let (inward, outward) = (find(&["bytes-in"]), find(&["bytes-out"]));
         if let (Some(inward), Some(outward)) = (inward, outward) {
-            let most = if inward.at(1.0) > outward.at(1.0) { &inward } else { &outward };
+            let most = if inward.at(1.0) > outward.at(1.0) {
+                &inward
+            } else {
+                &outward
+            };
             let _ = writeln!(
                 out,
                 "| control bytes a second, {words}: the budget is for each way, or for both together | {} | {} |",
@@ -531,8 +657,10 @@
     for row in role.rows {
         let rest = Figure::find(slopes, target, role, row, "rest");
         let ordinary = Figure::find(slopes, target, role, row, "ordinary");
-        let (event, back) =
-            (worst(slopes, target, role, row, "event"), worst(slopes, target, role, row, "return"));
+        let (event, back) = (
+            worst(slopes, target, role, row, "event"),
+            worst(slopes, target, role, row, "return"),
+        );
         let named = |found: &Option<(String, Figure)>| match found {
             Some((title, f)) => format!("{} ({title})", told(Some(f), 1.0)),
             None => "not measured".into(),
@@ -546,12 +674,19 @@
                 (_, None) => "-".into(),
             }
         };
-        let played = [&ordinary, &rest].into_iter().flatten().find_map(Figure::played);
+        let played = [&ordinary, &rest]
+            .into_iter()
+            .flatten()
+            .find_map(Figure::played);
         let _ = writeln!(
             out,
             "| {}{} | {} | {} | {} | {} | {} | {} | {} | {} | {} |",
             row.title,
-            if row.unit.is_empty() { String::new() } else { format!(", {}", row.unit) },
+            if row.unit.is_empty() {
+                String::new()
+            } else {
+                format!(", {}", row.unit)
+            },
             told(rest.as_ref(), 1.0),
             told(ordinary.as_ref(), 1.0),
             named(&event),
@@ -568,15 +703,31 @@
 /// Mean of a law's points at so many sidecars.
 fn mean_at(law: &Law, sidecars: f64) -> Option<f64> {
     let fixed = law.fixed.get("sidecars").and_then(Value::as_f64);
-    let here = |x: f64| if law.by == "sidecars" { x == sidecars } else { fixed == Some(sidecars) };
-    let values: Vec<f64> = law.points.iter().filter(|dot| here(dot.x)).map(|dot| dot.value).collect();
+    let here = |x: f64| {
+        if law.by == "sidecars" {
+            x == sidecars
+        } else {
+            fixed == Some(sidecars)
+        }
+    };
+    let values: Vec<f64> = law
+        .points
+        .iter()
+        .filter(|dot| here(dot.x))
+        .map(|dot| dot.value)
+        .collect();
     (!values.is_empty()).then(|| values.iter().sum::<f64>() / values.len() as f64)
 }
 
 /// Hollow sidecars beside real ones, wherever both were played at one size; nothing where none were.
 fn honest(slopes: &Slopes, out: &mut String) {
     let mut rows = String::new();
-    let of = |kind: &'static str| slopes.laws.iter().filter(move |l| l.kind == kind && l.statistic == "mean");
+    let of = |kind: &'static str| {
+        slopes
+            .laws
+            .iter()
+            .filter(move |l| l.kind == kind && l.statistic == "mean")
+    };
     for real in of("real") {
         let key = |l: &Law| (l.role.clone(), l.quantity.clone(), l.condition.clone());
         for hollow in of("hollow").filter(|hollow| key(hollow) == key(real)) {
@@ -585,13 +736,19 @@
             sizes.sort_by(f64::total_cmp);
             sizes.dedup();
             for size in sizes {
-                let (Some(a), Some(b)) = (mean_at(real, size), mean_at(hollow, size)) else { continue };
+                let (Some(a), Some(b)) = (mean_at(real, size), mean_at(hollow, size)) else {
+                    continue;
+                };
                 let off = 100.0 * (b / a - 1.0);
                 let word = match off {
                     _ if !off.is_finite() => "no telling".into(),
                     off if off.abs() <= 10.0 => format!("within a tenth ({off:+.1}%)"),
                     off => {
-                        format!("**{}% too {}**", figure(off.abs()), if off < 0.0 { "low" } else { "high" })
+                        format!(
+                            "**{}% too {}**",
+                            figure(off.abs()),
+                            if off < 0.0 { "low" } else { "high" }
+                        )
                     }
                 };
                 let _ = writeln!(
@@ -637,8 +794,10 @@
                 let found = Figure::find(slopes, target, role, row, &format!("{prefix}:{key}"));
                 found.map(|f| told(Some(&f), 1.0))
             };
-            let cells: Vec<_> =
-                events.iter().map(|(key, _)| (cell("event", key), cell("return", key))).collect();
+            let cells: Vec<_> = events
+                .iter()
+                .map(|(key, _)| (cell("event", key), cell("return", key)))
+                .collect();
             if cells.iter().all(|(a, b)| a.is_none() && b.is_none()) {
                 continue;
             }
@@ -676,7 +835,11 @@
         Form::Quadratic => format!("({by})^2"),
     };
     let sign = if law.slope < 0.0 { "-" } else { "+" };
-    format!("{} {sign} {} x {of}", figure(law.constant), figure(law.slope.abs()))
+    format!(
+        "{} {sign} {} x {of}",
+        figure(law.constant),
+        figure(law.slope.abs())
+    )
 }
 
 fn law_table(slopes: &Slopes, target: &Target, out: &mut String) {
@@ -697,8 +860,11 @@
     };
     let shown = |l: &&Law| l.source != Source::Assumed && !l.quantity.ends_with("-error");
     for law in slopes.laws.iter().filter(shown) {
-        let points: Vec<String> =
-            law.points.iter().map(|p| format!("{}: {}", figure(p.x), figure(p.value))).collect();
+        let points: Vec<String> = law
+            .points
+            .iter()
+            .map(|p| format!("{}: {}", figure(p.x), figure(p.value)))
+            .collect();
         let points = match law.by.is_empty() {
             true => law.points.iter().map(|p| figure(p.value)).collect(),
             false => points,
@@ -709,10 +875,18 @@
         runs.dedup();
         let runs: Vec<String> = runs
             .iter()
-            .filter_map(|n| slopes.runs.get(*n).map(|r| format!("{}: {}", n + 1, r.seed)))
+            .filter_map(|n| {
+                slopes
+                    .runs
+                    .get(*n)
+                    .map(|r| format!("{}: {}", n + 1, r.seed))
+            })
+            .collect();
+        let fixed: Vec<String> = law
+            .fixed
+            .iter()
+            .map(|(k, v)| format!("{} {}", k.replace('_', " "), word(v)))
             .collect();
-        let fixed: Vec<String> =
-            law.fixed.iter().map(|(k, v)| format!("{} {}", k.replace('_', " "), word(v))).collect();
         let _ = writeln!(
             out,
             "| {} | {}, {}{} | {} | {} | {}{}{} | {} | {} | {} | {} | {} | {} |",
@@ -723,7 +897,11 @@
             law.condition,
             law.statistic,
             law.kind,
-            if law.kind.is_empty() || fixed.is_empty() { "" } else { "; " },
+            if law.kind.is_empty() || fixed.is_empty() {
+                ""
+            } else {
+                "; "
+            },
             fixed.join(", "),
             law_text(law),
             points.join("; "),
@@ -733,10 +911,16 @@
             runs.join(", ")
         );
     }
-    let _ =
-        writeln!(out, "\n| run | file | command | commit | seed | |\n| --- | --- | --- | --- | --- | --- |");
+    let _ = writeln!(
+        out,
+        "\n| run | file | command | commit | seed | |\n| --- | --- | --- | --- | --- | --- |"
+    );
     for (n, run) in slopes.runs.iter().enumerate() {
-        let word = if run.simulated { "simulated" } else { "on sockets" };
+        let word = if run.simulated {
+            "simulated"
+        } else {
+            "on sockets"
+        };
         let _ = writeln!(
             out,
             "| {} | `capacity/points/{}` | `{}` | {} | {} | {word} |",
@@ -790,8 +974,13 @@
             let budget = budget(row, target);
             let mut conditions = serde_json::Map::new();
             let events = events(slopes);
-            let names = events.iter().flat_map(|(key, _)| [format!("event:{key}"), format!("return:{key}")]);
-            for condition in ["rest".to_string(), "ordinary".to_string()].into_iter().chain(names) {
+            let names = events
+                .iter()
+                .flat_map(|(key, _)| [format!("event:{key}"), format!("return:{key}")]);
+            for condition in ["rest".to_string(), "ordinary".to_string()]
+                .into_iter()
+                .chain(names)
+            {
                 if let Some(f) = Figure::find(slopes, target, role, row, &condition) {
                     conditions.insert(condition, of(&f, budget));
                 }
--- a/crates/passroad-rig/src/capacity/plot.rs
+++ b/crates/passroad-rig/src/capacity/plot.rs
@@ -30,7 +30,12 @@
         let heading = format!("{}: {}, {}", b.role.title, b.row.title, b.condition);
         let _ = write!(out, "<h2>{}</h2>", escape(&heading));
         let Some(f) = &b.figure else {
-            let _ = write!(out, "<p>Not measured; the budget is {} {}.</p>", figure(b.budget), b.row.unit);
+            let _ = write!(
+                out,
+                "<p>Not measured; the budget is {} {}.</p>",
+                figure(b.budget),
+                b.row.unit
+            );
             continue;
         };
         let word = match f.source() {
@@ -40,7 +45,12 @@
         };
         let curve: Vec<(f64, f64)> = (1..=STEPS)
             .map(|n| n as f64 * FAR / STEPS as f64)
-            .map(|times| (target.variable("sidecars", times).unwrap_or_default(), f.at(times)))
+            .map(|times| {
+                (
+                    target.variable("sidecars", times).unwrap_or_default(),
+                    f.at(times),
+                )
+            })
             .collect();
         let top = curve.iter().map(|p| p.1).fold(b.budget, f64::max) * 1.05;
         let end = curve.last().map_or(1.0, |p| p.0);
@@ -61,7 +71,9 @@
             figure(b.budget)
         );
         for times in 0..=5 {
-            let at = target.variable("sidecars", f64::from(times)).unwrap_or_default();
+            let at = target
+                .variable("sidecars", f64::from(times))
+                .unwrap_or_default();
             let _ = write!(
                 out,
                 "<text x=\"{:.1}\" y=\"{}\" text-anchor=\"middle\">{}</text>",
@@ -70,7 +82,10 @@
                 figure(at)
             );
         }
-        let path: Vec<String> = curve.iter().map(|p| format!("{:.1},{:.1}", x(p.0), y(p.1))).collect();
+        let path: Vec<String> = curve
+            .iter()
+            .map(|p| format!("{:.1},{:.1}", x(p.0), y(p.1)))
+            .collect();
         let _ = write!(
             out,
             "<polyline points=\"{}\" fill=\"none\" stroke=\"#1b6ca8\" stroke-width=\"1.6\"/></svg>\
--- a/crates/passroad-rig/src/capacity/roles.rs
+++ b/crates/passroad-rig/src/capacity/roles.rs
@@ -2,8 +2,16 @@
 //! carries it.
 
 pub const CONDITIONS: [&str; 2] = ["rest", "ordinary"];
-pub const STATISTICS: [&str; 8] =
-    ["mean", "busiest", "worst-second", "most", "p50", "p99", "p999", "twice-standard-error"];
+pub const STATISTICS: [&str; 8] = [
+    "mean",
+    "busiest",
+    "worst-second",
+    "most",
+    "p50",
+    "p99",
+    "p999",
+    "twice-standard-error",
+];
 
 /// Events, as conditions name them after `event:` and `return:`, and as the page does.
 pub const EVENTS: [(&str, &str); 10] = [
@@ -26,17 +34,42 @@
     pub factor: f64,
 }
 
-const CONTROL_BYTES: Option<Budget> = Some(Budget { keys: &["control_bytes_per_second"], factor: 1.0 });
-const CONTROL_CPU: Option<Budget> = Some(Budget { keys: &["control_cpu"], factor: 1.0 });
-const CONTROL_MEMORY: Option<Budget> = Some(Budget { keys: &["control_memory_mb"], factor: 1.0 });
-const MACHINES_BYTES: Option<Budget> =
-    Some(Budget { keys: &["control_machines", "bytes_per_second"], factor: 1.0 });
-const MACHINES_CPU: Option<Budget> = Some(Budget { keys: &["control_machines", "cores"], factor: 1.0 });
-const MACHINES_MEMORY: Option<Budget> =
-    Some(Budget { keys: &["control_machines", "memory_mb"], factor: 1.0 });
-const ADDED: Option<Budget> = Some(Budget { keys: &["added_p99"], factor: 1000.0 });
-const ADDED_EACH_HOP: Option<Budget> = Some(Budget { keys: &["added_p99", "depth"], factor: 1000.0 });
-const IN_FORCE: Option<Budget> = Some(Budget { keys: &["change_in_force"], factor: 1.0 });
+const CONTROL_BYTES: Option<Budget> = Some(Budget {
+    keys: &["control_bytes_per_second"],
+    factor: 1.0,
+});
+const CONTROL_CPU: Option<Budget> = Some(Budget {
+    keys: &["control_cpu"],
+    factor: 1.0,
+});
+const CONTROL_MEMORY: Option<Budget> = Some(Budget {
+    keys: &["control_memory_mb"],
+    factor: 1.0,
+});
+const MACHINES_BYTES: Option<Budget> = Some(Budget {
+    keys: &["control_machines", "bytes_per_second"],
+    factor: 1.0,
+});
+const MACHINES_CPU: Option<Budget> = Some(Budget {
+    keys: &["control_machines", "cores"],
+    factor: 1.0,
+});
+const MACHINES_MEMORY: Option<Budget> = Some(Budget {
+    keys: &["control_machines", "memory_mb"],
+    factor: 1.0,
+});
+const ADDED: Option<Budget> = Some(Budget {
+    keys: &["added_p99"],
+    factor: 1000.0,
+});
+const ADDED_EACH_HOP: Option<Budget> = Some(Budget {
+    keys: &["added_p99", "depth"],
+    factor: 1000.0,
+});
+const IN_FORCE: Option<Budget> = Some(Budget {
+    keys: &["change_in_force"],
+    factor: 1.0,
+});
 
 /// What carries it: what it does, and the file; no file where nothing carries it.
 #[derive(Debug, Clone, Copy)]
@@ -46,7 +79,10 @@
 }
 
 const fn by(what: &'static str, file: &'static str) -> Mechanism {
-    Mechanism { what, file: Some(file) }
+    Mechanism {
+        what,
+        file: Some(file),
+    }
 }
 
 const fn none(what: &'static str) -> Mechanism {
@@ -74,7 +110,15 @@
     budget: Option<Budget>,
     carried: Mechanism,
 ) -> Row {
-    Row { title, parts, unit, with: None, budget, carried, otherwise: false }
+    Row {
+        title,
+        parts,
+        unit,
+        with: None,
+        budget,
+        carried,
+        otherwise: false,
+    }
 }
 
 /// What is held: what, by what it grows, what bounds it.
@@ -105,9 +149,16 @@
 const BOOK: &str = "crates/passroad-upkeep/src/book.rs";
 const WORK: &str = "crates/passroad/src/fleet/work.rs";
 
-const GOSSIP: Mechanism = by("one question a period, 8 datagrams of 256 bytes a second at most", PEERS);
-const WHOLE_LIST: Mechanism = none("each sidecar is sent the whole list; no subset, no cap on bytes");
-const ONE_WATCH: Mechanism = by("one watch, changes only, renewed at a quarter of `ask_every`", LIST);
+const GOSSIP: Mechanism = by(
+    "one question a period, 8 datagrams of 256 bytes a second at most",
+    PEERS,
+);
+const WHOLE_LIST: Mechanism =
+    none("each sidecar is sent the whole list; no subset, no cap on bytes");
+const ONE_WATCH: Mechanism = by(
+    "one watch, changes only, renewed at a quarter of `ask_every`",
+    LIST,
+);
 
 const WARM: Option<(&str, &str)> = Some(("connections", "warm"));
 const COLD: Option<(&str, &str)> = Some(("connections", "cold"));
@@ -120,8 +171,16 @@
             "calls open",
             by("a quarter of `limits.memory_mb` for bodies", ROOM),
         ),
-        ("connections, 16 idle ones kept an endpoint", "endpoints called, calls open", by("`Dialer`", RELAY)),
-        ("what is known of each endpoint and class", "endpoints x classes", by("the module's tables", STATE)),
+        (
+            "connections, 16 idle ones kept an endpoint",
+            "endpoints called, calls open",
+            by("`Dialer`", RELAY),
+        ),
+        (
+            "what is known of each endpoint and class",
+            "endpoints x classes",
+            by("the module's tables", STATE),
+        ),
     ],
     rows: &[
         Row {
@@ -184,12 +243,33 @@
                 none("for comparison: no sidecar on the way"),
             )
         },
-        row("calls of one sidecar", &["calls"], "1/s", None, by("intake and desk", DESK)),
+        row(
+            "calls of one sidecar",
+            &["calls"],
+            "1/s",
+            None,
+            by("intake and desk", DESK),
+        ),
+        Row {
+            with: WARM,
+            ..row(
+                "processor time of a call",
+                &["cpu-per-call"],
+                "us",
+                None,
+                by("desk and relay", DESK),
+            )
+        },
         Row {
             with: WARM,
-            ..row("processor time of a call", &["cpu-per-call"], "us", None, by("desk and relay", DESK))
+            ..row(
+                "processor",
+                &["cpu"],
+                "of a core",
+                None,
+                by("desk and relay", DESK),
+            )
         },
-        Row { with: WARM, ..row("processor", &["cpu"], "of a core", None, by("desk and relay", DESK)) },
         Row {
             with: WARM,
             ..row(
@@ -200,11 +280,35 @@
                 by("`trust`, `prices.probe`", CHOICE),
             )
         },
-        row("messages in", &["messages-in"], "1/s", None, by("front", FRONT)),
-        row("messages out", &["messages-out"], "1/s", None, by("relay and probe", RELAY)),
+        row(
+            "messages in",
+            &["messages-in"],
+            "1/s",
+            None,
+            by("front", FRONT),
+        ),
+        row(
+            "messages out",
+            &["messages-out"],
+            "1/s",
+            None,
+            by("relay and probe", RELAY),
+        ),
         row("bytes in", &["bytes-in"], "B/s", None, by("front", FRONT)),
-        row("bytes out", &["bytes-out"], "B/s", None, by("relay and probe", RELAY)),
-        row("memory", &["memory"], "MB", None, by("`limits.memory_mb`", ROOM)),
+        row(
+            "bytes out",
+            &["bytes-out"],
+            "B/s",
+            None,
+            by("relay and probe", RELAY),
+        ),
+        row(
+            "memory",
+            &["memory"],
+            "MB",
+            None,
+            by("`limits.memory_mb`", ROOM),
+        ),
     ],
 };
 
@@ -213,26 +317,62 @@
     title: "A sidecar's control: list, probes, membership, leases, configuration, operators' door, log",
     state: &[
         ("the list", "endpoints of all services", WHOLE_LIST),
-        ("members: standing, incarnation, when", "sidecars", by("a table, 32 bytes each", PEERS)),
+        (
+            "members: standing, incarnation, when",
+            "sidecars",
+            by("a table, 32 bytes each", PEERS),
+        ),
         (
             "what is still to be told on",
             "changes of the last seconds",
             by("told 3 log2(n) times each", PEERS),
         ),
-        ("entries of work", "machines out for work", by("500 at most", UPKEEP)),
-        ("the operators' door", "callers", by("48 at once, 3 s a call", "crates/passroad/src/management.rs")),
+        (
+            "entries of work",
+            "machines out for work",
+            by("500 at most", UPKEEP),
+        ),
+        (
+            "the operators' door",
+            "callers",
+            by(
+                "48 at once, 3 s a call",
+                "crates/passroad/src/management.rs",
+            ),
+        ),
         (
             "the log",
             "changes",
-            by("standard error; lines told once a minute a cause", "crates/passroad/src/logging.rs"),
+            by(
+                "standard error; lines told once a minute a cause",
+                "crates/passroad/src/logging.rs",
+            ),
         ),
     ],
     rows: &[
         row("messages in", &["messages-in"], "1/s", None, GOSSIP),
         row("messages out", &["messages-out"], "1/s", None, GOSSIP),
-        row("bytes in, probes apart", &["bytes-in"], "B/s", CONTROL_BYTES, WHOLE_LIST),
-        row("bytes out, probes apart", &["bytes-out"], "B/s", CONTROL_BYTES, GOSSIP),
-        row("bytes in and out, probes apart", &["bytes-in", "bytes-out"], "B/s", CONTROL_BYTES, WHOLE_LIST),
+        row(
+            "bytes in, probes apart",
+            &["bytes-in"],
+            "B/s",
+            CONTROL_BYTES,
+            WHOLE_LIST,
+        ),
+        row(
+            "bytes out, probes apart",
+            &["bytes-out"],
+            "B/s",
+            CONTROL_BYTES,
+            GOSSIP,
+        ),
+        row(
+            "bytes in and out, probes apart",
+            &["bytes-in", "bytes-out"],
+            "B/s",
+            CONTROL_BYTES,
+            WHOLE_LIST,
+        ),
         Row {
             otherwise: true,
             ..row(
@@ -253,7 +393,13 @@
             CONTROL_CPU,
             by("one thread for talk between sidecars", TALK),
         ),
-        row("memory", &["memory"], "MB", CONTROL_MEMORY, by("tables by index", STATE)),
+        row(
+            "memory",
+            &["memory"],
+            "MB",
+            CONTROL_MEMORY,
+            by("tables by index", STATE),
+        ),
         row(
             "until all know of a death or a start",
             &["known-by-all"],
@@ -276,16 +422,32 @@
     title: "Discovery, as the sidecars ask it",
     state: &[
         ("open watches", "sidecars", ONE_WATCH),
-        ("the list with its revisions", "endpoints, changes", none("it is outside; the rig has a stand-in")),
+        (
+            "the list with its revisions",
+            "endpoints, changes",
+            none("it is outside; the rig has a stand-in"),
+        ),
     ],
     rows: &[
         row("open watches", &["open-watches"], "", None, ONE_WATCH),
         row("calls", &["calls"], "1/s", None, ONE_WATCH),
-        row("until all have a change of the list", &["known-by-all"], "s", None, ONE_WATCH),
+        row(
+            "until all have a change of the list",
+            &["known-by-all"],
+            "s",
+            None,
+            ONE_WATCH,
+        ),
         row("messages in", &["messages-in"], "1/s", None, ONE_WATCH),
         row("messages out", &["messages-out"], "1/s", None, ONE_WATCH),
         row("bytes in", &["bytes-in"], "B/s", MACHINES_BYTES, ONE_WATCH),
-        row("bytes out", &["bytes-out"], "B/s", MACHINES_BYTES, WHOLE_LIST),
+        row(
+            "bytes out",
+            &["bytes-out"],
+            "B/s",
+            MACHINES_BYTES,
+            WHOLE_LIST,
+        ),
         row(
             "processor",
             &["cpu"],
@@ -328,7 +490,11 @@
     title: "The owner of a duty, beside its sidecar's own control",
     state: &[
         ("the epoch, and which voters granted it", "voters", RENEWS),
-        ("the one call that is out", "nothing", by("one at a time", CALLS)),
+        (
+            "the one call that is out",
+            "nothing",
+            by("one at a time", CALLS),
+        ),
     ],
     rows: &[
         row("messages in", &["messages-in"], "1/s", None, RENEWS),
@@ -348,33 +514,86 @@
     key: "conductor",
     title: "The conductor of work, beside its sidecar's own control",
     state: &[
-        ("entries of work with their versions", "machines asked for", by("500 at most", BOOK)),
-        ("who has acknowledged which step", "sidecars x machines out", by("the conductor's book", UPKEEP)),
+        (
+            "entries of work with their versions",
+            "machines asked for",
+            by("500 at most", BOOK),
+        ),
+        (
+            "who has acknowledged which step",
+            "sidecars x machines out",
+            by("the conductor's book", UPKEEP),
+        ),
     ],
     rows: &[
         row("messages in", &["messages-in"], "1/s", None, ASKS),
         row("messages out", &["messages-out"], "1/s", None, ASKS),
         row("bytes in", &["bytes-in"], "B/s", CONTROL_BYTES, ASKS),
         row("bytes out", &["bytes-out"], "B/s", CONTROL_BYTES, ASKS),
-        row("processor", &["cpu"], "of a core", CONTROL_CPU, by("the fleet's thread", WORK)),
-        row("memory", &["memory"], "MB", CONTROL_MEMORY, by("500 entries at most", BOOK)),
+        row(
+            "processor",
+            &["cpu"],
+            "of a core",
+            CONTROL_CPU,
+            by("the fleet's thread", WORK),
+        ),
+        row(
+            "memory",
+            &["memory"],
+            "MB",
+            CONTROL_MEMORY,
+            by("500 entries at most", BOOK),
+        ),
     ],
 };
 
-const NOTHING_BRINGS: Mechanism = none("a file and a SIGHUP at each process; nothing carries it to all");
+const NOTHING_BRINGS: Mechanism =
+    none("a file and a SIGHUP at each process; nothing carries it to all");
 const CONFIGURATION: Role = Role {
     key: "configuration",
     title: "What brings configuration, on the machines set aside",
     state: &[
-        ("the configuration and its versions", "changes", NOTHING_BRINGS),
-        ("who has which version in force", "sidecars", none("nothing says that a change got there")),
+        (
+            "the configuration and its versions",
+            "changes",
+            NOTHING_BRINGS,
+        ),
+        (
+            "who has which version in force",
+            "sidecars",
+            none("nothing says that a change got there"),
+        ),
     ],
     rows: &[
-        row("until a change is in force everywhere", &["known-by-all"], "s", IN_FORCE, NOTHING_BRINGS),
+        row(
+            "until a change is in force everywhere",
+            &["known-by-all"],
+            "s",
+            IN_FORCE,
+            NOTHING_BRINGS,
+        ),
         row("messages in", &["messages-in"], "1/s", None, NOTHING_BRINGS),
-        row("messages out (deliveries)", &["messages-out"], "1/s", None, NOTHING_BRINGS),
-        row("bytes in", &["bytes-in"], "B/s", MACHINES_BYTES, NOTHING_BRINGS),
-        row("bytes out", &["bytes-out"], "B/s", MACHINES_BYTES, NOTHING_BRINGS),
+        row(
+            "messages out (deliveries)",
+            &["messages-out"],
+            "1/s",
+            None,
+            NOTHING_BRINGS,
+        ),
+        row(
+            "bytes in",
+            &["bytes-in"],
+            "B/s",
+            MACHINES_BYTES,
+            NOTHING_BRINGS,
+        ),
+        row(
+            "bytes out",
+            &["bytes-out"],
+            "B/s",
+            MACHINES_BYTES,
+            NOTHING_BRINGS,
+        ),
         row("processor", &["cpu"], "cores", MACHINES_CPU, NOTHING_BRINGS),
         row("memory", &["memory"], "MB", MACHINES_MEMORY, NOTHING_BRINGS),
     ],
@@ -396,16 +615,37 @@
     rows: &[
         Row {
             with: SERVICE,
-            ..row("connections, a service of ten called by thirty", &["connections"], "", None, NEAR)
+            ..row(
+                "connections, a service of ten called by thirty",
+                &["connections"],
+                "",
+                None,
+                NEAR,
+            )
         },
         Row {
             with: POOL,
-            ..row("connections, one pool for all, a twentieth of the calls", &["connections"], "", None, NEAR)
+            ..row(
+                "connections, one pool for all, a twentieth of the calls",
+                &["connections"],
+                "",
+                None,
+                NEAR,
+            )
         },
-        Row { with: SERVICE, ..row("attempts", &["calls"], "1/s", None, DRAW) },
         Row {
             with: SERVICE,
-            ..row("probes for each call, a service of ten", &["probes-per-call"], "", None, PROBES)
+            ..row("attempts", &["calls"], "1/s", None, DRAW)
+        },
+        Row {
+            with: SERVICE,
+            ..row(
+                "probes for each call, a service of ten",
+                &["probes-per-call"],
+                "",
+                None,
+                PROBES,
+            )
         },
         Row {
             with: POOL,
@@ -419,19 +659,41 @@
         },
         Row {
             with: SERVICE,
-            ..row("messages in (attempts and probes)", &["messages-in"], "1/s", None, DRAW)
+            ..row(
+                "messages in (attempts and probes)",
+                &["messages-in"],
+                "1/s",
+                None,
+                DRAW,
+            )
         },
         row("bytes in", &["bytes-in"], "B/s", None, DRAW),
         row("bytes out", &["bytes-out"], "B/s", None, DRAW),
         Row {
             with: SERVICE,
-            ..row("the busiest over its fair share, a service of ten", &["busiest"], "", None, DRAW)
+            ..row(
+                "the busiest over its fair share, a service of ten",
+                &["busiest"],
+                "",
+                None,
+                DRAW,
+            )
+        },
+        Row {
+            with: POOL,
+            ..row(
+                "the busiest over its fair share, one pool",
+                &["busiest"],
+                "",
+                None,
+                DRAW,
+            )
         },
-        Row { with: POOL, ..row("the busiest over its fair share, one pool", &["busiest"], "", None, DRAW) },
     ],
 };
 
-const HOPS: Mechanism = none("no hop knows how deep it is; retries multiply, the limit isn't handed down");
+const HOPS: Mechanism =
+    none("no hop knows how deep it is; retries multiply, the limit isn't handed down");
 const NINE_DEEP: Role = Role {
     key: "client-nine-deep",
     title: "A client at the top of the deepest tree",
@@ -458,10 +720,31 @@
                 HOPS,
             )
         },
-        row("inner calls for each outer one", &["messages-out"], "", None, HOPS),
-        row("attempts at the leaf for each outer call, leaf fails", &["attempts-leaf"], "", None, HOPS),
+        row(
+            "inner calls for each outer one",
+            &["messages-out"],
+            "",
+            None,
+            HOPS,
+        ),
+        row(
+            "attempts at the leaf for each outer call, leaf fails",
+            &["attempts-leaf"],
+            "",
+            None,
+            HOPS,
+        ),
     ],
 };
 
-pub const ROLES: [Role; 9] =
-    [CALL_PATH, CONTROL, DISCOVERY, VOTER_ROLE, DUTY_OWNER, CONDUCTOR, CONFIGURATION, ENDPOINT, NINE_DEEP];
+pub const ROLES: [Role; 9] = [
+    CALL_PATH,
+    CONTROL,
+    DISCOVERY,
+    VOTER_ROLE,
+    DUTY_OWNER,
+    CONDUCTOR,
+    CONFIGURATION,
+    ENDPOINT,
+    NINE_DEEP,
+];
--- a/crates/passroad-rig/src/capacity/simulate.rs
+++ b/crates/passroad-rig/src/capacity/simulate.rs
@@ -15,8 +15,16 @@
 pub fn points(file: &Path, sizes: &[usize], seed: u64, commit: &str) -> Result<Value, String> {
     let text = std::fs::read_to_string(file).map_err(|e| format!("{}: {e}", file.display()))?;
     let plan = experiment::read(&text).map_err(|wrong| format!("{}: {wrong}", file.display()))?;
-    let name = file.file_stem().unwrap_or_default().to_string_lossy().into_owned();
-    let sizes = if sizes.is_empty() { &[plan.instances][..] } else { sizes };
+    let name = file
+        .file_stem()
+        .unwrap_or_default()
+        .to_string_lossy()
+        .into_owned();
+    let sizes = if sizes.is_empty() {
+        &[plan.instances][..]
+    } else {
+        sizes
+    };
     let mut all: Vec<Value> = Vec::new();
     for size in sizes {
         let mut sized = plan.clone();
@@ -24,7 +32,13 @@
         sized.instances = *size;
         if plan.fleet.is_none() {
             let endpoints = (plan.endpoints.len() * size).div_ceil(plan.instances);
-            sized.endpoints = plan.endpoints.iter().cycle().take(endpoints).cloned().collect();
+            sized.endpoints = plan
+                .endpoints
+                .iter()
+                .cycle()
+                .take(endpoints)
+                .cloned()
+                .collect();
             sized.per_second = plan.per_second * *size as f64 / plan.instances as f64;
         }
         for run in play_all(&sized, 1)? {
@@ -34,7 +48,11 @@
             }
         }
     }
-    let list = sizes.iter().map(usize::to_string).collect::<Vec<_>>().join(",");
+    let list = sizes
+        .iter()
+        .map(usize::to_string)
+        .collect::<Vec<_>>()
+        .join(",");
     let run = format!(
         "passroad-rig capacity --simulate {} --sizes {list} --seeds {seed}",
         file.file_name().unwrap_or_default().to_string_lossy()
@@ -47,20 +65,46 @@
     let window = plan.settle..plan.length;
     let seconds = (window.end - window.start).as_secs_f64();
     let (count, sidecars) = (plan.endpoints.len() as f64, plan.instances);
-    let calls = run.books.commands.iter().filter(|c| window.contains(&c.asked)).count() as f64;
-    let attempts = run.books.relays.iter().filter(|r| window.contains(&r.at)).count() as f64;
+    let calls = run
+        .books
+        .commands
+        .iter()
+        .filter(|c| window.contains(&c.asked))
+        .count() as f64;
+    let attempts = run
+        .books
+        .relays
+        .iter()
+        .filter(|r| window.contains(&r.at))
+        .count() as f64;
     let probes = run.books.probes.len() as f64 / run.books.commands.len().max(1) as f64;
-    let looks: Vec<_> = run.looks.iter().filter(|look| window.contains(&look.at)).collect();
+    let looks: Vec<_> = run
+        .looks
+        .iter()
+        .filter(|look| window.contains(&look.at))
+        .collect();
     let links: usize = looks.iter().flat_map(|look| &look.links).sum();
-    let busiest = spread::shares(run, plan, &window).into_iter().fold(0.0, f64::max);
+    let busiest = spread::shares(run, plan, &window)
+        .into_iter()
+        .fold(0.0, f64::max);
     let held = links as f64 / (looks.len() as f64 * count).max(1.0);
     let each = calls / seconds / count;
     let rows = [
         ("calls", "1/s", "mean", attempts / seconds / count),
         ("probes-per-call", "", "mean", probes),
-        ("messages-in", "1/s", "mean", attempts / seconds / count + probes * each),
+        (
+            "messages-in",
+            "1/s",
+            "mean",
+            attempts / seconds / count + probes * each,
+        ),
         ("connections", "", "mean", held),
-        ("connections", "", "busiest", spread::links_most(run, &window) as f64),
+        (
+            "connections",
+            "",
+            "busiest",
+            spread::links_most(run, &window) as f64,
+        ),
         ("busiest", "", "busiest", busiest),
     ];
     let at = json!({
@@ -77,7 +121,9 @@
 
 /// Datagrams that sidecars send: those that are neither voters nor owners, and what voters and owners send beside it.
 fn talk(plan: &Plan, run: &Run) -> Vec<Value> {
-    let (Some(day), Some(fleet)) = (&run.fleet, &plan.fleet) else { return Vec::new() };
+    let (Some(day), Some(fleet)) = (&run.fleet, &plan.fleet) else {
+        return Vec::new();
+    };
     let owners: Vec<usize> = day.reigns().iter().map(|reign| reign.owner).collect();
     let voters: Vec<usize> = fleet
         .duties
@@ -86,18 +132,36 @@
         .map(usize::from)
         .collect();
     let rate = |n: usize| day.datagrams[n] as f64 / day.seconds.max(1e-9);
-    let mean = |these: &[usize]| these.iter().map(|n| rate(*n)).sum::<f64>() / these.len().max(1) as f64;
-    let plain: Vec<usize> =
-        (0..plan.instances).filter(|n| !owners.contains(n) && !voters.contains(n)).collect();
-    let only_voters: Vec<usize> = voters.iter().copied().filter(|n| !owners.contains(n)).collect();
+    let mean =
+        |these: &[usize]| these.iter().map(|n| rate(*n)).sum::<f64>() / these.len().max(1) as f64;
+    let plain: Vec<usize> = (0..plan.instances)
+        .filter(|n| !owners.contains(n) && !voters.contains(n))
+        .collect();
+    let only_voters: Vec<usize> = voters
+        .iter()
+        .copied()
+        .filter(|n| !owners.contains(n))
+        .collect();
     let control = mean(&plain);
     let most = plain.iter().map(|n| rate(*n)).fold(0.0, f64::max);
     let rows = [
         ("control", "messages-out", "1/s", "mean", control),
         ("control", "messages-out", "1/s", "busiest", most),
         ("control", "false-doubts", "", "mean", day.doubts as f64),
-        ("voter", "messages-out", "1/s", "mean", (mean(&only_voters) - control).max(0.0)),
-        ("duty-owner", "messages-out", "1/s", "mean", (mean(&owners) - control).max(0.0)),
+        (
+            "voter",
+            "messages-out",
+            "1/s",
+            "mean",
+            (mean(&only_voters) - control).max(0.0),
+        ),
+        (
+            "duty-owner",
+            "messages-out",
+            "1/s",
+            "mean",
+            (mean(&owners) - control).max(0.0),
+        ),
     ];
     let point = |(role, quantity, unit, statistic, value): (&str, &str, &str, &str, f64)| {
         json!({
--- a/crates/passroad-rig/src/capacity/slopes.rs
+++ b/crates/passroad-rig/src/capacity/slopes.rs
@@ -133,7 +133,14 @@
 /// Sizes that differ by no more than this part of the target's are the target's.
 const NEAR: f64 = 0.03;
 /// What may grow by itself, those first that a figure is told by.
-const DRIVERS: [&str; 6] = ["sidecars", "endpoints", "services", "calls_per_second", "depth", "voters"];
+const DRIVERS: [&str; 6] = [
+    "sidecars",
+    "endpoints",
+    "services",
+    "calls_per_second",
+    "depth",
+    "voters",
+];
 
 /// Six digits: more would make each run another file, and no run knows more.
 pub fn six(value: f64) -> f64 {
@@ -159,21 +166,44 @@
     let text = std::fs::read_to_string(path).map_err(|e| at(e.to_string()))?;
     let file: PointsFile = serde_json::from_str(&text).map_err(|e| at(e.to_string()))?;
     for (n, point) in file.points.iter().enumerate() {
-        known(&point.role, &point.condition, &point.statistic).map_err(|e| at(format!("point {n}: {e}")))?;
+        known(&point.role, &point.condition, &point.statistic)
+            .map_err(|e| at(format!("point {n}: {e}")))?;
         if !point.value.is_finite() {
             return Err(at(format!("point {n}: value is no number")));
         }
     }
-    let name = path.file_name().unwrap_or_default().to_string_lossy().into_owned();
-    let PointsFile { run, commit, seed, simulated, points, .. } = file;
-    Ok((RunOf { file: name, run, commit, seed, simulated }, points))
+    let name = path
+        .file_name()
+        .unwrap_or_default()
+        .to_string_lossy()
+        .into_owned();
+    let PointsFile {
+        run,
+        commit,
+        seed,
+        simulated,
+        points,
+        ..
+    } = file;
+    Ok((
+        RunOf {
+            file: name,
+            run,
+            commit,
+            seed,
+            simulated,
+        },
+        points,
+    ))
 }
 
 fn known(role: &str, condition: &str, statistic: &str) -> Result<(), String> {
     if !ROLES.iter().any(|r| r.key == role) {
         return Err(format!("role: unknown '{role}'"));
     }
-    let event = condition.strip_prefix("event:").or(condition.strip_prefix("return:"));
+    let event = condition
+        .strip_prefix("event:")
+        .or(condition.strip_prefix("return:"));
     if !CONDITIONS.contains(&condition) && event.is_none_or(str::is_empty) {
         return Err(format!("condition: unknown '{condition}'"));
     }
@@ -205,7 +235,11 @@
             kind: String::new(),
             fixed: BTreeMap::new(),
             source: Source::Assumed,
-            form: if told.by.is_empty() { Form::Constant } else { told.form },
+            form: if told.by.is_empty() {
+                Form::Constant
+            } else {
+                told.form
+            },
             by: told.by,
             constant: told.constant,
             slope: told.slope,
@@ -219,7 +253,11 @@
 
 /// What a law grows by, of a target at so many times its size; none where it names what there isn't.
 pub fn size(by: &str, target: &Target, times: f64) -> Option<f64> {
-    by.split('*').map(str::trim).filter(|n| !n.is_empty()).map(|name| target.variable(name, times)).product()
+    by.split('*')
+        .map(str::trim)
+        .filter(|n| !n.is_empty())
+        .map(|name| target.variable(name, times))
+        .product()
 }
 
 /// Laws of all points, and what is assumed where there are none.
@@ -230,18 +268,45 @@
         for p in points {
             // What is not a number parts the points: figures with warm connections are no figures with cold ones.
             let words: Vec<String> =
-                p.at.iter().filter(|(_, v)| !v.is_number()).map(|(k, v)| format!("{k}={v}")).collect();
-            let origin = if run.simulated { "simulated" } else { "measured" };
-            let key = [&p.role, &p.quantity, &p.condition, &p.statistic, &p.kind, &p.unit].map(String::clone);
+                p.at.iter()
+                    .filter(|(_, v)| !v.is_number())
+                    .map(|(k, v)| format!("{k}={v}"))
+                    .collect();
+            let origin = if run.simulated {
+                "simulated"
+            } else {
+                "measured"
+            };
+            let key = [
+                &p.role,
+                &p.quantity,
+                &p.condition,
+                &p.statistic,
+                &p.kind,
+                &p.unit,
+            ]
+            .map(String::clone);
             let [role, quantity, condition, statistic, kind, unit] = key;
-            let key =
-                [role, quantity, condition, statistic, kind, unit, format!("{origin} {}", words.join(" "))];
+            let key = [
+                role,
+                quantity,
+                condition,
+                statistic,
+                kind,
+                unit,
+                format!("{origin} {}", words.join(" ")),
+            ];
             groups.entry(key).or_default().push((n, p));
         }
     }
-    let mut laws: Vec<Law> = groups.into_values().flat_map(|group| laws_of(&group, &runs)).collect();
+    let mut laws: Vec<Law> = groups
+        .into_values()
+        .flat_map(|group| laws_of(&group, &runs))
+        .collect();
     for law in assumed {
-        let same = |l: &Law| l.role == law.role && l.quantity == law.quantity && l.condition == law.condition;
+        let same = |l: &Law| {
+            l.role == law.role && l.quantity == law.quantity && l.condition == law.condition
+        };
         if !laws.iter().any(|l| l.source != Source::Assumed && same(l)) {
             laws.push(law);
         }
@@ -261,11 +326,22 @@
 /// Laws of one figure: what varies most is what it grows by; what varies beside it, and does not follow it, parts them.
 fn laws_of(group: &[(usize, &Point)], runs: &[RunOf]) -> Vec<Law> {
     let distinct = |name: &str| -> BTreeSet<u64> {
-        group.iter().filter_map(|(_, p)| number(p, name)).map(f64::to_bits).collect()
+        group
+            .iter()
+            .filter_map(|(_, p)| number(p, name))
+            .map(f64::to_bits)
+            .collect()
     };
-    let named = group.iter().flat_map(|(_, p)| p.at.keys().map(String::as_str));
+    let named = group
+        .iter()
+        .flat_map(|(_, p)| p.at.keys().map(String::as_str));
     let names: BTreeSet<&str> = named.filter(|name| !distinct(name).is_empty()).collect();
-    let rank = |name: &str| DRIVERS.iter().position(|d| *d == name).unwrap_or(DRIVERS.len());
+    let rank = |name: &str| {
+        DRIVERS
+            .iter()
+            .position(|d| *d == name)
+            .unwrap_or(DRIVERS.len())
+    };
     let by = names
         .iter()
         .copied()
@@ -274,8 +350,10 @@
     // One that rises with what it grows by: of every size just one value, and more of a larger one.
     let follows = |name: &str| {
         let Some(by) = by else { return false };
-        let mut pairs: Vec<(f64, f64)> =
-            group.iter().filter_map(|(_, p)| Some((number(p, by)?, number(p, name)?))).collect();
+        let mut pairs: Vec<(f64, f64)> = group
+            .iter()
+            .filter_map(|(_, p)| Some((number(p, by)?, number(p, name)?)))
+            .collect();
         pairs.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.1.total_cmp(&b.1)));
         pairs.dedup();
         pairs.windows(2).all(|w| w[0].0 < w[1].0 && w[0].1 < w[1].1)
@@ -287,10 +365,16 @@
         .collect();
     let mut parts: BTreeMap<Vec<Option<u64>>, Vec<(usize, &Point)>> = BTreeMap::new();
     for (run, p) in group {
-        let key = parting.iter().map(|name| number(p, name).map(f64::to_bits)).collect();
+        let key = parting
+            .iter()
+            .map(|name| number(p, name).map(f64::to_bits))
+            .collect();
         parts.entry(key).or_default().push((*run, p));
     }
-    parts.into_values().filter_map(|part| law_of(&part, by, runs)).collect()
+    parts
+        .into_values()
+        .filter_map(|part| law_of(&part, by, runs))
+        .collect()
 }
 
 fn law_of(part: &[(usize, &Point)], by: Option<&str>, runs: &[RunOf]) -> Option<Law> {
@@ -299,12 +383,33 @@
     let fit = fit(&pairs)?;
     let (first_run, first) = *part.first()?;
     // What is the same at all of them.
-    let same = |(name, value): &(&String, &Value)| part.iter().all(|(_, p)| p.at.get(*name) == Some(value));
-    let fixed = first.at.iter().filter(same).map(|(k, v)| (k.clone(), v.clone()));
-    let mut points: Vec<Dot> =
-        part.iter().map(|(run, p)| Dot { x: six(x(p)), value: six(p.value), run: *run }).collect();
-    points.sort_by(|a, b| a.x.total_cmp(&b.x).then(a.run.cmp(&b.run)).then(a.value.total_cmp(&b.value)));
-    let grows = by.filter(|by| !first.at.get(*by).is_some_and(|v| same(&(&(*by).to_string(), v))));
+    let same = |(name, value): &(&String, &Value)| {
+        part.iter().all(|(_, p)| p.at.get(*name) == Some(value))
+    };
+    let fixed = first
+        .at
+        .iter()
+        .filter(same)
+        .map(|(k, v)| (k.clone(), v.clone()));
+    let mut points: Vec<Dot> = part
+        .iter()
+        .map(|(run, p)| Dot {
+            x: six(x(p)),
+            value: six(p.value),
+            run: *run,
+        })
+        .collect();
+    points.sort_by(|a, b| {
+        a.x.total_cmp(&b.x)
+            .then(a.run.cmp(&b.run))
+            .then(a.value.total_cmp(&b.value))
+    });
+    let grows = by.filter(|by| {
+        !first
+            .at
+            .get(*by)
+            .is_some_and(|v| same(&(&(*by).to_string(), v)))
+    });
     Some(Law {
         role: first.role.clone(),
         quantity: first.quantity.clone(),
@@ -313,7 +418,11 @@
         statistic: first.statistic.clone(),
         kind: first.kind.clone(),
         fixed: fixed.collect(),
-        source: if runs[first_run].simulated { Source::Simulated } else { Source::Measured },
+        source: if runs[first_run].simulated {
+            Source::Simulated
+        } else {
+            Source::Measured
+        },
         by: grows.unwrap_or_default().into(),
         form: fit.form,
         constant: six(fit.constant),
@@ -337,7 +446,11 @@
 impl Law {
     /// The figure at so many times the target's size; none where the target has no such size.
     pub fn at(&self, target: &Target, times: f64) -> Option<f64> {
-        let x = if self.by.is_empty() { 0.0 } else { size(&self.by, target, times)? };
+        let x = if self.by.is_empty() {
+            0.0
+        } else {
+            size(&self.by, target, times)?
+        };
         let value = self.constant + self.slope * self.form.of(x);
         // What is counted can't be less than nothing; differences may be, and then some point is.
         let difference = self.points.iter().any(|dot| dot.value < 0.0);
@@ -346,12 +459,21 @@
 
     /// Mean of the points at the target's own size, where it was played.
     pub fn played(&self, target: &Target) -> Option<f64> {
-        let x = if self.by.is_empty() { None } else { size(&self.by, target, 1.0) };
+        let x = if self.by.is_empty() {
+            None
+        } else {
+            size(&self.by, target, 1.0)
+        };
         let at_size = |dot: &&Dot| x.is_some_and(|x| (dot.x - x).abs() <= NEAR * x);
         let here: Vec<f64> = match &self.by[..] {
             // Of one size only, if that is the target's.
             "" if self.fixed_is_target(target) => self.points.iter().map(|d| d.value).collect(),
-            _ => self.points.iter().filter(at_size).map(|d| d.value).collect(),
+            _ => self
+                .points
+                .iter()
+                .filter(at_size)
+                .map(|d| d.value)
+                .collect(),
         };
         (!here.is_empty()).then(|| here.iter().sum::<f64>() / here.len() as f64)
     }
@@ -375,6 +497,10 @@
     }
 
     pub fn sizes(&self) -> usize {
-        self.points.iter().map(|d| d.x.to_bits()).collect::<BTreeSet<_>>().len()
+        self.points
+            .iter()
+            .map(|d| d.x.to_bits())
+            .collect::<BTreeSet<_>>()
+            .len()
     }
 }
--- a/crates/passroad-rig/src/capacity/target.rs
+++ b/crates/passroad-rig/src/capacity/target.rs
@@ -58,7 +58,11 @@
             if here {
                 header = n + 1;
             }
-        } else if here && line.split_once('=').is_some_and(|(k, _)| Some(k.trim()) == key) {
+        } else if here
+            && line
+                .split_once('=')
+                .is_some_and(|(k, _)| Some(k.trim()) == key)
+        {
             return n + 1;
         }
     }
@@ -67,13 +71,23 @@
 
 /// Reads a target; the first thing wrong is told with its line and key.
 pub fn read(text: &str) -> Result<Target, Wrong> {
-    let table: Table =
-        toml::from_str(text).map_err(|e| Wrong::of(text, e.span().map(|s| s.start), e.message()))?;
+    let table: Table = toml::from_str(text)
+        .map_err(|e| Wrong::of(text, e.span().map(|s| s.start), e.message()))?;
     let wrong = |section: &str, key: &str, what: String| {
-        let key_there = table.get(section).and_then(Value::as_table).is_some_and(|t| t.contains_key(key));
+        let key_there = table
+            .get(section)
+            .and_then(Value::as_table)
+            .is_some_and(|t| t.contains_key(key));
         let line = line_of(text, section, key_there.then_some(key));
-        let name = if section.is_empty() { key.to_string() } else { format!("{section}.{key}") };
-        Wrong { line, what: format!("{name}: {what}") }
+        let name = if section.is_empty() {
+            key.to_string()
+        } else {
+            format!("{section}.{key}")
+        };
+        Wrong {
+            line,
+            what: format!("{name}: {what}"),
+        }
     };
     let sections = ["size", "budget", "machine", "failures"];
     for (name, value) in &table {
@@ -83,10 +97,16 @@
                 Value::Table(_) => line_of(text, name, None),
                 _ => line_of(text, "", Some(name)),
             };
-            return Err(Wrong { line, what: format!("{name}: unknown key") });
+            return Err(Wrong {
+                line,
+                what: format!("{name}: unknown key"),
+            });
         }
         for key in value.as_table().into_iter().flat_map(Table::keys) {
-            if !KEYS.iter().any(|(section, known, _)| section == name && known == key) {
+            if !KEYS
+                .iter()
+                .any(|(section, known, _)| section == name && known == key)
+            {
                 return Err(wrong(name, key, "unknown key".into()));
             }
         }
@@ -94,7 +114,10 @@
     let about = match table.get("about") {
         Some(Value::String(about)) => about.replace('\n', " "),
         Some(_) => {
-            return Err(Wrong { line: line_of(text, "", Some("about")), what: "about: not a text".into() });
+            return Err(Wrong {
+                line: line_of(text, "", Some("about")),
+                what: "about: not a text".into(),
+            });
         }
         None => return Err(wrong("", "about", "missing".into())),
     };
@@ -121,8 +144,11 @@
         (Value::String(text), Kind::Time) => read_time(text)?.as_secs_f64(),
         (_, Kind::Time) => return Err(format!("{value} is no time; write for example \"17s\"")),
         (Value::String(text), Kind::Share) => {
-            let share = text.strip_suffix('%').and_then(|t| t.trim().parse::<f64>().ok());
-            share.ok_or_else(|| format!("'{text}' is no share; write for example \"2.9%\""))? / 100.0
+            let share = text
+                .strip_suffix('%')
+                .and_then(|t| t.trim().parse::<f64>().ok());
+            share.ok_or_else(|| format!("'{text}' is no share; write for example \"2.9%\""))?
+                / 100.0
         }
         (Value::Integer(n), _) => *n as f64,
         (Value::Float(n), _) if kind != Kind::Count => *n,
@@ -163,7 +189,9 @@
     pub fn variable(&self, name: &str, times: f64) -> Option<f64> {
         let grown = |key: &str| self.get(key) * times;
         Some(match name {
-            "sidecars" | "endpoints" | "services" | "restarts_per_day" | "machines_per_day" => grown(name),
+            "sidecars" | "endpoints" | "services" | "restarts_per_day" | "machines_per_day" => {
+                grown(name)
+            }
             "regions" | "zones" | "depth" => self.get(name),
             "calls_total" => grown("calls_per_second"),
             // As points are taken: of one sidecar.
--- a/crates/passroad-rig/src/chance.rs
+++ b/crates/passroad-rig/src/chance.rs
@@ -14,8 +14,12 @@
 
     /// Another stream for each name and number under the same seed; draws on one don't move the others.
     pub fn stream(seed: u64, name: &str, n: u64) -> Self {
-        let mix = |hash: u64, byte: u8| (hash ^ u64::from(byte)).wrapping_mul(0x0000_0100_0000_01b3); // FNV-1a
-        let hash = name.bytes().chain(n.to_le_bytes()).fold(0xcbf2_9ce4_8422_2325 ^ seed, mix);
+        let mix =
+            |hash: u64, byte: u8| (hash ^ u64::from(byte)).wrapping_mul(0x0000_0100_0000_01b3); // FNV-1a
+        let hash = name
+            .bytes()
+            .chain(n.to_le_bytes())
+            .fold(0xcbf2_9ce4_8422_2325 ^ seed, mix);
         Chance::new(hash)
     }
 
@@ -52,6 +56,9 @@
             left -= w;
             left < 0.0
         };
-        weights.iter().position(hit).unwrap_or(weights.len().saturating_sub(1))
+        weights
+            .iter()
+            .position(hit)
+            .unwrap_or(weights.len().saturating_sub(1))
     }
 }
--- a/crates/passroad-rig/src/compare.rs
+++ b/crates/passroad-rig/src/compare.rs
@@ -27,13 +27,17 @@
 type Days = BTreeMap<(String, u64), BTreeMap<String, f64>>;
 
 fn days(report: &Value) -> Result<Days, String> {
-    let days = report["days"].as_array().ok_or("no days: not a report of passroad-rig")?;
+    let days = report["days"]
+        .as_array()
+        .ok_or("no days: not a report of passroad-rig")?;
     let mut all = Days::new();
     for day in days {
         let policy = day["policy"].as_str().ok_or("a day without its policy")?;
         let seed = day["seed"].as_u64().ok_or("a day without its seed")?;
         let figures = day["figures"].as_object().ok_or("a day without figures")?;
-        let figures = figures.iter().filter_map(|(name, f)| Some((name.clone(), f.as_f64()?)));
+        let figures = figures
+            .iter()
+            .filter_map(|(name, f)| Some((name.clone(), f.as_f64()?)));
         all.insert((policy.into(), seed), figures.collect());
     }
     Ok(all)
@@ -42,17 +46,28 @@
 pub fn compare(before: &Value, after: &Value) -> Result<Vec<Difference>, String> {
     if before["about"] != after["about"] || before["simulated"] != after["simulated"] {
         let of = |r: &Value| {
-            let word = if r["simulated"] == true { "simulated" } else { "on sockets" };
+            let word = if r["simulated"] == true {
+                "simulated"
+            } else {
+                "on sockets"
+            };
             format!("'{}' {word}", r["about"].as_str().unwrap_or("?"))
         };
-        return Err(format!("not of the same experiment: {} and {}", of(before), of(after)));
+        return Err(format!(
+            "not of the same experiment: {} and {}",
+            of(before),
+            of(after)
+        ));
     }
     let (a, b) = (days(before)?, days(after)?);
     let mut pairs: BTreeMap<(String, String), Vec<(f64, f64)>> = BTreeMap::new();
     for (day, figures) in &a {
         for (name, x) in figures {
             if let Some(y) = b.get(day).and_then(|f| f.get(name)) {
-                pairs.entry((day.0.clone(), name.clone())).or_default().push((*x, *y));
+                pairs
+                    .entry((day.0.clone(), name.clone()))
+                    .or_default()
+                    .push((*x, *y));
             }
         }
     }
@@ -116,7 +131,12 @@
     #[case::chance(&[0.90, 0.95, 0.80], &[0.95, 0.90, 0.83], 0.01, false)]
     #[case::one_seed(&[0.90], &[0.95], 0.05, false)]
     #[case::the_same(&[0.90, 0.95], &[0.90, 0.95], 0.0, false)]
-    fn seeds_are_paired(#[case] a: &[f64], #[case] b: &[f64], #[case] mean: f64, #[case] apart: bool) {
+    fn seeds_are_paired(
+        #[case] a: &[f64],
+        #[case] b: &[f64],
+        #[case] mean: f64,
+        #[case] apart: bool,
+    ) {
         let differences = compare(&report(a), &report(b)).expect("reports");
         assert!((differences[0].mean - mean).abs() < 1e-9, "{differences:?}");
         assert_eq!(differences[0].told_apart(), apart, "{differences:?}");
--- a/crates/passroad-rig/src/experiment.rs
+++ b/crates/passroad-rig/src/experiment.rs
@@ -245,7 +245,10 @@
 
 impl Default for Network {
     fn default() -> Self {
-        Network { round_trip: Time(Duration::from_millis(1)), cross_zone: Time(Duration::ZERO) }
+        Network {
+            round_trip: Time(Duration::from_millis(1)),
+            cross_zone: Time(Duration::ZERO),
+        }
     }
 }
 
@@ -304,7 +307,10 @@
 
 impl Default for Goal {
     fn default() -> Self {
-        Goal { whole: 1.0, worst_verb: 0.0 }
+        Goal {
+            whole: 1.0,
+            worst_verb: 0.0,
+        }
     }
 }
 
@@ -672,8 +678,14 @@
 }
 
 /// Names that decide in a day: our module, and what it is held against.
-pub const POLICIES: [&str; 6] =
-    ["passroad", "passroad-routes", "random", "round-robin", "least-of-two", "full-sight"];
+pub const POLICIES: [&str; 6] = [
+    "passroad",
+    "passroad-routes",
+    "random",
+    "round-robin",
+    "least-of-two",
+    "full-sight",
+];
 
 /// Reads an experiment.
 pub fn read(text: &str) -> Result<Plan, Wrong> {
@@ -682,8 +694,8 @@
 
 /// The same, for another number of instances than the file's.
 pub fn read_for(text: &str, instances: Option<usize>) -> Result<Plan, Wrong> {
-    let mut told: Text =
-        toml::from_str(text).map_err(|e| Wrong::of(text, e.span().map(|s| s.start), e.message()))?;
+    let mut told: Text = toml::from_str(text)
+        .map_err(|e| Wrong::of(text, e.span().map(|s| s.start), e.message()))?;
     told.instances = instances.unwrap_or(told.instances);
     Checker { text }.plan(told)
 }
@@ -696,7 +708,10 @@
 
 impl Checker<'_> {
     fn wrong<T>(&self, place: &Place, what: impl Into<String>) -> Result<T, Wrong> {
-        Err(Wrong { line: line_of(self.text, place.start), what: what.into() })
+        Err(Wrong {
+            line: line_of(self.text, place.start),
+            what: what.into(),
+        })
     }
 
     /// The line of a key, searched for from a place on, for what has no place of its own.
@@ -722,10 +737,16 @@
             return self.wrong(&top("seeds"), "seeds: none");
         }
         if told.length.0.is_zero() || told.length.0 > Duration::from_secs(3600) {
-            return self.wrong(&top("length"), "length: a day takes more than nothing and an hour at most");
+            return self.wrong(
+                &top("length"),
+                "length: a day takes more than nothing and an hour at most",
+            );
         }
         if told.settle >= told.length {
-            return self.wrong(&top("settle"), "settle: nothing of the day is left to count");
+            return self.wrong(
+                &top("settle"),
+                "settle: nothing of the day is left to count",
+            );
         }
         if !(1..=20_000).contains(&told.instances) {
             return self.wrong(&top("instances"), "instances: from 1 to 20000");
@@ -737,18 +758,26 @@
             let of: f64 = verbs.iter().map(|v| v.share).sum();
             verbs.iter().map(|v| v.share * v.work).sum::<f64>() / of
         };
-        let capacity: f64 = endpoints.iter().map(|e| e.make.cores as f64 * e.make.speed).sum::<f64>() / mean;
+        let capacity: f64 = endpoints
+            .iter()
+            .map(|e| e.make.cores as f64 * e.make.speed)
+            .sum::<f64>()
+            / mean;
         let per_second = match (told.load.of_capacity, told.load.per_second) {
             (Some(share), None) if share > 0.0 => share * capacity,
             (None, Some(rate)) if rate > 0.0 => rate,
             _ => {
-                return self
-                    .wrong(&top("[load]"), "load: one of of_capacity and per_second, more than nothing");
+                return self.wrong(
+                    &top("[load]"),
+                    "load: one of of_capacity and per_second, more than nothing",
+                );
             }
         };
         if per_second > 200_000.0 {
-            return self
-                .wrong(&top("per_second"), format!("load: {per_second:.0} commands a second are too many"));
+            return self.wrong(
+                &top("per_second"),
+                format!("load: {per_second:.0} commands a second are too many"),
+            );
         }
         let (mut changes, length) = (Vec::new(), told.length.0);
         let fleet = self.fleet(&told)?;
@@ -771,7 +800,10 @@
             )
         });
         if needs && told.sockets != Some(Sockets::Needed) {
-            return self.wrong(&(0..0), "sockets = \"needed\" is missing: a fault here is one of processes");
+            return self.wrong(
+                &(0..0),
+                "sockets = \"needed\" is missing: a fault here is one of processes",
+            );
         }
         let mut policies: Vec<String> = Vec::new();
         for name in &told.policies {
@@ -785,14 +817,25 @@
             policies.push(name.get_ref().clone());
         }
         if policies.is_empty() {
-            let all = POLICIES.iter().filter(|p| **p != "passroad-routes" || told.routes.is_some());
+            let all = POLICIES
+                .iter()
+                .filter(|p| **p != "passroad-routes" || told.routes.is_some());
             policies = all.map(|p| p.to_string()).collect();
         }
-        let holds = told.hold.iter().map(|hold| self.hold(hold, &told, &verbs, &zones, &policies));
+        let holds = told
+            .hold
+            .iter()
+            .map(|hold| self.hold(hold, &told, &verbs, &zones, &policies));
         let holds = holds.collect::<Result<Vec<_>, Wrong>>()?;
-        let of: f64 = told.company.iter().map(|c| c.share.unwrap_or(c.portion)).sum();
-        let companies =
-            told.company.iter().map(|c| (c.name.clone(), c.portion, c.share.unwrap_or(c.portion) / of));
+        let of: f64 = told
+            .company
+            .iter()
+            .map(|c| c.share.unwrap_or(c.portion))
+            .sum();
+        let companies = told
+            .company
+            .iter()
+            .map(|c| (c.name.clone(), c.portion, c.share.unwrap_or(c.portion) / of));
         let a = &told.allowed;
         let ns = |time: Time| time.0.as_nanos() as u64;
         let make = &endpoints[0].make;
@@ -865,41 +908,64 @@
                     || fault.get_ref().whom.is_some()
             };
             return match told.fault.iter().find(alone) {
-                Some(fault) => self.wrong(&fault.span(), "fault: needs sidecars that talk, [peers]"),
+                Some(fault) => {
+                    self.wrong(&fault.span(), "fault: needs sidecars that talk, [peers]")
+                }
                 None => Ok(None),
             };
         };
         let (peers, place) = (spanned.get_ref(), spanned.span());
-        if peers.duty.is_empty() && peers.work.is_none() || peers.lease.0 < Duration::from_millis(200) {
+        if peers.duty.is_empty() && peers.work.is_none()
+            || peers.lease.0 < Duration::from_millis(200)
+        {
             return self.wrong(&place, "peers: a duty, and a lease of 200ms at least");
         }
         if peers.voters.is_multiple_of(2) || peers.voters > 7 {
             return self.wrong(&place, "peers: voters is 1, 3, 5 or 7");
         }
         let most = peers.lease.0.mul_f64(0.95 * 2.0 / 3.0) - peers.lease.0 / 20;
-        if let Some(duty) =
-            peers.duty.iter().find(|d| d.within.0.is_zero() || d.within.0 > most || d.work > d.within)
+        if let Some(duty) = peers
+            .duty
+            .iter()
+            .find(|d| d.within.0.is_zero() || d.within.0 > most || d.work > d.within)
         {
-            return self.wrong(&place, format!("peers: within of {}: from its work to {most:?}", duty.name));
+            return self.wrong(
+                &place,
+                format!("peers: within of {}: from its work to {most:?}", duty.name),
+            );
         }
         let work = match &peers.work {
             None => None,
             Some(work) => {
-                let count: usize = told.fleet.group.iter().map(|group| group.get_ref().count).sum();
+                let count: usize = told
+                    .fleet
+                    .group
+                    .iter()
+                    .map(|group| group.get_ref().count)
+                    .sum();
                 let odd = |r: &WorkRequest| {
                     r.instance >= told.instances
                         || r.endpoints.is_empty()
                         || r.endpoints.iter().any(|e| *e >= count)
                 };
                 if work.request.is_empty() || work.at_once == 0 || work.request.iter().any(odd) {
-                    return self
-                        .wrong(&place, "peers.work: a request, of endpoints and an instance that there are");
+                    return self.wrong(
+                        &place,
+                        "peers.work: a request, of endpoints and an instance that there are",
+                    );
                 }
                 if told.sockets != Some(Sockets::Needed) {
                     return self.wrong(&place, "peers.work: sockets = \"needed\" is missing");
                 }
-                let requests = work.request.iter().map(|r| (r.at.0, r.instance, r.endpoints.clone()));
-                Some(WorkPlan { lasts: work.lasts.0, at_once: work.at_once, requests: requests.collect() })
+                let requests = work
+                    .request
+                    .iter()
+                    .map(|r| (r.at.0, r.instance, r.endpoints.clone()));
+                Some(WorkPlan {
+                    lasts: work.lasts.0,
+                    at_once: work.at_once,
+                    requests: requests.collect(),
+                })
             }
         };
         let duties = peers.duty.iter().map(|d| DutyPlan {
@@ -909,9 +975,17 @@
             work: d.work.0,
         });
         let mut faults = Vec::new();
-        for fault in told.fault.iter().filter(|fault| of_fleet(fault.get_ref().kind)) {
+        for fault in told
+            .fault
+            .iter()
+            .filter(|fault| of_fleet(fault.get_ref().kind))
+        {
             let (f, place) = (fault.get_ref(), fault.span());
-            for (key, list) in [("instances", &f.instances), ("from", &f.from), ("to", &f.to)] {
+            for (key, list) in [
+                ("instances", &f.instances),
+                ("from", &f.from),
+                ("to", &f.to),
+            ] {
                 if let Some(n) = list.iter().flatten().find(|n| **n >= told.instances) {
                     return self.wrong(
                         &place,
@@ -921,9 +995,12 @@
             }
             let name = format!("{:?}", f.kind);
             let between = name.starts_with("Peers");
-            if f.instances.is_some() && between || !between && (f.from.is_some() || f.to.is_some()) {
-                return self
-                    .wrong(&place, "fault: between sidecars by from and to, of sidecars by instances");
+            if f.instances.is_some() && between || !between && (f.from.is_some() || f.to.is_some())
+            {
+                return self.wrong(
+                    &place,
+                    "fault: between sidecars by from and to, of sidecars by instances",
+                );
             }
             if f.whom.is_some() && (f.instances.is_some() || f.from.is_some()) {
                 return self.wrong(&place, "fault: whom beside a list of the same");
@@ -933,13 +1010,17 @@
                 None => self.wrong(&place, "fault: share is missing"),
             };
             let what = match f.kind {
-                Kinds::PeersCut => {
-                    What::Cut { out: f.one_way != Some(OneWay::Back), back: f.one_way != Some(OneWay::Out) }
-                }
+                Kinds::PeersCut => What::Cut {
+                    out: f.one_way != Some(OneWay::Back),
+                    back: f.one_way != Some(OneWay::Out),
+                },
                 Kinds::PeersLose => What::Lose(need(f.share)?),
                 Kinds::PeersTwice => What::Twice(need(f.share)?),
                 Kinds::PeersLate => match f.by {
-                    Some(by) => What::Late { by: by.0, spread: f.spread.unwrap_or_default().0 },
+                    Some(by) => What::Late {
+                        by: by.0,
+                        spread: f.spread.unwrap_or_default().0,
+                    },
                     None => return self.wrong(&place, "fault peers-late: by is missing"),
                 },
                 Kinds::PeersKeep => What::Keep,
@@ -953,7 +1034,10 @@
             }
             let ends = matches!(what, What::Pause | What::Keep | What::ActsKeep);
             if ends && f.lasts.is_none() {
-                return self.wrong(&place, "fault: for is missing; what is stopped or kept has to end");
+                return self.wrong(
+                    &place,
+                    "fault: for is missing; what is stopped or kept has to end",
+                );
             }
             let whom = match (f.whom, f.instances.clone().or(f.from.clone())) {
                 (Some(Told::Owner), _) => Whom::Owner,
@@ -973,7 +1057,13 @@
                 for (n, whom) in all.into_iter().enumerate() {
                     let from = f.at.0 + every * (round + n) as u32;
                     let to = f.lasts.map(|span| from + span.0);
-                    faults.push(FleetFault { from, to, whom, others: f.to.clone(), what });
+                    faults.push(FleetFault {
+                        from,
+                        to,
+                        whom,
+                        others: f.to.clone(),
+                        what,
+                    });
                 }
             }
         }
@@ -990,23 +1080,36 @@
         }))
     }
 
-    fn endpoints(&self, fleet: &Fleet, kinds: &[String]) -> Result<(Vec<String>, Vec<EndpointPlan>), Wrong> {
+    fn endpoints(
+        &self,
+        fleet: &Fleet,
+        kinds: &[String],
+    ) -> Result<(Vec<String>, Vec<EndpointPlan>), Wrong> {
         let (mut zones, mut endpoints) = (Vec::<String>::new(), Vec::new());
         for spanned in &fleet.group {
             let (group, place) = (spanned.get_ref(), spanned.span());
             let Some(kind) = kinds.iter().position(|k| *k == group.kind) else {
                 let known = kinds.join(", ");
-                return self.wrong(&place, format!("kind: unknown '{}'; there are {known}", group.kind));
+                return self.wrong(
+                    &place,
+                    format!("kind: unknown '{}'; there are {known}", group.kind),
+                );
             };
             let told = &fleet.kind[&group.kind];
             if told.cores == 0 || told.speed <= 0.0 || group.weight <= 0.0 {
-                let what = format!("kind {}: cores, speed and weight are more than nothing", group.kind);
+                let what = format!(
+                    "kind {}: cores, speed and weight are more than nothing",
+                    group.kind
+                );
                 return self.wrong(&place, what);
             }
-            let zone = zones.iter().position(|z| *z == group.zone).unwrap_or_else(|| {
-                zones.push(group.zone.clone());
-                zones.len() - 1
-            });
+            let zone = zones
+                .iter()
+                .position(|z| *z == group.zone)
+                .unwrap_or_else(|| {
+                    zones.push(group.zone.clone());
+                    zones.len() - 1
+                });
             for n in 0..group.count {
                 let make = Make {
                     cores: told.cores,
@@ -1025,12 +1128,21 @@
                     report_age: told.report_age.0,
                 };
                 let cell = n % group.cells.max(1);
-                endpoints.push(EndpointPlan { make, kind, zone, cell, weight: group.weight });
+                endpoints.push(EndpointPlan {
+                    make,
+                    kind,
+                    zone,
+                    cell,
+                    weight: group.weight,
+                });
             }
         }
         match endpoints.len() {
             1..=5000 => Ok((zones, endpoints)),
-            n => self.wrong(&self.at_key(0, "count"), format!("fleet: {n} endpoints; from 1 to 5000")),
+            n => self.wrong(
+                &self.at_key(0, "count"),
+                format!("fleet: {n} endpoints; from 1 to 5000"),
+            ),
         }
     }
 
@@ -1038,19 +1150,34 @@
         let mut verbs: Vec<VerbPlan> = Vec::new();
         for spanned in told {
             let (v, place) = (spanned.get_ref(), spanned.span());
-            let odd = v.name.is_empty() || !v.name.bytes().all(|b| b.is_ascii_alphanumeric() || b == b'-');
+            let odd = v.name.is_empty()
+                || !v
+                    .name
+                    .bytes()
+                    .all(|b| b.is_ascii_alphanumeric() || b == b'-');
             if odd || verbs.iter().any(|known| known.name == v.name) {
-                return self
-                    .wrong(&place, format!("name: '{}' is taken, or not of letters, digits and -", v.name));
+                return self.wrong(
+                    &place,
+                    format!(
+                        "name: '{}' is taken, or not of letters, digits and -",
+                        v.name
+                    ),
+                );
             }
             if v.goal > v.limit {
                 return self.wrong(&place, format!("goal of {}: longer than its limit", v.name));
             }
             if v.work.0.is_zero() || v.share < 0.0 || !(0.0..=3.0).contains(&v.spread) {
-                return self.wrong(&place, format!("{}: work, share or spread out of bounds", v.name));
+                return self.wrong(
+                    &place,
+                    format!("{}: work, share or spread out of bounds", v.name),
+                );
             }
             if v.effect == Effect::Receipted && v.window.0.is_zero() {
-                return self.wrong(&place, format!("window of {}: a receipted verb needs one", v.name));
+                return self.wrong(
+                    &place,
+                    format!("window of {}: a receipted verb needs one", v.name),
+                );
             }
             verbs.push(VerbPlan {
                 name: v.name.clone(),
@@ -1088,13 +1215,28 @@
             Some(share) => Ok(share.0),
             None => self.wrong(&place, format!("fault {kind}: {key} is missing")),
         };
-        if let Some(n) = f.endpoints.iter().flatten().find(|n| **n >= endpoints.len()) {
-            return self
-                .wrong(&place, format!("endpoints: there is no {n}, the last is {}", endpoints.len() - 1));
+        if let Some(n) = f
+            .endpoints
+            .iter()
+            .flatten()
+            .find(|n| **n >= endpoints.len())
+        {
+            return self.wrong(
+                &place,
+                format!(
+                    "endpoints: there is no {n}, the last is {}",
+                    endpoints.len() - 1
+                ),
+            );
         }
         if let Some(n) = f.instances.iter().flatten().find(|n| **n >= told.instances) {
-            return self
-                .wrong(&place, format!("instances: there is no {n}, the last is {}", told.instances - 1));
+            return self.wrong(
+                &place,
+                format!(
+                    "instances: there is no {n}, the last is {}",
+                    told.instances - 1
+                ),
+            );
         }
         let zone = match &f.zone {
             None => None,
@@ -1107,27 +1249,42 @@
         let at: Vec<usize> = (0..endpoints.len())
             .filter(|n| named(n) && zone.is_none_or(|zone| endpoints[*n].zone == zone))
             .collect();
-        let of: Vec<usize> = f.instances.clone().unwrap_or_else(|| (0..told.instances).collect());
+        let of: Vec<usize> = f
+            .instances
+            .clone()
+            .unwrap_or_else(|| (0..told.instances).collect());
         let lasts = f.lasts.map(|t| t.0);
         if f.repeat.is_some() && f.every.is_none() {
             return self.wrong(&place, format!("fault {kind}: repeat needs every"));
         }
         let every = f.every.map_or(Duration::ZERO, |t| t.0);
         for round in 0..f.repeat.unwrap_or(1).clamp(1, 1000) {
-            let from = f.at.0 + if f.kind == Kinds::Deploy { Duration::ZERO } else { every * round as u32 };
+            let from = f.at.0
+                + if f.kind == Kinds::Deploy {
+                    Duration::ZERO
+                } else {
+                    every * round as u32
+                };
             let to = lasts.map(|span| from + span);
             let mut both = |on: Change, off: Change| {
                 out.push((from, on));
                 out.extend(to.map(|to| (to, off)));
             };
             for e in at.iter().copied() {
-                let mut trouble = |on: Turn, off: Turn| both(Change::Trouble(e, on), Change::Trouble(e, off));
+                let mut trouble =
+                    |on: Turn, off: Turn| both(Change::Trouble(e, on), Change::Trouble(e, off));
                 match f.kind {
                     Kinds::Stall => trouble(Turn::Stalled(true), Turn::Stalled(false)),
                     Kinds::Slow => trouble(Turn::Slow(need(f.left, "left")?), Turn::Slow(1.0)),
-                    Kinds::Errors => trouble(Turn::Errors(need(f.share, "share")?), Turn::Errors(0.0)),
-                    Kinds::Spoil => trouble(Turn::Spoils(need(f.share, "share")?), Turn::Spoils(0.0)),
-                    Kinds::Reset => trouble(Turn::Resets(need(f.share, "share")?), Turn::Resets(0.0)),
+                    Kinds::Errors => {
+                        trouble(Turn::Errors(need(f.share, "share")?), Turn::Errors(0.0))
+                    }
+                    Kinds::Spoil => {
+                        trouble(Turn::Spoils(need(f.share, "share")?), Turn::Spoils(0.0))
+                    }
+                    Kinds::Reset => {
+                        trouble(Turn::Resets(need(f.share, "share")?), Turn::Resets(0.0))
+                    }
                     Kinds::Lies => trouble(Turn::Lies(true), Turn::Lies(false)),
                     Kinds::Hang => {
                         let name = f.verb.clone().unwrap_or_default();
@@ -1137,8 +1294,13 @@
                         trouble(Turn::Hangs(verb, true), Turn::Hangs(verb, false));
                     }
                     Kinds::Silence => {
-                        let instances: Vec<bool> = (0..told.instances).map(|n| of.contains(&n)).collect();
-                        let cut = |on| Change::Cut { endpoint: e, instances: instances.clone(), on };
+                        let instances: Vec<bool> =
+                            (0..told.instances).map(|n| of.contains(&n)).collect();
+                        let cut = |on| Change::Cut {
+                            endpoint: e,
+                            instances: instances.clone(),
+                            on,
+                        };
                         both(cut(true), cut(false));
                     }
                     Kinds::Die => both(Change::Die(e), Change::Start(e)),
@@ -1163,22 +1325,42 @@
                     let Some(by) = f.by else {
                         return self.wrong(&place, "fault discovery-late: by is missing");
                     };
-                    both(Change::DiscoveryBy(by.0), Change::DiscoveryBy(Duration::ZERO));
+                    both(
+                        Change::DiscoveryBy(by.0),
+                        Change::DiscoveryBy(Duration::ZERO),
+                    );
                     if let Some(spread) = f.spread {
-                        both(Change::DiscoveryTurns(spread.0), Change::DiscoveryTurns(Duration::ZERO));
+                        both(
+                            Change::DiscoveryTurns(spread.0),
+                            Change::DiscoveryTurns(Duration::ZERO),
+                        );
                     }
                 }
-                Kinds::DiscoveryDown => both(Change::DiscoveryDown(true), Change::DiscoveryDown(false)),
+                Kinds::DiscoveryDown => {
+                    both(Change::DiscoveryDown(true), Change::DiscoveryDown(false))
+                }
                 Kinds::DiscoveryMalformed => {
-                    both(Change::DiscoveryMalformed(true), Change::DiscoveryMalformed(false));
+                    both(
+                        Change::DiscoveryMalformed(true),
+                        Change::DiscoveryMalformed(false),
+                    );
+                }
+                Kinds::SidecarKill => {
+                    out.extend(of.iter().map(|n| (from, Change::SidecarKill(*n))))
+                }
+                Kinds::SidecarStop => {
+                    out.extend(of.iter().map(|n| (from, Change::SidecarStop(*n))))
+                }
+                Kinds::SidecarReload => {
+                    out.extend(of.iter().map(|n| (from, Change::SidecarReload(*n))))
+                }
+                Kinds::SidecarUpgrade => {
+                    out.extend(of.iter().map(|n| (from, Change::SidecarUpgrade(*n))))
                 }
-                Kinds::SidecarKill => out.extend(of.iter().map(|n| (from, Change::SidecarKill(*n)))),
-                Kinds::SidecarStop => out.extend(of.iter().map(|n| (from, Change::SidecarStop(*n)))),
-                Kinds::SidecarReload => out.extend(of.iter().map(|n| (from, Change::SidecarReload(*n)))),
-                Kinds::SidecarUpgrade => out.extend(of.iter().map(|n| (from, Change::SidecarUpgrade(*n)))),
                 Kinds::SidecarRetune => {
                     let Some(relays) = f.relays.filter(|relays| *relays > 0) else {
-                        return self.wrong(&place, "fault sidecar-retune: relays is missing, or nought");
+                        return self
+                            .wrong(&place, "fault sidecar-retune: relays is missing, or nought");
                     };
                     out.extend(of.iter().map(|n| (from, Change::SidecarRetune(*n, relays))));
                 }
@@ -1216,7 +1398,10 @@
         let zone = find(&h.zone, zones.iter().collect(), "zone")?;
         let asked_in = find(&h.asked_in, zones.iter().collect(), "asked_in")?;
         if h.at_least.is_none() && h.at_most.is_none() {
-            return self.wrong(&place, "hold: at_least or at_most is missing; without either it can't fail");
+            return self.wrong(
+                &place,
+                "hold: at_least or at_most is missing; without either it can't fail",
+            );
         }
         let talks = matches!(
             h.metric,
@@ -1236,12 +1421,20 @@
                 | Metric::WorkTime
         );
         if talks && told.peers.is_none() {
-            return self.wrong(&place, "hold: a metric of sidecars that talk, and there are no [peers]");
+            return self.wrong(
+                &place,
+                "hold: a metric of sidecars that talk, and there are no [peers]",
+            );
         }
-        let of_zone = matches!(h.metric, Metric::Share | Metric::Returns | Metric::Swing | Metric::Load);
+        let of_zone = matches!(
+            h.metric,
+            Metric::Share | Metric::Returns | Metric::Swing | Metric::Load
+        );
         if of_zone != zone.is_some() {
-            return self
-                .wrong(&place, "hold: share, returns, swing and load are of a zone, and no other metric is");
+            return self.wrong(
+                &place,
+                "hold: share, returns, swing and load are of a zone, and no other metric is",
+            );
         }
         let window = h.from.map_or(told.settle.0, |t| t.0)..h.to.map_or(told.length.0, |t| t.0);
         if window.start >= window.end || window.end > told.length.0 {
@@ -1249,8 +1442,11 @@
         }
         let line = line_of(self.text, place.start);
         let name = format!("{:?}", h.metric).to_lowercase();
-        let mut text =
-            h.policy.clone().filter(|p| p != "passroad").map_or(name.clone(), |p| format!("{name} of {p}"));
+        let mut text = h
+            .policy
+            .clone()
+            .filter(|p| p != "passroad")
+            .map_or(name.clone(), |p| format!("{name} of {p}"));
         text.extend(h.verb.iter().map(|v| format!(" of {v}")));
         text.extend(h.zone.iter().map(|z| format!(" of zone {z}")));
         text.extend(h.asked_in.iter().map(|z| format!(" asked in zone {z}")));
@@ -1343,7 +1539,11 @@
 
     /// How much of the load the day has at a time, against the plan's rate.
     pub fn factor(&self, at: Duration) -> f64 {
-        self.steps.iter().rev().find(|(from, _)| *from <= at).map_or(1.0, |(_, factor)| *factor)
+        self.steps
+            .iter()
+            .rev()
+            .find(|(from, _)| *from <= at)
+            .map_or(1.0, |(_, factor)| *factor)
     }
 
     /// The zone that an instance stands in.
@@ -1446,7 +1646,10 @@
     fn a_plan_says_what_its_file_does() {
         let faults = "[[fault]]\nkind = \"die\"\nat = \"1s\"\nfor = \"500ms\"\nzone = \"b\"\nevery = \"2s\"\nrepeat = 2\n";
         let plan = read(&format!("{SMALL}{faults}")).expect("a plan");
-        assert_eq!((plan.endpoints.len(), plan.zones.len(), plan.instances), (5, 2, 3));
+        assert_eq!(
+            (plan.endpoints.len(), plan.zones.len(), plan.instances),
+            (5, 2, 3)
+        );
         // Ten cores at half their time, 10 ms each.
         assert_eq!(plan.per_second.round(), 500.0);
         let at = |ms: u64, change| (Duration::from_millis(ms), change);
@@ -1462,8 +1665,12 @@
             at(3500, starts(4)),
         ];
         assert_eq!(plan.changes, expected);
-        let orders = passroad_orders::from_value(1, &plan.settings(1)).expect("settings that can be used");
-        assert_eq!((orders.zone, orders.verbs.len(), orders.max_relays), (1, 2, 4));
+        let orders =
+            passroad_orders::from_value(1, &plan.settings(1)).expect("settings that can be used");
+        assert_eq!(
+            (orders.zone, orders.verbs.len(), orders.max_relays),
+            (1, 2, 4)
+        );
         assert_eq!(orders.warm_within, Duration::from_secs(4));
     }
 }
--- a/crates/passroad-rig/src/fleet/histories.rs
+++ b/crates/passroad-rig/src/fleet/histories.rs
@@ -33,7 +33,11 @@
         let to = from + ms(200 + chance.below(5000));
         let some = |chance: &mut Chance| {
             let list: Vec<usize> = (0..instances).filter(|_| chance.share() < 0.4).collect();
-            if list.is_empty() { vec![chance.below(instances)] } else { list }
+            if list.is_empty() {
+                vec![chance.below(instances)]
+            } else {
+                list
+            }
         };
         let whom = match chance.below(4) {
             0 => Whom::These(some(&mut chance)),
@@ -43,18 +47,43 @@
         };
         let all = Whom::These((0..instances).collect());
         let (whom, what) = match chance.below(9) {
-            0 => (whom, What::Cut { out: true, back: true }),
-            1 => (whom, What::Cut { out: chance.share() < 0.5, back: false }),
+            0 => (
+                whom,
+                What::Cut {
+                    out: true,
+                    back: true,
+                },
+            ),
+            1 => (
+                whom,
+                What::Cut {
+                    out: chance.share() < 0.5,
+                    back: false,
+                },
+            ),
             2 => (all, What::Lose(0.6 * chance.share())),
-            3 => (all, What::Late { by: ms(chance.below(600)), spread: ms(chance.below(900)) }),
+            3 => (
+                all,
+                What::Late {
+                    by: ms(chance.below(600)),
+                    spread: ms(chance.below(900)),
+                },
+            ),
             4 => (all, What::Twice(chance.share())),
             5 => (whom, What::Keep),
             6 => (whom, What::Pause),
             7 => (whom, What::Kill),
             _ => (whom, What::Stop),
         };
-        let what = if what == (What::Cut { out: false, back: false }) {
-            What::Cut { out: false, back: true }
+        let what = if what
+            == (What::Cut {
+                out: false,
+                back: false,
+            }) {
+            What::Cut {
+                out: false,
+                back: true,
+            }
         } else {
             what
         };
@@ -70,7 +99,13 @@
                 what: What::ActsKeep,
             });
         }
-        faults.push(FleetFault { from, to: Some(to), whom, others: None, what });
+        faults.push(FleetFault {
+            from,
+            to: Some(to),
+            whom,
+            others: None,
+            what,
+        });
     }
     let duty = DutyPlan {
         name: "sweep".into(),
@@ -97,7 +132,10 @@
         return Err(format!("{believers} took themselves for the owner at once"));
     }
     if day.stale_acts() > 0 || day.owners_at_once() > 1 {
-        return Err(format!("{} acts of an old owner were obeyed", day.stale_acts()));
+        return Err(format!(
+            "{} acts of an old owner were obeyed",
+            day.stale_acts()
+        ));
     }
     if day.longest > passroad_peers::LONGEST {
         return Err(format!("a datagram of {} bytes", day.longest));
@@ -127,7 +165,8 @@
                     sums.owners += day.owners() as u64;
                     sums.stale_tries += day.stale_tries() as u64;
                     sums.hits += day.hits as u64;
-                    sums.broken.extend(judge(&day).err().map(|what| (seed, what)));
+                    sums.broken
+                        .extend(judge(&day).err().map(|what| (seed, what)));
                 }
             });
         }
@@ -147,7 +186,10 @@
     fn in_no_history_do_two_own_it_or_is_an_old_one_obeyed() {
         let sums = run(1, 150, 2, true);
         assert_eq!(sums.broken, []);
-        assert!(sums.owners > 2 * sums.histories && sums.hits > 100 * sums.histories, "{sums:?}");
+        assert!(
+            sums.owners > 2 * sums.histories && sums.hits > 100 * sums.histories,
+            "{sums:?}"
+        );
         assert!(sums.stale_tries > 0, "{sums:?}");
         assert_eq!(sums, run(1, 150, 3, true));
     }
@@ -155,7 +197,17 @@
     #[rstest]
     fn without_the_fence_old_owners_are_obeyed() {
         let sums = run(1, 150, 3, false);
-        assert!(sums.broken.iter().any(|(_, what)| what.contains("old owner")), "{sums:?}");
-        assert!(sums.broken.iter().all(|(_, what)| !what.contains("at once")), "{sums:?}");
+        assert!(
+            sums.broken
+                .iter()
+                .any(|(_, what)| what.contains("old owner")),
+            "{sums:?}"
+        );
+        assert!(
+            sums.broken
+                .iter()
+                .all(|(_, what)| !what.contains("at once")),
+            "{sums:?}"
+        );
     }
 }
--- a/crates/passroad-rig/src/fleet/mod.rs
+++ b/crates/passroad-rig/src/fleet/mod.rs
@@ -109,8 +109,15 @@
             Some(duty) => duty.mark(),
             None => passroad_choice::door::mark("upkeep"),
         };
-        let voters: Vec<usize> = council(mark, instances, plan.voters).into_iter().map(usize::from).collect();
-        let first = || order(mark, instances).first().map_or(0, |n| usize::from(*n));
+        let voters: Vec<usize> = council(mark, instances, plan.voters)
+            .into_iter()
+            .map(usize::from)
+            .collect();
+        let first = || {
+            order(mark, instances)
+                .first()
+                .map_or(0, |n| usize::from(*n))
+        };
         match self {
             Whom::These(list) => list.clone(),
             Whom::Owner => vec![owner.unwrap_or_else(first)],
@@ -134,7 +141,13 @@
 
     pub fn orders(&self) -> DutyOrder {
         let call = Some(hyper::Uri::from_static("http://127.0.0.1:1/"));
-        DutyOrder { name: self.name.clone(), mark: self.mark(), every: self.every, call, within: self.within }
+        DutyOrder {
+            name: self.name.clone(),
+            mark: self.mark(),
+            every: self.every,
+            call,
+            within: self.within,
+        }
     }
 }
 
@@ -177,7 +190,9 @@
 impl FleetDay {
     /// Of each duty, accepted acts in order.
     fn accepted(&self, duty: usize) -> impl Iterator<Item = &Act> {
-        self.acts.iter().filter(move |a| a.accepted && a.duty == duty)
+        self.acts
+            .iter()
+            .filter(move |a| a.accepted && a.duty == duty)
     }
 
     fn duties(&self) -> std::ops::Range<usize> {
@@ -195,8 +210,19 @@
                     None => spans.push((act.epoch, n, n)),
                 }
             }
-            let at = |n: usize| spans.iter().filter(|(_, first, last)| (*first..=*last).contains(&n)).count();
-            most = most.max(spans.iter().map(|(_, first, _)| at(*first)).max().unwrap_or(0));
+            let at = |n: usize| {
+                spans
+                    .iter()
+                    .filter(|(_, first, last)| (*first..=*last).contains(&n))
+                    .count()
+            };
+            most = most.max(
+                spans
+                    .iter()
+                    .map(|(_, first, _)| at(*first))
+                    .max()
+                    .unwrap_or(0),
+            );
         }
         most
     }
@@ -207,8 +233,9 @@
         for duty in self.duties() {
             let mut highest = (0, usize::MAX);
             for act in self.accepted(duty) {
-                stale +=
-                    usize::from(act.epoch < highest.0 || act.epoch == highest.0 && act.owner != highest.1);
+                stale += usize::from(
+                    act.epoch < highest.0 || act.epoch == highest.0 && act.owner != highest.1,
+                );
                 if act.epoch > highest.0 {
                     highest = (act.epoch, act.owner);
                 }
@@ -225,7 +252,10 @@
     pub fn unowned(&self, window: &std::ops::Range<Duration>, duties: usize) -> f64 {
         let longest = |duty: usize| {
             let (mut last, mut most) = (window.start, Duration::ZERO);
-            let own = self.accepted(duty).map(|a| a.at).filter(|at| window.contains(at));
+            let own = self
+                .accepted(duty)
+                .map(|a| a.at)
+                .filter(|at| window.contains(at));
             for at in own.chain([window.end]) {
                 most = most.max(at.saturating_sub(last));
                 last = at;
@@ -244,7 +274,8 @@
     pub fn reigns(&self) -> Vec<Reign> {
         let mut reigns: Vec<Reign> = Vec::new();
         for act in self.acts.iter().filter(|a| a.accepted) {
-            let same = |r: &&mut Reign| (r.duty, r.epoch, r.owner) == (act.duty, act.epoch, act.owner);
+            let same =
+                |r: &&mut Reign| (r.duty, r.epoch, r.owner) == (act.duty, act.epoch, act.owner);
             match reigns.iter_mut().find(same) {
                 Some(reign) => (reign.last, reign.acts) = (act.at, reign.acts + 1),
                 None => reigns.push(Reign {
@@ -262,7 +293,12 @@
 
     /// Most machines at work at once.
     pub fn at_work(&self) -> usize {
-        let at = |t: Duration| self.works.iter().filter(|w| w.from <= t && t < w.to).count();
+        let at = |t: Duration| {
+            self.works
+                .iter()
+                .filter(|w| w.from <= t && t < w.to)
+                .count()
+        };
         self.works.iter().map(|w| at(w.from)).max().unwrap_or(0)
     }
 
@@ -275,7 +311,12 @@
     }
 
     pub fn owners(&self) -> usize {
-        let mut epochs: Vec<_> = self.acts.iter().filter(|a| a.accepted).map(|a| (a.duty, a.epoch)).collect();
+        let mut epochs: Vec<_> = self
+            .acts
+            .iter()
+            .filter(|a| a.accepted)
+            .map(|a| (a.duty, a.epoch))
+            .collect();
         epochs.sort_unstable();
         epochs.dedup();
         epochs.len()
@@ -295,7 +336,10 @@
             owner,
             accepted,
         };
-        FleetDay { acts: acts.iter().enumerate().map(act).collect(), ..FleetDay::default() }
+        FleetDay {
+            acts: acts.iter().enumerate().map(act).collect(),
+            ..FleetDay::default()
+        }
     }
 
     #[rstest]
@@ -308,7 +352,10 @@
         #[case] figures: (usize, usize, usize),
     ) {
         let day = day(acts);
-        assert_eq!((day.owners_at_once(), day.stale_acts(), day.stale_tries()), figures);
+        assert_eq!(
+            (day.owners_at_once(), day.stale_acts(), day.stale_tries()),
+            figures
+        );
     }
 
     #[rstest]
--- a/crates/passroad-rig/src/fleet/wires.rs
+++ b/crates/passroad-rig/src/fleet/wires.rs
@@ -25,7 +25,12 @@
 
 impl Wires {
     pub fn new(seed: u64) -> Self {
-        Wires { faults: Vec::new(), kept: Vec::new(), chance: Chance::stream(seed, "wires", 0), hits: 0 }
+        Wires {
+            faults: Vec::new(),
+            kept: Vec::new(),
+            chance: Chance::stream(seed, "wires", 0),
+            hits: 0,
+        }
     }
 
     pub fn begin(&mut self, id: usize, from: Vec<bool>, to: Vec<bool>, what: What) {
@@ -35,10 +40,14 @@
     /// What it had held back is delivered now, in the order in which it was sent.
     pub fn end(&mut self, id: usize) -> Vec<(usize, usize, Vec<u8>)> {
         self.faults.retain(|fault| fault.id != id);
-        let (out, kept) = std::mem::take(&mut self.kept).into_iter().partition(|(of, ..)| *of == id);
+        let (out, kept) = std::mem::take(&mut self.kept)
+            .into_iter()
+            .partition(|(of, ..)| *of == id);
         self.kept = kept;
         let out: Vec<Held> = out;
-        out.into_iter().map(|(_, from, to, bytes)| (from, to, bytes)).collect()
+        out.into_iter()
+            .map(|(_, from, to, bytes)| (from, to, bytes))
+            .collect()
     }
 
     /// After which times it arrives: never, once, or more often.
@@ -64,7 +73,9 @@
                     lost
                 }
                 What::Late { by, spread } => {
-                    arrives.iter_mut().for_each(|at| *at += by + spread.mul_f64(self.chance.share()));
+                    arrives
+                        .iter_mut()
+                        .for_each(|at| *at += by + spread.mul_f64(self.chance.share()));
                     true
                 }
                 What::Twice(share) => {
--- a/crates/passroad-rig/src/fleet/world.rs
+++ b/crates/passroad-rig/src/fleet/world.rs
@@ -21,12 +21,27 @@
 
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Ev {
-    Wake { node: usize, turn: u64 },
-    Datagram { from: usize, to: usize, bytes: Vec<u8> },
-    Arrives { call: usize },
-    Commits { call: usize },
-    Answers { call: usize },
-    GivenUp { call: usize },
+    Wake {
+        node: usize,
+        turn: u64,
+    },
+    Datagram {
+        from: usize,
+        to: usize,
+        bytes: Vec<u8>,
+    },
+    Arrives {
+        call: usize,
+    },
+    Commits {
+        call: usize,
+    },
+    Answers {
+        call: usize,
+    },
+    GivenUp {
+        call: usize,
+    },
     Begins(usize),
     Ends(usize),
     Starts(usize),
@@ -72,7 +87,13 @@
 }
 
 /// Plays a day.
-pub fn play(plan: &FleetPlan, instances: usize, length: Duration, trip: Duration, seed: u64) -> FleetDay {
+pub fn play(
+    plan: &FleetPlan,
+    instances: usize,
+    length: Duration,
+    trip: Duration,
+    seed: u64,
+) -> FleetDay {
     let mut world = World {
         plan,
         instances,
@@ -86,7 +107,11 @@
         acts_kept: Vec::new(),
         hit: vec![Vec::new(); plan.faults.len()],
         fence: Fence::default(),
-        day: FleetDay { datagrams: vec![0; instances], seconds: length.as_secs_f64(), ..FleetDay::default() },
+        day: FleetDay {
+            datagrams: vec![0; instances],
+            seconds: length.as_secs_f64(),
+            ..FleetDay::default()
+        },
         believes: vec![None; instances],
     };
     for n in 0..instances {
@@ -109,7 +134,11 @@
     }
     for (n, fault) in plan.faults.iter().enumerate() {
         world.at(fault.from, Ev::Begins(n));
-        let ends = if fault.what == What::Kill { None } else { fault.to };
+        let ends = if fault.what == What::Kill {
+            None
+        } else {
+            fault.to
+        };
         ends.into_iter().for_each(|to| world.at(to, Ev::Ends(n)));
     }
     while let Some(Reverse((at, _, ev))) = world.queue.pop() {
@@ -136,7 +165,10 @@
 
     fn times(&self, node: usize) -> Times {
         let n = &self.nodes[node];
-        Times { steady: self.now.saturating_sub(n.began).mul_f64(n.rate), wall: WALL + self.now }
+        Times {
+            steady: self.now.saturating_sub(n.began).mul_f64(n.rate),
+            wall: WALL + self.now,
+        }
     }
 
     fn happens(&mut self, ev: Ev) {
@@ -148,7 +180,11 @@
             _ => None,
         };
         if let Some(node) = to.filter(|node| self.nodes[*node].paused > 0) {
-            let unread = self.nodes[node].missed.iter().filter(|e| matches!(e, Ev::Datagram { .. })).count();
+            let unread = self.nodes[node]
+                .missed
+                .iter()
+                .filter(|e| matches!(e, Ev::Datagram { .. }))
+                .count();
             if !matches!(ev, Ev::Datagram { .. }) || unread < MOST_UNREAD {
                 self.nodes[node].missed.push(ev);
             }
@@ -163,14 +199,26 @@
             Ev::Datagram { from, to, bytes } => {
                 let times = self.times(to);
                 if let Some(part) = &mut self.nodes[to].part {
-                    let todo = part.hear(times, from as u16, &bytes, &View { seen: &[], free: &|_| false });
+                    let todo = part.hear(
+                        times,
+                        from as u16,
+                        &bytes,
+                        &View {
+                            seen: &[],
+                            free: &|_| false,
+                        },
+                    );
                     self.carry_out(to, todo);
                     self.turn(to);
                 }
             }
             Ev::Arrives { call } => {
                 let node = self.calls[call].node;
-                match self.acts_kept.iter_mut().find(|(_, whose, _)| whose.contains(&node)) {
+                match self
+                    .acts_kept
+                    .iter_mut()
+                    .find(|(_, whose, _)| whose.contains(&node))
+                {
                     Some((_, _, kept)) => {
                         kept.push(call);
                         self.day.hits += 1;
@@ -215,7 +263,12 @@
         n.began = self.now;
         let incarnation = passroad_peers::begun(WALL + self.now);
         let seed = n.chance.number();
-        let who = Who { me: node as u16, members: self.instances, incarnation, seed };
+        let who = Who {
+            me: node as u16,
+            members: self.instances,
+            incarnation,
+            seed,
+        };
         let votes = (self.plan.state && !n.disk.is_empty()).then(|| n.disk.clone());
         let duties = self.plan.duties.iter().map(|duty| duty.orders()).collect();
         let (voters, lease, period) = (self.plan.voters, self.plan.lease, self.plan.period);
@@ -239,12 +292,17 @@
 
     fn turn(&mut self, node: usize) {
         let times = self.times(node);
-        let Some(part) = &mut self.nodes[node].part else { return };
+        let Some(part) = &mut self.nodes[node].part else {
+            return;
+        };
         let todo = part.turn(times);
         self.carry_out(node, todo);
         let n = &mut self.nodes[node];
         let Some(part) = &mut n.part else { return };
-        let (wait, owned) = (part.wait(times), (!self.plan.duties.is_empty()).then(|| part.owned(times, 0)));
+        let (wait, owned) = (
+            part.wait(times),
+            (!self.plan.duties.is_empty()).then(|| part.owned(times, 0)),
+        );
         n.turn += 1;
         let ev = Ev::Wake { node, turn: n.turn };
         let at = self.now + wait.div_f64(n.rate) + Duration::from_micros(1);
@@ -261,7 +319,11 @@
         for node in 0..self.instances {
             if self.believes[node].is_some() && self.nodes[node].paused == 0 {
                 let times = self.times(node);
-                let still = self.nodes[node].part.as_mut().and_then(|part| part.owned(times, 0)).is_some();
+                let still = self.nodes[node]
+                    .part
+                    .as_mut()
+                    .and_then(|part| part.owned(times, 0))
+                    .is_some();
                 believers += usize::from(still);
             }
         }
@@ -277,14 +339,24 @@
                     let to = usize::from(to);
                     for after in self.wires.pass(node, to, &bytes) {
                         let odd = Duration::from_micros(self.nodes[node].chance.below(200) as u64);
-                        let ev = Ev::Datagram { from: node, to, bytes: bytes.clone() };
+                        let ev = Ev::Datagram {
+                            from: node,
+                            to,
+                            bytes: bytes.clone(),
+                        };
                         self.at(self.now + self.trip + odd + after, ev);
                     }
                 }
                 Do::Keep { duty, vote } => drop(self.nodes[node].disk.insert(duty, vote)),
                 Do::Begin { n, epoch, within } => {
                     let call = self.calls.len();
-                    self.calls.push(Call { node, duty: n, epoch, dropped: false, accepted: None });
+                    self.calls.push(Call {
+                        node,
+                        duty: n,
+                        epoch,
+                        dropped: false,
+                        accepted: None,
+                    });
                     self.nodes[node].calls[n] = Some(call);
                     self.at(self.now + self.trip, Ev::Arrives { call });
                     let rate = self.nodes[node].rate;
@@ -306,17 +378,32 @@
     }
 
     fn commit(&mut self, call: usize) {
-        let Call { node, duty, epoch, .. } = self.calls[call];
+        let Call {
+            node, duty, epoch, ..
+        } = self.calls[call];
         let told = self.fence.admit(duty as Duty, epoch, node as u16);
         let accepted = told.is_ok() || !self.plan.fence;
-        self.day.acts.push(Act { at: self.now, duty, epoch, owner: node, accepted });
-        let highest = self.fence.highest(duty as Duty).map_or(epoch, |(highest, _)| highest);
+        self.day.acts.push(Act {
+            at: self.now,
+            duty,
+            epoch,
+            owner: node,
+            accepted,
+        });
+        let highest = self
+            .fence
+            .highest(duty as Duty)
+            .map_or(epoch, |(highest, _)| highest);
         self.calls[call].accepted = Some(if accepted { Ok(()) } else { Err(highest) });
         self.at(self.now + self.trip, Ev::Answers { call });
     }
 
     fn ended(&mut self, call: usize, came: Came) {
-        let (node, duty, epoch) = (self.calls[call].node, self.calls[call].duty, self.calls[call].epoch);
+        let (node, duty, epoch) = (
+            self.calls[call].node,
+            self.calls[call].duty,
+            self.calls[call].epoch,
+        );
         if self.calls[call].dropped || self.nodes[node].calls[duty] != Some(call) {
             return;
         }
@@ -331,7 +418,13 @@
 
     fn begin(&mut self, n: usize) {
         let fault = &self.plan.faults[n];
-        let owner = self.day.acts.iter().rev().find(|a| a.accepted).map(|a| a.owner);
+        let owner = self
+            .day
+            .acts
+            .iter()
+            .rev()
+            .find(|a| a.accepted)
+            .map(|a| a.owner);
         let whom = fault.whom.find(self.plan, self.instances, owner);
         self.hit[n].clone_from(&whom);
         match fault.what {
@@ -353,16 +446,26 @@
                 for node in whom {
                     if let Some(part) = &mut self.nodes[node].part {
                         part.stop();
-                        let wait = if part.any_out() { LAST_CALL } else { Duration::ZERO };
+                        let wait = if part.any_out() {
+                            LAST_CALL
+                        } else {
+                            Duration::ZERO
+                        };
                         self.at(self.now + wait, Ev::Leaves(node));
-                        self.at(back.max(self.now + LAST_CALL + 2 * LAST_WORDS), Ev::Starts(node));
+                        self.at(
+                            back.max(self.now + LAST_CALL + 2 * LAST_WORDS),
+                            Ev::Starts(node),
+                        );
                     }
                 }
             }
             What::ActsKeep => self.acts_kept.push((n, whom, Vec::new())),
             what => {
-                let side =
-                    |list: &[usize]| (0..self.instances).map(|n| list.contains(&n)).collect::<Vec<_>>();
+                let side = |list: &[usize]| {
+                    (0..self.instances)
+                        .map(|n| list.contains(&n))
+                        .collect::<Vec<_>>()
+                };
                 let from = side(&whom);
                 let to = match &fault.others {
                     Some(others) => side(others),
@@ -391,7 +494,10 @@
             }
             What::ActsKeep => {
                 let kept = self.acts_kept.iter().position(|(of, ..)| *of == n);
-                for call in kept.map(|at| self.acts_kept.remove(at).2).unwrap_or_default() {
+                for call in kept
+                    .map(|at| self.acts_kept.remove(at).2)
+                    .unwrap_or_default()
+                {
                     self.at(self.now, Ev::Commits { call });
                 }
             }
--- a/crates/passroad-rig/src/html.rs
+++ b/crates/passroad-rig/src/html.rs
@@ -11,8 +11,8 @@
 const LEFT: f64 = 56.0;
 const BELOW: f64 = 24.0;
 const COLOURS: [&str; 10] = [
-    "#1b6ca8", "#d1495b", "#edae49", "#66a182", "#8d5a97", "#4f5d75", "#c06c2b", "#2e933c", "#9a031e",
-    "#5f0f40",
+    "#1b6ca8", "#d1495b", "#edae49", "#66a182", "#8d5a97", "#4f5d75", "#c06c2b", "#2e933c",
+    "#9a031e", "#5f0f40",
 ];
 const STYLE: &str = "body{font:15px/1.45 system-ui,sans-serif;margin:2em auto;max-width:920px;color:#222}\
 table{border-collapse:collapse;font-size:13px}td,th{padding:3px 9px;text-align:right;border-bottom:1px solid #ddd}\
@@ -21,7 +21,10 @@
 text{font-size:11px;fill:#555}";
 
 pub fn escape(text: &str) -> String {
-    text.replace('&', "&amp;").replace('<', "&lt;").replace('>', "&gt;").replace('"', "&quot;")
+    text.replace('&', "&amp;")
+        .replace('<', "&lt;")
+        .replace('>', "&gt;")
+        .replace('"', "&quot;")
 }
 
 /// One line of a plot.
@@ -47,9 +50,19 @@
         let top = match self.stacked {
             false => all().map(|p| p.1).fold(0.0, f64::max),
             true => {
-                let most = self.lines.iter().map(|l| l.points.len()).max().unwrap_or_default();
-                let sum =
-                    |n: usize| self.lines.iter().filter_map(|l| l.points.get(n)).map(|p| p.1).sum::<f64>();
+                let most = self
+                    .lines
+                    .iter()
+                    .map(|l| l.points.len())
+                    .max()
+                    .unwrap_or_default();
+                let sum = |n: usize| {
+                    self.lines
+                        .iter()
+                        .filter_map(|l| l.points.get(n))
+                        .map(|p| p.1)
+                        .sum::<f64>()
+                };
                 (0..most).map(sum).fold(0.0, f64::max)
             }
         };
@@ -85,23 +98,45 @@
             let value = end * f64::from(n) / 8.0;
             let (at, low) = (x(value), HIGH - 6.0);
             let label = figure(value);
-            let _ = write!(out, "<text x=\"{at:.1}\" y=\"{low}\" text-anchor=\"middle\">{label}</text>");
+            let _ = write!(
+                out,
+                "<text x=\"{at:.1}\" y=\"{low}\" text-anchor=\"middle\">{label}</text>"
+            );
         }
         let mut base: Vec<f64> = Vec::new();
         for (n, line) in self.lines.iter().enumerate() {
             let colour = COLOURS[n % COLOURS.len()];
             if self.stacked {
                 base.resize(base.len().max(line.points.len()), 0.0);
-                let over: Vec<f64> = line.points.iter().zip(&base).map(|(p, b)| p.1 + b).collect();
+                let over: Vec<f64> = line
+                    .points
+                    .iter()
+                    .zip(&base)
+                    .map(|(p, b)| p.1 + b)
+                    .collect();
                 let up = line.points.iter().zip(&over).map(|(p, v)| (x(p.0), y(*v)));
-                let down = line.points.iter().zip(&base).rev().map(|(p, v)| (x(p.0), y(*v)));
-                let path: Vec<String> = up.chain(down).map(|(a, b)| format!("{a:.1},{b:.1}")).collect();
+                let down = line
+                    .points
+                    .iter()
+                    .zip(&base)
+                    .rev()
+                    .map(|(p, v)| (x(p.0), y(*v)));
+                let path: Vec<String> = up
+                    .chain(down)
+                    .map(|(a, b)| format!("{a:.1},{b:.1}"))
+                    .collect();
                 let path = path.join(" ");
-                let _ = write!(out, "<polygon points=\"{path}\" fill=\"{colour}\" opacity=\".8\"/>");
+                let _ = write!(
+                    out,
+                    "<polygon points=\"{path}\" fill=\"{colour}\" opacity=\".8\"/>"
+                );
                 base[..over.len()].copy_from_slice(&over);
             } else {
-                let path: Vec<String> =
-                    line.points.iter().map(|p| format!("{:.1},{:.1}", x(p.0), y(p.1))).collect();
+                let path: Vec<String> = line
+                    .points
+                    .iter()
+                    .map(|p| format!("{:.1},{:.1}", x(p.0), y(p.1)))
+                    .collect();
                 let path = path.join(" ");
                 let _ = write!(
                     out,
@@ -114,7 +149,10 @@
         if self.lines.len() <= COLOURS.len() {
             for (n, line) in self.lines.iter().enumerate() {
                 let (colour, name) = (COLOURS[n % COLOURS.len()], escape(&line.name));
-                let _ = write!(out, "<span><b style=\"color:{colour}\">&#9632;</b> {name}</span>");
+                let _ = write!(
+                    out,
+                    "<span><b style=\"color:{colour}\">&#9632;</b> {name}</span>"
+                );
             }
         }
         let (unit, x) = (escape(self.unit), escape(self.x));
@@ -128,7 +166,11 @@
         return 1.0;
     }
     let step = libm::pow(10.0, libm::floor(libm::log10(top)));
-    [1.0, 2.0, 5.0, 10.0].into_iter().map(|n| n * step).find(|n| *n >= top * 0.999).unwrap_or(top)
+    [1.0, 2.0, 5.0, 10.0]
+        .into_iter()
+        .map(|n| n * step)
+        .find(|n| *n >= top * 0.999)
+        .unwrap_or(top)
 }
 
 fn figure(value: f64) -> String {
@@ -191,8 +233,16 @@
             let digits = if name.ends_with("ms") { 1 } else { 3 };
             let _ = write!(out, "<td>{value:.digits$}</td>");
         }
-        let broken: Vec<_> = row.broken.iter().map(|(rule, n)| format!("{} {n}", rule.name())).collect();
-        let word = if broken.is_empty() { "none".into() } else { escape(&broken.join(", ")) };
+        let broken: Vec<_> = row
+            .broken
+            .iter()
+            .map(|(rule, n)| format!("{} {n}", rule.name()))
+            .collect();
+        let word = if broken.is_empty() {
+            "none".into()
+        } else {
+            escape(&broken.join(", "))
+        };
         let _ = write!(out, "<td>{word}</td></tr>");
     }
     let _ = write!(out, "</table>");
@@ -224,14 +274,25 @@
     if !holds.is_empty() {
         let _ = write!(out, "<h2>What must hold</h2><ul>");
         for h in &holds {
-            let (class, word) = if h.good { ("good", "holds") } else { ("bad", "does not hold") };
+            let (class, word) = if h.good {
+                ("good", "holds")
+            } else {
+                ("bad", "does not hold")
+            };
             let (text, bound) = (escape(&h.text), escape(&h.bound));
-            let _ = write!(out, "<li class=\"{class}\">{word}: {text} is {:.4}, {bound}</li>", h.figure);
+            let _ = write!(
+                out,
+                "<li class=\"{class}\">{word}: {text} is {:.4}, {bound}</li>",
+                h.figure
+            );
         }
         let _ = write!(out, "</ul>");
     }
     plots(plan, runs, &mut out);
-    for run in runs.iter().filter(|r| !r.breaches.is_empty() && r.policy == "passroad") {
+    for run in runs
+        .iter()
+        .filter(|r| !r.breaches.is_empty() && r.policy == "passroad")
+    {
         let _ = write!(out, "<h2>Broken by passroad, seed {}</h2><ul>", run.seed);
         for b in run.breaches.iter().take(50) {
             let (at, rule, what) = (b.at.as_secs_f64(), b.rule.name(), escape(&b.what));
@@ -243,7 +304,9 @@
 }
 
 fn plots(plan: &Plan, runs: &[Run], out: &mut String) {
-    let Some(seed) = runs.first().map(|r| r.seed) else { return };
+    let Some(seed) = runs.first().map(|r| r.seed) else {
+        return;
+    };
     let first: Vec<&Run> = runs.iter().filter(|r| r.seed == seed).collect();
     let marks = marks(plan);
     let plot = |title: &str, unit, lines, stacked| Plot {
@@ -255,24 +318,64 @@
         stacked,
     };
     let by_second = |run: &Run, of: &dyn Fn(&Second) -> f64| -> Vec<(f64, f64)> {
-        seconds(run, plan).iter().enumerate().map(|(n, s)| (n as f64, of(s))).collect()
+        seconds(run, plan)
+            .iter()
+            .enumerate()
+            .map(|(n, s)| (n as f64, of(s)))
+            .collect()
     };
     let each = |of: &dyn Fn(&Second) -> f64| -> Vec<Line> {
-        first.iter().map(|r| Line { name: r.policy.clone(), points: by_second(r, of) }).collect()
+        first
+            .iter()
+            .map(|r| Line {
+                name: r.policy.clone(),
+                points: by_second(r, of),
+            })
+            .collect()
     };
     let share = |s: &Second, n: usize| n as f64 / s.asked.max(1) as f64;
-    plot("Answered within the goal", "share of commands", each(&|s| share(s, s.served)), false).draw(out);
-    plot("Relays", "for each command", each(&|s| share(s, s.relays)), false).draw(out);
+    plot(
+        "Answered within the goal",
+        "share of commands",
+        each(&|s| share(s, s.served)),
+        false,
+    )
+    .draw(out);
+    plot(
+        "Relays",
+        "for each command",
+        each(&|s| share(s, s.relays)),
+        false,
+    )
+    .draw(out);
     let quantiles = |run: &&Run| {
         let tally = Tally::of(run, plan, &(plan.settle..plan.length), None);
-        let points = (0..=100).map(|n| (f64::from(n), tally.time(f64::from(n).min(99.9)))).collect();
-        Line { name: run.policy.clone(), points }
+        let points = (0..=100)
+            .map(|n| (f64::from(n), tally.time(f64::from(n).min(99.9))))
+            .collect();
+        Line {
+            name: run.policy.clone(),
+            points,
+        }
     };
     let lines = first.iter().map(quantiles).collect();
     let title = "Time to an answer".to_string();
-    Plot { title, unit: "milliseconds", x: "percent of the answers", marks: &[], lines, stacked: false }
-        .draw(out);
-    let Some(own) = first.iter().find(|r| r.policy == "passroad").or(first.first()) else { return };
+    Plot {
+        title,
+        unit: "milliseconds",
+        x: "percent of the answers",
+        marks: &[],
+        lines,
+        stacked: false,
+    }
+    .draw(out);
+    let Some(own) = first
+        .iter()
+        .find(|r| r.policy == "passroad")
+        .or(first.first())
+    else {
+        return;
+    };
     type Of = fn(&Second) -> f64;
     let kinds: [(&str, Of); 5] = [
         ("served", |s| s.served as f64),
@@ -281,23 +384,59 @@
         ("terminated", |s| s.terminated as f64),
         ("no answer", |s| s.unanswered as f64),
     ];
-    let lines =
-        kinds.iter().map(|(name, of)| Line { name: (*name).into(), points: by_second(own, of) }).collect();
-    plot(&format!("Answers of {}", own.policy), "commands a second", lines, true).draw(out);
+    let lines = kinds
+        .iter()
+        .map(|(name, of)| Line {
+            name: (*name).into(),
+            points: by_second(own, of),
+        })
+        .collect();
+    plot(
+        &format!("Answers of {}", own.policy),
+        "commands a second",
+        lines,
+        true,
+    )
+    .draw(out);
     let looks = |of: &dyn Fn(&crate::virtual_time::Look, usize) -> f64| -> Vec<Line> {
         let line = |e: usize| {
-            let points = own.looks.iter().map(|look| (look.at.as_secs_f64(), of(look, e))).collect();
-            Line { name: format!("{e} ({})", plan.zones[plan.endpoints[e].zone]), points }
+            let points = own
+                .looks
+                .iter()
+                .map(|look| (look.at.as_secs_f64(), of(look, e)))
+                .collect();
+            Line {
+                name: format!("{e} ({})", plan.zones[plan.endpoints[e].zone]),
+                points,
+            }
         };
         (0..plan.endpoints.len().min(60)).map(line).collect()
     };
     let held = looks(&|look, e| look.held[e] as f64);
-    plot(&format!("Held by each endpoint, {}", own.policy), "commands", held, false).draw(out);
+    plot(
+        &format!("Held by each endpoint, {}", own.policy),
+        "commands",
+        held,
+        false,
+    )
+    .draw(out);
     let links = looks(&|look, e| look.links[e] as f64);
-    plot(&format!("Connections to each endpoint, {}", own.policy), "open", links, false).draw(out);
+    plot(
+        &format!("Connections to each endpoint, {}", own.policy),
+        "open",
+        links,
+        false,
+    )
+    .draw(out);
     let zones = zones(plan, own);
     if zones.len() > 1 {
-        plot(&format!("Relays to each zone, {}", own.policy), "a second", zones, true).draw(out);
+        plot(
+            &format!("Relays to each zone, {}", own.policy),
+            "a second",
+            zones,
+            true,
+        )
+        .draw(out);
     }
 }
 
@@ -305,12 +444,21 @@
 fn zones(plan: &Plan, run: &Run) -> Vec<Line> {
     let length = plan.length.as_secs_f64().ceil() as usize;
     let mut counts = vec![vec![0u32; length]; plan.zones.len()];
-    for sent in run.books.relays.iter().filter(|s| s.at < Duration::from_secs(length as u64)) {
+    for sent in run
+        .books
+        .relays
+        .iter()
+        .filter(|s| s.at < Duration::from_secs(length as u64))
+    {
         counts[plan.endpoints[sent.endpoint].zone][sent.at.as_secs() as usize] += 1;
     }
     let line = |(zone, counts): (usize, Vec<u32>)| Line {
         name: plan.zones[zone].clone(),
-        points: counts.iter().enumerate().map(|(n, c)| (n as f64, f64::from(*c))).collect(),
+        points: counts
+            .iter()
+            .enumerate()
+            .map(|(n, c)| (n as f64, f64::from(*c)))
+            .collect(),
     };
     counts.into_iter().enumerate().map(line).collect()
 }
--- a/crates/passroad-rig/src/html/tests.rs
+++ b/crates/passroad-rig/src/html/tests.rs
@@ -25,5 +25,8 @@
         assert!(!page.contains(outside), "{outside}");
     }
     // Seven plots: two zones are drawn apart.
-    assert_eq!((page.matches("<svg").count(), page.matches("</svg>").count()), (7, 7));
+    assert_eq!(
+        (page.matches("<svg").count(), page.matches("</svg>").count()),
+        (7, 7)
+    );
 }
