--- a/crates/passroad-rig/src/ledger.rs
+++ b/crates/passroad-rig/src/ledger.rs
@@ -196,7 +196,11 @@
         Facts {
             verbs: plan.verbs.iter().map(verb).collect(),
             mean_work: plan.verbs.iter().map(|v| v.work * v.share).sum::<f64>() / shares.max(1e-9),
-            endpoints: plan.endpoints.iter().map(|e| (e.make.clone(), e.zone, e.cell)).collect(),
+            endpoints: plan
+                .endpoints
+                .iter()
+                .map(|e| (e.make.clone(), e.zone, e.cell))
+                .collect(),
             grace: plan.grace,
             slack,
         }
@@ -218,12 +222,37 @@
 
     /// Asked, answered, declined and terminated so far.
     pub fn counts(&self) -> (usize, usize, usize, usize) {
-        let count = |which: fn(&Entry) -> bool| self.entries.iter().filter(|(_, e)| which(e)).count();
+        let count =
+            |which: fn(&Entry) -> bool| self.entries.iter().filter(|(_, e)| which(e)).count();
         (
             count(|e| matches!(e, Entry::Asked { .. })),
-            count(|e| matches!(e, Entry::Answered { answer: Answer::Answered, .. })),
-            count(|e| matches!(e, Entry::Answered { answer: Answer::Declined, .. })),
-            count(|e| matches!(e, Entry::Answered { answer: Answer::Terminated, .. })),
+            count(|e| {
+                matches!(
+                    e,
+                    Entry::Answered {
+                        answer: Answer::Answered,
+                        ..
+                    }
+                )
+            }),
+            count(|e| {
+                matches!(
+                    e,
+                    Entry::Answered {
+                        answer: Answer::Declined,
+                        ..
+                    }
+                )
+            }),
+            count(|e| {
+                matches!(
+                    e,
+                    Entry::Answered {
+                        answer: Answer::Terminated,
+                        ..
+                    }
+                )
+            }),
         )
     }
 
@@ -243,7 +272,13 @@
         // Commands and relays first: what is said of them may carry the same time.
         for (at, entry) in &sorted {
             match entry {
-                Entry::Asked { cmd, chain, verb, instance, limit } => {
+                Entry::Asked {
+                    cmd,
+                    chain,
+                    verb,
+                    instance,
+                    limit,
+                } => {
                     let told = Told {
                         chain: *chain,
                         verb: *verb,
@@ -257,8 +292,18 @@
                     };
                     put(&mut books.commands, *cmd, told);
                 }
-                Entry::Sent { relay, cmd, endpoint } => {
-                    let sent = Sent { cmd: *cmd, endpoint: *endpoint, at: *at, ended: None, ran: None };
+                Entry::Sent {
+                    relay,
+                    cmd,
+                    endpoint,
+                } => {
+                    let sent = Sent {
+                        cmd: *cmd,
+                        endpoint: *endpoint,
+                        at: *at,
+                        ended: None,
+                        ran: None,
+                    };
                     put(&mut books.relays, *relay, sent);
                 }
                 _ => {}
@@ -274,25 +319,41 @@
                 Entry::Left { cmd } => books.commands[*cmd].left = Some(at),
                 Entry::Ended { relay, proven } => books.relays[*relay].ended = Some((at, *proven)),
                 Entry::Ran { relay } => books.relays[*relay].ran = Some(at),
-                Entry::ToldAway { instance, endpoint } => books.turn(*instance, *endpoint, at, true),
+                Entry::ToldAway { instance, endpoint } => {
+                    books.turn(*instance, *endpoint, at, true)
+                }
                 Entry::ToldUp { instance, endpoint } => books.turn(*instance, *endpoint, at, false),
-                Entry::Cordoned { instance, endpoint, out } => {
-                    books.banned.entry((*instance, *endpoint)).or_default().push((at, *out));
+                Entry::Cordoned {
+                    instance,
+                    endpoint,
+                    out,
+                } => {
+                    books
+                        .banned
+                        .entry((*instance, *endpoint))
+                        .or_default()
+                        .push((at, *out));
                 }
                 Entry::Started { endpoint } => books.starts.entry(*endpoint).or_default().push(at),
                 Entry::Probed { endpoint } => books.probes.push((at, *endpoint)),
                 Entry::Killed { instance } => {
                     let mut open = books.commands.iter_mut();
-                    let open = open.by_ref().filter(|c| c.instance == *instance && c.asked <= at);
-                    open.filter(|c| c.answers.is_empty()).for_each(|c| c.lost = true);
+                    let open = open
+                        .by_ref()
+                        .filter(|c| c.instance == *instance && c.asked <= at);
+                    open.filter(|c| c.answers.is_empty())
+                        .for_each(|c| c.lost = true);
                 }
                 Entry::Mixed { cmd } => {
-                    books.wrong.push((at, format!("command {cmd} was given the answer to another")));
-                }
-                Entry::Crashed { instance } => {
                     books
                         .wrong
-                        .push((at, format!("the process of instance {instance} did not end in order")));
+                        .push((at, format!("command {cmd} was given the answer to another")));
+                }
+                Entry::Crashed { instance } => {
+                    books.wrong.push((
+                        at,
+                        format!("the process of instance {instance} did not end in order"),
+                    ));
                 }
                 Entry::Asked { .. } | Entry::Sent { .. } => {}
             }
@@ -320,8 +381,13 @@
     /// All breaches, by rule and time.
     pub fn judge(&self, facts: &Facts) -> Vec<Breach> {
         let wrong = self.wrong.iter().cloned();
-        let mut breaches: Vec<Breach> =
-            wrong.map(|(at, what)| Breach { rule: Rule::OneAnswer, at, what }).collect();
+        let mut breaches: Vec<Breach> = wrong
+            .map(|(at, what)| Breach {
+                rule: Rule::OneAnswer,
+                at,
+                what,
+            })
+            .collect();
         for (n, c) in self.commands.iter().enumerate() {
             self.one_answer(n, c, facts, &mut breaches);
             self.effects(n, c, facts, &mut breaches);
@@ -331,28 +397,55 @@
         for endpoint in 0..facts.endpoints.len() {
             let (most, at) = self.push(endpoint, facts);
             if most > facts.endpoints[endpoint].0.tip_multiple {
-                let what = format!("endpoint {endpoint} was offered {most:.2} times what it could do");
-                breaches.push(Breach { rule: Rule::ColdNotPushedOver, at, what });
+                let what =
+                    format!("endpoint {endpoint} was offered {most:.2} times what it could do");
+                breaches.push(Breach {
+                    rule: Rule::ColdNotPushedOver,
+                    at,
+                    what,
+                });
             }
         }
         breaches
     }
 
     fn one_answer(&self, n: CmdNo, c: &Told, facts: &Facts, out: &mut Vec<Breach>) {
-        let mut breach = |at, what: String| out.push(Breach { rule: Rule::OneAnswer, at, what });
+        let mut breach = |at, what: String| {
+            out.push(Breach {
+                rule: Rule::OneAnswer,
+                at,
+                what,
+            })
+        };
         let end = c.asked + c.limit + facts.slack;
         match c.answers[..] {
             [] if c.left.is_some() || c.lost => {}
             [] => breach(end, format!("command {n} was never answered")),
-            [(at, _)] if at > end => breach(at, format!("command {n} was answered {:?} late", at - end)),
+            [(at, _)] if at > end => {
+                breach(at, format!("command {n} was answered {:?} late", at - end))
+            }
             [_] => {}
             [_, (at, _), ..] => breach(at, format!("command {n} has {} answers", c.answers.len())),
         }
         // The end for the sidecar: its answer, its client's leaving, or its client's limit.
-        let over = c.answers.first().map(|(at, _)| *at).into_iter().chain(c.left).min();
+        let over = c
+            .answers
+            .first()
+            .map(|(at, _)| *at)
+            .into_iter()
+            .chain(c.left)
+            .min();
         let over = over.map_or(end, |at| (at + facts.slack).min(end));
-        if let Some(r) = c.relays.iter().map(|r| &self.relays[*r]).find(|r| r.at > over) {
-            breach(r.at, format!("command {n} was sent {:?} after its end", r.at - over));
+        if let Some(r) = c
+            .relays
+            .iter()
+            .map(|r| &self.relays[*r])
+            .find(|r| r.at > over)
+        {
+            breach(
+                r.at,
+                format!("command {n} was sent {:?} after its end", r.at - over),
+            );
         }
     }
 
@@ -361,7 +454,13 @@
         if verb.effect == Effect::Pure {
             return;
         }
-        let mut breach = |at, what: String| out.push(Breach { rule: Rule::NoEffectTwice, at, what });
+        let mut breach = |at, what: String| {
+            out.push(Breach {
+                rule: Rule::NoEffectTwice,
+                at,
+                what,
+            })
+        };
         let relays: Vec<&Sent> = c.relays.iter().map(|r| &self.relays[*r]).collect();
         let same = |a: &Sent, b: &Sent| {
             let ((_, zone, cell), (_, zone_b, cell_b)) =
@@ -374,14 +473,18 @@
         };
         // Sent anew although an earlier relay may have run, and nobody drops the repeat.
         for (k, later) in relays.iter().enumerate() {
-            let doubtful = |r: &&&Sent| !r.ended.is_some_and(|(at, proven)| proven && at <= later.at);
+            let doubtful =
+                |r: &&&Sent| !r.ended.is_some_and(|(at, proven)| proven && at <= later.at);
             for earlier in relays[..k].iter().filter(doubtful) {
                 let dropped = verb.effect == Effect::Receipted
                     && same(earlier, later)
                     && later.at - earlier.at <= verb.window;
                 if !dropped {
                     let (a, b) = (earlier.endpoint, later.endpoint);
-                    breach(later.at, format!("command {n} went to {b} while it may have run at {a}"));
+                    breach(
+                        later.at,
+                        format!("command {n} went to {b} while it may have run at {a}"),
+                    );
                 }
             }
         }
@@ -391,14 +494,20 @@
             let dropped = |e: &&Sent| {
                 verb.effect == Effect::Receipted
                     && same(e, r)
-                    && r.ran.unwrap_or_default().abs_diff(e.ran.unwrap_or_default()) <= verb.window
+                    && r.ran
+                        .unwrap_or_default()
+                        .abs_diff(e.ran.unwrap_or_default())
+                        <= verb.window
             };
             if !effects.iter().any(dropped) {
                 effects.push(r);
             }
         }
         if effects.len() > 1 {
-            breach(effects[1].ran.unwrap_or_default(), format!("command {n} had {} effects", effects.len()));
+            breach(
+                effects[1].ran.unwrap_or_default(),
+                format!("command {n} had {} effects", effects.len()),
+            );
         }
         let declined = c.answers.iter().find(|(_, a)| *a == Answer::Declined);
         let any = verb.effect == Effect::Receipted && verb.group == KeyGroup::All;
@@ -409,15 +518,27 @@
 
     /// Given up more than half of its time after it came, with nothing out for the last quarter of it.
     fn at_once(&self, n: CmdNo, c: &Told, out: &mut Vec<Breach>) {
-        let Some((at, answer)) = c.answers.first().copied() else { return };
+        let Some((at, answer)) = c.answers.first().copied() else {
+            return;
+        };
         if answer == Answer::Answered || at - c.asked <= c.limit / 2 {
             return;
         }
-        let ends = c.relays.iter().map(|r| self.relays[*r].ended.map_or(at, |(end, _)| end.min(at)));
+        let ends = c
+            .relays
+            .iter()
+            .map(|r| self.relays[*r].ended.map_or(at, |(end, _)| end.min(at)));
         let busy = ends.max().unwrap_or(c.asked);
         if at - busy > c.limit / 4 {
-            let what = format!("command {n} was kept for {:?} with nothing out, then given up", at - busy);
-            out.push(Breach { rule: Rule::AnsweredAtOnce, at, what });
+            let what = format!(
+                "command {n} was kept for {:?} with nothing out, then given up",
+                at - busy
+            );
+            out.push(Breach {
+                rule: Rule::AnsweredAtOnce,
+                at,
+                what,
+            });
         }
     }
 
@@ -425,7 +546,11 @@
         for r in &self.relays {
             let instance = self.commands[r.cmd].instance;
             // The yes is said once it is in effect: there is no grace but for what is on its way.
-            let bans = self.banned.get(&(instance, r.endpoint)).into_iter().flatten();
+            let bans = self
+                .banned
+                .get(&(instance, r.endpoint))
+                .into_iter()
+                .flatten();
             if let Some((told, true)) = bans.rev().find(|(told, _)| *told < r.at)
                 && r.at > *told + facts.slack
             {
@@ -434,9 +559,15 @@
                     "endpoint {} was sent to {ago:?} after instance {instance} took it out",
                     r.endpoint
                 );
-                out.push(Breach { rule: Rule::NothingToDrained, at: r.at, what });
+                out.push(Breach {
+                    rule: Rule::NothingToDrained,
+                    at: r.at,
+                    what,
+                });
             }
-            let Some(turns) = self.away.get(&(instance, r.endpoint)) else { continue };
+            let Some(turns) = self.away.get(&(instance, r.endpoint)) else {
+                continue;
+            };
             if let Some((told, true)) = turns.iter().rev().find(|(told, _)| *told <= r.at)
                 && r.at > *told + facts.grace
             {
@@ -445,7 +576,11 @@
                     r.endpoint,
                     r.at - *told
                 );
-                out.push(Breach { rule: Rule::NothingToDrained, at: r.at, what });
+                out.push(Breach {
+                    rule: Rule::NothingToDrained,
+                    at: r.at,
+                    what,
+                });
             }
         }
     }
@@ -453,7 +588,9 @@
     /// The most that a cold endpoint was offered over its `tip_after`, in multiples of what it could do, and when.
     pub fn push(&self, endpoint: usize, facts: &Facts) -> (f64, Duration) {
         let make = &facts.endpoints[endpoint].0;
-        let Some(starts) = self.starts.get(&endpoint) else { return (0.0, Duration::ZERO) };
+        let Some(starts) = self.starts.get(&endpoint) else {
+            return (0.0, Duration::ZERO);
+        };
         let mut sends: Vec<(Duration, f64)> = self
             .relays
             .iter()
@@ -469,7 +606,10 @@
             for (at, work) in sends.iter().copied().filter(|(at, _)| cold(*at)) {
                 window.push_back((at, work));
                 sum += work;
-                while window.front().is_some_and(|(old, _)| *old + make.tip_after < at) {
+                while window
+                    .front()
+                    .is_some_and(|(old, _)| *old + make.tip_after < at)
+                {
                     sum -= window.pop_front().map_or(0.0, |(_, work)| work);
                 }
                 if at < *start + make.tip_after {
@@ -500,13 +640,21 @@
         let mut most = (0.0, Duration::ZERO);
         let starts = self.starts_of(endpoint);
         for (n, start) in starts.iter().copied().enumerate() {
-            let end = starts.get(n + 1).map_or(Duration::MAX, |next| *next).min(start + make.warm_within);
+            let end = starts
+                .get(n + 1)
+                .map_or(Duration::MAX, |next| *next)
+                .min(start + make.warm_within);
             let sent = |r: &&Sent| r.endpoint == endpoint && r.at >= start && r.at < end;
             let mut sends: Vec<(Duration, f64)> = self
                 .relays
                 .iter()
                 .filter(sent)
-                .map(|r| (r.at, facts.verbs[self.commands[r.cmd].verb].work / facts.mean_work.max(1e-9)))
+                .map(|r| {
+                    (
+                        r.at,
+                        facts.verbs[self.commands[r.cmd].verb].work / facts.mean_work.max(1e-9),
+                    )
+                })
                 .collect();
             sends.sort_by_key(|(at, _)| *at);
             let (mut first, mut count) = (0, 0.0);
@@ -519,7 +667,8 @@
                 // The ramp is straight: over the window it is in the mean as in the middle.
                 let middle = at.saturating_sub(make.tip_after / 2).max(start);
                 let can = make.cores as f64 * make.speed * ramp(make, Some(start), middle);
-                let n = make.tip_multiple * can * make.tip_after.as_secs_f64() / facts.mean_work.max(1e-9);
+                let n = make.tip_multiple * can * make.tip_after.as_secs_f64()
+                    / facts.mean_work.max(1e-9);
                 let share = count / (n + 2.0 * n.sqrt() + 2.0);
                 if share > most.0 {
                     most = (share, at);
--- a/crates/passroad-rig/src/ledger/tests.rs
+++ b/crates/passroad-rig/src/ledger/tests.rs
@@ -4,44 +4,96 @@
 const MS: Duration = Duration::from_millis(1);
 
 fn facts() -> Facts {
-    let verb = |effect, group| VerbFacts { effect, group, window: 1000 * MS, work: 0.01 };
+    let verb = |effect, group| VerbFacts {
+        effect,
+        group,
+        window: 1000 * MS,
+        work: 0.01,
+    };
     let verbs = vec![
         verb(Effect::Pure, KeyGroup::All),
         verb(Effect::Effectful, KeyGroup::All),
         verb(Effect::Receipted, KeyGroup::Zone),
     ];
-    let make = Make { cores: 2, warm_within: 8000 * MS, ..crate::model::tests::make() };
+    let make = Make {
+        cores: 2,
+        warm_within: 8000 * MS,
+        ..crate::model::tests::make()
+    };
     let endpoints = vec![(make.clone(), 0, 0), (make.clone(), 0, 0), (make, 1, 0)];
-    Facts { verbs, mean_work: 0.01, endpoints, grace: 500 * MS, slack: Duration::ZERO }
+    Facts {
+        verbs,
+        mean_work: 0.01,
+        endpoints,
+        grace: 500 * MS,
+        slack: Duration::ZERO,
+    }
 }
 
 fn asked(cmd: CmdNo, verb: usize) -> Entry {
-    Entry::Asked { cmd, chain: cmd, verb, instance: 0, limit: 1000 * MS }
+    Entry::Asked {
+        cmd,
+        chain: cmd,
+        verb,
+        instance: 0,
+        limit: 1000 * MS,
+    }
 }
 
 fn sent(relay: RelayNo, endpoint: usize) -> Entry {
-    Entry::Sent { relay, cmd: 0, endpoint }
+    Entry::Sent {
+        relay,
+        cmd: 0,
+        endpoint,
+    }
 }
 
 fn answered(answer: Answer) -> Entry {
     Entry::Answered { cmd: 0, answer }
 }
 
-const ENDED: Entry = Entry::Ended { relay: 0, proven: false };
-const PROVEN: Entry = Entry::Ended { relay: 0, proven: true };
+const ENDED: Entry = Entry::Ended {
+    relay: 0,
+    proven: false,
+};
+const PROVEN: Entry = Entry::Ended {
+    relay: 0,
+    proven: true,
+};
 const RAN: Entry = Entry::Ran { relay: 0 };
 const AGAIN: Entry = Entry::Ran { relay: 1 };
-const OUT: Entry = Entry::Cordoned { instance: 0, endpoint: 0, out: true };
-const BACK: Entry = Entry::Cordoned { instance: 0, endpoint: 0, out: false };
-const AWAY: Entry = Entry::ToldAway { instance: 0, endpoint: 0 };
-const UP: Entry = Entry::ToldUp { instance: 0, endpoint: 0 };
+const OUT: Entry = Entry::Cordoned {
+    instance: 0,
+    endpoint: 0,
+    out: true,
+};
+const BACK: Entry = Entry::Cordoned {
+    instance: 0,
+    endpoint: 0,
+    out: false,
+};
+const AWAY: Entry = Entry::ToldAway {
+    instance: 0,
+    endpoint: 0,
+};
+const UP: Entry = Entry::ToldUp {
+    instance: 0,
+    endpoint: 0,
+};
 const LEFT: Entry = Entry::Left { cmd: 0 };
 const KILLED: Entry = Entry::Killed { instance: 0 };
 
 fn judged(history: Vec<(u32, Entry)>) -> Vec<Rule> {
     let mut ledger = Ledger::default();
-    history.into_iter().for_each(|(ms, entry)| ledger.note(ms * MS, entry));
-    ledger.books().judge(&facts()).into_iter().map(|b| b.rule).collect()
+    history
+        .into_iter()
+        .for_each(|(ms, entry)| ledger.note(ms * MS, entry));
+    ledger
+        .books()
+        .judge(&facts())
+        .into_iter()
+        .map(|b| b.rule)
+        .collect()
 }
 
 use Answer::{Answered, Declined, Terminated};
@@ -105,7 +157,10 @@
 )]
 fn an_effect_that_took_place_twice_is_caught(#[case] history: Vec<(u32, Entry)>) {
     let rules = judged(history);
-    assert!(!rules.is_empty() && rules.iter().all(|r| *r == Rule::NoEffectTwice), "{rules:?}");
+    assert!(
+        !rules.is_empty() && rules.iter().all(|r| *r == Rule::NoEffectTwice),
+        "{rules:?}"
+    );
 }
 
 #[rstest]
@@ -153,11 +208,36 @@
     for n in 0..500u32 {
         let cmd = n as usize;
         ledger.note(n * gap * MS, asked(cmd, 0));
-        ledger.note(n * gap * MS, Entry::Sent { relay: cmd, cmd, endpoint: 0 });
-        ledger.note(n * gap * MS + MS, Entry::Answered { cmd, answer: Answered });
+        ledger.note(
+            n * gap * MS,
+            Entry::Sent {
+                relay: cmd,
+                cmd,
+                endpoint: 0,
+            },
+        );
+        ledger.note(
+            n * gap * MS + MS,
+            Entry::Answered {
+                cmd,
+                answer: Answered,
+            },
+        );
     }
-    let rules: Vec<_> = ledger.books().judge(&facts()).into_iter().map(|b| b.rule).collect();
-    assert_eq!(rules, if clean { vec![] } else { vec![Rule::ColdNotPushedOver] });
+    let rules: Vec<_> = ledger
+        .books()
+        .judge(&facts())
+        .into_iter()
+        .map(|b| b.rule)
+        .collect();
+    assert_eq!(
+        rules,
+        if clean {
+            vec![]
+        } else {
+            vec![Rule::ColdNotPushedOver]
+        }
+    );
     // Of one that was warm all the time there is nothing to say.
     assert_eq!(ledger.books().push(1, &facts()).0, 0.0);
 }
--- a/crates/passroad-rig/src/load.rs
+++ b/crates/passroad-rig/src/load.rs
@@ -44,7 +44,9 @@
             chance: Chance::stream(seed, "load", 0),
             at: 0.0,
             serial: 0,
-            shares: (0..plan.instances).map(|_| uneven.skewed(plan.uneven)).collect(),
+            shares: (0..plan.instances)
+                .map(|_| uneven.skewed(plan.uneven))
+                .collect(),
             verbs: plan.verbs.iter().map(|v| v.share).collect(),
             companies: plan.companies.iter().map(|(_, _, share)| *share).collect(),
             plan: plan.clone(),
@@ -53,7 +55,8 @@
 
     /// The next first try and its time; none once the day is over.
     pub fn next_ask(&mut self) -> Option<(Duration, Ask)> {
-        let rate = self.plan.per_second * self.plan.factor(Duration::from_secs_f64(self.at)).max(1e-6);
+        let rate =
+            self.plan.per_second * self.plan.factor(Duration::from_secs_f64(self.at)).max(1e-6);
         self.at += self.chance.gap() / rate;
         let at = Duration::from_secs_f64(self.at);
         if at >= self.plan.length {
@@ -65,8 +68,16 @@
         let v = &self.plan.verbs[verb];
         let work = v.work * self.chance.skewed(v.spread);
         self.serial += 1;
-        let ask =
-            Ask { instance, verb, company, work, again: false, tries: 1, chain: None, serial: self.serial };
+        let ask = Ask {
+            instance,
+            verb,
+            company,
+            work,
+            again: false,
+            tries: 1,
+            chain: None,
+            serial: self.serial,
+        };
         Some((at, ask))
     }
 
@@ -77,7 +88,17 @@
         if ask.tries >= self.plan.tries || chance.share() >= self.plan.retries {
             return None;
         }
-        let after = not_before.unwrap_or_default().max(self.plan.pause).mul_f64(0.75 + 0.5 * chance.share());
-        Some((after, Ask { again: true, tries: ask.tries + 1, ..ask.clone() }))
+        let after = not_before
+            .unwrap_or_default()
+            .max(self.plan.pause)
+            .mul_f64(0.75 + 0.5 * chance.share());
+        Some((
+            after,
+            Ask {
+                again: true,
+                tries: ask.tries + 1,
+                ..ask.clone()
+            },
+        ))
     }
 }
--- a/crates/passroad-rig/src/main.rs
+++ b/crates/passroad-rig/src/main.rs
@@ -180,8 +180,16 @@
     let all = added_latency::run(&asked, &program(told.sidecar)?)?;
     print!("{}", added_latency::text(&asked, &all));
     if let Some(path) = &told.json {
-        let points = added_latency::json(&asked, &all, &added_latency::command(), &added_latency::commit());
-        write(path, &serde_json::to_string_pretty(&points).map_err(|e| e.to_string())?)?;
+        let points = added_latency::json(
+            &asked,
+            &all,
+            &added_latency::command(),
+            &added_latency::commit(),
+        );
+        write(
+            path,
+            &serde_json::to_string_pretty(&points).map_err(|e| e.to_string())?,
+        )?;
     }
     Ok(all.iter().all(added_latency::Measured::whole))
 }
@@ -208,7 +216,11 @@
 struct Seeds(Vec<u64>);
 
 fn seeds(text: &str) -> Result<Seeds, String> {
-    let number = |t: &str| t.trim().parse::<u64>().map_err(|_| format!("'{t}' is no seed"));
+    let number = |t: &str| {
+        t.trim()
+            .parse::<u64>()
+            .map_err(|_| format!("'{t}' is no seed"))
+    };
     let all = match text.split_once("..") {
         Some((from, to)) => (number(from)?..=number(to)?).take(10_001).collect(),
         None => text.split(',').map(number).collect::<Result<Vec<_>, _>>()?,
@@ -246,11 +258,17 @@
     match sidecar {
         Some(path) => {
             sockets::usable(&path)?;
-            Ok(Program { path, arguments: Vec::new() })
+            Ok(Program {
+                path,
+                arguments: Vec::new(),
+            })
         }
         None => {
             let path = std::env::current_exe().map_err(|e| format!("this executable: {e}"))?;
-            Ok(Program { path, arguments: vec!["sidecar".into()] })
+            Ok(Program {
+                path,
+                arguments: vec!["sidecar".into()],
+            })
         }
     }
 }
@@ -268,12 +286,14 @@
     let told = Told::parse();
     if matches!(told.what, What::Sidecar) {
         // Also one that is stopped ends with the rig.
-        let _ = rustix::process::set_parent_process_death_signal(Some(rustix::process::Signal::KILL));
+        let _ =
+            rustix::process::set_parent_process_death_signal(Some(rustix::process::Signal::KILL));
         end_with_input();
         return passroad::main();
     }
     if let What::Hollow { folder } = told.what {
-        let _ = rustix::process::set_parent_process_death_signal(Some(rustix::process::Signal::KILL));
+        let _ =
+            rustix::process::set_parent_process_death_signal(Some(rustix::process::Signal::KILL));
         env_logger::Builder::from_env(env_logger::Env::default().default_filter_or("info")).init();
         return match passroad_rig::scale::host::run(folder) {
             Ok(()) => ExitCode::SUCCESS,
@@ -300,11 +320,22 @@
         What::AddedLatency(told) => added(told),
         What::Capacity(told) => passroad_rig::capacity::act(&told, write),
         What::Sidecar | What::Hollow { .. } => Ok(true),
-        What::Scale { files, sidecars, seeds, json, commit } => {
+        What::Scale {
+            files,
+            sidecars,
+            seeds,
+            json,
+            commit,
+        } => {
             let seeds = seeds.map(|Seeds(seeds)| seeds);
             passroad_rig::scale::command::run(&files, sidecars, seeds, json.as_deref(), &commit)
         }
-        What::Histories { from, count, threads, no_fence } => {
+        What::Histories {
+            from,
+            count,
+            threads,
+            no_fence,
+        } => {
             let sums = passroad_rig::fleet::histories::run(from, count, threads, !no_fence);
             println!(
                 "simulated: {} histories, {} acts by {} epochs, {} refused, faults hit {} times",
@@ -319,7 +350,12 @@
         What::Check { files } => {
             for file in &files {
                 let plan = read(file, None)?;
-                println!("{}: {} ({} must hold)", file.display(), plan.about, plan.holds.len());
+                println!(
+                    "{}: {} ({} must hold)",
+                    file.display(),
+                    plan.about,
+                    plan.holds.len()
+                );
             }
             Ok(true)
         }
@@ -332,15 +368,22 @@
                 "name": "sample", "listen": "127.0.0.1:7800", "discovery": "127.0.0.1:7900", "management": "127.0.0.1:7950", "seed": "8c1f30d27a5be964",
                 "limits": { "sockets": 1024, "memory_mb": 64 }, "settings": plan.settings(0),
             });
-            println!("{}", serde_json::to_string_pretty(&told).map_err(|e| e.to_string())?);
+            println!(
+                "{}",
+                serde_json::to_string_pretty(&told).map_err(|e| e.to_string())?
+            );
             Ok(true)
         }
         What::Compare { before, after } => {
             let read = |path: &Path| -> Result<serde_json::Value, String> {
-                let text = std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))?;
+                let text = std::fs::read_to_string(path)
+                    .map_err(|e| format!("{}: {e}", path.display()))?;
                 serde_json::from_str(&text).map_err(|e| format!("{}: {e}", path.display()))
             };
-            print!("{}", compare::text(&compare::compare(&read(&before)?, &read(&after)?)?));
+            print!(
+                "{}",
+                compare::text(&compare::compare(&read(&before)?, &read(&after)?)?)
+            );
             Ok(true)
         }
         What::Try { seconds, out } => {
@@ -348,8 +391,13 @@
             plan.length = Duration::from_secs(seconds);
             // In the middle, however long it is.
             let middle = [plan.length * 2 / 5, plan.length * 7 / 10];
-            plan.changes.iter_mut().zip(middle).for_each(|(change, at)| change.0 = at);
-            plan.holds.iter_mut().for_each(|hold| hold.window = plan.settle..plan.length);
+            plan.changes
+                .iter_mut()
+                .zip(middle)
+                .for_each(|(change, at)| change.0 = at);
+            plan.holds
+                .iter_mut()
+                .for_each(|hold| hold.window = plan.settle..plan.length);
             println!(
                 "{}. Endpoint 2 fails from {:.0} to {:.0} s.",
                 plan.about,
@@ -365,12 +413,30 @@
             }
             Ok(broken == 0)
         }
-        What::Run { files, on, seeds, policies, instances, threads, no_fence, sidecar, logs, lines, out } => {
+        What::Run {
+            files,
+            on,
+            seeds,
+            policies,
+            instances,
+            threads,
+            no_fence,
+            sidecar,
+            logs,
+            lines,
+            out,
+        } => {
             if let Some(unknown) = policies.iter().find(|p| !POLICIES.contains(&p.as_str())) {
-                return Err(format!("--policies: unknown '{unknown}'; there are {}", POLICIES.join(", ")));
+                return Err(format!(
+                    "--policies: unknown '{unknown}'; there are {}",
+                    POLICIES.join(", ")
+                ));
             }
             // All are read before the first is played: a slip in the last must not cost the others' time.
-            let plans = files.iter().map(|file| read(file, instances)).collect::<Result<Vec<_>, _>>()?;
+            let plans = files
+                .iter()
+                .map(|file| read(file, instances))
+                .collect::<Result<Vec<_>, _>>()?;
             let program = program(sidecar)?;
             let mut good = true;
             for (file, mut plan) in files.iter().zip(plans) {
@@ -379,7 +445,10 @@
                         return Err(format!("{}: needs sockets, as it says", file.display()));
                     }
                     (Some(On::Sockets), Some(Sockets::Never)) => {
-                        return Err(format!("{}: is not for sockets, as it says", file.display()));
+                        return Err(format!(
+                            "{}: is not for sockets, as it says",
+                            file.display()
+                        ));
                     }
                     (Some(on), _) => on == On::Sockets,
                     (None, told) => matches!(told, Some(Sockets::Needed | Sockets::First)),
@@ -399,7 +468,10 @@
                 };
                 good &= run::held(&plan, &runs).iter().all(|h| h.good);
                 out.put(file, files.len() > 1, &plan, &runs, !real)?;
-                for run in runs.iter().filter(|r| lines && r.policy.starts_with("passroad")) {
+                for run in runs
+                    .iter()
+                    .filter(|r| lines && r.policy.starts_with("passroad"))
+                {
                     for (at, instance, line) in &run.lines {
                         println!("{:.3} s, instance {instance}: {line}", at.as_secs_f64());
                     }
@@ -430,11 +502,17 @@
         let on_output = self.json.as_deref() == Some(Path::new("-"));
         match &self.json {
             Some(_) if on_output => println!("{}", report::json(plan, runs, simulated)),
-            Some(path) => write(&named(path, "json"), &report::json(plan, runs, simulated).to_string())?,
+            Some(path) => write(
+                &named(path, "json"),
+                &report::json(plan, runs, simulated).to_string(),
+            )?,
             None => {}
         }
         if let Some(path) = &self.html {
-            write(&named(path, "html"), &passroad_rig::html::page(plan, runs, simulated))?;
+            write(
+                &named(path, "html"),
+                &passroad_rig::html::page(plan, runs, simulated),
+            )?;
         }
         if !on_output {
             println!("{}", report::text(plan, runs, simulated));
--- a/crates/passroad-rig/src/model.rs
+++ b/crates/passroad-rig/src/model.rs
@@ -18,7 +18,7 @@
     pub drag: f64,             // what is left of its speed then
     pub cold_from: f64,        // share of its speed right after a start
     pub warm_within: Duration, // zero: never cold
-    pub tip_multiple: f64,     // of what it can do now; offered more for `tip_after` a cold one falls over
+    pub tip_multiple: f64, // of what it can do now; offered more for `tip_after` a cold one falls over
     pub tip_after: Duration,
     pub tips: bool, // false: it bears all, so that what comes to a cold one is seen whole
     pub drops_recalled: bool, // it stops what nobody waits for
@@ -198,7 +198,11 @@
         }
         let left: f64 = self.work.iter().filter(|w| !w.hung).map(|w| w.left).sum();
         let ahead = left + self.queue.iter().map(|j| j.work).sum::<f64>();
-        let wait = if self.busy() < self.make.cores { 0.0 } else { ahead / self.make.cores as f64 };
+        let wait = if self.busy() < self.make.cores {
+            0.0
+        } else {
+            ahead / self.make.cores as f64
+        };
         let fails = self.trouble.errors + self.trouble.spoils + self.trouble.resets;
         // A failure costs more than a wait does: most of what fails may not be sent again.
         Some((wait + work) / rate * (1.0 + 30.0 * fails))
@@ -232,7 +236,8 @@
             self.shown.push(Shown::Tipped);
             return Offer::Down;
         }
-        if self.draining || (self.busy() >= self.make.cores && self.queue.len() >= self.make.queue) {
+        if self.draining || (self.busy() >= self.make.cores && self.queue.len() >= self.make.queue)
+        {
             return Offer::Full;
         }
         self.queue.push_back(job);
@@ -250,18 +255,25 @@
             return false;
         }
         self.offered.push_back((self.now, work));
-        while self.offered.front().is_some_and(|(at, _)| *at + self.make.tip_after < self.now) {
+        while self
+            .offered
+            .front()
+            .is_some_and(|(at, _)| *at + self.make.tip_after < self.now)
+        {
             self.offered.pop_front();
         }
         let sum: f64 = self.offered.iter().map(|(_, work)| work).sum();
         let young = self.now.saturating_sub(self.started.unwrap_or_default()) < self.make.tip_after;
         let can = self.make.cores as f64 * self.make.speed * self.ramp(self.now);
-        !young && self.make.tips && sum > self.make.tip_multiple * can * self.make.tip_after.as_secs_f64()
+        !young
+            && self.make.tips
+            && sum > self.make.tip_multiple * can * self.make.tip_after.as_secs_f64()
     }
 
     /// Nobody waits for a job any more. Tells whether it was still here.
     pub fn recall(&mut self, id: JobId) -> bool {
-        let held = self.work.iter().any(|w| w.job.id == id) || self.queue.iter().any(|j| j.id == id);
+        let held =
+            self.work.iter().any(|w| w.job.id == id) || self.queue.iter().any(|j| j.id == id);
         if held && self.make.drops_recalled {
             self.queue.retain(|j| j.id != id);
             self.work.retain(|w| w.job.id != id);
@@ -273,7 +285,9 @@
     /// Starts what waits while cores are free.
     fn begin(&mut self) {
         while self.busy() < self.make.cores {
-            let Some(job) = self.queue.pop_front() else { break };
+            let Some(job) = self.queue.pop_front() else {
+                break;
+            };
             let hung = self.trouble.hangs.contains(&job.verb);
             let draw = self.chance.share();
             let (errors, spoils) = (self.trouble.errors, self.trouble.spoils);
@@ -289,7 +303,12 @@
                 self.shown.push(Shown::Began(job.id));
             }
             let left = if quick { job.work * 0.05 } else { job.work };
-            self.work.push(InWork { job, left, verdict, hung });
+            self.work.push(InWork {
+                job,
+                left,
+                verdict,
+                hung,
+            });
         }
         if self.work.is_empty() && self.queue.is_empty() {
             self.dragging = false;
@@ -300,7 +319,9 @@
     pub fn advance(&mut self, to: Duration) {
         while self.now < to {
             let rate = self.rate();
-            let end = self.wake_at().map_or(to, |at| at.clamp(self.now + Duration::from_nanos(1), to));
+            let end = self
+                .wake_at()
+                .map_or(to, |at| at.clamp(self.now + Duration::from_nanos(1), to));
             let done = rate * (end - self.now).as_secs_f64();
             self.now = end;
             for work in self.work.iter_mut().filter(|w| !w.hung) {
@@ -323,14 +344,24 @@
     /// When something next changes by itself.
     pub fn wake_at(&self) -> Option<Duration> {
         let rate = self.rate();
-        let least = self.work.iter().filter(|w| !w.hung).map(|w| w.left).fold(f64::INFINITY, f64::min);
+        let least = self
+            .work
+            .iter()
+            .filter(|w| !w.hung)
+            .map(|w| w.left)
+            .fold(f64::INFINITY, f64::min);
         if rate <= 0.0 || !least.is_finite() {
             return None;
         }
-        let done = self.now + Duration::from_secs_f64((least / rate).min(1e6)) + Duration::from_nanos(1);
+        let done =
+            self.now + Duration::from_secs_f64((least / rate).min(1e6)) + Duration::from_nanos(1);
         // A cold one is faster a little later.
         let step = self.make.warm_within / 64;
-        let warmer = if self.ramp(self.now) < 1.0 { self.now + step } else { Duration::MAX };
+        let warmer = if self.ramp(self.now) < 1.0 {
+            self.now + step
+        } else {
+            Duration::MAX
+        };
         Some(done.min(warmer))
     }
 
@@ -360,7 +391,8 @@
         self.links = 0;
         self.dragging = false;
         let work = std::mem::take(&mut self.work).into_iter().map(|w| w.job.id);
-        work.chain(std::mem::take(&mut self.queue).into_iter().map(|j| j.id)).collect()
+        work.chain(std::mem::take(&mut self.queue).into_iter().map(|j| j.id))
+            .collect()
     }
 
     /// A new process, cold where its kind has a cold start.
@@ -395,13 +427,17 @@
 
     fn loosen(&mut self) {
         let hangs = &self.trouble.hangs;
-        self.work.iter_mut().for_each(|w| w.hung = hangs.contains(&w.job.verb));
+        self.work
+            .iter_mut()
+            .for_each(|w| w.hung = hangs.contains(&w.job.verb));
     }
 }
 
 /// Share of its full speed that a start has left an endpoint with at a time.
 pub fn ramp(make: &Make, started: Option<Duration>, at: Duration) -> f64 {
-    let Some(started) = started.filter(|_| !make.warm_within.is_zero()) else { return 1.0 };
+    let Some(started) = started.filter(|_| !make.warm_within.is_zero()) else {
+        return 1.0;
+    };
     let age = at.saturating_sub(started).as_secs_f64() / make.warm_within.as_secs_f64();
     make.cold_from + (1.0 - make.cold_from) * age.min(1.0)
 }
@@ -435,7 +471,11 @@
     }
 
     fn job(id: JobId, ms: u64) -> Job {
-        Job { id, verb: 0, work: ms as f64 / 1e3 }
+        Job {
+            id,
+            verb: 0,
+            work: ms as f64 / 1e3,
+        }
     }
 
     fn ms(n: u64) -> Duration {
@@ -446,7 +486,15 @@
     fn ended(e: &mut Endpoint, to: Duration) -> Vec<(JobId, Verdict)> {
         e.advance(to);
         let shown = e.take_shown().into_iter();
-        shown.filter_map(|s| if let Shown::Ended(id, v) = s { Some((id, v)) } else { None }).collect()
+        shown
+            .filter_map(|s| {
+                if let Shown::Ended(id, v) = s {
+                    Some((id, v))
+                } else {
+                    None
+                }
+            })
+            .collect()
     }
 
     #[rstest]
@@ -458,7 +506,11 @@
         #[case] speed: f64,
         #[case] done: &[(u64, usize)],
     ) {
-        let mut e = endpoint(Make { cores, speed, ..make() });
+        let mut e = endpoint(Make {
+            cores,
+            speed,
+            ..make()
+        });
         assert!((1..=3).all(|id| e.offer(job(id, 20)) == Offer::Taken));
         let mut count = 0;
         for (at, expected) in done {
@@ -478,8 +530,14 @@
     #[rstest]
     #[case(true, 1)]
     #[case(false, 2)]
-    fn a_recalled_job_is_dropped_where_the_kind_drops_it(#[case] drops: bool, #[case] count: usize) {
-        let mut e = endpoint(Make { drops_recalled: drops, ..make() });
+    fn a_recalled_job_is_dropped_where_the_kind_drops_it(
+        #[case] drops: bool,
+        #[case] count: usize,
+    ) {
+        let mut e = endpoint(Make {
+            drops_recalled: drops,
+            ..make()
+        });
         assert!((1..=2).all(|id| e.offer(job(id, 20)) == Offer::Taken));
         assert!(e.recall(2) && !e.recall(9));
         assert_eq!(ended(&mut e, ms(100)).len(), count);
@@ -487,7 +545,10 @@
 
     #[rstest]
     fn a_backlog_drags_until_it_is_idle_again() {
-        let mut e = endpoint(Make { drag_from: 3, ..make() });
+        let mut e = endpoint(Make {
+            drag_from: 3,
+            ..make()
+        });
         assert!((1..=4).all(|id| e.offer(job(id, 10)) == Offer::Taken));
         assert_eq!(ended(&mut e, ms(79)).len(), 3);
         assert_eq!(ended(&mut e, ms(81)).len(), 1);
@@ -497,7 +558,11 @@
 
     #[rstest]
     fn a_cold_one_is_slow_and_falls_over_where_it_is_offered_too_much() {
-        let cold = Make { warm_within: ms(8000), queue: 1000, ..make() };
+        let cold = Make {
+            warm_within: ms(8000),
+            queue: 1000,
+            ..make()
+        };
         let mut e = endpoint(cold);
         e.die();
         e.start(ms(1000));
@@ -514,7 +579,10 @@
         }
         assert!(tipped);
         // Warm it takes as much.
-        let mut e = endpoint(Make { queue: 1000, ..make() });
+        let mut e = endpoint(Make {
+            queue: 1000,
+            ..make()
+        });
         assert!((0..200).all(|n| e.offer(job(n, 12)) == Offer::Taken));
         assert!(!e.take_shown().contains(&Shown::Tipped));
     }
@@ -540,7 +608,10 @@
 
     #[rstest]
     fn reports_are_as_old_as_the_kind_has_them() {
-        let mut e = endpoint(Make { report_age: ms(100), ..make() });
+        let mut e = endpoint(Make {
+            report_age: ms(100),
+            ..make()
+        });
         e.advance(ms(10));
         assert_eq!(e.report().outstanding, 0);
         e.offer(job(1, 500));
@@ -548,7 +619,14 @@
         e.advance(ms(50));
         assert_eq!(e.report().outstanding, 0);
         e.advance(ms(111));
-        assert_eq!(e.report(), Load { outstanding: 2, waiting: 1, utilization: 1.0 });
+        assert_eq!(
+            e.report(),
+            Load {
+                outstanding: 2,
+                waiting: 1,
+                utilization: 1.0
+            }
+        );
         e.trouble.lies = true;
         assert_eq!(e.report(), Load::default());
     }
--- a/crates/passroad-rig/src/report.rs
+++ b/crates/passroad-rig/src/report.rs
@@ -28,11 +28,15 @@
 pub fn seconds(run: &Run, plan: &Plan) -> Vec<Second> {
     let mut all = vec![Second::default(); plan.length.as_secs_f64().ceil() as usize];
     for c in &run.books.commands {
-        let Some(second) = all.get_mut(c.asked.as_secs() as usize) else { continue };
+        let Some(second) = all.get_mut(c.asked.as_secs() as usize) else {
+            continue;
+        };
         second.asked += 1;
         second.relays += c.relays.len();
         match c.answers.first() {
-            Some((at, Answer::Answered)) if at.saturating_sub(c.asked) <= plan.verbs[c.verb].goal => {
+            Some((at, Answer::Answered))
+                if at.saturating_sub(c.asked) <= plan.verbs[c.verb].goal =>
+            {
                 second.served += 1;
             }
             Some((_, Answer::Answered)) => second.late += 1,
@@ -68,11 +72,23 @@
             "push" | "ramp" => (name, days.iter().map(|d| d[k].1).fold(0.0, f64::max)),
             _ => (name, days.iter().map(|d| d[k].1).sum::<f64>() / n),
         };
-        let names = days.first().map(|d| d.iter().map(|(name, _)| *name).collect::<Vec<_>>());
-        let figures =
-            names.unwrap_or_default().into_iter().enumerate().map(|(k, name)| figure(k, name)).collect();
-        let broken = Rule::ALL.iter().map(|rule| (*rule, own.iter().map(|r| r.broken(*rule)).sum()));
-        rows.push(Row { policy: policy.clone(), figures, broken: broken.filter(|(_, n)| *n > 0).collect() });
+        let names = days
+            .first()
+            .map(|d| d.iter().map(|(name, _)| *name).collect::<Vec<_>>());
+        let figures = names
+            .unwrap_or_default()
+            .into_iter()
+            .enumerate()
+            .map(|(k, name)| figure(k, name))
+            .collect();
+        let broken = Rule::ALL
+            .iter()
+            .map(|rule| (*rule, own.iter().map(|r| r.broken(*rule)).sum()));
+        rows.push(Row {
+            policy: policy.clone(),
+            figures,
+            broken: broken.filter(|(_, n)| *n > 0).collect(),
+        });
     }
     rows
 }
@@ -124,20 +140,40 @@
             let digits = if name.ends_with("ms") { 1 } else { 3 };
             let _ = write!(out, "{figure:>11.digits$}");
         }
-        let broken: Vec<_> = row.broken.iter().map(|(rule, n)| format!("{} {n}", rule.name())).collect();
-        let _ = writeln!(out, "   {}", if broken.is_empty() { "none".into() } else { broken.join(", ") });
+        let broken: Vec<_> = row
+            .broken
+            .iter()
+            .map(|(rule, n)| format!("{} {n}", rule.name()))
+            .collect();
+        let _ = writeln!(
+            out,
+            "   {}",
+            if broken.is_empty() {
+                "none".into()
+            } else {
+                broken.join(", ")
+            }
+        );
     }
     if plan.instances >= SEVERAL {
-        rows.iter().for_each(|row| out.push_str(&spread_line(plan, runs, &row.policy)));
+        rows.iter()
+            .for_each(|row| out.push_str(&spread_line(plan, runs, &row.policy)));
     }
     for run in runs.iter().filter(|r| r.policy.starts_with("passroad")) {
         for breach in run.breaches.iter().take(5) {
             let (seed, at) = (run.seed, breach.at.as_secs_f64());
-            let _ = writeln!(out, "broken, seed {seed}, {at:.3} s: {}: {}", breach.rule.name(), breach.what);
+            let _ = writeln!(
+                out,
+                "broken, seed {seed}, {at:.3} s: {}: {}",
+                breach.rule.name(),
+                breach.what
+            );
         }
         if let Some(fleet) = &run.fleet {
-            let unowned =
-                fleet.unowned(&(plan.settle..plan.length), plan.fleet.as_ref().map_or(0, |f| f.duties.len()));
+            let unowned = fleet.unowned(
+                &(plan.settle..plan.length),
+                plan.fleet.as_ref().map_or(0, |f| f.duties.len()),
+            );
             let _ = writeln!(
                 out,
                 "seed {}: {} acts by {} epochs, {} refused, {} stale ones obeyed, {} owners at once, {unowned:.3} s \
@@ -154,7 +190,12 @@
                 fleet.hits
             );
         }
-        for reign in run.fleet.iter().flat_map(|fleet| fleet.reigns()).take(MOST_REIGNS) {
+        for reign in run
+            .fleet
+            .iter()
+            .flat_map(|fleet| fleet.reigns())
+            .take(MOST_REIGNS)
+        {
             let (first, last) = (reign.first.as_secs_f64(), reign.last.as_secs_f64());
             let _ = writeln!(
                 out,
@@ -164,7 +205,11 @@
         }
         for work in run.fleet.iter().flat_map(|fleet| &fleet.works) {
             let (from, to) = (work.from.as_secs_f64(), work.to.as_secs_f64());
-            let _ = writeln!(out, "  endpoint {}: at work from {from:.3} to {to:.3} s", work.endpoint);
+            let _ = writeln!(
+                out,
+                "  endpoint {}: at work from {from:.3} to {to:.3} s",
+                work.endpoint
+            );
         }
         for remark in &run.remarks {
             let _ = writeln!(out, "{remark}");
@@ -174,9 +219,19 @@
     if !holds.is_empty() {
         let _ = writeln!(out, "\nwhat must hold");
     }
-    for Held { text, line, figure, bound, good } in &holds {
+    for Held {
+        text,
+        line,
+        figure,
+        bound,
+        good,
+    } in &holds
+    {
         let word = if *good { "holds" } else { "DOES NOT HOLD" };
-        let _ = writeln!(out, "  {word}: {text} is {figure:.4}, {bound} (line {line})");
+        let _ = writeln!(
+            out,
+            "  {word}: {text} is {figure:.4}, {bound} (line {line})"
+        );
     }
     out
 }
@@ -185,8 +240,9 @@
 fn spread_line(plan: &Plan, runs: &[Run], policy: &str) -> String {
     let own: Vec<&Run> = runs.iter().filter(|r| r.policy == policy).collect();
     let window = plan.settle..plan.length;
-    let mean =
-        |of: &dyn Fn(&Run) -> f64| own.iter().map(|run| of(run)).sum::<f64>() / own.len().max(1) as f64;
+    let mean = |of: &dyn Fn(&Run) -> f64| {
+        own.iter().map(|run| of(run)).sum::<f64>() / own.len().max(1) as f64
+    };
     let shares = |run: &Run| spread::shares(run, plan, &window);
     let holders = |run: &Run| spread::holders(run, plan, &window);
     let (second, fast) = (Duration::from_secs(1), Duration::from_millis(100));
@@ -243,10 +299,16 @@
     let rows: Vec<Value> = rows(plan, runs)
         .iter()
         .map(|row| {
-            let figures: serde_json::Map<String, Value> =
-                row.figures.iter().map(|(name, f)| (name.replace(' ', "_"), json!(f))).collect();
-            let broken: serde_json::Map<String, Value> =
-                row.broken.iter().map(|(rule, n)| (rule.name().into(), json!(n))).collect();
+            let figures: serde_json::Map<String, Value> = row
+                .figures
+                .iter()
+                .map(|(name, f)| (name.replace(' ', "_"), json!(f)))
+                .collect();
+            let broken: serde_json::Map<String, Value> = row
+                .broken
+                .iter()
+                .map(|(rule, n)| (rule.name().into(), json!(n)))
+                .collect();
             json!({ "policy": row.policy, "figures": figures, "broken": broken })
         })
         .collect();
--- a/crates/passroad-rig/src/run.rs
+++ b/crates/passroad-rig/src/run.rs
@@ -58,19 +58,26 @@
 
     /// The most that any cold endpoint was offered, in multiples of what it could do.
     pub fn push(&self) -> f64 {
-        (0..self.facts.endpoints.len()).map(|e| self.books.push(e, &self.facts).0).fold(0.0, f64::max)
+        (0..self.facts.endpoints.len())
+            .map(|e| self.books.push(e, &self.facts).0)
+            .fold(0.0, f64::max)
     }
 
     /// The most requests that any cold endpoint got over `tip_after`, against what doesn't push it over; 1 is the bound.
     pub fn ramp(&self) -> f64 {
-        (0..self.facts.endpoints.len()).map(|e| self.books.ramp(e, &self.facts).0).fold(0.0, f64::max)
+        (0..self.facts.endpoints.len())
+            .map(|e| self.books.ramp(e, &self.facts).0)
+            .fold(0.0, f64::max)
     }
 }
 
 /// All days of an experiment in virtual time, by policy and seed, on as many threads as asked for.
 pub fn play_all(plan: &Plan, threads: usize) -> Result<Vec<Run>, String> {
-    let days: Vec<(&String, u64)> =
-        plan.policies.iter().flat_map(|p| plan.seeds.iter().map(move |s| (p, *s))).collect();
+    let days: Vec<(&String, u64)> = plan
+        .policies
+        .iter()
+        .flat_map(|p| plan.seeds.iter().map(move |s| (p, *s)))
+        .collect();
     let (next, done) = (AtomicUsize::new(0), Mutex::new(BTreeMap::new()));
     std::thread::scope(|scope| {
         for _ in 0..threads.clamp(1, days.len().max(1)) {
@@ -81,19 +88,36 @@
                 } {
                     let run = virtual_time::play(plan, seed, policy)
                         .map(|played| Run::of(plan, policy, seed, played, Duration::ZERO))
-                        .map(|run| Run { fleet: fleet_of(plan, policy, seed), ..run });
-                    done.lock().unwrap_or_else(std::sync::PoisonError::into_inner).insert(n, run);
+                        .map(|run| Run {
+                            fleet: fleet_of(plan, policy, seed),
+                            ..run
+                        });
+                    done.lock()
+                        .unwrap_or_else(std::sync::PoisonError::into_inner)
+                        .insert(n, run);
                 }
             });
         }
     });
-    done.into_inner().unwrap_or_else(std::sync::PoisonError::into_inner).into_values().collect()
+    done.into_inner()
+        .unwrap_or_else(std::sync::PoisonError::into_inner)
+        .into_values()
+        .collect()
 }
 
 /// Sidecars that talk, beside the commands: neither has to do with the other.
 fn fleet_of(plan: &Plan, policy: &str, seed: u64) -> Option<FleetDay> {
-    let fleet = plan.fleet.as_ref().filter(|_| policy.starts_with("passroad"))?;
-    Some(world::play(fleet, plan.instances, plan.length, plan.round_trip / 2, seed))
+    let fleet = plan
+        .fleet
+        .as_ref()
+        .filter(|_| policy.starts_with("passroad"))?;
+    Some(world::play(
+        fleet,
+        plan.instances,
+        plan.length,
+        plan.round_trip / 2,
+        seed,
+    ))
 }
 
 /// All seeds of an experiment on sockets, one after the other; there only passroad decides, with routes and without.
@@ -107,7 +131,8 @@
     for policy in plan.policies.iter().filter(|p| p.starts_with("passroad")) {
         for seed in &plan.seeds {
             let routes = plan.routes.as_ref().filter(|_| policy == "passroad-routes");
-            let (played, remarks, fleet) = sockets::play(plan, *seed, program, routes, keep, shows)?;
+            let (played, remarks, fleet) =
+                sockets::play(plan, *seed, program, routes, keep, shows)?;
             runs.push(Run {
                 remarks,
                 fleet,
@@ -159,7 +184,9 @@
                     let good = spent <= plan.verbs[c.verb].goal;
                     tally.served += usize::from(good);
                     tally.late += usize::from(!good);
-                    times.iter_mut().for_each(|t| t.saturating_record(spent.as_micros() as u64));
+                    times
+                        .iter_mut()
+                        .for_each(|t| t.saturating_record(spent.as_micros() as u64));
                 }
                 Some(Answer::Declined) => tally.declined += 1,
                 Some(Answer::Terminated) => tally.terminated += 1,
@@ -169,9 +196,17 @@
         // A chain is worth its utility once, if any of its tries was answered in that try's goal.
         let mut chains: BTreeMap<usize, bool> = BTreeMap::new();
         for c in &run.books.commands {
-            let Some(first) = run.books.commands.get(c.chain).filter(|first| within(first)) else { continue };
+            let Some(first) = run
+                .books
+                .commands
+                .get(c.chain)
+                .filter(|first| within(first))
+            else {
+                continue;
+            };
             let good = c.answers.first().is_some_and(|(at, answer)| {
-                *answer == Answer::Answered && at.saturating_sub(c.asked) <= plan.verbs[first.verb].goal
+                *answer == Answer::Answered
+                    && at.saturating_sub(c.asked) <= plan.verbs[first.verb].goal
             });
             *chains.entry(c.chain).or_default() |= good;
         }
@@ -190,7 +225,9 @@
 
     /// Milliseconds within which so many of a hundred answers came.
     pub fn time(&self, percentile: f64) -> f64 {
-        self.times.as_ref().map_or(0.0, |t| t.value_at_quantile(percentile / 100.0) as f64 / 1e3)
+        self.times.as_ref().map_or(0.0, |t| {
+            t.value_at_quantile(percentile / 100.0) as f64 / 1e3
+        })
     }
 }
 
@@ -198,7 +235,9 @@
 pub fn measure(run: &Run, plan: &Plan, hold: &HoldPlan) -> f64 {
     let asked = |c: &Told| {
         hold.verb.is_none_or(|v| c.verb == v)
-            && hold.asked_in.is_none_or(|zone| plan.zone_of(c.instance) == zone)
+            && hold
+                .asked_in
+                .is_none_or(|zone| plan.zone_of(c.instance) == zone)
     };
     let tally = || Tally::of_those(run, plan, &hold.window, asked);
     let fleet = |of: fn(&FleetDay) -> f64| run.fleet.as_ref().map_or(f64::NAN, of);
@@ -230,7 +269,12 @@
             tally.share(tally.relays)
         }
         Metric::Probes => {
-            let probes = run.books.probes.iter().filter(|(at, _)| hold.window.contains(at)).count();
+            let probes = run
+                .books
+                .probes
+                .iter()
+                .filter(|(at, _)| hold.window.contains(at))
+                .count();
             probes as f64 / tally().commands.max(1) as f64
         }
         Metric::Broken => run.breaches.len() as f64,
@@ -278,15 +322,23 @@
             let steps = shares.windows(2).map(|pair| (pair[1] - pair[0]).abs());
             steps.sum::<f64>() / shares.len().saturating_sub(1).max(1) as f64
         }
-        Metric::Busiest => spread::shares(run, plan, &hold.window).into_iter().fold(0.0, f64::max),
-        Metric::Idlest => spread::shares(run, plan, &hold.window).into_iter().fold(f64::MAX, f64::min),
+        Metric::Busiest => spread::shares(run, plan, &hold.window)
+            .into_iter()
+            .fold(0.0, f64::max),
+        Metric::Idlest => spread::shares(run, plan, &hold.window)
+            .into_iter()
+            .fold(f64::MAX, f64::min),
         Metric::Herding => spread::herding(run, plan, &hold.window, Duration::from_secs(1)),
         Metric::HerdingFast => spread::herding(run, plan, &hold.window, Duration::from_millis(100)),
         Metric::Idle => spread::idle(run, plan, &hold.window),
-        Metric::HoldersMost => spread::holders(run, plan, &hold.window).into_iter().max().unwrap_or(0) as f64,
-        Metric::HoldersLeast => {
-            spread::holders(run, plan, &hold.window).into_iter().min().unwrap_or(0) as f64
-        }
+        Metric::HoldersMost => spread::holders(run, plan, &hold.window)
+            .into_iter()
+            .max()
+            .unwrap_or(0) as f64,
+        Metric::HoldersLeast => spread::holders(run, plan, &hold.window)
+            .into_iter()
+            .min()
+            .unwrap_or(0) as f64,
         Metric::LinksMost => spread::links_most(run, &hold.window) as f64,
         Metric::Connections => run.connections as f64,
         Metric::Together => spread::together(run, plan, &hold.window),
@@ -296,11 +348,15 @@
         Metric::StaleTries => fleet(|f| f.stale_tries() as f64),
         Metric::Unowned => {
             let duties = plan.fleet.as_ref().map_or(0, |plan| plan.duties.len());
-            run.fleet.as_ref().map_or(f64::NAN, |f| f.unowned(&hold.window, duties))
+            run.fleet
+                .as_ref()
+                .map_or(f64::NAN, |f| f.unowned(&hold.window, duties))
         }
         Metric::Acts => {
             let within = |a: &&Act| a.accepted && hold.window.contains(&a.at);
-            run.fleet.as_ref().map_or(f64::NAN, |f| f.acts.iter().filter(within).count() as f64)
+            run.fleet
+                .as_ref()
+                .map_or(f64::NAN, |f| f.acts.iter().filter(within).count() as f64)
         }
         Metric::Owners => fleet(|f| f.owners() as f64),
         Metric::PeerDatagrams => fleet(FleetDay::peer_datagrams),
@@ -310,9 +366,17 @@
         Metric::AtWork => fleet(|f| f.at_work() as f64),
         Metric::WorkBroken => work_broken(run) as f64,
         Metric::WorkTime => {
-            let requests = plan.fleet.iter().flat_map(|f| f.work.iter()).flat_map(|work| &work.requests);
+            let requests = plan
+                .fleet
+                .iter()
+                .flat_map(|f| f.work.iter())
+                .flat_map(|work| &work.requests);
             let last = |es: &[usize]| {
-                let own = run.fleet.iter().flat_map(|f| &f.works).filter(|w| es.contains(&w.endpoint));
+                let own = run
+                    .fleet
+                    .iter()
+                    .flat_map(|f| &f.works)
+                    .filter(|w| es.contains(&w.endpoint));
                 own.map(|w| w.to).max().unwrap_or(Duration::MAX)
             };
             let times = requests.map(|(at, _, es)| last(es).saturating_sub(*at).as_secs_f64());
@@ -322,8 +386,15 @@
             let there = |e: &usize| Some(plan.endpoints[*e].zone) == hold.zone;
             let own: Vec<usize> = (0..plan.endpoints.len()).filter(there).collect();
             let cores: usize = own.iter().map(|e| plan.endpoints[*e].make.cores).sum();
-            let looks: Vec<_> = run.looks.iter().filter(|l| hold.window.contains(&l.at)).collect();
-            let held: usize = looks.iter().map(|l| own.iter().map(|e| l.held[*e]).sum::<usize>()).sum();
+            let looks: Vec<_> = run
+                .looks
+                .iter()
+                .filter(|l| hold.window.contains(&l.at))
+                .collect();
+            let held: usize = looks
+                .iter()
+                .map(|l| own.iter().map(|e| l.held[*e]).sum::<usize>())
+                .sum();
             held as f64 / looks.len().max(1) as f64 / cores.max(1) as f64
         }
     }
@@ -333,8 +404,13 @@
 fn work_broken(run: &Run) -> usize {
     let works = run.fleet.iter().flat_map(|fleet| &fleet.works);
     let broken = |work: &crate::fleet::Worked| {
-        let on = run.books.relays.iter().filter(|r| r.endpoint == work.endpoint);
-        on.filter(|r| r.at < work.to && r.ended.is_none_or(|(at, _)| at > work.from)).count()
+        let on = run
+            .books
+            .relays
+            .iter()
+            .filter(|r| r.endpoint == work.endpoint);
+        on.filter(|r| r.at < work.to && r.ended.is_none_or(|(at, _)| at > work.from))
+            .count()
     };
     works.map(broken).sum()
 }
@@ -361,8 +437,11 @@
 
 pub fn held(plan: &Plan, runs: &[Run]) -> Vec<Held> {
     let figure = |hold: &HoldPlan, policy: &str| {
-        let all: Vec<f64> =
-            runs.iter().filter(|r| r.policy == policy).map(|run| measure(run, plan, hold)).collect();
+        let all: Vec<f64> = runs
+            .iter()
+            .filter(|r| r.policy == policy)
+            .map(|run| measure(run, plan, hold))
+            .collect();
         match hold.metric {
             Metric::Broken
             | Metric::Push
@@ -382,11 +461,20 @@
     let one = |hold: &HoldPlan| {
         let other = hold.above.as_ref().map_or(0.0, |other| figure(hold, other));
         let figure = figure(hold, &hold.policy) - other;
-        let good =
-            hold.at_least.is_none_or(|least| figure >= least) && hold.at_most.is_none_or(|m| figure <= m);
+        let good = hold.at_least.is_none_or(|least| figure >= least)
+            && hold.at_most.is_none_or(|m| figure <= m);
         let bounds = [("at least", hold.at_least), ("at most", hold.at_most)];
-        let bound: Vec<_> = bounds.iter().filter_map(|(word, b)| Some(format!("{word} {}", (*b)?))).collect();
-        Held { text: hold.text.clone(), line: hold.line, figure, bound: bound.join(", "), good }
+        let bound: Vec<_> = bounds
+            .iter()
+            .filter_map(|(word, b)| Some(format!("{word} {}", (*b)?)))
+            .collect();
+        Held {
+            text: hold.text.clone(),
+            line: hold.line,
+            figure,
+            bound: bound.join(", "),
+            good,
+        }
     };
     // Of what was not played there is nothing to say.
     let played = |name: &String| runs.iter().any(|r| r.policy == *name);
--- a/crates/passroad-rig/src/run/tests.rs
+++ b/crates/passroad-rig/src/run/tests.rs
@@ -11,8 +11,16 @@
         let mut plan = read(text).unwrap();
         plan.fleet.iter_mut().for_each(|fleet| fleet.fence = fence);
         let runs = play_all(&plan, 1).unwrap();
-        let broken: Vec<_> = held(&plan, &runs).into_iter().filter(|h| !h.good).map(|h| h.text).collect();
-        assert_eq!(broken.contains(&"staleacts".to_string()), !fence, "{broken:?}");
+        let broken: Vec<_> = held(&plan, &runs)
+            .into_iter()
+            .filter(|h| !h.good)
+            .map(|h| h.text)
+            .collect();
+        assert_eq!(
+            broken.contains(&"staleacts".to_string()),
+            !fence,
+            "{broken:?}"
+        );
         assert_eq!(broken.is_empty(), fence, "{broken:?}");
     }
 }
@@ -21,6 +29,12 @@
 fn sidecars_that_talk_are_the_same_twice_and_over_threads() {
     let mut plan = read(include_str!("../../../../experiments/owner-cut.toml")).unwrap();
     plan.seeds = vec![1, 2, 3];
-    let days = |threads| play_all(&plan, threads).unwrap().into_iter().map(|r| r.fleet).collect::<Vec<_>>();
+    let days = |threads| {
+        play_all(&plan, threads)
+            .unwrap()
+            .into_iter()
+            .map(|r| r.fleet)
+            .collect::<Vec<_>>()
+    };
     assert_eq!(days(1), days(3));
 }
--- a/crates/passroad-rig/src/scale/command.rs
+++ b/crates/passroad-rig/src/scale/command.rs
@@ -19,13 +19,20 @@
         let text = std::fs::read_to_string(file).map_err(|e| format!("{}: {e}", file.display()))?;
         super::plan::read(&text, sidecars).map_err(|wrong| format!("{}: {wrong}", file.display()))
     };
-    let mut plans = files.iter().map(read).collect::<Result<Vec<ScalePlan>, _>>()?;
+    let mut plans = files
+        .iter()
+        .map(read)
+        .collect::<Result<Vec<ScalePlan>, _>>()?;
     let machine = Machine::look();
     for (file, plan) in files.iter().zip(&mut plans) {
         plan.seeds = seeds.clone().unwrap_or_else(|| plan.seeds.clone());
         let most = plan.sizes.iter().copied().max().unwrap_or_default();
         let need = Need::of(plan, most);
-        println!("{}, {most} sidecars: {}", file.display(), need.text(&machine));
+        println!(
+            "{}, {most} sidecars: {}",
+            file.display(),
+            need.text(&machine)
+        );
         if let Some(what) = need.refused(&machine) {
             return Err(format!("{}: does not fit: {what}", file.display()));
         }
@@ -36,7 +43,11 @@
     for (file, plan) in files.iter().zip(&plans) {
         for seed in &plan.seeds {
             for size in &plan.sizes {
-                println!("{}: {}; {size} sidecars, seed {seed}", file.display(), plan.about);
+                println!(
+                    "{}: {}; {size} sidecars, seed {seed}",
+                    file.display(),
+                    plan.about
+                );
                 let played = super::play(plan, *size, *seed, &program)?;
                 played.lines.iter().for_each(|line| println!("{line}"));
                 for (line, held) in plan.judge(&played.figures) {
@@ -47,7 +58,10 @@
                 all.extend(played.points);
                 // After each size: what a later one fails by must not cost the figures of these.
                 if let Some(path) = json {
-                    let path = path.display().to_string().replace("{seed}", &seed.to_string());
+                    let path = path
+                        .display()
+                        .to_string()
+                        .replace("{seed}", &seed.to_string());
                     write(Path::new(&path), &text(file, commit, *seed, all)?)?;
                 }
             }
@@ -59,10 +73,18 @@
 /// A line for each point.
 fn text(file: &Path, commit: &str, seed: u64, points: &[Point]) -> Result<String, String> {
     let fault = |e: serde_json::Error| e.to_string();
-    let lines = points.iter().map(|point| serde_json::to_string(point).map_err(fault));
+    let lines = points
+        .iter()
+        .map(|point| serde_json::to_string(point).map_err(fault));
     let lines = lines.collect::<Result<Vec<_>, _>>()?.join(",\n  ");
-    let run = serde_json::to_string(&format!("passroad-rig scale {} --seeds {seed}", file.display()));
-    let (run, commit) = (run.map_err(fault)?, serde_json::to_string(commit).map_err(fault)?);
+    let run = serde_json::to_string(&format!(
+        "passroad-rig scale {} --seeds {seed}",
+        file.display()
+    ));
+    let (run, commit) = (
+        run.map_err(fault)?,
+        serde_json::to_string(commit).map_err(fault)?,
+    );
     Ok(format!(
         "{{\"run\": {run}, \"commit\": {commit}, \"seed\": {seed}, \"simulated\": false, \"points\": [\n  {lines}\n]}}\n"
     ))
@@ -75,5 +97,7 @@
         std::fs::create_dir_all(folder).map_err(|e| at("folder of", e))?;
     }
     let new = path.with_extension("new");
-    std::fs::write(&new, text).and_then(|()| std::fs::rename(&new, path)).map_err(|e| at("points", e))
+    std::fs::write(&new, text)
+        .and_then(|()| std::fs::rename(&new, path))
+        .map_err(|e| at("points", e))
 }
--- a/crates/passroad-rig/src/scale/discovery.rs
+++ b/crates/passroad-rig/src/scale/discovery.rs
@@ -56,7 +56,11 @@
 }
 
 fn size(message: &Message) -> usize {
-    let heads: usize = message.headers.iter().map(|(name, value)| name.len() + value.len() + 4).sum();
+    let heads: usize = message
+        .headers
+        .iter()
+        .map(|(name, value)| name.len() + value.len() + 4)
+        .sum();
     message.method.len() + message.target.len() + 12 + heads + 2 + message.body.len()
 }
 
@@ -75,7 +79,10 @@
         let discovery = Arc::new(Discovery {
             plan: plan.clone(),
             wires: Arc::clone(wires),
-            addresses: listeners.iter().map(TcpListener::local_addr).collect::<io::Result<_>>()?,
+            addresses: listeners
+                .iter()
+                .map(TcpListener::local_addr)
+                .collect::<io::Result<_>>()?,
             resource: resource.local_addr()?,
             list: Mutex::new(List {
                 entries: vec![(Mode::Running, 1); endpoints.len()],
@@ -115,7 +122,10 @@
 
     async fn act(&self, mut talk: Talk) {
         while let Ok(Some(call)) = talk.request().await {
-            let owner = call.header("owner").and_then(|n| n.parse().ok()).unwrap_or_default();
+            let owner = call
+                .header("owner")
+                .and_then(|n| n.parse().ok())
+                .unwrap_or_default();
             let duty = call.header("duty").unwrap_or_default().to_string();
             held(&self.owners).insert((duty, owner));
             if talk.write(&answer("200 OK", "", "")).await.is_err() {
@@ -136,11 +146,17 @@
     /// The revision from which the list says so of them; the newest if nothing changes by it.
     pub fn tell(&self, these: &[usize], mode: Mode) -> u64 {
         let mut list = held(&self.list);
-        let changed: Vec<usize> = these.iter().copied().filter(|n| list.entries[*n].0 != mode).collect();
+        let changed: Vec<usize> = these
+            .iter()
+            .copied()
+            .filter(|n| list.entries[*n].0 != mode)
+            .collect();
         if !changed.is_empty() {
             list.revision += 1;
             let revision = list.revision;
-            changed.into_iter().for_each(|n| list.entries[n] = (mode, revision));
+            changed
+                .into_iter()
+                .for_each(|n| list.entries[n] = (mode, revision));
             list.set.insert(revision, Instant::now());
             list.texts.clear();
             self.news.send_replace(revision);
@@ -166,7 +182,11 @@
     /// The share of these that have asked from the newest revision.
     pub fn listed(&self, these: &[usize]) -> f64 {
         let list = held(&self.list);
-        these.iter().filter(|n| list.knows[**n] >= list.revision).count() as f64 / these.len().max(1) as f64
+        these
+            .iter()
+            .filter(|n| list.knows[**n] >= list.revision)
+            .count() as f64
+            / these.len().max(1) as f64
     }
 
     /// How long each revision from this instant on took until all of these knew of it; none where one does not.
@@ -178,11 +198,16 @@
         let told = list.set.iter().filter(|(_, at)| (from..to).contains(*at));
         told.map(|(revision, set)| {
             let mut first: BTreeMap<usize, Instant> = BTreeMap::new();
-            for (n, _, at) in list.heard.iter().filter(|(_, heard, at)| heard >= revision && at >= set) {
+            for (n, _, at) in list
+                .heard
+                .iter()
+                .filter(|(_, heard, at)| heard >= revision && at >= set)
+            {
                 first.entry(*n).or_insert(*at);
             }
             let all = these.iter().map(|n| first.get(n).map(|at| *at - *set));
-            all.collect::<Option<Vec<_>>>().and_then(|all| all.into_iter().max())
+            all.collect::<Option<Vec<_>>>()
+                .and_then(|all| all.into_iter().max())
         })
         .collect()
     }
@@ -210,7 +235,8 @@
                 })
             })
             .collect();
-        let whole = json!({ "revision": list.revision, "complete": from.is_none(), "members": members });
+        let whole =
+            json!({ "revision": list.revision, "complete": from.is_none(), "members": members });
         let text = Arc::new(whole.to_string());
         list.texts.insert(from, Arc::clone(&text));
         text
@@ -237,7 +263,10 @@
             self.wires.counters[n].went(LIST, bytes);
             let from = message.target.split_once("?from=").and_then(|(_, query)| {
                 let (from, hold) = query.split_once("&hold_ms=")?;
-                Some((from.parse::<u64>().ok()?, Duration::from_millis(hold.parse().ok()?)))
+                Some((
+                    from.parse::<u64>().ok()?,
+                    Duration::from_millis(hold.parse().ok()?),
+                ))
             });
             let mut news = self.news.subscribe();
             if let Some((from, hold)) = from {
--- a/crates/passroad-rig/src/scale/host.rs
+++ b/crates/passroad-rig/src/scale/host.rs
@@ -22,7 +22,10 @@
 }
 
 fn unix_us() -> u128 {
-    SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default().as_micros()
+    SystemTime::now()
+        .duration_since(SystemTime::UNIX_EPOCH)
+        .unwrap_or_default()
+        .as_micros()
 }
 
 /// A line at once; where nobody listens any more the input ends, too.
@@ -35,11 +38,17 @@
 
 /// Serves until the input ends.
 pub fn run(folder: PathBuf) -> Result<(), String> {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build();
     let runtime = runtime.map_err(|e| format!("runtime: {e}"))?;
     let (tell, mut told) = mpsc::unbounded_channel::<String>();
     std::thread::spawn(move || {
-        std::io::stdin().lock().lines().map_while(Result::ok).for_each(|line| drop(tell.send(line)));
+        std::io::stdin()
+            .lock()
+            .lines()
+            .map_while(Result::ok)
+            .for_each(|line| drop(tell.send(line)));
         // All of it at once, as its threads are many.
         std::process::exit(0);
     });
@@ -75,7 +84,11 @@
     let begun = tokio::task::spawn_blocking(move || Hollow::begin(files(&folder, n), turns)).await;
     match begun.unwrap_or_else(|e| Err(e.to_string())) {
         Ok(life) => {
-            let paths: Vec<String> = life.threads.iter().map(|path| path.display().to_string()).collect();
+            let paths: Vec<String> = life
+                .threads
+                .iter()
+                .map(|path| path.display().to_string())
+                .collect();
             held(&lives).insert(n, life);
             say(&format!("up {n} {}", paths.join(" ")));
         }
@@ -84,7 +97,14 @@
     // Many at once where a region is cut off: a line and a write each would be load of its own.
     let mut some = Vec::new();
     while turned.recv_many(&mut some, 1024).await > 0 {
-        let line = |turn: Turned| format!("turned {n} {} {:?} {}", turn.member, turn.standing, unix_us());
+        let line = |turn: Turned| {
+            format!(
+                "turned {n} {} {:?} {}",
+                turn.member,
+                turn.standing,
+                unix_us()
+            )
+        };
         say(&some.drain(..).map(line).collect::<Vec<_>>().join("\n"));
     }
 }
@@ -92,8 +112,14 @@
 async fn status(n: usize, lives: Lives) {
     let door = held(&lives).get(&n).and_then(|life| life.door.clone());
     let said = match door {
-        Some(door) => tokio::time::timeout(Duration::from_secs(5), door.status()).await.ok().flatten(),
+        Some(door) => tokio::time::timeout(Duration::from_secs(5), door.status())
+            .await
+            .ok()
+            .flatten(),
         None => None,
     };
-    say(&format!("status {n} {}", said.map_or("null".into(), |said| super::brief(&said).to_string())));
+    say(&format!(
+        "status {n} {}",
+        said.map_or("null".into(), |said| super::brief(&said).to_string())
+    ));
 }
--- a/crates/passroad-rig/src/scale/load.rs
+++ b/crates/passroad-rig/src/scale/load.rs
@@ -63,7 +63,11 @@
     ) -> io::Result<Arc<Load>> {
         let times = Histogram::new_with_bounds(1, 60_000_000, 3).map_err(io::Error::other)?;
         let (asked, served, times) = (AtomicU64::new(0), AtomicU64::new(0), Mutex::new(times));
-        let load = Arc::new(Load { asked, served, times });
+        let load = Arc::new(Load {
+            asked,
+            served,
+            times,
+        });
         for (n, front) in fronts.iter().copied().enumerate() {
             let (own, rate, calls) = (Arc::clone(&load), plan.load, plan.calls);
             let mut dice = Chance::stream(seed, "load", n as u64);
@@ -99,8 +103,9 @@
         Some(talk) => talk,
         None => Talk::new(TcpStream::connect(front).await?),
     };
-    let request =
-        format!("GET /call-{k} HTTP/1.1\r\nHost: rig\r\nReq-Id: {id:016x}\r\nReq-Deadline-Ms: 1000\r\n\r\n");
+    let request = format!(
+        "GET /call-{k} HTTP/1.1\r\nHost: rig\r\nReq-Id: {id:016x}\r\nReq-Deadline-Ms: 1000\r\n\r\n"
+    );
     talk.write(request.as_bytes()).await?;
     let said = talk.answer().await?.ok_or(io::ErrorKind::UnexpectedEof)?;
     if !talk.came_ahead() {
--- a/crates/passroad-rig/src/scale/measure.rs
+++ b/crates/passroad-rig/src/scale/measure.rs
@@ -31,7 +31,11 @@
         std::thread::sleep(at.saturating_duration_since(Instant::now()));
         looks.push(Look {
             at: Instant::now(),
-            counted: wires.counters.iter().map(super::wires::Counter::read).collect(),
+            counted: wires
+                .counters
+                .iter()
+                .map(super::wires::Counter::read)
+                .collect(),
             cpu: processes.cpu(),
             memory: processes.memory(),
             asked: discovery.asked(),
@@ -64,13 +68,19 @@
 
 impl Spread {
     pub fn each(&self) -> [(&'static str, f64); 3] {
-        [("mean", self.mean), ("busiest", self.busiest), ("worst-second", self.worst_second)]
+        [
+            ("mean", self.mean),
+            ("busiest", self.busiest),
+            ("worst-second", self.worst_second),
+        ]
     }
 }
 
 /// `of` reads a counter of one sidecar that only rises; one that began anew counts from nothing.
 pub fn spread(looks: &[Look], these: &[usize], of: impl Fn(&Look, usize) -> f64) -> Spread {
-    let (Some(first), Some(last)) = (looks.first(), looks.last()) else { return Spread::default() };
+    let (Some(first), Some(last)) = (looks.first(), looks.last()) else {
+        return Spread::default();
+    };
     let whole = (last.at - first.at).as_secs_f64();
     if these.is_empty() || whole <= 0.0 {
         return Spread::default();
@@ -104,8 +114,12 @@
 const WIRE: [(&str, &str, Read); 4] = [
     ("bytes-in", "B/s", |c, channel| one(&c.bytes_in, channel)),
     ("bytes-out", "B/s", |c, channel| one(&c.bytes_out, channel)),
-    ("messages-in", "1/s", |c, channel| one(&c.messages_in, channel)),
-    ("messages-out", "1/s", |c, channel| one(&c.messages_out, channel)),
+    ("messages-in", "1/s", |c, channel| {
+        one(&c.messages_in, channel)
+    }),
+    ("messages-out", "1/s", |c, channel| {
+        one(&c.messages_out, channel)
+    }),
 ];
 
 /// Who is which, for the points of a window.
@@ -150,25 +164,44 @@
             (fleet + if whole { list } else { Duration::ZERO }).as_secs_f64()
         });
         put("control", "cpu", "core", kind, &cpu.each());
-        let of = |look: &Look| if kind == "hollow" { look.memory.0.clone() } else { look.memory.1.clone() };
+        let of = |look: &Look| {
+            if kind == "hollow" {
+                look.memory.0.clone()
+            } else {
+                look.memory.1.clone()
+            }
+        };
         let every: Vec<f64> = looks.iter().flat_map(of).map(|bytes| bytes / 1e6).collect();
         if !every.is_empty() {
             let mean = every.iter().sum::<f64>() / every.len() as f64;
             let most = every.iter().copied().fold(0.0, f64::max);
-            put("control", "memory", "MB", kind, &[("mean", mean), ("busiest", most)]);
+            put(
+                "control",
+                "memory",
+                "MB",
+                kind,
+                &[("mean", mean), ("busiest", most)],
+            );
         }
     }
-    for (role, these, channel) in [("voter", &roles.voters, LEASES), ("duty-owner", &roles.owners, LEASES)] {
+    for (role, these, channel) in [
+        ("voter", &roles.voters, LEASES),
+        ("duty-owner", &roles.owners, LEASES),
+    ] {
         if !these.is_empty() {
             for (quantity, unit, read) in WIRE {
-                let spread = spread(looks, these, |look, n| read(&look.counted[n], Some(channel)));
+                let spread = spread(looks, these, |look, n| {
+                    read(&look.counted[n], Some(channel))
+                });
                 put(role, quantity, unit, "hollow", &spread.each());
             }
         }
     }
     if let Some(conductor) = conductor(looks) {
         for (quantity, unit, read) in WIRE {
-            let spread = spread(looks, &[conductor], |look, n| read(&look.counted[n], Some(WORK)));
+            let spread = spread(looks, &[conductor], |look, n| {
+                read(&look.counted[n], Some(WORK))
+            });
             put("conductor", quantity, unit, "hollow", &spread.each());
         }
     }
@@ -188,18 +221,30 @@
             &[("mean", spread.mean), ("worst-second", spread.worst_second)],
         );
     }
-    let open: Vec<f64> = looks.iter().map(|look| look.asked.open_watches as f64).collect();
+    let open: Vec<f64> = looks
+        .iter()
+        .map(|look| look.asked.open_watches as f64)
+        .collect();
     let mean = open.iter().sum::<f64>() / open.len().max(1) as f64;
     let most = open.iter().copied().fold(0.0, f64::max);
-    put("discovery", "open-watches", "count", "hollow", &[("mean", mean), ("worst-second", most)]);
+    put(
+        "discovery",
+        "open-watches",
+        "count",
+        "hollow",
+        &[("mean", mean), ("worst-second", most)],
+    );
     all
 }
 
 /// Whoever says most of the order of work, where anything is said of it.
 fn conductor(looks: &[Look]) -> Option<usize> {
     let (first, last) = (looks.first()?, looks.last()?);
-    let said = |n: &usize| last.counted[*n].messages_out[WORK] - first.counted[*n].messages_out[WORK];
-    (0..last.counted.len()).max_by_key(said).filter(|n| said(n) > 0)
+    let said =
+        |n: &usize| last.counted[*n].messages_out[WORK] - first.counted[*n].messages_out[WORK];
+    (0..last.counted.len())
+        .max_by_key(said)
+        .filter(|n| said(n) > 0)
 }
 
 /// To six digits, so that files stay readable.
--- a/crates/passroad-rig/src/scale/mod.rs
+++ b/crates/passroad-rig/src/scale/mod.rs
@@ -49,12 +49,20 @@
 /// An address of its own on the loopback network; the process number keeps rigs that run side by side apart.
 fn place(row: usize, n: usize) -> IpAddr {
     let block = 64 + (std::process::id() % 128) as u8;
-    IpAddr::V4(Ipv4Addr::new(127, block, (8 * row + n / 250 + 1) as u8, (n % 250 + 1) as u8))
+    IpAddr::V4(Ipv4Addr::new(
+        127,
+        block,
+        (8 * row + n / 250 + 1) as u8,
+        (n % 250 + 1) as u8,
+    ))
 }
 
 /// What of a sidecar's status a run goes by.
 fn brief(said: &Value) -> Value {
-    let members = said["members"].as_array().map(Vec::as_slice).unwrap_or_default();
+    let members = said["members"]
+        .as_array()
+        .map(Vec::as_slice)
+        .unwrap_or_default();
     let count = |word: &str| members.iter().filter(|m| m["standing"] == word).count();
     json!({
         "here": count("here"), "doubt": count("doubt"), "gone": count("gone"),
@@ -68,7 +76,11 @@
 impl Folder {
     fn new() -> std::io::Result<Folder> {
         static COUNT: AtomicUsize = AtomicUsize::new(0);
-        let name = format!("passroad-scale-{}-{}", std::process::id(), COUNT.fetch_add(1, Relaxed));
+        let name = format!(
+            "passroad-scale-{}-{}",
+            std::process::id(),
+            COUNT.fetch_add(1, Relaxed)
+        );
         let path = std::env::temp_dir().join(name);
         std::fs::create_dir_all(&path)?;
         Ok(Folder(path))
@@ -90,8 +102,16 @@
 }
 
 /// Plays one size by one seed; `program` is the rig's own executable.
-pub fn play(plan: &ScalePlan, sidecars: usize, seed: u64, program: &Path) -> Result<Played, String> {
-    let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build();
+pub fn play(
+    plan: &ScalePlan,
+    sidecars: usize,
+    seed: u64,
+    program: &Path,
+) -> Result<Played, String> {
+    let runtime = tokio::runtime::Builder::new_multi_thread()
+        .worker_threads(2)
+        .enable_all()
+        .build();
     let runtime = runtime.map_err(|e| format!("runtime: {e}"))?;
     let played = runtime.block_on(run(plan, sidecars, seed, program));
     runtime.shutdown_background();
@@ -117,22 +137,39 @@
 }
 
 fn unix() -> Duration {
-    SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default()
+    SystemTime::now()
+        .duration_since(SystemTime::UNIX_EPOCH)
+        .unwrap_or_default()
 }
 
-async fn run(plan: &ScalePlan, sidecars: usize, seed: u64, program: &Path) -> std::io::Result<Played> {
+async fn run(
+    plan: &ScalePlan,
+    sidecars: usize,
+    seed: u64,
+    program: &Path,
+) -> std::io::Result<Played> {
     let folder = Folder::new()?;
     let wires = Wires::start(plan, sidecars).await?;
     let endpoints = load::endpoints(sidecars, plan.real > 0).await?;
     let discovery = Discovery::start(plan, &wires, endpoints).await?;
     // Spread over the zones, as the others are.
-    let real: Vec<usize> = (0..plan.real).map(|k| k * sidecars / plan.real.max(1)).collect();
+    let real: Vec<usize> = (0..plan.real)
+        .map(|k| k * sidecars / plan.real.max(1))
+        .collect();
     let hollow: Vec<usize> = (0..sidecars).filter(|n| !real.contains(n)).collect();
-    std::fs::write(folder.0.join("fleet.toml"), plan.fleet_file(discovery.resource))?;
+    std::fs::write(
+        folder.0.join("fleet.toml"),
+        plan.fleet_file(discovery.resource),
+    )?;
     let (mut fronts, mut doors) = (Vec::new(), BTreeMap::new());
-    let free = |row, n| std::net::TcpListener::bind((place(row, n), 0)).and_then(|l| l.local_addr());
+    let free =
+        |row, n| std::net::TcpListener::bind((place(row, n), 0)).and_then(|l| l.local_addr());
     for n in 0..sidecars {
-        let listen = if real.contains(&n) { free(4, n)? } else { (place(4, n), 7000).into() };
+        let listen = if real.contains(&n) {
+            free(4, n)?
+        } else {
+            (place(4, n), 7000).into()
+        };
         let mut told = json!({
             "name": format!("scale-{n}"), "listen": listen, "discovery": discovery.addresses[n],
             "seed": format!("{:x}", Chance::stream(seed, "instance", n as u64).number()),
@@ -149,8 +186,13 @@
         std::fs::write(folder.0.join(format!("{n}.routes.toml")), plan.routes(n))?;
     }
     let hosts = hollow.len().div_ceil(need::A_HOST).max(1);
-    let whose = hollow.chunks(hollow.len().div_ceil(hosts).max(1)).map(<[usize]>::to_vec).collect();
-    let processes = Arc::new(Processes::start(program, &folder.0, sidecars, whose, doors)?);
+    let whose = hollow
+        .chunks(hollow.len().div_ceil(hosts).max(1))
+        .map(<[usize]>::to_vec)
+        .collect();
+    let processes = Arc::new(Processes::start(
+        program, &folder.0, sidecars, whose, doors,
+    )?);
     let ground = Arc::new(Ground {
         plan: plan.clone(),
         seed,
@@ -180,7 +222,15 @@
     let ends = began + plan.length;
     let looking = {
         let ground = Arc::clone(&ground);
-        let look = move || measure::look(&ground.wires, &ground.discovery, &ground.processes, began, ends);
+        let look = move || {
+            measure::look(
+                &ground.wires,
+                &ground.discovery,
+                &ground.processes,
+                began,
+                ends,
+            )
+        };
         std::thread::spawn(look)
     };
     let load = match plan.load > 0.0 {
@@ -198,12 +248,21 @@
     while !looking.is_finished() {
         sleep(BETWEEN_LOOKS).await;
     }
-    let looks = looking.join().map_err(|_| std::io::Error::other("the looks have failed"))?;
+    let looks = looking
+        .join()
+        .map_err(|_| std::io::Error::other("the looks have failed"))?;
     let statuses = ground.processes.statuses(&all).await;
     if let Some(crashed) = ground.processes.crashed().first() {
         return Err(std::io::Error::other(crashed.clone()));
     }
-    let mut played = ground.figures(&looks, &hollow, &real, (began, unix_began), &before, &statuses);
+    let mut played = ground.figures(
+        &looks,
+        &hollow,
+        &real,
+        (began, unix_began),
+        &before,
+        &statuses,
+    );
     if let Some(load) = load {
         let (asked, served) = (load.asked.load(Relaxed), load.served.load(Relaxed));
         played.lines.push(format!(
@@ -216,7 +275,9 @@
     let whole: Vec<f64> = ground.processes.whole_memory();
     if !whole.is_empty() {
         let mean = whole.iter().sum::<f64>() / whole.len() as f64 / 1e6;
-        played.lines.push(format!("a real sidecar holds {mean:.1} MB with the program's own pages"));
+        played.lines.push(format!(
+            "a real sidecar holds {mean:.1} MB with the program's own pages"
+        ));
     }
     Ok(played)
 }
@@ -229,7 +290,10 @@
 
     fn well(&self, n: usize) {
         let mut troubles = held(&self.troubles);
-        let open = troubles.iter_mut().rev().find(|(of, _, to)| *of == n && to.is_none());
+        let open = troubles
+            .iter_mut()
+            .rev()
+            .find(|(of, _, to)| *of == n && to.is_none());
         open.into_iter().for_each(|(.., to)| *to = Some(unix()));
         held(&self.alive)[n] = true;
     }
@@ -239,7 +303,10 @@
         let mut dice = Chance::stream(self.seed, "changes", 0);
         let (count, mut drained) = (held(&self.alive).len(), None);
         loop {
-            sleep(Duration::from_secs_f64(86_400.0 / self.plan.changes_a_day * dice.gap())).await;
+            sleep(Duration::from_secs_f64(
+                86_400.0 / self.plan.changes_a_day * dice.gap(),
+            ))
+            .await;
             if Instant::now() >= until {
                 return;
             }
@@ -258,12 +325,17 @@
         let sidecars = held(&self.alive).len();
         match event.kind {
             Kind::Cut(region, way) => {
-                let inside: Vec<bool> = (0..sidecars).map(|n| self.plan.region(n) == region).collect();
+                let inside: Vec<bool> = (0..sidecars)
+                    .map(|n| self.plan.region(n) == region)
+                    .collect();
                 held(&self.cuts).push((inside.clone(), unix(), None));
                 self.wires.cut(inside, way);
                 sleep_until(ends.into()).await;
                 self.wires.heal();
-                held(&self.cuts).last_mut().into_iter().for_each(|(.., to)| *to = Some(unix()));
+                held(&self.cuts)
+                    .last_mut()
+                    .into_iter()
+                    .for_each(|(.., to)| *to = Some(unix()));
             }
             Kind::DiscoveryDown => {
                 self.discovery.down(true);
@@ -324,9 +396,13 @@
         let during = |from: &Duration, to: &Option<Duration>| {
             turn.at >= *from && to.is_none_or(|to| turn.at <= to + AFTERMATH)
         };
-        let own = held(&self.troubles).iter().any(|(n, from, to)| *n == turn.of && during(from, to));
+        let own = held(&self.troubles)
+            .iter()
+            .any(|(n, from, to)| *n == turn.of && during(from, to));
         // Across a cut news of one side's members go round on both.
-        own || held(&self.cuts).iter().any(|(_, from, to)| during(from, to))
+        own || held(&self.cuts)
+            .iter()
+            .any(|(_, from, to)| during(from, to))
     }
 
     /// Members that were wrongly doubted or taken for gone by somebody, in a span of time.
@@ -334,7 +410,11 @@
         let mut last: BTreeMap<usize, Duration> = BTreeMap::new();
         let mut count = 0;
         let wrong = |turn: &&Turn| turn.standing != Standing::Here && !self.rightly(turn);
-        for turn in turns.iter().filter(wrong).filter(|turn| turn.at >= from && turn.at < to) {
+        for turn in turns
+            .iter()
+            .filter(wrong)
+            .filter(|turn| turn.at >= from && turn.at < to)
+        {
             let before = last.insert(turn.of, turn.at);
             count += usize::from(before.is_none_or(|before| turn.at > before + EPISODE));
         }
@@ -351,9 +431,16 @@
     ) -> [Vec<Option<Duration>>; 2] {
         let (from, to) = (at + event.at, at + event.span().end);
         let troubles = held(&self.troubles).clone();
-        let hit: Vec<_> = troubles.iter().filter(|(_, began, _)| *began >= from && *began < to).collect();
+        let hit: Vec<_> = troubles
+            .iter()
+            .filter(|(_, began, _)| *began >= from && *began < to)
+            .collect();
         let whose: BTreeSet<usize> = hit.iter().map(|(n, ..)| *n).collect();
-        let watch: Vec<usize> = hollow.iter().copied().filter(|n| !whose.contains(n)).collect();
+        let watch: Vec<usize> = hollow
+            .iter()
+            .copied()
+            .filter(|n| !whose.contains(n))
+            .collect();
         if watch.is_empty() {
             return [Vec::new(), Vec::new()];
         }
@@ -365,18 +452,24 @@
         let first = |of: usize, standing: Standing, after: Duration, before: Option<Duration>| {
             let mut seen: BTreeMap<usize, Duration> = BTreeMap::new();
             for turn in by.get(&of).into_iter().flatten() {
-                let fits =
-                    turn.standing == standing && turn.at >= after && before.is_none_or(|b| turn.at < b);
+                let fits = turn.standing == standing
+                    && turn.at >= after
+                    && before.is_none_or(|b| turn.at < b);
                 if fits {
                     seen.entry(turn.by).or_insert(turn.at - after);
                 }
             }
             let all = watch.iter().map(|n| seen.get(n).copied());
-            all.collect::<Option<Vec<_>>>().and_then(|all| all.into_iter().max())
+            all.collect::<Option<Vec<_>>>()
+                .and_then(|all| all.into_iter().max())
         };
-        let deaths = hit.iter().map(|(n, began, back)| first(*n, Standing::Gone, *began, *back)).collect();
-        let starts =
-            hit.iter().filter_map(|(n, _, back)| back.map(|back| first(*n, Standing::Here, back, None)));
+        let deaths = hit
+            .iter()
+            .map(|(n, began, back)| first(*n, Standing::Gone, *began, *back))
+            .collect();
+        let starts = hit
+            .iter()
+            .filter_map(|(n, _, back)| back.map(|back| first(*n, Standing::Here, back, None)));
         [deaths, starts.collect()]
     }
 
@@ -416,14 +509,21 @@
             .flat_map(|duty| passroad_lease::council(duty, count, plan.fleet.voters))
             .map(usize::from)
             .collect();
-        let owners: BTreeSet<usize> = held(&self.discovery.owners).iter().map(|(_, n)| *n).collect();
+        let owners: BTreeSet<usize> = held(&self.discovery.owners)
+            .iter()
+            .map(|(_, n)| *n)
+            .collect();
         let roles = Roles {
             hollow: hollow.to_vec(),
             real: real.to_vec(),
             loaded: plan.load > 0.0,
             voters: voters.into_iter().collect(),
             owners: owners.iter().copied().collect(),
-            at: BTreeMap::from([("sidecars", count), ("endpoints", count), ("services", plan.services)]),
+            at: BTreeMap::from([
+                ("sidecars", count),
+                ("endpoints", count),
+                ("services", plan.services),
+            ]),
         };
         let (mut points, mut lines, mut doubts) = (Vec::new(), Vec::new(), 0);
         let conditions = plan.conditions();
@@ -443,22 +543,47 @@
             let mut own = measure::points(&window, &roles, condition);
             // Without events each sidecar's own doubts are wrong ones; with them it is gone by what members went through.
             let wrong = match plan.events.is_empty() {
-                true => own_of("doubts", statuses).saturating_sub(own_of("doubts", before)) as usize,
-                false => self.false_doubts(&turns, unix_began + (from - began), unix_began + (to - began)),
+                true => {
+                    own_of("doubts", statuses).saturating_sub(own_of("doubts", before)) as usize
+                }
+                false => self.false_doubts(
+                    &turns,
+                    unix_began + (from - began),
+                    unix_began + (to - began),
+                ),
             };
             doubts += wrong;
-            own.push(self.point(&roles, "false-doubts", "count", condition, "mean", wrong as f64));
-            for known in self.discovery.spread(from, to, &self.who_lived(from, to, began, unix_began, count))
-            {
+            own.push(self.point(
+                &roles,
+                "false-doubts",
+                "count",
+                condition,
+                "mean",
+                wrong as f64,
+            ));
+            for known in self.discovery.spread(
+                from,
+                to,
+                &self.who_lived(from, to, began, unix_began, count),
+            ) {
                 match known {
                     Some(time) => {
                         let seconds = time.as_secs_f64();
                         own.push(Point {
                             role: "discovery",
-                            ..self.point(&roles, "known-by-all", "s", condition, "worst-second", seconds)
+                            ..self.point(
+                                &roles,
+                                "known-by-all",
+                                "s",
+                                condition,
+                                "worst-second",
+                                seconds,
+                            )
                         });
                     }
-                    None => lines.push(format!("{condition}: a change of the list did not come to all")),
+                    None => lines.push(format!(
+                        "{condition}: a change of the list did not come to all"
+                    )),
                 }
             }
             lines.extend(lines_of(&own, condition));
@@ -473,13 +598,19 @@
         }
         let (mut known, mut due) = (0, 0);
         for event in &plan.events {
-            let conditions = [format!("event:{}", event.name), format!("return:{}", event.name)];
+            let conditions = [
+                format!("event:{}", event.name),
+                format!("return:{}", event.name),
+            ];
             if matches!(event.kind, Kind::Cut(..)) {
                 due += 1;
                 if let Some(time) = self.healed(&turns, event, unix_began) {
                     known += 1;
                     let seconds = time.as_secs_f64();
-                    lines.push(format!("{}: {seconds:.1} s after its end all have all again", event.name));
+                    lines.push(format!(
+                        "{}: {seconds:.1} s after its end all have all again",
+                        event.name
+                    ));
                     points.push(self.point(
                         &roles,
                         "known-by-all",
@@ -489,12 +620,17 @@
                         seconds,
                     ));
                 } else {
-                    lines.push(format!("{}: at the end of the run some do not have all again", event.name));
+                    lines.push(format!(
+                        "{}: at the end of the run some do not have all again",
+                        event.name
+                    ));
                 }
                 continue;
             }
             let both = self.known_by_all(&turns, hollow, event, unix_began);
-            for ((what, times), condition) in ["deaths", "starts"].iter().zip(&both).zip(&conditions) {
+            for ((what, times), condition) in
+                ["deaths", "starts"].iter().zip(&both).zip(&conditions)
+            {
                 let some: Vec<f64> = times.iter().flatten().map(Duration::as_secs_f64).collect();
                 (known, due) = (known + some.len(), due + times.len());
                 if times.is_empty() {
@@ -509,15 +645,28 @@
                 ));
                 if !some.is_empty() {
                     points.push(self.point(&roles, "known-by-all", "s", condition, "mean", mean));
-                    points.push(self.point(&roles, "known-by-all", "s", condition, "worst-second", worst));
+                    points.push(self.point(
+                        &roles,
+                        "known-by-all",
+                        "s",
+                        condition,
+                        "worst-second",
+                        worst,
+                    ));
                 }
             }
         }
         let alive: Vec<usize> = (0..count).filter(|n| held(&self.alive)[*n]).collect();
-        let here: u64 = statuses.values().filter_map(|said| said["here"].as_u64()).sum();
+        let here: u64 = statuses
+            .values()
+            .filter_map(|said| said["here"].as_u64())
+            .sum();
         let sent = |look: &Look, n: usize| look.counted[n].messages_out[wires::PEERS] as f64;
-        let first =
-            looks.iter().take_while(|look| conditions.get(1).is_none_or(|(to, _)| look.at < began + *to));
+        let first = looks.iter().take_while(|look| {
+            conditions
+                .get(1)
+                .is_none_or(|(to, _)| look.at < began + *to)
+        });
         let first: Vec<Look> = first.cloned().collect();
         let all: Vec<usize> = (0..count).collect();
         let talk = measure::spread(&first, &all, sent);
@@ -531,16 +680,30 @@
             self.wires.longest.load(Relaxed)
         ));
         let figures = BTreeMap::from([
-            ("here", here as f64 / (alive.len() * alive.len()).max(1) as f64),
+            (
+                "here",
+                here as f64 / (alive.len() * alive.len()).max(1) as f64,
+            ),
             ("listed", self.discovery.listed(&alive)),
             ("false-doubts", doubts as f64),
             ("longest", self.wires.longest.load(Relaxed) as f64),
             ("busiest-over-mean", talk.busiest / talk.mean.max(1e-9)),
             ("a-period", talk.mean * plan.fleet.period.0.as_secs_f64()),
             ("owners", owners.len() as f64),
-            ("known", if due == 0 { 1.0 } else { known as f64 / due as f64 }),
+            (
+                "known",
+                if due == 0 {
+                    1.0
+                } else {
+                    known as f64 / due as f64
+                },
+            ),
         ]);
-        Played { points, figures, lines }
+        Played {
+            points,
+            figures,
+            lines,
+        }
     }
 
     /// Those that no trouble met in a window.
@@ -554,8 +717,11 @@
     ) -> Vec<usize> {
         let (from, to) = (unix + (from - began), unix + (to - began));
         let troubles = held(&self.troubles);
-        let met =
-            |n: &usize| troubles.iter().any(|(of, a, b)| of == n && *a < to && b.is_none_or(|b| b > from));
+        let met = |n: &usize| {
+            troubles
+                .iter()
+                .any(|(of, a, b)| of == n && *a < to && b.is_none_or(|b| b > from))
+        };
         (0..count).filter(|n| !met(n)).collect()
     }
 
@@ -568,8 +734,21 @@
         statistic: &'static str,
         value: f64,
     ) -> Point {
-        let (condition, at, value) = (condition.to_string(), roles.at.clone(), measure::rounded(value));
-        Point { role: "control", quantity, unit, condition, statistic, kind: "hollow", at, value }
+        let (condition, at, value) = (
+            condition.to_string(),
+            roles.at.clone(),
+            measure::rounded(value),
+        );
+        Point {
+            role: "control",
+            quantity,
+            unit,
+            condition,
+            statistic,
+            kind: "hollow",
+            at,
+            value,
+        }
     }
 
     fn threads_line(&self, looks: &[Look], roles: &Roles) -> String {
@@ -598,14 +777,21 @@
 fn lines_of(points: &[Point], condition: &str) -> Vec<String> {
     let mut rows: BTreeMap<(&str, &str, &str), BTreeMap<&str, f64>> = BTreeMap::new();
     for point in points {
-        let row = rows.entry((point.role, point.kind, point.quantity)).or_default();
+        let row = rows
+            .entry((point.role, point.kind, point.quantity))
+            .or_default();
         let held = row.entry(point.statistic).or_insert(point.value);
         *held = held.max(point.value);
     }
     let row = |((role, kind, quantity), each): (&(&str, &str, &str), &BTreeMap<&str, f64>)| {
-        let of = |name: &str| each.get(name).map_or_else(|| "-".to_string(), |value| format!("{value:.6}"));
+        let of = |name: &str| {
+            each.get(name)
+                .map_or_else(|| "-".to_string(), |value| format!("{value:.6}"))
+        };
         let (mean, busiest, worst) = (of("mean"), of("busiest"), of("worst-second"));
-        format!("{condition:<18} {role:<11} {kind:<7} {quantity:<13} {mean:>14} {busiest:>14} {worst:>14}")
+        format!(
+            "{condition:<18} {role:<11} {kind:<7} {quantity:<13} {mean:>14} {busiest:>14} {worst:>14}"
+        )
     };
     rows.iter().map(row).collect()
 }
--- a/crates/passroad-rig/src/scale/need.rs
+++ b/crates/passroad-rig/src/scale/need.rs
@@ -32,12 +32,17 @@
         let text = std::fs::read_to_string("/proc/meminfo").unwrap_or_default();
         let of = |key: &str| {
             let line = text.lines().find_map(|line| line.strip_prefix(key));
-            line.and_then(|kb| kb.trim().trim_end_matches(" kB").parse::<f64>().ok()).unwrap_or_default()
+            line.and_then(|kb| kb.trim().trim_end_matches(" kB").parse::<f64>().ok())
+                .unwrap_or_default()
                 / 1024.0
         };
         let limit = rustix::process::getrlimit(rustix::process::Resource::Nofile).current;
         let descriptors = limit.map_or(usize::MAX, |most| most as usize);
-        Machine { memory_mb: of("MemTotal:"), free_mb: of("MemAvailable:"), descriptors }
+        Machine {
+            memory_mb: of("MemTotal:"),
+            free_mb: of("MemAvailable:"),
+            descriptors,
+        }
     }
 }
 
@@ -49,7 +54,11 @@
         let a_host = hollow.div_ceil(hosts.max(1));
         // Each knows each: its state grows by both.
         let hollow_mb = 1.2 + 0.0035 * sidecars as f64;
-        let called = if plan.load > 0.0 { sidecars + 64 * plan.real } else { 0 };
+        let called = if plan.load > 0.0 {
+            sidecars + 64 * plan.real
+        } else {
+            0
+        };
         Need {
             processes: hosts + plan.real,
             threads: 2 * hollow + 5 * plan.real + 6 * hosts,
@@ -81,13 +90,23 @@
     pub fn refused(&self, machine: &Machine) -> Option<String> {
         let most = (machine.memory_mb / 2.0).min(machine.free_mb);
         if self.processes > MOST_PROCESSES {
-            return Some(format!("{} processes, over {MOST_PROCESSES}", self.processes));
+            return Some(format!(
+                "{} processes, over {MOST_PROCESSES}",
+                self.processes
+            ));
         }
         if self.memory_mb > most {
-            return Some(format!("{:.0} MB, over the {most:.0} MB that may be used", self.memory_mb));
+            return Some(format!(
+                "{:.0} MB, over the {most:.0} MB that may be used",
+                self.memory_mb
+            ));
         }
         let descriptors = self.descriptors.0.max(self.descriptors.1);
-        (descriptors > machine.descriptors)
-            .then(|| format!("{descriptors} descriptors in a process, over {}", machine.descriptors))
+        (descriptors > machine.descriptors).then(|| {
+            format!(
+                "{descriptors} descriptors in a process, over {}",
+                machine.descriptors
+            )
+        })
     }
 }
--- a/crates/passroad-rig/src/scale/plan.rs
+++ b/crates/passroad-rig/src/scale/plan.rs
@@ -78,7 +78,11 @@
 impl Default for Delay {
     fn default() -> Self {
         let time = |us| Time(Duration::from_micros(us));
-        Delay { zone: time(0), between_zones: time(1000), between_regions: time(30_000) }
+        Delay {
+            zone: time(0),
+            between_zones: time(1000),
+            between_regions: time(30_000),
+        }
     }
 }
 
@@ -94,7 +98,12 @@
 impl Default for Fleet {
     fn default() -> Self {
         let time = |s| Time(Duration::from_secs(s));
-        Fleet { lease: time(3), period: time(1), voters: 5, every: time(1) }
+        Fleet {
+            lease: time(3),
+            period: time(1),
+            voters: 5,
+            every: time(1),
+        }
     }
 }
 
@@ -176,8 +185,16 @@
 }
 
 /// What a hold may ask for; none of them is a time, so that a slow machine judges as a quick one.
-pub const METRICS: [&str; 8] =
-    ["here", "listed", "false-doubts", "longest", "busiest-over-mean", "a-period", "owners", "known"];
+pub const METRICS: [&str; 8] = [
+    "here",
+    "listed",
+    "false-doubts",
+    "longest",
+    "busiest-over-mean",
+    "a-period",
+    "owners",
+    "known",
+];
 
 #[derive(Debug, Clone)]
 pub struct Hold {
@@ -211,21 +228,38 @@
 
 /// Reads a file; what is wrong is named by its line and key. `sidecars` takes the place of its sizes.
 pub fn read(text: &str, sidecars: Option<usize>) -> Result<ScalePlan, Wrong> {
-    let told: Text =
-        toml::from_str(text).map_err(|e| Wrong::of(text, e.span().map(|s| s.start), e.message()))?;
-    let wrong = |at: Range<usize>, what: String| Err(Wrong { line: line_of(text, at.start), what });
-    let within = |key: &str, told: &Spanned<usize>, span: std::ops::RangeInclusive<usize>| match span
-        .contains(told.get_ref())
-    {
-        true => Ok(*told.get_ref()),
-        false => {
-            let what = format!("{key}: {} is not from {} to {}", told.get_ref(), span.start(), span.end());
-            Err(Wrong { line: line_of(text, told.span().start), what })
-        }
+    let told: Text = toml::from_str(text)
+        .map_err(|e| Wrong::of(text, e.span().map(|s| s.start), e.message()))?;
+    let wrong = |at: Range<usize>, what: String| {
+        Err(Wrong {
+            line: line_of(text, at.start),
+            what,
+        })
     };
+    let within =
+        |key: &str, told: &Spanned<usize>, span: std::ops::RangeInclusive<usize>| match span
+            .contains(told.get_ref())
+        {
+            true => Ok(*told.get_ref()),
+            false => {
+                let what = format!(
+                    "{key}: {} is not from {} to {}",
+                    told.get_ref(),
+                    span.start(),
+                    span.end()
+                );
+                Err(Wrong {
+                    line: line_of(text, told.span().start),
+                    what,
+                })
+            }
+        };
     let sizes = sidecars.map_or_else(|| told.sizes.get_ref().clone(), |n| vec![n]);
     if sizes.is_empty() || sizes.iter().any(|n| !(2..=MOST_SIDECARS).contains(n)) {
-        return wrong(told.sizes.span(), format!("sizes: each from 2 to {MOST_SIDECARS}"));
+        return wrong(
+            told.sizes.span(),
+            format!("sizes: each from 2 to {MOST_SIDECARS}"),
+        );
     }
     if told.seeds.get_ref().is_empty() {
         return wrong(told.seeds.span(), "seeds: none".into());
@@ -238,7 +272,10 @@
     let real = within("real", &told.real, 0..=least.min(MOST_REAL))?;
     for (key, told) in [("load", &told.load), ("changes_a_day", &told.changes_a_day)] {
         if !(0.0..=1e7).contains(told.get_ref()) {
-            return wrong(told.span(), format!("{key}: {} is not from 0 to 10000000", told.get_ref()));
+            return wrong(
+                told.span(),
+                format!("{key}: {} is not from 0 to 10000000", told.get_ref()),
+            );
         }
     }
     let length = told.length.get_ref().0;
@@ -248,11 +285,17 @@
     let mut events: Vec<Event> = Vec::new();
     for spanned in &told.event {
         let event = spanned.get_ref();
-        let way = match event.one_way.as_ref().map(|way| (way.get_ref().as_str(), way.span())) {
+        let way = match event
+            .one_way
+            .as_ref()
+            .map(|way| (way.get_ref().as_str(), way.span()))
+        {
             None => Way::Both,
             Some(("out", _)) => Way::Out,
             Some(("back", _)) => Way::Back,
-            Some((other, span)) => return wrong(span, format!("one_way: '{other}' is not out or back")),
+            Some((other, span)) => {
+                return wrong(span, format!("one_way: '{other}' is not out or back"));
+            }
         };
         let number = |key: &str, told: &Option<Spanned<usize>>, span| match told {
             Some(told) => within(key, told, span).map(Some),
@@ -267,16 +310,25 @@
             (None, Some(zone), None) => Whom::Zone(zone),
             (None, None, Some(service)) => Whom::Service(service),
             (None, None, None) => Whom::All,
-            _ => return wrong(spanned.span(), "event: one of count, zone and service".into()),
+            _ => {
+                return wrong(
+                    spanned.span(),
+                    "event: one of count, zone and service".into(),
+                );
+            }
         };
         let kind = match (event.kind.get_ref().as_str(), region) {
             ("cut", Some(region)) => Kind::Cut(region, way),
-            ("cut", None) => return wrong(event.kind.span(), "kind: a cut needs its region".into()),
+            ("cut", None) => {
+                return wrong(event.kind.span(), "kind: a cut needs its region".into());
+            }
             ("kill", _) => Kind::Kill(whom),
             ("restart", _) => Kind::Restart(whom),
             ("discovery-down", _) => Kind::DiscoveryDown,
             (other, _) => {
-                let what = format!("kind: unknown '{other}'; there are cut, kill, restart, discovery-down");
+                let what = format!(
+                    "kind: unknown '{other}'; there are cut, kill, restart, discovery-down"
+                );
                 return wrong(event.kind.span(), what);
             }
         };
@@ -285,29 +337,54 @@
             return wrong(event.lasts.span(), "for: a second at least".into());
         }
         if events.last().is_some_and(|before| at < before.span().end) {
-            return wrong(event.at.span(), "at: before the end of the event before".into());
+            return wrong(
+                event.at.span(),
+                "at: before the end of the event before".into(),
+            );
         }
         if at + lasts >= length {
-            return wrong(event.at.span(), "at: the event ends behind the run's length".into());
+            return wrong(
+                event.at.span(),
+                "at: the event ends behind the run's length".into(),
+            );
         }
         let name = event.name.get_ref().clone();
         if name.is_empty() || !name.bytes().all(|b| b.is_ascii_alphanumeric() || b == b'-') {
-            return wrong(event.name.span(), format!("name: '{name}' is not of letters, digits and -"));
+            return wrong(
+                event.name.span(),
+                format!("name: '{name}' is not of letters, digits and -"),
+            );
         }
-        events.push(Event { name, kind, at, lasts, noticed: event.noticed.0 });
+        events.push(Event {
+            name,
+            kind,
+            at,
+            lasts,
+            noticed: event.noticed.0,
+        });
     }
     let mut holds = Vec::new();
     for spanned in told.hold {
         let hold = spanned.get_ref();
         let metric = hold.metric.get_ref().clone();
         if !METRICS.contains(&metric.as_str()) {
-            let what = format!("metric: unknown '{metric}'; there are {}", METRICS.join(", "));
+            let what = format!(
+                "metric: unknown '{metric}'; there are {}",
+                METRICS.join(", ")
+            );
             return wrong(hold.metric.span(), what);
         }
         if hold.at_least.is_none() && hold.at_most.is_none() {
-            return wrong(spanned.span(), "hold: at_least or at_most is missing".into());
+            return wrong(
+                spanned.span(),
+                "hold: at_least or at_most is missing".into(),
+            );
         }
-        holds.push(Hold { metric, at_least: hold.at_least, at_most: hold.at_most });
+        holds.push(Hold {
+            metric,
+            at_least: hold.at_least,
+            at_most: hold.at_most,
+        });
     }
     Ok(ScalePlan {
         about: told.about,
@@ -347,7 +424,9 @@
 
     /// The services that one calls.
     pub fn called(&self, n: usize) -> Vec<usize> {
-        (1..=self.calls).map(|k| (self.service(n) + k) % self.services).collect()
+        (1..=self.calls)
+            .map(|k| (self.service(n) + k) % self.services)
+            .collect()
     }
 
     /// One way between two places of the list.
@@ -371,14 +450,20 @@
             Whom::Count(count) => {
                 let mut dice = crate::chance::Chance::stream(seed, "whom", count as u64);
                 let mut rest: Vec<usize> = all.collect();
-                (0..count.min(sidecars)).map(|_| rest.swap_remove(dice.below(rest.len()))).collect()
+                (0..count.min(sidecars))
+                    .map(|_| rest.swap_remove(dice.below(rest.len())))
+                    .collect()
             }
         }
     }
 
     /// What each second of a run counts as, from its second on.
     pub fn conditions(&self) -> Vec<(Duration, String)> {
-        let plain = if self.changes_a_day > 0.0 || self.load > 0.0 { "ordinary" } else { "rest" };
+        let plain = if self.changes_a_day > 0.0 || self.load > 0.0 {
+            "ordinary"
+        } else {
+            "rest"
+        };
         let mut all = vec![(Duration::ZERO, plain.to_string())];
         for event in &self.events {
             all.push((event.at, format!("event:{}", event.name)));
@@ -441,13 +526,24 @@
     pub fn judge(&self, figures: &BTreeMap<&'static str, f64>) -> Vec<(String, bool)> {
         let judged = self.holds.iter().map(|hold| {
             let value = figures.get(hold.metric.as_str()).copied();
-            let least = hold.at_least.is_none_or(|least| value.is_some_and(|v| v >= least));
-            let most = hold.at_most.is_none_or(|most| value.is_some_and(|v| v <= most));
-            let bound =
-                |word: &str, bound: Option<f64>| bound.map_or(String::new(), |b| format!(" {word} {b}"));
-            let (least_text, most_text) = (bound("at least", hold.at_least), bound("at most", hold.at_most));
+            let least = hold
+                .at_least
+                .is_none_or(|least| value.is_some_and(|v| v >= least));
+            let most = hold
+                .at_most
+                .is_none_or(|most| value.is_some_and(|v| v <= most));
+            let bound = |word: &str, bound: Option<f64>| {
+                bound.map_or(String::new(), |b| format!(" {word} {b}"))
+            };
+            let (least_text, most_text) = (
+                bound("at least", hold.at_least),
+                bound("at most", hold.at_most),
+            );
             let shown = value.map_or("not measured".into(), |v| format!("{v:.4}"));
-            (format!("{}: {shown},{least_text}{most_text}", hold.metric), least && most)
+            (
+                format!("{}: {shown},{least_text}{most_text}", hold.metric),
+                least && most,
+            )
         });
         judged.collect()
     }
--- a/crates/passroad-rig/src/scale/processes.rs
+++ b/crates/passroad-rig/src/scale/processes.rs
@@ -52,12 +52,24 @@
 
 fn command(program: &Path, folder: &Path, log: &str) -> io::Result<Command> {
     let mut command = Command::new(program);
-    let log = File::options().create(true).append(true).open(folder.join(log))?;
+    let log = File::options()
+        .create(true)
+        .append(true)
+        .open(folder.join(log))?;
     // The end of its input tells the process that the rig is gone.
-    command.env("TMPDIR", folder).stdin(Stdio::piped()).stderr(log);
-    for name in
-        ["LB_CONFIG", "LB_ROUTES", "LB_FLEET", "LB_LISTEN", "LB_DISCOVERY", "LB_MANAGEMENT", "LB_NAME"]
-    {
+    command
+        .env("TMPDIR", folder)
+        .stdin(Stdio::piped())
+        .stderr(log);
+    for name in [
+        "LB_CONFIG",
+        "LB_ROUTES",
+        "LB_FLEET",
+        "LB_LISTEN",
+        "LB_DISCOVERY",
+        "LB_MANAGEMENT",
+        "LB_NAME",
+    ] {
         command.env_remove(name);
     }
     Ok(command)
@@ -67,7 +79,9 @@
 fn note(heard: &mut Heard, line: &str) {
     let mut words = line.split(' ');
     let word = words.next().unwrap_or_default();
-    let Some(n) = words.next().and_then(|n| n.parse::<usize>().ok()) else { return };
+    let Some(n) = words.next().and_then(|n| n.parse::<usize>().ok()) else {
+        return;
+    };
     match word {
         "up" => heard.threads[n] = words.map(|path| Path::new("/proc").join(path)).collect(),
         "gone" => heard.threads[n].clear(),
@@ -79,14 +93,24 @@
                 Some("Gone") => Some(Standing::Gone),
                 _ => None,
             };
-            let at = words.next().and_then(|us| us.parse().ok()).map(Duration::from_micros);
+            let at = words
+                .next()
+                .and_then(|us| us.parse().ok())
+                .map(Duration::from_micros);
             if let (Some(of), Some(standing), Some(at)) = (of, standing, at) {
-                heard.turns.push(Turn { at, by: n, of, standing });
+                heard.turns.push(Turn {
+                    at,
+                    by: n,
+                    of,
+                    standing,
+                });
             }
         }
         "status" => {
             let rest = line.splitn(3, ' ').nth(2).unwrap_or_default();
-            heard.statuses.insert(n, serde_json::from_str(rest).unwrap_or_default());
+            heard
+                .statuses
+                .insert(n, serde_json::from_str(rest).unwrap_or_default());
         }
         "fault" => heard.faults.push(line.to_string()),
         _ => {}
@@ -102,7 +126,10 @@
         whose: Vec<Vec<usize>>,
         doors: BTreeMap<usize, std::net::SocketAddr>,
     ) -> io::Result<Processes> {
-        let heard = Arc::new(Mutex::new(Heard { threads: vec![Vec::new(); sidecars], ..Heard::default() }));
+        let heard = Arc::new(Mutex::new(Heard {
+            threads: vec![Vec::new(); sidecars],
+            ..Heard::default()
+        }));
         let mut hosts = Vec::new();
         for (host, whose) in whose.into_iter().enumerate() {
             let mut child = command(program, folder, &format!("host-{host}.log"))?
@@ -111,14 +138,20 @@
                 .stdout(Stdio::piped())
                 .spawn()?;
             let (orders, said) = (child.stdin.take(), child.stdout.take());
-            let (Some(orders), Some(said)) = (orders, said) else { continue };
+            let (Some(orders), Some(said)) = (orders, said) else {
+                continue;
+            };
             let heard = Arc::clone(&heard);
             std::thread::spawn(move || {
                 for line in BufReader::new(said).lines().map_while(Result::ok) {
                     note(&mut held(&heard), &line);
                 }
             });
-            hosts.push(Host { child, orders, whose });
+            hosts.push(Host {
+                child,
+                orders,
+                whose,
+            });
         }
         Ok(Processes {
             program: program.into(),
@@ -148,9 +181,11 @@
         }
         let files = super::host::files(&self.folder, n);
         let mut command = command(&self.program, &self.folder, &format!("{n}.log"))?;
-        for (name, file) in
-            [("LB_CONFIG", files.config), ("LB_ROUTES", files.routes), ("LB_FLEET", files.fleet)]
-        {
+        for (name, file) in [
+            ("LB_CONFIG", files.config),
+            ("LB_ROUTES", files.routes),
+            ("LB_FLEET", files.fleet),
+        ] {
             command.envs(file.map(|file| (name, file)));
         }
         let child = command.arg("sidecar").stdout(Stdio::null()).spawn()?;
@@ -177,7 +212,9 @@
         }
         let child = held(&self.reals).remove(&n);
         held(&self.heard).threads[n].clear();
-        let Some(mut child) = child else { return Ok(()) };
+        let Some(mut child) = child else {
+            return Ok(());
+        };
         if let Some(pid) = rustix::process::Pid::from_raw(child.id() as i32) {
             rustix::process::kill_process(pid, rustix::process::Signal::TERM)?;
         }
@@ -191,7 +228,12 @@
         Ok(())
     }
 
-    async fn wait(&self, what: &str, these: &[usize], done: impl Fn(&[PathBuf]) -> bool) -> io::Result<()> {
+    async fn wait(
+        &self,
+        what: &str,
+        these: &[usize],
+        done: impl Fn(&[PathBuf]) -> bool,
+    ) -> io::Result<()> {
         let began = Instant::now();
         loop {
             {
@@ -204,7 +246,9 @@
                 }
             }
             if began.elapsed() > PATIENCE {
-                return Err(io::Error::other(format!("not all sidecars were {what} in {PATIENCE:?}")));
+                return Err(io::Error::other(format!(
+                    "not all sidecars were {what} in {PATIENCE:?}"
+                )));
             }
             sleep(Duration::from_millis(20)).await;
         }
@@ -218,9 +262,15 @@
             while tokio::net::TcpStream::connect(door).await.is_err() {
                 if began.elapsed() > PATIENCE {
                     let said = std::fs::read_to_string(self.folder.join(format!("{n}.log")));
-                    let last =
-                        said.unwrap_or_default().lines().last().unwrap_or("it said nothing").to_string();
-                    return Err(io::Error::other(format!("sidecar {n} did not come up: {last}")));
+                    let last = said
+                        .unwrap_or_default()
+                        .lines()
+                        .last()
+                        .unwrap_or("it said nothing")
+                        .to_string();
+                    return Err(io::Error::other(format!(
+                        "sidecar {n} did not come up: {last}"
+                    )));
                 }
                 sleep(Duration::from_millis(20)).await;
             }
@@ -237,8 +287,9 @@
         let mut all = BTreeMap::new();
         for n in these {
             if let Some(door) = self.doors.get(n) {
-                let asked =
-                    tokio::task::block_in_place(|| passroad::fleet::ask(*door, "GET", "/admin/fleet", ""));
+                let asked = tokio::task::block_in_place(|| {
+                    passroad::fleet::ask(*door, "GET", "/admin/fleet", "")
+                });
                 if let Ok(said) = asked {
                     all.insert(*n, super::brief(&said));
                 }
@@ -251,7 +302,12 @@
         while held(&self.heard).statuses.len() < hollow && began.elapsed() < PATIENCE {
             sleep(Duration::from_millis(20)).await;
         }
-        all.extend(held(&self.heard).statuses.iter().map(|(n, said)| (*n, said.clone())));
+        all.extend(
+            held(&self.heard)
+                .statuses
+                .iter()
+                .map(|(n, said)| (*n, said.clone())),
+        );
         all
     }
 
@@ -263,7 +319,11 @@
             for (n, path) in paths.iter().enumerate() {
                 // A real one's threads by their names; a hollow one's by their order.
                 let named = || std::fs::read_to_string(path.join("comm")).unwrap_or_default();
-                let fleet = if paths.len() == 2 { n == 1 } else { named().trim() == "fleet" };
+                let fleet = if paths.len() == 2 {
+                    n == 1
+                } else {
+                    named().trim() == "fleet"
+                };
                 both[usize::from(fleet)] += ran(path);
             }
             both
@@ -274,17 +334,30 @@
     /// Resident memory in bytes, without what is mapped from files: of each host, by how many share it, and of each real.
     pub fn memory(&self) -> (Vec<f64>, Vec<f64>) {
         let heard = held(&self.heard);
-        let up = |host: &Host| host.whose.iter().filter(|n| !heard.threads[**n].is_empty()).count();
+        let up = |host: &Host| {
+            host.whose
+                .iter()
+                .filter(|n| !heard.threads[**n].is_empty())
+                .count()
+        };
         let hosts = held(&self.hosts);
         let hollow = hosts.iter().filter(|host| up(host) > 0);
-        let hollow = hollow.map(|host| resident(host.child.id(), "RssAnon:") / up(host) as f64).collect();
-        let real = held(&self.reals).values().map(|child| resident(child.id(), "RssAnon:")).collect();
+        let hollow = hollow
+            .map(|host| resident(host.child.id(), "RssAnon:") / up(host) as f64)
+            .collect();
+        let real = held(&self.reals)
+            .values()
+            .map(|child| resident(child.id(), "RssAnon:"))
+            .collect();
         (hollow, real)
     }
 
     /// The whole resident memory of each real one, with the program itself.
     pub fn whole_memory(&self) -> Vec<f64> {
-        held(&self.reals).values().map(|child| resident(child.id(), "VmRSS:")).collect()
+        held(&self.reals)
+            .values()
+            .map(|child| resident(child.id(), "VmRSS:"))
+            .collect()
     }
 
     pub fn count(&self) -> usize {
@@ -312,10 +385,18 @@
     fn drop(&mut self) {
         let mut hosts = std::mem::take(&mut *held(&self.hosts));
         let mut reals = std::mem::take(&mut *held(&self.reals));
-        for child in hosts.iter_mut().map(|host| &mut host.child).chain(reals.values_mut()) {
+        for child in hosts
+            .iter_mut()
+            .map(|host| &mut host.child)
+            .chain(reals.values_mut())
+        {
             let _ = child.kill();
         }
-        for child in hosts.iter_mut().map(|host| &mut host.child).chain(reals.values_mut()) {
+        for child in hosts
+            .iter_mut()
+            .map(|host| &mut host.child)
+            .chain(reals.values_mut())
+        {
             let _ = child.wait();
         }
     }
@@ -323,17 +404,29 @@
 
 fn threads(pid: u32) -> Vec<PathBuf> {
     let folder = std::fs::read_dir(format!("/proc/{pid}/task"));
-    folder.into_iter().flatten().flatten().map(|entry| entry.path()).collect()
+    folder
+        .into_iter()
+        .flatten()
+        .flatten()
+        .map(|entry| entry.path())
+        .collect()
 }
 
 /// What the kernel counts for a thread; nothing once it has ended.
 fn ran(thread: &Path) -> Duration {
     let text = std::fs::read_to_string(thread.join("schedstat")).unwrap_or_default();
-    Duration::from_nanos(text.split(' ').next().and_then(|ns| ns.parse().ok()).unwrap_or_default())
+    Duration::from_nanos(
+        text.split(' ')
+            .next()
+            .and_then(|ns| ns.parse().ok())
+            .unwrap_or_default(),
+    )
 }
 
 fn resident(pid: u32, key: &str) -> f64 {
     let status = std::fs::read_to_string(format!("/proc/{pid}/status")).unwrap_or_default();
     let kb = status.lines().find_map(|line| line.strip_prefix(key));
-    kb.and_then(|kb| kb.trim().trim_end_matches(" kB").parse::<f64>().ok()).unwrap_or_default() * 1024.0
+    kb.and_then(|kb| kb.trim().trim_end_matches(" kB").parse::<f64>().ok())
+        .unwrap_or_default()
+        * 1024.0
 }
--- a/crates/passroad-rig/src/scale/wires.rs
+++ b/crates/passroad-rig/src/scale/wires.rs
@@ -86,7 +86,10 @@
             real.push(std::net::UdpSocket::bind(SocketAddr::new(place(0, n), 0))?.local_addr()?);
             sockets.push(UdpSocket::bind(SocketAddr::new(place(1, n), 0)).await?);
         }
-        let shadow = sockets.iter().map(UdpSocket::local_addr).collect::<io::Result<Vec<_>>>()?;
+        let shadow = sockets
+            .iter()
+            .map(UdpSocket::local_addr)
+            .collect::<io::Result<Vec<_>>>()?;
         let wires = Arc::new(Wires {
             plan: plan.clone(),
             real,
@@ -96,8 +99,14 @@
             sockets,
             cut: Mutex::default(),
         });
-        let numbers: Arc<HashMap<SocketAddr, usize>> =
-            Arc::new(wires.real.iter().enumerate().map(|(n, at)| (*at, n)).collect());
+        let numbers: Arc<HashMap<SocketAddr, usize>> = Arc::new(
+            wires
+                .real
+                .iter()
+                .enumerate()
+                .map(|(n, at)| (*at, n))
+                .collect(),
+        );
         for to in 0..sidecars {
             let (own, numbers) = (Arc::clone(&wires), Arc::clone(&numbers));
             tokio::spawn(async move {
@@ -117,7 +126,9 @@
 
     async fn pass(self: &Arc<Self>, from: usize, to: usize, bytes: &[u8]) {
         // The fourth byte of the frame; what has none is of the first channel.
-        let channel = bytes.get(3).map_or(PEERS, |channel| usize::from(*channel).min(WORK));
+        let channel = bytes
+            .get(3)
+            .map_or(PEERS, |channel| usize::from(*channel).min(WORK));
         self.counters[from].went(channel, bytes.len());
         self.longest.fetch_max(bytes.len(), Relaxed);
         if self.lost(from, to) {
@@ -149,7 +160,9 @@
 
     /// Whether two lose each other, in one direction at least.
     pub fn parted(&self, a: usize, b: usize) -> bool {
-        held(&self.cut).as_ref().is_some_and(|cut| cut.inside[a] != cut.inside[b])
+        held(&self.cut)
+            .as_ref()
+            .is_some_and(|cut| cut.inside[a] != cut.inside[b])
     }
 
     /// Discovery stands beside the first sidecar; no answer comes through a cut of either direction.
--- a/crates/passroad-rig/src/sockets/clients.rs
+++ b/crates/passroad-rig/src/sockets/clients.rs
@@ -24,7 +24,11 @@
 
 impl Side {
     pub fn new(address: SocketAddr) -> Self {
-        Side { address, away: AtomicBool::new(false), kept: Mutex::default() }
+        Side {
+            address,
+            away: AtomicBool::new(false),
+            kept: Mutex::default(),
+        }
     }
 }
 
@@ -44,7 +48,12 @@
 impl Clients {
     pub fn new(scene: &Arc<Scene>, sides: Vec<Arc<Side>>, seed: u64) -> Arc<Self> {
         let asks = Mutex::new(Asks::new(&scene.plan, seed));
-        Arc::new(Clients { scene: Arc::clone(scene), sides, asks, lateness: Mutex::default() })
+        Arc::new(Clients {
+            scene: Arc::clone(scene),
+            sides,
+            asks,
+            lateness: Mutex::default(),
+        })
     }
 
     /// Asks until the day is over.
@@ -62,7 +71,9 @@
     pub fn late(&self) -> Option<String> {
         let mut all = held(&self.lateness).clone();
         all.sort_unstable();
-        let worst = all.get(all.len().saturating_sub(1 + all.len() / 100)).copied()?;
+        let worst = all
+            .get(all.len().saturating_sub(1 + all.len() / 100))
+            .copied()?;
         (worst > LATE).then(|| {
             format!("THE LOAD CAME LATE: one in a hundred commands was asked {worst:.0?} and more after its time; \
                      this machine was too busy to tell anything of the sidecars")
@@ -90,8 +101,9 @@
             head += &format!("Content-Length: {}\r\n", body.len());
         }
         let (name, limit) = (&verb.name, verb.limit.as_millis());
-        let line =
-            format!("{method} /{name} HTTP/1.1\r\nHost: rig\r\nReq-Id: {id}\r\nReq-Deadline-Ms: {limit}\r\n");
+        let line = format!(
+            "{method} /{name} HTTP/1.1\r\nHost: rig\r\nReq-Id: {id}\r\nReq-Deadline-Ms: {limit}\r\n"
+        );
         format!("{line}{head}\r\n{body}").into_bytes()
     }
 
@@ -119,15 +131,23 @@
             };
             let (answer, after) = match answer.status {
                 200 => {
-                    let own = answer.body.strip_prefix(id.as_bytes()).is_some_and(|b| b.starts_with(b" by "));
+                    let own = answer
+                        .body
+                        .strip_prefix(id.as_bytes())
+                        .is_some_and(|b| b.starts_with(b" by "));
                     if !own {
                         self.scene.note(Entry::Mixed { cmd });
                     }
                     (Answer::Answered, None)
                 }
                 429 | 503 => {
-                    let after = answer.header("retry-after").and_then(|t| t.parse::<f64>().ok());
-                    (Answer::Declined, after.map(|s| Duration::from_secs_f64(s.clamp(0.0, 60.0))))
+                    let after = answer
+                        .header("retry-after")
+                        .and_then(|t| t.parse::<f64>().ok());
+                    (
+                        Answer::Declined,
+                        after.map(|s| Duration::from_secs_f64(s.clamp(0.0, 60.0))),
+                    )
                 }
                 _ => (Answer::Terminated, None),
             };
@@ -158,7 +178,9 @@
         return Ok(answer);
     }
     let mut talk = Talk::new(TcpStream::connect(side.address).await?);
-    let answer = once(&mut talk, request).await?.ok_or(io::ErrorKind::UnexpectedEof)?;
+    let answer = once(&mut talk, request)
+        .await?
+        .ok_or(io::ErrorKind::UnexpectedEof)?;
     keep(side, talk, &answer);
     Ok(answer)
 }
@@ -169,7 +191,9 @@
 }
 
 fn keep(side: &Side, talk: Talk, answer: &Message) {
-    let closes = answer.header("connection").is_some_and(|v| v.eq_ignore_ascii_case("close"));
+    let closes = answer
+        .header("connection")
+        .is_some_and(|v| v.eq_ignore_ascii_case("close"));
     if !closes && !talk.came_ahead() {
         held(&side.kept).push(talk);
     }
--- a/crates/passroad-rig/src/sockets/discovery.rs
+++ b/crates/passroad-rig/src/sockets/discovery.rs
@@ -40,7 +40,10 @@
         for instance in 0..scene.plan.instances {
             listeners.push(TcpListener::bind(SocketAddr::new(address(249, instance), 0)).await?);
         }
-        let addresses = listeners.iter().map(TcpListener::local_addr).collect::<io::Result<_>>()?;
+        let addresses = listeners
+            .iter()
+            .map(TcpListener::local_addr)
+            .collect::<io::Result<_>>()?;
         let discovery = Arc::new(Discovery {
             scene: Arc::clone(scene),
             stands: stands.to_vec(),
@@ -148,7 +151,10 @@
         while let Ok(Some(message)) = talk.request().await {
             let from = message.target.split_once("?from=").and_then(|(_, query)| {
                 let (from, hold) = query.split_once("&hold_ms=")?;
-                Some((from.parse::<u64>().ok()?, Duration::from_millis(hold.parse().ok()?)))
+                Some((
+                    from.parse::<u64>().ok()?,
+                    Duration::from_millis(hold.parse().ok()?),
+                ))
             });
             let mut news = self.news.subscribe();
             if let Some((from, hold)) = from {
@@ -158,7 +164,9 @@
             }
             let (by, down) = {
                 let list = held(&self.list);
-                let turn = list.turns.mul_f64(instance as f64 / self.addresses.len() as f64);
+                let turn = list
+                    .turns
+                    .mul_f64(instance as f64 / self.addresses.len() as f64);
                 (list.by + turn, list.down)
             };
             if down {
@@ -171,9 +179,15 @@
                     ("{".to_string(), Vec::new())
                 } else {
                     let of = |n: &usize| from.is_none_or(|(from, _)| list.entries[*n].1 > from);
-                    let told: Vec<_> =
-                        (0..list.entries.len()).filter(of).map(|n| (n, list.entries[n].0)).collect();
-                    (self.text(instance, &list, from.map(|(from, _)| from)).to_string(), told)
+                    let told: Vec<_> = (0..list.entries.len())
+                        .filter(of)
+                        .map(|n| (n, list.entries[n].0))
+                        .collect();
+                    (
+                        self.text(instance, &list, from.map(|(from, _)| from))
+                            .to_string(),
+                        told,
+                    )
                 }
             };
             sleep(by).await;
--- a/crates/passroad-rig/src/sockets/endpoint.rs
+++ b/crates/passroad-rig/src/sockets/endpoint.rs
@@ -51,16 +51,23 @@
             addresses.push(listener.local_addr()?);
             listeners.push(listener);
         }
-        let endpoint =
-            Endpoint::new(plan.endpoints[n].make.clone(), Chance::stream(seed, "endpoint", n as u64));
+        let endpoint = Endpoint::new(
+            plan.endpoints[n].make.clone(),
+            Chance::stream(seed, "endpoint", n as u64),
+        );
         let stand = Arc::new(Stand {
             scene: Arc::clone(scene),
             n,
             addresses,
-            model: Mutex::new(Held { endpoint, waiting: HashMap::new() }),
+            model: Mutex::new(Held {
+                endpoint,
+                waiting: HashMap::new(),
+            }),
             poke: Notify::new(),
             free: Notify::new(),
-            cuts: (0..plan.instances).map(|_| AtomicBool::new(false)).collect(),
+            cuts: (0..plan.instances)
+                .map(|_| AtomicBool::new(false))
+                .collect(),
             talks: Mutex::default(),
             doors: Mutex::new((0..plan.instances).map(|_| None).collect()),
             serial: AtomicU64::new(0),
@@ -92,7 +99,9 @@
         model.endpoint.advance(self.scene.now());
         for shown in model.endpoint.take_shown() {
             match shown {
-                Shown::Began(job) => self.scene.note(Entry::Ran { relay: job as usize }),
+                Shown::Began(job) => self.scene.note(Entry::Ran {
+                    relay: job as usize,
+                }),
                 Shown::Ended(job, verdict) => {
                     let load = model.endpoint.report();
                     if let Some(tell) = model.waiting.remove(&job) {
@@ -112,7 +121,12 @@
                 self.die();
                 let stand = Arc::clone(&self);
                 tokio::spawn(async move {
-                    sleep_until(stand.scene.instant(stand.scene.now() + stand.scene.plan.restart)).await;
+                    sleep_until(
+                        stand
+                            .scene
+                            .instant(stand.scene.now() + stand.scene.plan.restart),
+                    )
+                    .await;
                     if let Err(fault) = stand.restart().await {
                         log::error!("endpoint {} could not start again: {fault}", stand.n);
                     }
@@ -145,7 +159,11 @@
                 self.free.notify_waiters();
             }
             Change::Cut { instances, on, .. } => {
-                for (instance, _) in instances.iter().enumerate().filter(|(_, concerned)| **concerned) {
+                for (instance, _) in instances
+                    .iter()
+                    .enumerate()
+                    .filter(|(_, concerned)| **concerned)
+                {
                     self.cut(instance, *on).await?;
                 }
             }
@@ -159,12 +177,18 @@
 
     /// The process ends: connections are reset, new ones refused.
     fn die(&self) {
-        held(&self.doors).iter_mut().filter_map(Option::take).for_each(|door| door.abort());
+        held(&self.doors)
+            .iter_mut()
+            .filter_map(Option::take)
+            .for_each(|door| door.abort());
         held(&self.talks).drain().for_each(|(_, talk)| talk.abort());
         let mut model = held(&self.model);
         model.endpoint.advance(self.scene.now());
         for job in model.endpoint.die() {
-            self.scene.note(Entry::Ended { relay: job as usize, proven: false });
+            self.scene.note(Entry::Ended {
+                relay: job as usize,
+                proven: false,
+            });
         }
         model.waiting.clear();
         drop(model);
@@ -182,7 +206,10 @@
         }
         for instance in 0..self.addresses.len() {
             if !self.cuts[instance].load(Relaxed) {
-                self.open(instance, listen_again(self.addresses[instance], BACKLOG).await?);
+                self.open(
+                    instance,
+                    listen_again(self.addresses[instance], BACKLOG).await?,
+                );
             }
         }
         self.poke.notify_one();
@@ -209,7 +236,10 @@
             held(&self.doors)[instance] = Some(hold.abort_handle());
         } else {
             if self.is_up() {
-                self.open(instance, listen_again(self.addresses[instance], BACKLOG).await?);
+                self.open(
+                    instance,
+                    listen_again(self.addresses[instance], BACKLOG).await?,
+                );
             }
             self.free.notify_waiters();
         }
@@ -268,14 +298,21 @@
             // What is written across a cut is out for its sidecar, and does not arrive.
             if self.cuts[instance].load(Relaxed) {
                 talk.closed().await;
-                sent.iter()
-                    .for_each(|(relay, ..)| self.scene.note(Entry::Ended { relay: *relay, proven: false }));
+                sent.iter().for_each(|(relay, ..)| {
+                    self.scene.note(Entry::Ended {
+                        relay: *relay,
+                        proven: false,
+                    })
+                });
                 return;
             }
             self.reachable(instance).await;
             let goes_on = match sent {
                 _ if probe => self.probed(talk).await,
-                Some(sent) => self.command(instance, talk, sent, std::mem::take(&mut first)).await,
+                Some(sent) => {
+                    self.command(instance, talk, sent, std::mem::take(&mut first))
+                        .await
+                }
                 None => talk.write(&answer("400 Unknown", "", "")).await.is_ok(),
             };
             first = false;
@@ -289,15 +326,25 @@
         self.scene.note(Entry::Probed { endpoint: self.n });
         self.turn();
         let load = held(&self.model).endpoint.report();
-        let body = if self.scene.plan.reports() == Reports::Silent { "ok".into() } else { load_text(load) };
+        let body = if self.scene.plan.reports() == Reports::Silent {
+            "ok".into()
+        } else {
+            load_text(load)
+        };
         talk.write(&answer("200 OK", "", &body)).await.is_ok()
     }
 
     /// A relay counts from when its last byte has come, also where the endpoint stands still and reads it later.
     fn sent(&self, message: &Message) -> Option<(RelayNo, CmdNo, Ask)> {
-        let (cmd, ask) = message.header("req-id").and_then(|id| self.scene.find(id))?;
+        let (cmd, ask) = message
+            .header("req-id")
+            .and_then(|id| self.scene.find(id))?;
         let relay = self.scene.relay();
-        self.scene.note(Entry::Sent { relay, cmd, endpoint: self.n });
+        self.scene.note(Entry::Sent {
+            relay,
+            cmd,
+            endpoint: self.n,
+        });
         Some((relay, cmd, ask))
     }
 
@@ -313,8 +360,17 @@
         let (tell, told) = oneshot::channel();
         let (offer, load) = {
             let mut model = held(&self.model);
-            let work = ask.work + if new { model.endpoint.make.link_work } else { 0.0 };
-            let offer = model.endpoint.offer(Job { id: relay as JobId, verb: ask.verb, work });
+            let work = ask.work
+                + if new {
+                    model.endpoint.make.link_work
+                } else {
+                    0.0
+                };
+            let offer = model.endpoint.offer(Job {
+                id: relay as JobId,
+                verb: ask.verb,
+                work,
+            });
             if offer == Offer::Taken {
                 model.waiting.insert(relay as JobId, tell);
             }
@@ -327,7 +383,8 @@
         if offer != Offer::Taken {
             ended(offer == Offer::Full);
             let headers = format!("Srv-Declined: 1\r\n{}", self.load_header(load));
-            return offer == Offer::Full && talk.write(&answer("503 Full", &headers, "")).await.is_ok();
+            return offer == Offer::Full
+                && talk.write(&answer("503 Full", &headers, "")).await.is_ok();
         }
         let told = tokio::select! {
             told = told => told,
@@ -340,7 +397,9 @@
                 return false;
             }
         };
-        let Ok((verdict, load)) = told else { return false };
+        let Ok((verdict, load)) = told else {
+            return false;
+        };
         if self.cuts[instance].load(Relaxed) {
             // The answer is lost on its way; the sidecar gives up by itself.
             talk.closed().await;
@@ -373,7 +432,10 @@
 }
 
 fn load_text(load: Load) -> String {
-    format!("TEXT inflight={}, queue={}, util={:.2}", load.outstanding, load.waiting, load.utilization)
+    format!(
+        "TEXT inflight={}, queue={}, util={:.2}",
+        load.outstanding, load.waiting, load.utilization
+    )
 }
 
 fn listen(at: SocketAddr, backlog: u32) -> io::Result<TcpListener> {
@@ -388,10 +450,14 @@
     let began = std::time::Instant::now();
     loop {
         match listen(at, backlog) {
-            Err(fault) if fault.kind() == io::ErrorKind::AddrInUse && began.elapsed() < PATIENCE => {
+            Err(fault)
+                if fault.kind() == io::ErrorKind::AddrInUse && began.elapsed() < PATIENCE =>
+            {
                 tokio::time::sleep(Duration::from_millis(1)).await;
             }
-            other => return other.map_err(|e| io::Error::new(e.kind(), format!("listen on {at}: {e}"))),
+            other => {
+                return other.map_err(|e| io::Error::new(e.kind(), format!("listen on {at}: {e}")));
+            }
         }
     }
 }
--- a/crates/passroad-rig/src/sockets/ground.rs
+++ b/crates/passroad-rig/src/sockets/ground.rs
@@ -62,13 +62,23 @@
     pub fn file(&self, n: usize, folder: &Path) -> String {
         let plan = &self.plan;
         let ms = |time: Duration| format!("\"{}ms\"", time.as_millis());
-        let mut text =
-            format!("lease = {}\nperiod = {}\nvoters = {}\n", ms(plan.lease), ms(plan.period), plan.voters);
+        let mut text = format!(
+            "lease = {}\nperiod = {}\nvoters = {}\n",
+            ms(plan.lease),
+            ms(plan.period),
+            plan.voters
+        );
         if plan.state {
-            text += &format!("state = {:?}\n", folder.join(format!("{n}.state")).display().to_string());
+            text += &format!(
+                "state = {:?}\n",
+                folder.join(format!("{n}.state")).display().to_string()
+            );
         }
         if let Some(work) = &plan.work {
-            text += &format!("\n[upkeep]\nat_once = {0}\nat_once_in_a_zone = {0}\n", work.at_once);
+            text += &format!(
+                "\n[upkeep]\nat_once = {0}\nat_once_in_a_zone = {0}\n",
+                work.at_once
+            );
         }
         for duty in &plan.duties {
             let (name, at) = (&duty.name, self.resource.address);
@@ -86,7 +96,8 @@
             *held(&own.before) = own.peers.counts();
         });
         for n in 0..self.plan.faults.len() {
-            let (own, clients, sidecars) = (Arc::clone(self), Arc::clone(clients), Arc::clone(sidecars));
+            let (own, clients, sidecars) =
+                (Arc::clone(self), Arc::clone(clients), Arc::clone(sidecars));
             tokio::spawn(async move { own.fault(n, clients, sidecars).await });
         }
     }
@@ -95,8 +106,14 @@
         let (fault, instances) = (&self.plan.faults[n], self.scene.plan.instances);
         sleep_until(self.scene.instant(fault.from)).await;
         let conductor = Some(self.conductor.load(Relaxed)).filter(|n| *n < instances);
-        let whom = fault.whom.find(&self.plan, instances, self.resource.owner().or(conductor));
-        log::info!("fault {n} at {:.1} s: {:?} of {whom:?}", fault.from.as_secs_f64(), fault.what);
+        let whom = fault
+            .whom
+            .find(&self.plan, instances, self.resource.owner().or(conductor));
+        log::info!(
+            "fault {n} at {:.1} s: {:?} of {whom:?}",
+            fault.from.as_secs_f64(),
+            fault.what
+        );
         let lasts = fault.to.map(|to| to.saturating_sub(fault.from));
         match fault.what {
             What::Kill | What::Stop => {
@@ -124,7 +141,8 @@
                     let _ = sidecars[*n].lock().await.signal(Signal::CONT);
                 }
                 sleep(WAKES).await;
-                whom.iter().for_each(|n| clients.sides[*n].away.store(false, Relaxed));
+                whom.iter()
+                    .for_each(|n| clients.sides[*n].away.store(false, Relaxed));
             }
             What::ActsKeep => {
                 self.resource.keep(n, whom);
@@ -132,7 +150,11 @@
                 self.resource.let_go(n);
             }
             what => {
-                let side = |list: &[usize]| (0..instances).map(|n| list.contains(&n)).collect::<Vec<_>>();
+                let side = |list: &[usize]| {
+                    (0..instances)
+                        .map(|n| list.contains(&n))
+                        .collect::<Vec<_>>()
+                };
                 let from = side(&whom);
                 let to = match &fault.others {
                     Some(others) => side(others),
@@ -150,14 +172,24 @@
 
     /// Operators ask for machines, work on each that they are told is empty, and say when it is done.
     pub fn have_work_done(self: &Arc<Self>, sidecars: &Sidecars) {
-        let Some(work) = self.plan.work.clone() else { return };
+        let Some(work) = self.plan.work.clone() else {
+            return;
+        };
         for (n, (at, instance, endpoints)) in work.requests.into_iter().enumerate() {
             let (own, sidecars) = (Arc::clone(self), Arc::clone(sidecars));
             tokio::spawn(async move {
                 sleep_until(own.scene.instant(at)).await;
                 let machines: Vec<String> = endpoints.iter().map(|e| format!("e{e}")).collect();
-                let body = json!({ "machines": machines, "for_s": 3600, "name": format!("request {n}") });
-                own.operate(&sidecars, instance, "POST", "/admin/work", &body.to_string()).await;
+                let body =
+                    json!({ "machines": machines, "for_s": 3600, "name": format!("request {n}") });
+                own.operate(
+                    &sidecars,
+                    instance,
+                    "POST",
+                    "/admin/work",
+                    &body.to_string(),
+                )
+                .await;
             });
         }
         let (own, sidecars) = (Arc::clone(self), Arc::clone(sidecars));
@@ -165,7 +197,14 @@
     }
 
     /// A call at a sidecar until it is taken, at the next ones where that one does not answer.
-    async fn operate(&self, sidecars: &Sidecars, first: usize, method: &str, path: &str, body: &str) {
+    async fn operate(
+        &self,
+        sidecars: &Sidecars,
+        first: usize,
+        method: &str,
+        path: &str,
+        body: &str,
+    ) {
         for n in first.. {
             let door = door_of(sidecars, n % sidecars.len()).await;
             if let Some(door) = door
@@ -181,8 +220,12 @@
         let mut begun: Vec<String> = Vec::new();
         for n in 0.. {
             sleep(LOOKS).await;
-            let Some(door) = door_of(&sidecars, n % sidecars.len()).await else { continue };
-            let Some((200, said)) = operate(&door, "GET", "/admin/work", "").await else { continue };
+            let Some(door) = door_of(&sidecars, n % sidecars.len()).await else {
+                continue;
+            };
+            let Some((200, said)) = operate(&door, "GET", "/admin/work", "").await else {
+                continue;
+            };
             if said["conducts"] == true {
                 self.conductor.store(n % sidecars.len(), Relaxed);
             }
@@ -194,14 +237,18 @@
                 }
                 begun.push(key);
                 let machine = entry["machine"].as_str().unwrap_or_default().to_string();
-                let Some(endpoint) = machine.strip_prefix('e').and_then(|n| n.parse().ok()) else { continue };
-                let (own, sidecars, from) = (Arc::clone(&self), Arc::clone(&sidecars), self.scene.now());
+                let Some(endpoint) = machine.strip_prefix('e').and_then(|n| n.parse().ok()) else {
+                    continue;
+                };
+                let (own, sidecars, from) =
+                    (Arc::clone(&self), Arc::clone(&sidecars), self.scene.now());
                 tokio::spawn(async move {
                     sleep(lasts).await;
                     let to = own.scene.now();
                     held(&own.works).push(Worked { endpoint, from, to });
                     let body = json!({ "machine": machine }).to_string();
-                    own.operate(&sidecars, n, "POST", "/admin/work/done", &body).await;
+                    own.operate(&sidecars, n, "POST", "/admin/work/done", &body)
+                        .await;
                 });
             }
         }
--- a/crates/passroad-rig/src/sockets/http.rs
+++ b/crates/passroad-rig/src/sockets/http.rs
@@ -20,7 +20,10 @@
 
 impl Message {
     pub fn header(&self, name: &str) -> Option<&str> {
-        self.headers.iter().find(|(n, _)| n.eq_ignore_ascii_case(name)).map(|(_, v)| v.as_str())
+        self.headers
+            .iter()
+            .find(|(n, _)| n.eq_ignore_ascii_case(name))
+            .map(|(_, v)| v.as_str())
     }
 }
 
@@ -33,7 +36,10 @@
 impl Talk {
     pub fn new(stream: TcpStream) -> Self {
         let _ = stream.set_nodelay(true);
-        Talk { stream, ahead: Vec::new() }
+        Talk {
+            stream,
+            ahead: Vec::new(),
+        }
     }
 
     /// Whether something of a next message has come already.
@@ -63,11 +69,18 @@
                 return Ok(Some(message));
             }
             if self.ahead.len() > LONGEST {
-                return Err(io::Error::new(io::ErrorKind::InvalidData, "a head without end"));
+                return Err(io::Error::new(
+                    io::ErrorKind::InvalidData,
+                    "a head without end",
+                ));
             }
             if self.stream.read_buf(&mut self.ahead).await? == 0 {
                 let fault = io::ErrorKind::UnexpectedEof;
-                return if self.ahead.is_empty() { Ok(None) } else { Err(fault.into()) };
+                return if self.ahead.is_empty() {
+                    Ok(None)
+                } else {
+                    Err(fault.into())
+                };
             }
         }
     }
@@ -100,25 +113,48 @@
     let mut room = [httparse::EMPTY_HEADER; MOST_HEADERS];
     let (mut message, head, headers) = if request {
         let mut parsed = httparse::Request::new(&mut room);
-        let httparse::Status::Complete(head) = parsed.parse(bytes).map_err(|e| odd(e.to_string()))? else {
+        let httparse::Status::Complete(head) =
+            parsed.parse(bytes).map_err(|e| odd(e.to_string()))?
+        else {
             return Ok(None);
         };
-        let (method, target) = (parsed.method.unwrap_or_default(), parsed.path.unwrap_or_default());
-        let message = Message { method: method.into(), target: target.into(), ..Message::default() };
+        let (method, target) = (
+            parsed.method.unwrap_or_default(),
+            parsed.path.unwrap_or_default(),
+        );
+        let message = Message {
+            method: method.into(),
+            target: target.into(),
+            ..Message::default()
+        };
         (message, head, parsed.headers)
     } else {
         let mut parsed = httparse::Response::new(&mut room);
-        let httparse::Status::Complete(head) = parsed.parse(bytes).map_err(|e| odd(e.to_string()))? else {
+        let httparse::Status::Complete(head) =
+            parsed.parse(bytes).map_err(|e| odd(e.to_string()))?
+        else {
             return Ok(None);
         };
-        (Message { status: parsed.code.unwrap_or_default(), ..Message::default() }, head, parsed.headers)
+        (
+            Message {
+                status: parsed.code.unwrap_or_default(),
+                ..Message::default()
+            },
+            head,
+            parsed.headers,
+        )
     };
     for header in headers.iter() {
-        message.headers.push((header.name.into(), String::from_utf8_lossy(header.value).trim().into()));
+        message.headers.push((
+            header.name.into(),
+            String::from_utf8_lossy(header.value).trim().into(),
+        ));
     }
     let length = match message.header("content-length") {
         None => 0,
-        Some(text) => text.parse().map_err(|_| odd(format!("a length of '{text}'")))?,
+        Some(text) => text
+            .parse()
+            .map_err(|_| odd(format!("a length of '{text}'")))?,
     };
     if length > LONGEST {
         return Err(odd(format!("a body of {length} bytes")));
@@ -127,5 +163,9 @@
 }
 
 pub fn answer(status: &str, headers: &str, body: &str) -> Vec<u8> {
-    format!("HTTP/1.1 {status}\r\n{headers}Content-Length: {}\r\n\r\n{body}", body.len()).into_bytes()
+    format!(
+        "HTTP/1.1 {status}\r\n{headers}Content-Length: {}\r\n\r\n{body}",
+        body.len()
+    )
+    .into_bytes()
 }
--- a/crates/passroad-rig/src/sockets/mod.rs
+++ b/crates/passroad-rig/src/sockets/mod.rs
@@ -45,7 +45,11 @@
 impl Folder {
     fn new() -> std::io::Result<Folder> {
         static COUNT: AtomicUsize = AtomicUsize::new(0);
-        let name = format!("passroad-rig-{}-{}", std::process::id(), COUNT.fetch_add(1, Relaxed));
+        let name = format!(
+            "passroad-rig-{}-{}",
+            std::process::id(),
+            COUNT.fetch_add(1, Relaxed)
+        );
         let path = std::env::temp_dir().join(name);
         std::fs::create_dir_all(&path)?;
         Ok(Folder(path))
@@ -67,7 +71,10 @@
     keep: Option<&Path>,
     shows: bool,
 ) -> Result<(Played, Vec<String>, Option<FleetDay>), String> {
-    let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(3).enable_all().build();
+    let runtime = tokio::runtime::Builder::new_multi_thread()
+        .worker_threads(3)
+        .enable_all()
+        .build();
     let runtime = runtime.map_err(|e| format!("runtime: {e}"))?;
     let played = runtime.block_on(day(plan, seed, program, routes, keep, shows));
     // What still waits somewhere has nothing more to tell.
@@ -86,9 +93,14 @@
     shows: bool,
 ) -> std::io::Result<(Played, Vec<String>, Option<FleetDay>)> {
     if plan.endpoints.len() > 240 || plan.instances > 240 {
-        return Err(std::io::Error::other("on sockets there are 240 endpoints and 240 instances at most"));
+        return Err(std::io::Error::other(
+            "on sockets there are 240 endpoints and 240 instances at most",
+        ));
     }
-    let scene = Arc::new(Scene::new(plan.clone(), LEAD + Duration::from_millis(20 * plan.instances as u64)));
+    let scene = Arc::new(Scene::new(
+        plan.clone(),
+        LEAD + Duration::from_millis(20 * plan.instances as u64),
+    ));
     let folder = Folder::new()?;
     let mut stands = Vec::new();
     for n in 0..plan.endpoints.len() {
@@ -118,7 +130,9 @@
     }
     sidecars.sort_by_key(|(n, ..)| *n);
     // Of several that did not come up the first is named, whichever was the quickest.
-    let started = sidecars.into_iter().map(|(_, started, sidecar)| started.map(|()| Mutex::new(sidecar)));
+    let started = sidecars
+        .into_iter()
+        .map(|(_, started, sidecar)| started.map(|()| Mutex::new(sidecar)));
     let sidecars = started.collect::<std::io::Result<Vec<Mutex<Sidecar>>>>()?;
     let sidecars: Sidecars = Arc::new(sidecars);
     let clients = Clients::new(&scene, sides, seed);
@@ -133,18 +147,28 @@
     for (at, change) in &plan.changes {
         sleep_until(scene.instant(*at)).await;
         match change {
-            Change::SidecarKill(n) => {
-                drop(tokio::spawn(kill(Arc::clone(&clients), Arc::clone(&sidecars), *n, RESTART)))
-            }
-            Change::SidecarStop(n) => {
-                drop(tokio::spawn(stop(Arc::clone(&clients), Arc::clone(&sidecars), *n)))
-            }
-            Change::SidecarUpgrade(n) => {
-                drop(tokio::spawn(upgrade(Arc::clone(&clients), Arc::clone(&sidecars), *n)))
-            }
+            Change::SidecarKill(n) => drop(tokio::spawn(kill(
+                Arc::clone(&clients),
+                Arc::clone(&sidecars),
+                *n,
+                RESTART,
+            ))),
+            Change::SidecarStop(n) => drop(tokio::spawn(stop(
+                Arc::clone(&clients),
+                Arc::clone(&sidecars),
+                *n,
+            ))),
+            Change::SidecarUpgrade(n) => drop(tokio::spawn(upgrade(
+                Arc::clone(&clients),
+                Arc::clone(&sidecars),
+                *n,
+            ))),
             Change::SidecarRetune(n, relays) => sidecars[*n].lock().await.retune(*relays)?,
             Change::Cordon(endpoint, out) => cordon(&scene, &sidecars, *endpoint, *out).await,
-            Change::SidecarReload(n) => sidecars[*n].lock().await.signal(rustix::process::Signal::HUP)?,
+            Change::SidecarReload(n) => sidecars[*n]
+                .lock()
+                .await
+                .signal(rustix::process::Signal::HUP)?,
             Change::Trouble(n, _)
             | Change::Die(n)
             | Change::Start(n)
@@ -207,14 +231,26 @@
     for (n, sidecar) in sidecars.iter().enumerate() {
         let sidecar = sidecar.lock().await;
         let said = std::fs::read_to_string(sidecar.log()).unwrap_or_default();
-        lines.extend(said.lines().map(|line| (Duration::ZERO, n, line.to_string())));
+        lines.extend(
+            said.lines()
+                .map(|line| (Duration::ZERO, n, line.to_string())),
+        );
         if let Some(keep) = keep {
             std::fs::create_dir_all(keep)?;
             std::fs::write(keep.join(format!("sidecar-{seed}-{n}.log")), said)?;
         }
     }
     let connections = scene.connections.load(Relaxed);
-    Ok((Played { ledger: scene.take_ledger(), looks, lines, connections }, remarks, fleet))
+    Ok((
+        Played {
+            ledger: scene.take_ledger(),
+            looks,
+            lines,
+            connections,
+        },
+        remarks,
+        fleet,
+    ))
 }
 
 /// A line a second while a day goes on.
@@ -234,7 +270,11 @@
     while at <= scene.plan.length {
         sleep_until(scene.instant(at)).await;
         let (held, links) = stands.iter().map(|s| s.look()).unzip();
-        looks.push(Look { at: scene.now(), held, links });
+        looks.push(Look {
+            at: scene.now(),
+            held,
+            links,
+        });
         at += LOOK;
     }
     looks
@@ -280,10 +320,20 @@
 
 /// Operators call all sidecars, one after the other.
 async fn cordon(scene: &Scene, sidecars: &Sidecars, endpoint: usize, out: bool) {
-    let (path, body) =
-        (if out { "/admin/cordon" } else { "/admin/uncordon" }, format!(r#"{{"id":"e{endpoint}"}}"#));
+    let (path, body) = (
+        if out {
+            "/admin/cordon"
+        } else {
+            "/admin/uncordon"
+        },
+        format!(r#"{{"id":"e{endpoint}"}}"#),
+    );
     for (instance, sidecar) in sidecars.iter().enumerate() {
-        let told = Entry::Cordoned { instance, endpoint, out };
+        let told = Entry::Cordoned {
+            instance,
+            endpoint,
+            out,
+        };
         // Back from the call on; out from the yes on.
         if !out {
             scene.note(told.clone());
--- a/crates/passroad-rig/src/sockets/peers.rs
+++ b/crates/passroad-rig/src/sockets/peers.rs
@@ -32,10 +32,15 @@
         let (mut real, mut sockets) = (Vec::new(), Vec::new());
         for n in 0..instances {
             // A port that is free at this address now; nobody else comes to an address of this rig.
-            real.push(std::net::UdpSocket::bind(SocketAddr::new(address(247, n), 0))?.local_addr()?);
+            real.push(
+                std::net::UdpSocket::bind(SocketAddr::new(address(247, n), 0))?.local_addr()?,
+            );
             sockets.push(UdpSocket::bind(SocketAddr::new(address(246, n), 0)).await?);
         }
-        let shadow = sockets.iter().map(UdpSocket::local_addr).collect::<io::Result<Vec<_>>>()?;
+        let shadow = sockets
+            .iter()
+            .map(UdpSocket::local_addr)
+            .collect::<io::Result<Vec<_>>>()?;
         let to_all = UdpSocket::bind(SocketAddr::new(address(245, 0), 0)).await?;
         let peers = Arc::new(Peers {
             real,
@@ -46,8 +51,14 @@
             sent: (0..instances).map(|_| AtomicU64::new(0)).collect(),
             longest: AtomicUsize::new(0),
         });
-        let numbers: Arc<HashMap<SocketAddr, usize>> =
-            Arc::new(peers.real.iter().enumerate().map(|(n, at)| (*at, n)).collect());
+        let numbers: Arc<HashMap<SocketAddr, usize>> = Arc::new(
+            peers
+                .real
+                .iter()
+                .enumerate()
+                .map(|(n, at)| (*at, n))
+                .collect(),
+        );
         for to in 0..instances {
             let (own, numbers) = (Arc::clone(&peers), Arc::clone(&numbers));
             tokio::spawn(async move {
--- a/crates/passroad-rig/src/sockets/resource.rs
+++ b/crates/passroad-rig/src/sockets/resource.rs
@@ -50,8 +50,15 @@
         let mut talk = Talk::new(stream);
         while let Ok(Some(call)) = talk.request().await {
             let header = |name| call.header(name).map(str::to_string).unwrap_or_default();
-            let duty = self.plan.duties.iter().position(|duty| duty.name == header("duty"));
-            let (epoch, owner) = (header("epoch").parse::<u64>(), header("owner").parse::<usize>());
+            let duty = self
+                .plan
+                .duties
+                .iter()
+                .position(|duty| duty.name == header("duty"));
+            let (epoch, owner) = (
+                header("epoch").parse::<u64>(),
+                header("owner").parse::<usize>(),
+            );
             let (Some(duty), Ok(epoch), Ok(owner)) = (duty, epoch, owner) else {
                 let _ = talk.write(&answer("400 Bad Request", "", "")).await;
                 return;
@@ -72,7 +79,8 @@
     /// Ends when no fault holds this one's calls back.
     async fn arrives(&self, owner: usize) {
         let mut kept = self.kept.subscribe();
-        let holds = |kept: &Vec<(usize, Vec<usize>)>| kept.iter().any(|(_, whose)| whose.contains(&owner));
+        let holds =
+            |kept: &Vec<(usize, Vec<usize>)>| kept.iter().any(|(_, whose)| whose.contains(&owner));
         if holds(&kept.borrow()) {
             *held(&self.hits) += 1;
         }
@@ -84,8 +92,17 @@
     fn commit(&self, duty: usize, epoch: u64, owner: usize) -> Option<u64> {
         let (mut fence, mut acts) = (held(&self.fence), held(&self.acts));
         let accepted = fence.admit(duty as u64, epoch, owner as u16).is_ok() || !self.plan.fence;
-        acts.push(Act { at: self.scene.now(), duty, epoch, owner, accepted });
-        fence.highest(duty as u64).map(|(highest, _)| highest).filter(|_| !accepted)
+        acts.push(Act {
+            at: self.scene.now(),
+            duty,
+            epoch,
+            owner,
+            accepted,
+        });
+        fence
+            .highest(duty as u64)
+            .map(|(highest, _)| highest)
+            .filter(|_| !accepted)
     }
 
     pub fn keep(&self, id: usize, whose: Vec<usize>) {
@@ -93,12 +110,17 @@
     }
 
     pub fn let_go(&self, id: usize) {
-        self.kept.send_modify(|kept| kept.retain(|(of, _)| *of != id));
+        self.kept
+            .send_modify(|kept| kept.retain(|(of, _)| *of != id));
     }
 
     /// Whose act was last accepted.
     pub fn owner(&self) -> Option<usize> {
-        held(&self.acts).iter().rev().find(|act| act.accepted).map(|act| act.owner)
+        held(&self.acts)
+            .iter()
+            .rev()
+            .find(|act| act.accepted)
+            .map(|act| act.owner)
     }
 
     pub fn acts(&self) -> Vec<Act> {
--- a/crates/passroad-rig/src/sockets/scene.rs
+++ b/crates/passroad-rig/src/sockets/scene.rs
@@ -29,7 +29,10 @@
         Scene {
             plan,
             began: Instant::now() + begins_in,
-            unix: SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default() + begins_in,
+            unix: SystemTime::now()
+                .duration_since(SystemTime::UNIX_EPOCH)
+                .unwrap_or_default()
+                + begins_in,
             ledger: Mutex::default(),
             asks: Mutex::default(),
             relays: AtomicUsize::new(0),
@@ -65,7 +68,16 @@
         };
         let limit = self.plan.verbs[ask.verb].limit;
         let (chain, verb, instance) = (ask.chain.unwrap_or(cmd), ask.verb, ask.instance);
-        held(&self.ledger).note(planned, Entry::Asked { cmd, chain, verb, instance, limit });
+        held(&self.ledger).note(
+            planned,
+            Entry::Asked {
+                cmd,
+                chain,
+                verb,
+                instance,
+                limit,
+            },
+        );
         (cmd, ask)
     }
 
@@ -83,7 +95,9 @@
     /// How many commands each instance was asked.
     pub fn commands(&self) -> Vec<usize> {
         let mut counts = vec![0; self.plan.instances];
-        held(&self.asks).iter().for_each(|ask| counts[ask.instance] += 1);
+        held(&self.asks)
+            .iter()
+            .for_each(|ask| counts[ask.instance] += 1);
         counts
     }
 
@@ -104,5 +118,10 @@
 /// number keeps rigs that run side by side apart.
 pub fn address(row: usize, column: usize) -> IpAddr {
     let block = 64 + (std::process::id() % 128) as u8;
-    IpAddr::V4(Ipv4Addr::new(127, block, (row % 250) as u8 + 1, (column % 250) as u8 + 1))
+    IpAddr::V4(Ipv4Addr::new(
+        127,
+        block,
+        (row % 250) as u8 + 1,
+        (column % 250) as u8 + 1,
+    ))
 }
--- a/crates/passroad-rig/src/sockets/sidecar.rs
+++ b/crates/passroad-rig/src/sockets/sidecar.rs
@@ -59,7 +59,8 @@
         discovery: &Discovery,
     ) -> io::Result<Sidecar> {
         // A port that is free at this address now; nobody else comes to an address of this rig.
-        let listen = std::net::TcpListener::bind(SocketAddr::new(address(248, n), 0))?.local_addr()?;
+        let listen =
+            std::net::TcpListener::bind(SocketAddr::new(address(248, n), 0))?.local_addr()?;
         let plan = &scene.plan;
         let told = json!({
             "name": format!("rig-{n}"), "listen": listen.to_string(),
@@ -94,7 +95,10 @@
     }
 
     fn write(&self) -> io::Result<()> {
-        std::fs::write(self.folder.join(format!("{}.json", self.n)), self.told.to_string())
+        std::fs::write(
+            self.folder.join(format!("{}.json", self.n)),
+            self.told.to_string(),
+        )
     }
 
     /// Starts the process and waits until it takes commands.
@@ -107,7 +111,10 @@
                 other => return other,
             }
         }
-        Err(io::Error::other(format!("sidecar {}: no free port in {TRIES} tries", self.n)))
+        Err(io::Error::other(format!(
+            "sidecar {}: no free port in {TRIES} tries",
+            self.n
+        )))
     }
 
     /// The next process takes over beside this one, which is then stopped; what that ended with.
@@ -134,9 +141,13 @@
 
     /// An operator's call; whether it was a yes.
     pub async fn call(&self, path: &str, body: &str) -> bool {
-        let Some(door) = self.told["management"].as_str() else { return false };
-        let text =
-            format!("POST {path} HTTP/1.1\r\nHost: rig\r\nContent-Length: {}\r\n\r\n{body}", body.len());
+        let Some(door) = self.told["management"].as_str() else {
+            return false;
+        };
+        let text = format!(
+            "POST {path} HTTP/1.1\r\nHost: rig\r\nContent-Length: {}\r\n\r\n{body}",
+            body.len()
+        );
         matches!(ask(door, text).await, Some(200))
     }
 
@@ -147,7 +158,8 @@
 
     fn spawn(&mut self) -> io::Result<Child> {
         // Each process has a door of its own.
-        let door = std::net::TcpListener::bind(SocketAddr::new(self.address.ip(), 0))?.local_addr()?;
+        let door =
+            std::net::TcpListener::bind(SocketAddr::new(self.address.ip(), 0))?.local_addr()?;
         self.told["management"] = door.to_string().into();
         self.write()?;
         let log = File::options().create(true).append(true).open(self.log())?;
@@ -174,7 +186,9 @@
             .stdout(Stdio::null())
             .stderr(log)
             .spawn()
-            .map_err(|e| io::Error::new(e.kind(), format!("{}: {e}", self.program.path.display())))?;
+            .map_err(|e| {
+                io::Error::new(e.kind(), format!("{}: {e}", self.program.path.display()))
+            })?;
         self.starts += 1;
         Ok(child)
     }
@@ -182,12 +196,24 @@
     async fn come_up(&mut self, path: &str) -> io::Result<()> {
         let began = Instant::now();
         while !self.ready(path).await {
-            let ended = self.child.as_mut().map(Child::try_wait).transpose()?.flatten();
+            let ended = self
+                .child
+                .as_mut()
+                .map(Child::try_wait)
+                .transpose()?
+                .flatten();
             if ended.is_some() || began.elapsed() > PATIENCE {
                 let said = std::fs::read_to_string(self.log()).unwrap_or_default();
                 let last = said.lines().last().unwrap_or("it said nothing").to_string();
-                let word = if ended.is_some() { "ended" } else { "did not come up" };
-                return Err(io::Error::other(format!("sidecar {} {word}: {last}", self.n)));
+                let word = if ended.is_some() {
+                    "ended"
+                } else {
+                    "did not come up"
+                };
+                return Err(io::Error::other(format!(
+                    "sidecar {} {word}: {last}",
+                    self.n
+                )));
             }
             sleep(Duration::from_millis(10)).await;
         }
@@ -198,12 +224,17 @@
     /// At its operators' door: another process may have the clients' address, too.
     async fn ready(&self, path: &str) -> bool {
         let text = format!("GET {path} HTTP/1.1\r\nHost: rig\r\nConnection: close\r\n\r\n");
-        let door = self.told["management"].as_str().filter(|_| path.starts_with("/admin"));
+        let door = self.told["management"]
+            .as_str()
+            .filter(|_| path.starts_with("/admin"));
         ask(door.unwrap_or(&self.address.to_string()), text).await == Some(200)
     }
 
     pub fn signal(&self, signal: rustix::process::Signal) -> io::Result<()> {
-        let pid = self.child.as_ref().and_then(|c| rustix::process::Pid::from_raw(c.id() as i32));
+        let pid = self
+            .child
+            .as_ref()
+            .and_then(|c| rustix::process::Pid::from_raw(c.id() as i32));
         let pid = pid.ok_or_else(|| io::Error::other("no process"))?;
         Ok(rustix::process::kill_process(pid, signal)?)
     }
@@ -220,7 +251,13 @@
         self.signal(rustix::process::Signal::TERM)?;
         let began = Instant::now();
         while began.elapsed() < PATIENCE {
-            if let Some(status) = self.child.as_mut().map(Child::try_wait).transpose()?.flatten() {
+            if let Some(status) = self
+                .child
+                .as_mut()
+                .map(Child::try_wait)
+                .transpose()?
+                .flatten()
+            {
                 self.child = None;
                 return Ok(status.code());
             }
@@ -243,12 +280,16 @@
         let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).ok()?;
         // Behind the name, which may hold anything but ends with the last bracket.
         let fields: Vec<&str> = stat.rsplit_once(") ")?.1.split(' ').collect();
-        let ticks: u64 = fields.get(11)?.parse::<u64>().ok()? + fields.get(12)?.parse::<u64>().ok()?;
+        let ticks: u64 =
+            fields.get(11)?.parse::<u64>().ok()? + fields.get(12)?.parse::<u64>().ok()?;
         let status = std::fs::read_to_string(format!("/proc/{pid}/status")).ok()?;
         let memory = status.lines().find_map(|l| l.strip_prefix("VmHWM:"))?;
         let memory_kb = memory.trim().trim_end_matches(" kB").parse().ok()?;
         let second = rustix::param::clock_ticks_per_second();
-        Some(Used { cpu: Duration::from_secs_f64(ticks as f64 / second as f64), memory_kb })
+        Some(Used {
+            cpu: Duration::from_secs_f64(ticks as f64 / second as f64),
+            memory_kb,
+        })
     }
 }
 
@@ -256,9 +297,16 @@
 pub fn by_share(mut times: Vec<Duration>) -> Option<String> {
     times.sort();
     let last = times.len().checked_sub(1)?;
-    let within = |share: f64| times[((times.len() as f64 * share).ceil() as usize).clamp(1, last + 1) - 1];
+    let within =
+        |share: f64| times[((times.len() as f64 * share).ceil() as usize).clamp(1, last + 1) - 1];
     let ms = |share| format!("{:.0} ms", within(share).as_secs_f64() * 1e3);
-    Some(format!("{} ready, p50 {}, p90 {}, max {}", times.len(), ms(0.5), ms(0.9), ms(1.0)))
+    Some(format!(
+        "{} ready, p50 {}, p90 {}, max {}",
+        times.len(),
+        ms(0.5),
+        ms(0.9),
+        ms(1.0)
+    ))
 }
 
 /// An operator's call at a door: the status and what was said.
@@ -266,12 +314,17 @@
     let call = async {
         let mut talk = Talk::new(TcpStream::connect(door).await?);
         let length = body.len();
-        let head = format!("{method} {path} HTTP/1.1\r\nHost: rig\r\nContent-Length: {length}\r\n\r\n{body}");
+        let head = format!(
+            "{method} {path} HTTP/1.1\r\nHost: rig\r\nContent-Length: {length}\r\n\r\n{body}"
+        );
         talk.write(head.as_bytes()).await?;
         talk.answer().await
     };
     let said = timeout(CALL_WITHIN, call).await.ok()?.ok()??;
-    Some((said.status, serde_json::from_slice(&said.body).unwrap_or_default()))
+    Some((
+        said.status,
+        serde_json::from_slice(&said.body).unwrap_or_default(),
+    ))
 }
 
 /// One call: the status, where one came.
@@ -281,7 +334,11 @@
         talk.write(text.as_bytes()).await?;
         talk.answer().await
     };
-    timeout(CALL_WITHIN, call).await.ok()?.ok()?.map(|message| message.status)
+    timeout(CALL_WITHIN, call)
+        .await
+        .ok()?
+        .ok()?
+        .map(|message| message.status)
 }
 
 impl Drop for Sidecar {
--- a/crates/passroad-rig/src/spread.rs
+++ b/crates/passroad-rig/src/spread.rs
@@ -12,7 +12,11 @@
 /// Relays that went out within a window, by endpoint.
 fn counts(run: &Run, plan: &Plan, window: &Range<Duration>) -> Vec<f64> {
     let mut counts = vec![0.0; plan.endpoints.len()];
-    run.books.relays.iter().filter(|r| window.contains(&r.at)).for_each(|r| counts[r.endpoint] += 1.0);
+    run.books
+        .relays
+        .iter()
+        .filter(|r| window.contains(&r.at))
+        .for_each(|r| counts[r.endpoint] += 1.0);
     counts
 }
 
@@ -20,13 +24,22 @@
 pub fn shares(run: &Run, plan: &Plan, window: &Range<Duration>) -> Vec<f64> {
     let counts = counts(run, plan, window);
     let size = |n: usize| plan.endpoints[n].make.cores as f64 * plan.endpoints[n].make.speed;
-    let (all, sizes) = (counts.iter().sum::<f64>(), (0..counts.len()).map(size).sum::<f64>());
-    counts.iter().enumerate().map(|(n, count)| count * sizes / (all * size(n)).max(1e-9)).collect()
+    let (all, sizes) = (
+        counts.iter().sum::<f64>(),
+        (0..counts.len()).map(size).sum::<f64>(),
+    );
+    counts
+        .iter()
+        .enumerate()
+        .map(|(n, count)| count * sizes / (all * size(n)).max(1e-9))
+        .collect()
 }
 
 /// Variance over mean of the relays of an endpoint within a time of this length: 1 where each choice is random.
 pub fn herding(run: &Run, plan: &Plan, window: &Range<Duration>, step: Duration) -> f64 {
-    let steps = ((window.end - window.start).as_secs_f64() / step.as_secs_f64()).floor().max(1.0) as usize;
+    let steps = ((window.end - window.start).as_secs_f64() / step.as_secs_f64())
+        .floor()
+        .max(1.0) as usize;
     let mut cells = vec![0.0f64; steps * plan.endpoints.len()];
     for r in run.books.relays.iter().filter(|r| window.contains(&r.at)) {
         let at = ((r.at - window.start).as_secs_f64() / step.as_secs_f64()) as usize;
@@ -35,12 +48,21 @@
         }
     }
     let mean = cells.iter().sum::<f64>() / cells.len() as f64;
-    cells.iter().map(|cell| (cell - mean) * (cell - mean)).sum::<f64>() / cells.len() as f64 / mean.max(1e-9)
+    cells
+        .iter()
+        .map(|cell| (cell - mean) * (cell - mean))
+        .sum::<f64>()
+        / cells.len() as f64
+        / mean.max(1e-9)
 }
 
 /// Share of endpoint-time with nothing held while another endpoint holds more than it has cores for.
 pub fn idle(run: &Run, plan: &Plan, window: &Range<Duration>) -> f64 {
-    let looks: Vec<_> = run.looks.iter().filter(|look| window.contains(&look.at)).collect();
+    let looks: Vec<_> = run
+        .looks
+        .iter()
+        .filter(|look| window.contains(&look.at))
+        .collect();
     let queues = |held: &[usize]| (0..held.len()).any(|n| held[n] > plan.endpoints[n].make.cores);
     let idle: usize = looks
         .iter()
@@ -71,9 +93,14 @@
         relays.sort_unstable();
         let mut from = 0;
         while from < relays.len() {
-            let end = relays[from..].iter().take_while(|(at, _)| *at < relays[from].0 + TOGETHER).count();
-            let users: BTreeSet<usize> =
-                relays[from..from + end].iter().map(|(_, instance)| *instance).collect();
+            let end = relays[from..]
+                .iter()
+                .take_while(|(at, _)| *at < relays[from].0 + TOGETHER)
+                .count();
+            let users: BTreeSet<usize> = relays[from..from + end]
+                .iter()
+                .map(|(_, instance)| *instance)
+                .collect();
             // One crowd counts once.
             let crowd = users.len() >= tenth;
             times += usize::from(crowd);
@@ -86,7 +113,10 @@
 /// Most open connections at one endpoint.
 pub fn links_most(run: &Run, window: &Range<Duration>) -> usize {
     let looks = run.looks.iter().filter(|look| window.contains(&look.at));
-    looks.flat_map(|look| look.links.iter().copied()).max().unwrap_or(0)
+    looks
+        .flat_map(|look| look.links.iter().copied())
+        .max()
+        .unwrap_or(0)
 }
 
 #[cfg(test)]
@@ -105,11 +135,38 @@
         let mut ledger = Ledger::default();
         for (n, (at, instance, endpoint)) in relays.iter().enumerate() {
             let (at, limit) = (*at * MS, 1000 * MS);
-            ledger.note(at, Entry::Asked { cmd: n, chain: n, verb: 0, instance: *instance, limit });
-            ledger.note(at, Entry::Sent { relay: n, cmd: n, endpoint: *endpoint });
-            ledger.note(at + MS, Entry::Answered { cmd: n, answer: Answer::Answered });
+            ledger.note(
+                at,
+                Entry::Asked {
+                    cmd: n,
+                    chain: n,
+                    verb: 0,
+                    instance: *instance,
+                    limit,
+                },
+            );
+            ledger.note(
+                at,
+                Entry::Sent {
+                    relay: n,
+                    cmd: n,
+                    endpoint: *endpoint,
+                },
+            );
+            ledger.note(
+                at + MS,
+                Entry::Answered {
+                    cmd: n,
+                    answer: Answer::Answered,
+                },
+            );
         }
-        let played = Played { ledger, looks: Vec::new(), lines: Vec::new(), connections: 0 };
+        let played = Played {
+            ledger,
+            looks: Vec::new(),
+            lines: Vec::new(),
+            connections: 0,
+        };
         (Run::of(&plan, "passroad", 1, played, Duration::ZERO), plan)
     }
 
@@ -134,7 +191,11 @@
     #[rstest]
     #[case::herd(&[(10, 0, 0), (11, 1, 0), (12, 2, 0), (13, 0, 0), (14, 1, 0)], 4.0, 1.0)]
     #[case::spread(&[(10, 0, 0), (11, 1, 1), (12, 2, 2), (13, 0, 3), (14, 1, 4)], 0.0, 0.0)]
-    fn a_herd_shows(#[case] relays: &[(u32, usize, usize)], #[case] dispersion: f64, #[case] crowds: f64) {
+    fn a_herd_shows(
+        #[case] relays: &[(u32, usize, usize)],
+        #[case] dispersion: f64,
+        #[case] crowds: f64,
+    ) {
         let (run, plan) = run(relays);
         assert_eq!((plan.endpoints.len(), plan.instances), (5, 3));
         let window = Duration::ZERO..Duration::from_secs(1);
