--- a/crates/passroad-rig/src/virtual_time.rs
+++ b/crates/passroad-rig/src/virtual_time.rs
@@ -39,20 +39,64 @@
 enum Ev {
     Ask(Ask),
     Change(usize),
-    Reach { relay: RelayNo, new: bool },
-    Back { relay: RelayNo, outcome: Outcome, load: Option<Load>, keeps: bool },
-    GiveUp { relay: RelayNo, outcome: Outcome },
-    Recalled { relay: RelayNo },
-    ProbeReach { probe: usize, new: bool },
-    ProbeBack { probe: usize, outcome: Outcome, load: Option<Load>, keeps: bool },
-    Due { instance: usize, token: u64, life: u32 },
-    Wake { endpoint: usize, version: u64 },
-    Restart { endpoint: usize },
-    Guard { cmd: CmdNo },
-    Away { cmd: CmdNo },
-    Start { instance: usize },
-    Listed { instance: usize, kind: ListKind, of: Vec<usize>, watch: u64 },
-    ListChange { endpoint: usize, mode: Mode },
+    Reach {
+        relay: RelayNo,
+        new: bool,
+    },
+    Back {
+        relay: RelayNo,
+        outcome: Outcome,
+        load: Option<Load>,
+        keeps: bool,
+    },
+    GiveUp {
+        relay: RelayNo,
+        outcome: Outcome,
+    },
+    Recalled {
+        relay: RelayNo,
+    },
+    ProbeReach {
+        probe: usize,
+        new: bool,
+    },
+    ProbeBack {
+        probe: usize,
+        outcome: Outcome,
+        load: Option<Load>,
+        keeps: bool,
+    },
+    Due {
+        instance: usize,
+        token: u64,
+        life: u32,
+    },
+    Wake {
+        endpoint: usize,
+        version: u64,
+    },
+    Restart {
+        endpoint: usize,
+    },
+    Guard {
+        cmd: CmdNo,
+    },
+    Away {
+        cmd: CmdNo,
+    },
+    Start {
+        instance: usize,
+    },
+    Listed {
+        instance: usize,
+        kind: ListKind,
+        of: Vec<usize>,
+        watch: u64,
+    },
+    ListChange {
+        endpoint: usize,
+        mode: Mode,
+    },
     Look,
 }
 
@@ -132,7 +176,10 @@
         let e = &self.endpoints[endpoint];
         let ahead = self.heading[endpoint] / (e.make.cores as f64 * e.make.speed);
         let wait = e.would_take(0.0, verb)? + ahead;
-        Some((wait, e.would_take(work, verb)? + ahead + 2.0 * self.half_way.as_secs_f64()))
+        Some((
+            wait,
+            e.would_take(work, verb)? + ahead + 2.0 * self.half_way.as_secs_f64(),
+        ))
     }
 }
 
@@ -252,7 +299,11 @@
 impl Day<'_> {
     fn at(&mut self, at: Duration, ev: Ev) {
         self.turn += 1;
-        self.queue.push(Reverse(Later { at: at.max(self.now), turn: self.turn, ev }));
+        self.queue.push(Reverse(Later {
+            at: at.max(self.now),
+            turn: self.turn,
+            ev,
+        }));
     }
 
     fn note(&mut self, entry: Entry) {
@@ -279,8 +330,14 @@
             }
             Ev::Change(n) => self.change(self.plan.changes[n].1.clone()),
             Ev::Reach { relay, new } => self.reach(relay, new),
-            Ev::Back { relay, outcome, load, keeps } => {
-                let (instance, endpoint) = (self.relays[relay].instance, self.relays[relay].endpoint);
+            Ev::Back {
+                relay,
+                outcome,
+                load,
+                keeps,
+            } => {
+                let (instance, endpoint) =
+                    (self.relays[relay].instance, self.relays[relay].endpoint);
                 if !self.cut(instance, endpoint) {
                     self.ended(relay, outcome, load, keeps);
                 }
@@ -293,8 +350,17 @@
                 self.collect(endpoint);
             }
             Ev::ProbeReach { probe, new } => self.probe_reach(probe, new),
-            Ev::ProbeBack { probe, outcome, load, keeps } => self.probed(probe, outcome, load, keeps),
-            Ev::Due { instance, token, life } if self.instances[instance].life == life => {
+            Ev::ProbeBack {
+                probe,
+                outcome,
+                load,
+                keeps,
+            } => self.probed(probe, outcome, load, keeps),
+            Ev::Due {
+                instance,
+                token,
+                life,
+            } if self.instances[instance].life == life => {
                 self.tell(instance, Event::Due { token });
             }
             Ev::Due { .. } => {}
@@ -315,29 +381,55 @@
             }
             Ev::Away { cmd } => {
                 // Its limit is over: a client that has no answer by now goes away.
-                let open =
-                    !self.commands[cmd].answered && !std::mem::replace(&mut self.commands[cmd].gone, true);
+                let open = !self.commands[cmd].answered
+                    && !std::mem::replace(&mut self.commands[cmd].gone, true);
                 if open && let Some(slot) = self.commands[cmd].slot {
                     self.tell(self.commands[cmd].ask.instance, Event::Lapsed { cmd: slot });
                 }
             }
             Ev::Start { instance } => {
                 // What a process remembers at its own start says nothing of theirs.
-                let remembered = |e| Listing { started: Duration::ZERO, ..self.listing(e) };
+                let remembered = |e| Listing {
+                    started: Duration::ZERO,
+                    ..self.listing(e)
+                };
                 let entries: Vec<Listing> = (0..self.modes.len()).map(remembered).collect();
                 // Another process has not heard what the one before it was told.
                 let again = self.instances[instance].life > 0;
                 for up in entries.iter().filter(|e| again && e.mode == Mode::Running) {
-                    self.note(Entry::ToldUp { instance, endpoint: up.endpoint });
+                    self.note(Entry::ToldUp {
+                        instance,
+                        endpoint: up.endpoint,
+                    });
                 }
-                self.tell(instance, Event::Listed { kind: ListKind::Remembered, entries });
+                self.tell(
+                    instance,
+                    Event::Listed {
+                        kind: ListKind::Remembered,
+                        entries,
+                    },
+                );
             }
-            Ev::Listed { instance, kind, of, watch } => self.listed(instance, kind, &of, watch),
+            Ev::Listed {
+                instance,
+                kind,
+                of,
+                watch,
+            } => self.listed(instance, kind, &of, watch),
             Ev::ListChange { endpoint, mode } => self.list_change(endpoint, mode),
             Ev::Look => {
-                let held = self.fleet.endpoints.iter().map(Endpoint::outstanding).collect();
+                let held = self
+                    .fleet
+                    .endpoints
+                    .iter()
+                    .map(Endpoint::outstanding)
+                    .collect();
                 let links = self.fleet.endpoints.iter().map(Endpoint::links).collect();
-                self.played.looks.push(Look { at: self.now, held, links });
+                self.played.looks.push(Look {
+                    at: self.now,
+                    held,
+                    links,
+                });
                 if self.now + LOOK <= self.plan.length {
                     self.at(self.now + LOOK, Ev::Look);
                 }
@@ -349,7 +441,9 @@
     fn settle(&mut self) {
         while let Some((instance, event)) = self.pending.pop_front() {
             let now = EPOCH + self.now;
-            let actions = self.instances[instance].policy.decide(now, event, &self.fleet);
+            let actions = self.instances[instance]
+                .policy
+                .decide(now, event, &self.fleet);
             for action in actions {
                 self.act(instance, action);
             }
@@ -359,13 +453,19 @@
     fn act(&mut self, instance: usize, action: Action) {
         let name = |day: &Self, slot: CmdIx| day.instances[instance].commands.name(slot).copied();
         match action {
-            Action::Relay { cmd, endpoint, within, .. } => {
+            Action::Relay {
+                cmd,
+                endpoint,
+                within,
+                ..
+            } => {
                 if let Some(cmd) = name(self, cmd) {
                     self.send(instance, cmd, endpoint, within);
                 }
             }
             Action::Recall { cmd, relay } => {
-                let relay = name(self, cmd).and_then(|cmd| self.commands[cmd].relays.get(relay).copied());
+                let relay =
+                    name(self, cmd).and_then(|cmd| self.commands[cmd].relays.get(relay).copied());
                 if let Some(relay) = relay {
                     self.ended(relay, Outcome::Recalled, None, false);
                 }
@@ -389,18 +489,29 @@
             Action::Probe { endpoint } => self.probe(instance, endpoint),
             Action::Disconnect { endpoint } => {
                 let idle = std::mem::take(&mut self.instances[instance].idle[endpoint]);
-                idle.iter().for_each(|_| self.fleet.endpoints[endpoint].disconnect());
+                idle.iter()
+                    .for_each(|_| self.fleet.endpoints[endpoint].disconnect());
             }
             Action::Listen { active } => self.listen(instance, active),
             Action::AskList => self.listen(instance, true),
             Action::Alarm { after, token } => {
                 let life = self.instances[instance].life;
-                self.at(self.now + after, Ev::Due { instance, token, life });
+                self.at(
+                    self.now + after,
+                    Ev::Due {
+                        instance,
+                        token,
+                        life,
+                    },
+                );
             }
             Action::Log(line) if self.played.lines.len() < MOST_LINES => {
                 self.played.lines.push((self.now, instance, line));
             }
-            Action::Log(_) | Action::Release { .. } | Action::Tell { .. } | Action::Numbered { .. } => {}
+            Action::Log(_)
+            | Action::Release { .. }
+            | Action::Tell { .. }
+            | Action::Numbered { .. } => {}
         }
     }
 
@@ -412,7 +523,13 @@
         let (limit, margin) = (verb.limit, MARGIN.min(verb.limit / 20));
         let instance = ask.instance;
         let chain = ask.chain.unwrap_or(cmd);
-        self.note(Entry::Asked { cmd, chain, verb: ask.verb, instance, limit });
+        self.note(Entry::Asked {
+            cmd,
+            chain,
+            verb: ask.verb,
+            instance,
+            limit,
+        });
         let slot = self.instances[instance].commands.admit(&cmd);
         let costs = &mut self.fleet.work[instance];
         costs.resize(costs.len().max(slot + 1), (0.0, 0));
@@ -431,7 +548,10 @@
         };
         self.at(self.now + limit - margin / 2, Ev::Guard { cmd });
         self.at(self.now + limit, Ev::Away { cmd });
-        let ask = Ask { chain: Some(chain), ..ask };
+        let ask = Ask {
+            chain: Some(chain),
+            ..ask
+        };
         let command = Command {
             ask,
             sent: self.now,
@@ -449,7 +569,8 @@
             return;
         }
         self.note(Entry::Answered { cmd, answer });
-        let again = !std::mem::replace(&mut self.commands[cmd].answered, true) && answer == Answer::Declined;
+        let again = !std::mem::replace(&mut self.commands[cmd].answered, true)
+            && answer == Answer::Declined;
         if again && self.now < self.plan.length {
             let ask = self.commands[cmd].ask.clone();
             if let Some((after, ask)) = self.asks.again(&ask, not_before) {
@@ -491,16 +612,32 @@
             heading: work,
             linked: false,
         });
-        self.note(Entry::Sent { relay, cmd, endpoint });
+        self.note(Entry::Sent {
+            relay,
+            cmd,
+            endpoint,
+        });
         self.fleet.heading[endpoint] += work;
-        self.at(self.now + within, Ev::GiveUp { relay, outcome: Outcome::TimedOut });
+        self.at(
+            self.now + within,
+            Ev::GiveUp {
+                relay,
+                outcome: Outcome::TimedOut,
+            },
+        );
         let half = self.plan.half_way(instance, endpoint);
         if self.kept(instance, endpoint) {
             self.relays[relay].linked = true;
             self.at(self.now + half, Ev::Reach { relay, new: false });
         } else if self.cut(instance, endpoint) {
             // Nothing comes over the cut: the sidecar gives up by itself.
-            self.at(self.now + self.plan.connect / 4, Ev::GiveUp { relay, outcome: Outcome::NoConnection });
+            self.at(
+                self.now + self.plan.connect / 4,
+                Ev::GiveUp {
+                    relay,
+                    outcome: Outcome::NoConnection,
+                },
+            );
         } else {
             self.at(self.now + 3 * half, Ev::Reach { relay, new: true });
         }
@@ -520,18 +657,30 @@
         if self.relays[relay].ended {
             return;
         }
-        let back = |outcome, keeps| Ev::Back { relay, outcome, load: None, keeps };
+        let back = |outcome, keeps| Ev::Back {
+            relay,
+            outcome,
+            load: None,
+            keeps,
+        };
         let home = self.now + self.plan.half_way(instance, endpoint);
         if self.cut(instance, endpoint) {
             if new {
                 let outcome = Outcome::NoConnection;
-                self.at(self.now + self.plan.connect / 4, Ev::GiveUp { relay, outcome });
+                self.at(
+                    self.now + self.plan.connect / 4,
+                    Ev::GiveUp { relay, outcome },
+                );
             }
             return;
         }
         if !self.fleet.endpoints[endpoint].is_up() {
             // Written to a connection that is no more, it may have run for all that the sidecar knows.
-            let outcome = if new { Outcome::NoConnection } else { Outcome::Broken };
+            let outcome = if new {
+                Outcome::NoConnection
+            } else {
+                Outcome::Broken
+            };
             return self.at(home, back(outcome, false));
         }
         if new {
@@ -545,11 +694,23 @@
         let ask = &self.commands[self.relays[relay].cmd].ask;
         let e = &mut self.fleet.endpoints[endpoint];
         let work = ask.work + if new { e.make.link_work } else { 0.0 };
-        match e.offer(Job { id: relay as u64, verb: ask.verb, work }) {
+        match e.offer(Job {
+            id: relay as u64,
+            verb: ask.verb,
+            work,
+        }) {
             Offer::Taken => {}
             Offer::Full => {
                 let load = Some(e.report());
-                self.at(home, Ev::Back { relay, outcome: Outcome::Full, load, keeps: true });
+                self.at(
+                    home,
+                    Ev::Back {
+                        relay,
+                        outcome: Outcome::Full,
+                        load,
+                        keeps: true,
+                    },
+                );
             }
             Offer::Down => self.at(home, back(Outcome::Broken, false)),
         }
@@ -565,13 +726,17 @@
         let r = &self.relays[relay];
         let (cmd, instance, endpoint, n) = (r.cmd, r.instance, r.endpoint, r.n);
         let (spent, linked) = (self.now - r.sent, r.linked);
-        self.note(Entry::Ended { relay, proven: outcome.never_ran() });
+        self.note(Entry::Ended {
+            relay,
+            proven: outcome.never_ran(),
+        });
         if linked && keeps {
             self.instances[instance].idle[endpoint].push(self.now);
         } else if linked {
             self.fleet.endpoints[endpoint].disconnect();
         }
-        if matches!(outcome, Outcome::TimedOut | Outcome::Recalled) && !self.cut(instance, endpoint) {
+        if matches!(outcome, Outcome::TimedOut | Outcome::Recalled) && !self.cut(instance, endpoint)
+        {
             let half = self.plan.half_way(instance, endpoint);
             self.at(self.now + half, Ev::Recalled { relay });
         }
@@ -579,10 +744,24 @@
         if open && outcome == Outcome::Answered {
             self.answer(cmd, Answer::Answered, None);
         }
-        let Some(slot) = self.commands[cmd].slot else { return };
+        let Some(slot) = self.commands[cmd].slot else {
+            return;
+        };
         let concluded = self.commands[cmd].answered || self.commands[cmd].gone;
-        let report = load.filter(|_| self.plan.reports() == Reports::Piggyback).map(report);
-        self.tell(instance, Event::Finished { cmd: slot, relay: n, outcome, spent, concluded, report });
+        let report = load
+            .filter(|_| self.plan.reports() == Reports::Piggyback)
+            .map(report);
+        self.tell(
+            instance,
+            Event::Finished {
+                cmd: slot,
+                relay: n,
+                outcome,
+                spent,
+                concluded,
+                report,
+            },
+        );
     }
 
     // ---- endpoints ----
@@ -596,7 +775,9 @@
         let mut tipped = false;
         for shown in self.fleet.endpoints[endpoint].take_shown() {
             match shown {
-                Shown::Began(job) => self.note(Entry::Ran { relay: job as RelayNo }),
+                Shown::Began(job) => self.note(Entry::Ran {
+                    relay: job as RelayNo,
+                }),
                 Shown::Ended(job, verdict) => {
                     let relay = job as RelayNo;
                     let instance = self.relays[relay].instance;
@@ -609,7 +790,15 @@
                     if !self.cut(instance, endpoint) {
                         let load = Some(self.fleet.endpoints[endpoint].report());
                         let home = self.now + self.plan.half_way(instance, endpoint);
-                        self.at(home, Ev::Back { relay, outcome, load, keeps });
+                        self.at(
+                            home,
+                            Ev::Back {
+                                relay,
+                                outcome,
+                                load,
+                                keeps,
+                            },
+                        );
                     }
                 }
                 Shown::Tipped => tipped = true,
@@ -621,22 +810,44 @@
         }
         self.versions[endpoint] += 1;
         if let Some(at) = self.fleet.endpoints[endpoint].wake_at() {
-            self.at(at, Ev::Wake { endpoint, version: self.versions[endpoint] });
+            self.at(
+                at,
+                Ev::Wake {
+                    endpoint,
+                    version: self.versions[endpoint],
+                },
+            );
         }
     }
 
     fn die(&mut self, endpoint: usize) {
         self.advance(endpoint);
         let held = self.fleet.endpoints[endpoint].die();
-        self.instances.iter_mut().for_each(|i| i.idle[endpoint].clear());
+        self.instances
+            .iter_mut()
+            .for_each(|i| i.idle[endpoint].clear());
         for job in held {
             let relay = job as RelayNo;
             self.relays[relay].linked = false;
             let home = self.now + self.plan.half_way(self.relays[relay].instance, endpoint);
-            self.at(home, Ev::Back { relay, outcome: Outcome::Broken, load: None, keeps: false });
+            self.at(
+                home,
+                Ev::Back {
+                    relay,
+                    outcome: Outcome::Broken,
+                    load: None,
+                    keeps: false,
+                },
+            );
         }
         self.versions[endpoint] += 1;
-        self.at(self.now + self.plan.noticed, Ev::ListChange { endpoint, mode: Mode::Deleted });
+        self.at(
+            self.now + self.plan.noticed,
+            Ev::ListChange {
+                endpoint,
+                mode: Mode::Deleted,
+            },
+        );
     }
 
     fn start(&mut self, endpoint: usize) {
@@ -648,7 +859,13 @@
         if !self.plan.endpoints[endpoint].make.warm_within.is_zero() {
             self.note(Entry::Started { endpoint });
         }
-        self.at(self.now + LOOK / 2, Ev::ListChange { endpoint, mode: Mode::Running });
+        self.at(
+            self.now + LOOK / 2,
+            Ev::ListChange {
+                endpoint,
+                mode: Mode::Running,
+            },
+        );
     }
 
     fn change(&mut self, change: Change) {
@@ -658,10 +875,22 @@
                 self.fleet.endpoints[endpoint].turn(&turn);
                 self.collect(endpoint);
             }
-            Change::Cut { endpoint, instances, on } => {
-                for (n, _) in instances.iter().enumerate().filter(|(_, concerned)| **concerned) {
+            Change::Cut {
+                endpoint,
+                instances,
+                on,
+            } => {
+                for (n, _) in instances
+                    .iter()
+                    .enumerate()
+                    .filter(|(_, concerned)| **concerned)
+                {
                     let cuts = &mut self.fleet.cuts[endpoint][n];
-                    *cuts = if on { *cuts + 1 } else { cuts.saturating_sub(1) };
+                    *cuts = if on {
+                        *cuts + 1
+                    } else {
+                        cuts.saturating_sub(1)
+                    };
                 }
             }
             Change::Die(endpoint) => self.die(endpoint),
@@ -673,7 +902,11 @@
             Change::Cordon(endpoint, out) => {
                 for instance in 0..self.instances.len() {
                     self.tell(instance, Event::Cordoned { endpoint, out });
-                    self.note(Entry::Cordoned { instance, endpoint, out });
+                    self.note(Entry::Cordoned {
+                        instance,
+                        endpoint,
+                        out,
+                    });
                 }
             }
             Change::Leave(endpoint) => {
@@ -688,7 +921,15 @@
                 for instance in 0..self.instances.len() {
                     if on && let Some(watch) = self.instances[instance].watch {
                         let at = self.now + LOOK.mul_f64(self.chance.share() / 2.0);
-                        self.at(at, Ev::Listed { instance, kind: ListKind::Refused, of: Vec::new(), watch });
+                        self.at(
+                            at,
+                            Ev::Listed {
+                                instance,
+                                kind: ListKind::Refused,
+                                of: Vec::new(),
+                                watch,
+                            },
+                        );
                     }
                 }
             }
@@ -704,24 +945,38 @@
     /// Killed, and another process in its place at once: what it held is lost, and what it had learnt.
     fn kill(&mut self, instance: usize) {
         self.note(Entry::Killed { instance });
-        for c in self.commands.iter_mut().filter(|c| c.ask.instance == instance) {
+        for c in self
+            .commands
+            .iter_mut()
+            .filter(|c| c.ask.instance == instance)
+        {
             (c.gone, c.slot) = (c.gone || !c.answered, None);
         }
-        for relay in
-            (0..self.relays.len()).filter(|r| self.relays[*r].instance == instance).collect::<Vec<_>>()
+        for relay in (0..self.relays.len())
+            .filter(|r| self.relays[*r].instance == instance)
+            .collect::<Vec<_>>()
         {
             // The system closes its connections, which its endpoints see.
             self.ended(relay, Outcome::TimedOut, None, false);
         }
-        self.probes.iter_mut().filter(|p| p.instance == instance).for_each(|p| p.told = true);
+        self.probes
+            .iter_mut()
+            .filter(|p| p.instance == instance)
+            .for_each(|p| p.told = true);
         for endpoint in 0..self.modes.len() {
             let idle = std::mem::take(&mut self.instances[instance].idle[endpoint]);
-            idle.iter().for_each(|_| self.fleet.endpoints[endpoint].disconnect());
+            idle.iter()
+                .for_each(|_| self.fleet.endpoints[endpoint].disconnect());
         }
         let life = self.instances[instance].life + 1;
-        let Ok(policy) = decider(self.plan, self.seed, self.policy, instance, life) else { return };
+        let Ok(policy) = decider(self.plan, self.seed, self.policy, instance, life) else {
+            return;
+        };
         self.instances[instance].policy = policy;
-        (self.instances[instance].commands, self.instances[instance].watch) = (Door::new(), None);
+        (
+            self.instances[instance].commands,
+            self.instances[instance].watch,
+        ) = (Door::new(), None);
         self.instances[instance].life = life;
         self.at(self.now, Ev::Start { instance });
     }
@@ -752,14 +1007,24 @@
         for instance in 0..self.instances.len() {
             if let Some(watch) = self.instances[instance].watch {
                 let at = self.now + self.news(instance);
-                self.at(at, Ev::Listed { instance, kind: ListKind::Changes, of: vec![endpoint], watch });
+                self.at(
+                    at,
+                    Ev::Listed {
+                        instance,
+                        kind: ListKind::Changes,
+                        of: vec![endpoint],
+                        watch,
+                    },
+                );
             }
         }
     }
 
     /// How long news take from discovery to an instance.
     fn news(&mut self, instance: usize) -> Duration {
-        let turn = self.discovery_turns.mul_f64(instance as f64 / self.instances.len() as f64);
+        let turn = self
+            .discovery_turns
+            .mul_f64(instance as f64 / self.instances.len() as f64);
         self.discovery_by + turn + self.plan.round_trip + LOOK.mul_f64(self.chance.share() / 5.0)
     }
 
@@ -768,9 +1033,21 @@
         let watch = self.watches;
         self.instances[instance].watch = active.then_some(watch);
         if active {
-            let kind = if self.discovery_down { ListKind::Refused } else { ListKind::All };
+            let kind = if self.discovery_down {
+                ListKind::Refused
+            } else {
+                ListKind::All
+            };
             let at = self.now + self.news(instance);
-            self.at(at, Ev::Listed { instance, kind, of: Vec::new(), watch });
+            self.at(
+                at,
+                Ev::Listed {
+                    instance,
+                    kind,
+                    of: Vec::new(),
+                    watch,
+                },
+            );
         }
     }
 
@@ -781,10 +1058,20 @@
         }
         if kind == ListKind::Refused || self.malformed {
             self.instances[instance].watch = None;
-            return self.tell(instance, Event::Listed { kind: ListKind::Refused, entries: Vec::new() });
+            return self.tell(
+                instance,
+                Event::Listed {
+                    kind: ListKind::Refused,
+                    entries: Vec::new(),
+                },
+            );
         }
         let whole = kind == ListKind::All;
-        let named: Vec<usize> = if whole { (0..self.modes.len()).collect() } else { of.to_vec() };
+        let named: Vec<usize> = if whole {
+            (0..self.modes.len()).collect()
+        } else {
+            of.to_vec()
+        };
         let mut entries = Vec::with_capacity(named.len());
         for endpoint in named {
             let mode = self.modes[endpoint];
@@ -803,7 +1090,12 @@
 
     fn probe(&mut self, instance: usize, endpoint: usize) {
         let probe = self.probes.len();
-        self.probes.push(Probe { instance, endpoint, sent: self.now, told: false });
+        self.probes.push(Probe {
+            instance,
+            endpoint,
+            sent: self.now,
+            told: false,
+        });
         self.note(Entry::Probed { endpoint });
         let half = self.plan.half_way(instance, endpoint);
         if self.kept(instance, endpoint) {
@@ -812,13 +1104,26 @@
             self.at(self.now + 3 * half, Ev::ProbeReach { probe, new: true });
         }
         let outcome = Outcome::TimedOut;
-        self.at(self.now + self.plan.connect / 5, Ev::ProbeBack { probe, outcome, load: None, keeps: false });
+        self.at(
+            self.now + self.plan.connect / 5,
+            Ev::ProbeBack {
+                probe,
+                outcome,
+                load: None,
+                keeps: false,
+            },
+        );
     }
 
     fn probe_reach(&mut self, probe: usize, new: bool) {
         let (instance, endpoint) = (self.probes[probe].instance, self.probes[probe].endpoint);
         let home = self.now + self.plan.half_way(instance, endpoint);
-        let back = |outcome, load, keeps| Ev::ProbeBack { probe, outcome, load, keeps };
+        let back = |outcome, load, keeps| Ev::ProbeBack {
+            probe,
+            outcome,
+            load,
+            keeps,
+        };
         self.advance(endpoint);
         let e = &mut self.fleet.endpoints[endpoint];
         if self.fleet.cuts[endpoint][instance] > 0 || e.trouble.stalled {
@@ -840,7 +1145,12 @@
     }
 
     fn probed(&mut self, probe: usize, outcome: Outcome, load: Option<Load>, keeps: bool) {
-        let Probe { instance, endpoint, sent, .. } = self.probes[probe];
+        let Probe {
+            instance,
+            endpoint,
+            sent,
+            ..
+        } = self.probes[probe];
         if keeps {
             // Too late to tell anything, an answer still gives its connection back.
             if self.cut(instance, endpoint) || !self.fleet.endpoints[endpoint].is_up() {
@@ -851,8 +1161,18 @@
         if std::mem::replace(&mut self.probes[probe].told, true) {
             return;
         }
-        let report = load.filter(|_| self.plan.reports() != Reports::Silent).map(report);
-        self.tell(instance, Event::Checked { endpoint, outcome, spent: self.now - sent, report });
+        let report = load
+            .filter(|_| self.plan.reports() != Reports::Silent)
+            .map(report);
+        self.tell(
+            instance,
+            Event::Checked {
+                endpoint,
+                outcome,
+                spent: self.now - sent,
+                report,
+            },
+        );
     }
 }
 
--- a/crates/passroad-rig/src/virtual_time/tests.rs
+++ b/crates/passroad-rig/src/virtual_time/tests.rs
@@ -8,7 +8,13 @@
 }
 
 fn run(plan: &Plan, policy: &str, seed: u64) -> Run {
-    Run::of(plan, policy, seed, play(plan, seed, policy).expect("a day"), Duration::ZERO)
+    Run::of(
+        plan,
+        policy,
+        seed,
+        play(plan, seed, policy).expect("a day"),
+        Duration::ZERO,
+    )
 }
 
 fn tally(plan: &Plan, run: &Run) -> Tally {
@@ -18,7 +24,9 @@
 /// FNV-1a of a day's whole history.
 fn digest(played: &Played) -> u64 {
     let text = format!("{:?}{:?}{:?}", played.ledger, played.looks, played.lines);
-    text.bytes().fold(0xcbf2_9ce4_8422_2325, |h, b| (h ^ u64::from(b)).wrapping_mul(0x0000_0100_0000_01b3))
+    text.bytes().fold(0xcbf2_9ce4_8422_2325, |h, b| {
+        (h ^ u64::from(b)).wrapping_mul(0x0000_0100_0000_01b3)
+    })
 }
 
 const DEATH: &str = "[[fault]]\nkind = \"die\"\nat = \"2s\"\nfor = \"1s\"\nendpoints = [1]\n";
@@ -36,7 +44,10 @@
 // A figure from another machine: it moves when the model does, not when the module does.
 #[rstest]
 fn a_day_is_the_same_on_any_machine() {
-    assert_eq!(digest(&play(&plan(DEATH), 7, "least-of-two").expect("a day")), DIGEST);
+    assert_eq!(
+        digest(&play(&plan(DEATH), 7, "least-of-two").expect("a day")),
+        DIGEST
+    );
 }
 const DIGEST: u64 = 12460130213023876650;
 
@@ -45,7 +56,11 @@
     let plan = read(&SMALL.replace("retries = \"50%\"", "")).expect("a plan");
     let asked = |policy| {
         let run = run(&plan, policy, 3);
-        run.books.commands.iter().map(|c| (c.asked, c.verb, c.instance)).collect::<Vec<_>>()
+        run.books
+            .commands
+            .iter()
+            .map(|c| (c.asked, c.verb, c.instance))
+            .collect::<Vec<_>>()
     };
     assert_eq!(asked("passroad"), asked("random"));
 }
@@ -66,8 +81,11 @@
     let run = run(&plan, "random", 5);
     let tally = tally(&plan, &run);
     assert!(seen(&tally) && tally.unanswered == 0, "{tally:?}");
-    let rules: Vec<_> =
-        run.breaches.iter().filter(|b| b.rule != crate::ledger::Rule::ColdNotPushedOver).collect();
+    let rules: Vec<_> = run
+        .breaches
+        .iter()
+        .filter(|b| b.rule != crate::ledger::Rule::ColdNotPushedOver)
+        .collect();
     assert!(rules.is_empty(), "{rules:?}");
 }
 
@@ -95,11 +113,16 @@
 #[case::malformed("kind = \"discovery-malformed\"", None)]
 fn trouble_of_discovery_keeps_news_back(#[case] fault: &str, #[case] late: Option<u64>) {
     let drain = "[[fault]]\nkind = \"drain\"\nat = \"2s\"\nfor = \"9s\"\nendpoints = [4]\n";
-    let plan = plan(&format!("{drain}[[fault]]\n{fault}\nat = \"0s\"\nfor = \"5s\"\n"));
+    let plan = plan(&format!(
+        "{drain}[[fault]]\n{fault}\nat = \"0s\"\nfor = \"5s\"\n"
+    ));
     let played = play(&plan, 3, "random").expect("a day");
     let told = played.ledger.first_told_away(4).expect("told in the end");
     match late {
-        Some(ms) => assert!((2000 + ms..2200 + ms).contains(&(told.as_millis() as u64)), "{told:?}"),
+        Some(ms) => assert!(
+            (2000 + ms..2200 + ms).contains(&(told.as_millis() as u64)),
+            "{told:?}"
+        ),
         None => assert!(told >= Duration::from_secs(5), "{told:?}"),
     }
 }
--- a/crates/passroad-rig/tests/capacity.rs
+++ b/crates/passroad-rig/tests/capacity.rs
@@ -27,7 +27,11 @@
 impl Folder {
     fn new() -> Folder {
         static COUNT: AtomicUsize = AtomicUsize::new(0);
-        let name = format!("rig-capacity-{}-{}", std::process::id(), COUNT.fetch_add(1, SeqCst));
+        let name = format!(
+            "rig-capacity-{}-{}",
+            std::process::id(),
+            COUNT.fetch_add(1, SeqCst)
+        );
         let folder = Folder(std::env::temp_dir().join(name));
         std::fs::create_dir_all(folder.0.join("capacity/points")).unwrap();
         std::fs::create_dir_all(folder.0.join("docs")).unwrap();
@@ -37,8 +41,14 @@
             "[[law]]\nrole = \"discovery\"\nquantity = \"bytes-out\"\nunit = \"B/s\"\ncondition = \"event:all-start\"\n\
              statistic = \"worst-second\"\nby = \"sidecars*endpoints\"\nslope = 150\nwhy = \"an entry is 150 bytes\"\n",
         );
-        folder.put("capacity/points/one.json", &points("one", false, |n| 100.0 + 2.0 * n));
-        folder.put("docs/CAPACITY.md", &format!("# Capacity\n\n{BEGIN}\n{END}\n\nEnd.\n"));
+        folder.put(
+            "capacity/points/one.json",
+            &points("one", false, |n| 100.0 + 2.0 * n),
+        );
+        folder.put(
+            "docs/CAPACITY.md",
+            &format!("# Capacity\n\n{BEGIN}\n{END}\n\nEnd.\n"),
+        );
         folder
     }
 
@@ -52,7 +62,12 @@
 
     fn rig(&self, words: &[&str]) -> Output {
         let mut command = Command::new(env!("CARGO_BIN_EXE_passroad-rig"));
-        command.args(["capacity", "--root"]).arg(&self.0).args(words).output().unwrap()
+        command
+            .args(["capacity", "--root"])
+            .arg(&self.0)
+            .args(words)
+            .output()
+            .unwrap()
     }
 }
 
@@ -118,13 +133,20 @@
 #[case(&[(61.0, 10.0), (122.0, 10.001), (305.0, 10.003), (610.0, 10.006)], Some((Form::Constant, 10.0025, 0.002291, 4)))]
 // Three sizes make no curve.
 #[case(&[(1.0, 1.0), (2.0, 4.0), (3.0, 9.0)], Some((Form::Linear, 2436.666667, 0.471405, 3)))]
-fn few_sizes_make_no_curves(#[case] dots: &[(f64, f64)], #[case] expected: Option<(Form, f64, f64, usize)>) {
+fn few_sizes_make_no_curves(
+    #[case] dots: &[(f64, f64)],
+    #[case] expected: Option<(Form, f64, f64, usize)>,
+) {
     let found = fit(dots);
     match (found, expected) {
         (None, None) => {}
         (Some(found), Some((form, at_610, error, sizes))) => {
             assert_eq!((found.form, found.sizes), (form, sizes));
-            assert!((found.at(610.0) - at_610).abs() < 1e-4, "{}", found.at(610.0));
+            assert!(
+                (found.at(610.0) - at_610).abs() < 1e-4,
+                "{}",
+                found.at(610.0)
+            );
             assert!((found.error - error).abs() < 1e-4, "{}", found.error);
         }
         other => panic!("{other:?}"),
@@ -134,20 +156,55 @@
 #[rstest]
 #[case("endpoints = 610", "endpoint = 610", 7, "size.endpoint: unknown key")]
 #[case("endpoints = 610\n", "", 5, "size.endpoints: missing")]
-#[case("endpoints = 610", "endpoints = -610", 7, "size.endpoints: -610 is less than one")]
-#[case("endpoints = 610", "endpoints = 610.5", 7, "size.endpoints: 610.5 is no whole number")]
-#[case("endpoints = 610", "endpoints = \"many\"", 7, "size.endpoints: \"many\" is no number")]
+#[case(
+    "endpoints = 610",
+    "endpoints = -610",
+    7,
+    "size.endpoints: -610 is less than one"
+)]
+#[case(
+    "endpoints = 610",
+    "endpoints = 610.5",
+    7,
+    "size.endpoints: 610.5 is no whole number"
+)]
+#[case(
+    "endpoints = 610",
+    "endpoints = \"many\"",
+    7,
+    "size.endpoints: \"many\" is no number"
+)]
 #[case(
     "calls_per_second = 140000",
     "calls_per_second = 0",
     11,
     "size.calls_per_second: 0 is not above nought"
 )]
-#[case("calls_per_second = 140000", "calls_per_second = nan", 11, "size.calls_per_second: nan is no number")]
+#[case(
+    "calls_per_second = 140000",
+    "calls_per_second = nan",
+    11,
+    "size.calls_per_second: nan is no number"
+)]
 #[case("zones = 11", "zones = 2", 10, "size.zones: fewer than regions")]
-#[case("added_p99 = \"0.53ms\"", "added_p99 = 0.53", 16, "budget.added_p99: 0.53 is no time")]
-#[case("added_p99 = \"0.53ms\"", "added_p99 = \"0.53\"", 16, "budget.added_p99: '0.53' has no unit")]
-#[case("control_cpu = \"2.9%\"", "control_cpu = \"290%\"", 17, "budget.control_cpu: \"290%\" is above one")]
+#[case(
+    "added_p99 = \"0.53ms\"",
+    "added_p99 = 0.53",
+    16,
+    "budget.added_p99: 0.53 is no time"
+)]
+#[case(
+    "added_p99 = \"0.53ms\"",
+    "added_p99 = \"0.53\"",
+    16,
+    "budget.added_p99: '0.53' has no unit"
+)]
+#[case(
+    "control_cpu = \"2.9%\"",
+    "control_cpu = \"290%\"",
+    17,
+    "budget.control_cpu: \"290%\" is above one"
+)]
 #[case("[machine]", "[machines]", 24, "machines: unknown key")]
 #[case("about = \"In about two years\"", "about = 2", 3, "about: not a text")]
 #[case("regions = 3", "regions 3", 9, "key")]
@@ -163,8 +220,15 @@
     let path = folder.0.join("bad.toml");
     let out = folder.rig(&["--target", path.to_str().unwrap()]);
     let said = text(&out.stderr);
-    assert_eq!((out.status.code(), said.trim_end().lines().count()), (Some(2), 1), "{said}");
-    assert!(said.contains(&format!("{}: line {line}: ", path.display())) && said.contains(what), "{said}");
+    assert_eq!(
+        (out.status.code(), said.trim_end().lines().count()),
+        (Some(2), 1),
+        "{said}"
+    );
+    assert!(
+        said.contains(&format!("{}: line {line}: ", path.display())) && said.contains(what),
+        "{said}"
+    );
     assert!(out.stdout.is_empty());
 }
 
@@ -182,18 +246,30 @@
     let out = folder.rig(&["--check"]);
     let said = text(&out.stdout);
     assert_eq!(out.status.code(), Some(1));
-    assert!(said.contains("docs/CAPACITY.md: line") && said.contains(to), "{said}");
-    assert!(folder.get("docs/CAPACITY.md").contains(to), "a check changes nothing");
+    assert!(
+        said.contains("docs/CAPACITY.md: line") && said.contains(to),
+        "{said}"
+    );
+    assert!(
+        folder.get("docs/CAPACITY.md").contains(to),
+        "a check changes nothing"
+    );
     // What is around the tables is not the command's.
     folder.put("docs/CAPACITY.md", &page.replace("End.", "Another end."));
     assert!(folder.rig(&["--check"]).status.success());
     // Nor may a law be changed by hand, or the points beneath it.
     let slopes = folder.get("capacity/slopes.json");
-    folder.put("capacity/slopes.json", &slopes.replacen("\"slope\": 2.0", "\"slope\": 1.0", 1));
+    folder.put(
+        "capacity/slopes.json",
+        &slopes.replacen("\"slope\": 2.0", "\"slope\": 1.0", 1),
+    );
     assert_ne!(slopes, folder.get("capacity/slopes.json"));
     assert_eq!(folder.rig(&["--check"]).status.code(), Some(1));
     folder.put("capacity/slopes.json", &slopes);
-    folder.put("capacity/points/two.json", &points("two", false, |n| 90.0 + 2.0 * n));
+    folder.put(
+        "capacity/points/two.json",
+        &points("two", false, |n| 90.0 + 2.0 * n),
+    );
     assert_eq!(folder.rig(&["--check"]).status.code(), Some(1));
 }
 
@@ -202,15 +278,22 @@
     let folder = Folder::new();
     assert!(folder.rig(&["--fit"]).status.success());
     let page = folder.get("docs/CAPACITY.md");
-    let small =
-        target_text().replace("sidecars = 610 #", "sidecars = 100 #").replace("about two years", "our house");
+    let small = target_text()
+        .replace("sidecars = 610 #", "sidecars = 100 #")
+        .replace("about two years", "our house");
     folder.put("small.toml", &small);
     let path = folder.0.join("small.toml");
     let out = folder.rig(&["--target", path.to_str().unwrap()]);
     let said = text(&out.stdout);
-    assert!(out.status.success() && said.contains("In our house: 100 sidecars"), "{said}");
+    assert!(
+        out.status.success() && said.contains("In our house: 100 sidecars"),
+        "{said}"
+    );
     // 100 + 2 x 100, and nothing played at that size.
-    assert!(said.contains("| 300 |") && !said.contains("1,320 |"), "{said}");
+    assert!(
+        said.contains("| 300 |") && !said.contains("1,320 |"),
+        "{said}"
+    );
     assert_eq!(page, folder.get("docs/CAPACITY.md"));
 }
 
@@ -221,19 +304,35 @@
     let out = folder.rig(&["--json", "-"]);
     let json: serde_json::Value = serde_json::from_slice(&out.stdout).expect("JSON alone");
     let rows = json["rows"].as_array().expect("rows");
-    let row =
-        rows.iter().find(|r| r["role"] == "control" && r["quantities"] == serde_json::json!(["bytes-in"]));
+    let row = rows
+        .iter()
+        .find(|r| r["role"] == "control" && r["quantities"] == serde_json::json!(["bytes-in"]));
     let rest = &row.expect("a row")["conditions"]["rest"];
-    assert_eq!((rest["value"].as_f64(), rest["played"].as_f64()), (Some(1320.0), Some(1320.0)));
+    assert_eq!(
+        (rest["value"].as_f64(), rest["played"].as_f64()),
+        (Some(1320.0), Some(1320.0))
+    );
     // 100 + 2 x 2950 = 6000.
-    assert!((rest["passes_at_sidecars"].as_f64().unwrap() - 2950.0).abs() < 1.0, "{rest}");
+    assert!(
+        (rest["passes_at_sidecars"].as_f64().unwrap() - 2950.0).abs() < 1.0,
+        "{rest}"
+    );
     assert_eq!(rest["source"], "measured");
     let path = folder.0.join("curves.html");
-    assert!(folder.rig(&["--html", path.to_str().unwrap()]).status.success());
+    assert!(
+        folder
+            .rig(&["--html", path.to_str().unwrap()])
+            .status
+            .success()
+    );
     let page = folder.get("curves.html");
-    assert!(page.contains("2,540 B/s") || page.contains("1,320 B/s"), "{page}");
     assert!(
-        page.matches("<svg").count() >= 2 && page.matches("<svg").count() == page.matches("</svg>").count()
+        page.contains("2,540 B/s") || page.contains("1,320 B/s"),
+        "{page}"
+    );
+    assert!(
+        page.matches("<svg").count() >= 2
+            && page.matches("<svg").count() == page.matches("</svg>").count()
     );
     for outside in ["http://", "https://", "<script", "<link", "NaN", "inf\""] {
         assert!(!page.contains(outside), "{outside}");
@@ -245,14 +344,21 @@
     let folder = Folder::new();
     let target = target::read(&target_text()).expect("a target");
     let of = |law: &dyn Fn(f64) -> f64, simulated, name: &str| {
-        std::fs::write(folder.0.join("capacity/points").join(name), points(name, simulated, law)).unwrap();
+        std::fs::write(
+            folder.0.join("capacity/points").join(name),
+            points(name, simulated, law),
+        )
+        .unwrap();
     };
     of(&|_| 7.0, true, "simulated.json");
     let files = read_points(&folder.0.join("capacity/points")).expect("points");
     let slopes = from_points(&files, Vec::new());
     assert_eq!(slopes.laws.len(), 2);
     let shown = tables(&slopes, &target);
-    assert!(shown.contains("| bytes in, probes apart, B/s | 1,320 |"), "{shown}");
+    assert!(
+        shown.contains("| bytes in, probes apart, B/s | 1,320 |"),
+        "{shown}"
+    );
     std::fs::remove_file(folder.0.join("capacity/points/one.json")).unwrap();
     let files = read_points(&folder.0.join("capacity/points")).expect("points");
     let slopes = from_points(&files, Vec::new());
@@ -261,9 +367,21 @@
 }
 
 #[rstest]
-#[case("\"role\":\"control\"", "\"role\":\"controls\"", "role: unknown 'controls'")]
-#[case("\"condition\":\"rest\"", "\"condition\":\"event:\"", "condition: unknown 'event:'")]
-#[case("\"statistic\":\"busiest\"", "\"statistic\":\"least\"", "statistic: unknown 'least'")]
+#[case(
+    "\"role\":\"control\"",
+    "\"role\":\"controls\"",
+    "role: unknown 'controls'"
+)]
+#[case(
+    "\"condition\":\"rest\"",
+    "\"condition\":\"event:\"",
+    "condition: unknown 'event:'"
+)]
+#[case(
+    "\"statistic\":\"busiest\"",
+    "\"statistic\":\"least\"",
+    "statistic: unknown 'least'"
+)]
 #[case("\"seed\":1", "\"seeds\":1", "unknown field `seeds`")]
 fn points_that_can_not_be_used_are_told_with_their_file(
     #[case] old: &str,
@@ -324,9 +442,13 @@
     let slopes = from_points(&files, Vec::new());
     let all = breaking(&slopes, &target);
     // Nothing is known of most rows here: those without a mechanism come first, those with one last.
-    let at = |wanted: &dyn Fn(&str) -> bool| all.iter().position(|b| wanted(b.row.title)).expect("a row");
+    let at = |wanted: &dyn Fn(&str) -> bool| {
+        all.iter().position(|b| wanted(b.row.title)).expect("a row")
+    };
     assert!(all[0].figure.is_none() && all[0].row.carried.file.is_none());
-    assert!(at(&|t| t.starts_with("bytes in, probes")) < at(&|t| t.starts_with("added to a call, p99")));
+    assert!(
+        at(&|t| t.starts_with("bytes in, probes")) < at(&|t| t.starts_with("added to a call, p99"))
+    );
 }
 
 /// Points taken at other things than the size make laws of their own.
@@ -356,11 +478,26 @@
     let mut sizes: Vec<(usize, String)> = slopes
         .laws
         .iter()
-        .map(|l| (l.points.len(), l.fixed["connections"].as_str().unwrap_or_default().to_string()))
+        .map(|l| {
+            (
+                l.points.len(),
+                l.fixed["connections"]
+                    .as_str()
+                    .unwrap_or_default()
+                    .to_string(),
+            )
+        })
         .collect();
     sizes.sort();
-    assert_eq!(sizes, [(1, "cold".into()), (1, "warm".into()), (3, "warm".into())]);
-    let law = slopes.laws.iter().find(|l| l.points.len() == 3).expect("a law");
+    assert_eq!(
+        sizes,
+        [(1, "cold".into()), (1, "warm".into()), (3, "warm".into())]
+    );
+    let law = slopes
+        .laws
+        .iter()
+        .find(|l| l.points.len() == 3)
+        .expect("a law");
     assert_eq!((&law.by[..], law.form), ("sidecars", Form::Linear));
     assert!((law.at(&target::read(&target_text()).unwrap(), 1.0).unwrap() - 10.0).abs() < 1e-3);
 }
@@ -397,22 +534,46 @@
 #[rstest]
 #[case::talk(TALK, "duty-owner", 5)]
 #[case::calls(TALK.split_once("[peers]").unwrap().0, "endpoint", 6)]
-fn a_simulated_day_leaves_points(#[case] experiment: &str, #[case] role: &str, #[case] each: usize) {
+fn a_simulated_day_leaves_points(
+    #[case] experiment: &str,
+    #[case] role: &str,
+    #[case] each: usize,
+) {
     let folder = Folder::new();
     folder.put("e.toml", experiment);
     std::fs::remove_file(folder.0.join("capacity/points/one.json")).unwrap();
-    let (file, points) = (folder.0.join("e.toml"), folder.0.join("capacity/points/{seed}.json"));
+    let (file, points) = (
+        folder.0.join("e.toml"),
+        folder.0.join("capacity/points/{seed}.json"),
+    );
     let [file, points] = [&file, &points].map(|p| p.to_str().unwrap());
-    let words =
-        ["--simulate", file, "--sizes", "5,10,20", "--seeds", "1,2", "--commit", "abc", "--json", points];
+    let words = [
+        "--simulate",
+        file,
+        "--sizes",
+        "5,10,20",
+        "--seeds",
+        "1,2",
+        "--commit",
+        "abc",
+        "--json",
+        points,
+    ];
     let out = folder.rig(&words);
     assert!(out.status.success(), "{}", text(&out.stderr));
     let files = read_points(&folder.0.join("capacity/points")).expect("points");
     assert_eq!(
-        files.iter().map(|(run, p)| (run.seed, p.len())).collect::<Vec<_>>(),
+        files
+            .iter()
+            .map(|(run, p)| (run.seed, p.len()))
+            .collect::<Vec<_>>(),
         [(1, 3 * each), (2, 3 * each)]
     );
-    assert!(files.iter().all(|(run, _)| run.simulated && run.commit == "abc"));
+    assert!(
+        files
+            .iter()
+            .all(|(run, _)| run.simulated && run.commit == "abc")
+    );
     let slopes = from_points(&files, Vec::new());
     let law = slopes.laws.iter().find(|l| l.role == role).expect("a law");
     assert_eq!((law.source, law.points.len()), (Source::Simulated, 6));
@@ -426,19 +587,26 @@
     for role in &ROLES {
         for row in role.rows {
             let known = row.parts.iter().all(|part| {
-                slopes
-                    .laws
-                    .iter()
-                    .any(|l| l.role == role.key && l.quantity == *part && l.at(&target, 1.0).is_some())
+                slopes.laws.iter().any(|l| {
+                    l.role == role.key && l.quantity == *part && l.at(&target, 1.0).is_some()
+                })
             });
-            assert!(known || row.carried.file.is_none(), "{}: {}", role.key, row.title);
+            assert!(
+                known || row.carried.file.is_none(),
+                "{}: {}",
+                role.key,
+                row.title
+            );
         }
     }
 }
 
 /// Of one size nothing is known of growth, and nothing is said of it.
 #[rstest]
-#[case(7000.0, "| **1.17** | not known | not known | 610 sidecars or fewer, of one size |")]
+#[case(
+    7000.0,
+    "| **1.17** | not known | not known | 610 sidecars or fewer, of one size |"
+)]
 #[case(600.0, "| 0.100 | not known | not known | not known, of one size |")]
 fn one_size_makes_no_growth(#[case] value: f64, #[case] shown: &str) {
     let folder = Folder::new();
@@ -446,11 +614,13 @@
         "role": "control", "quantity": "bytes-out", "unit": "B/s", "condition": "rest", "statistic": "busiest",
         "kind": "hollow", "at": { "sidecars": 610 }, "value": value,
     });
-    let file =
-        serde_json::json!({ "run": "r", "commit": "c", "seed": 1, "simulated": false, "points": [point] });
+    let file = serde_json::json!({ "run": "r", "commit": "c", "seed": 1, "simulated": false, "points": [point] });
     folder.put("capacity/points/one.json", &file.to_string());
     let files = read_points(&folder.0.join("capacity/points")).expect("points");
-    let made = tables(&from_points(&files, Vec::new()), &target::read(&target_text()).expect("a target"));
+    let made = tables(
+        &from_points(&files, Vec::new()),
+        &target::read(&target_text()).expect("a target"),
+    );
     assert!(made.contains(shown), "{made}");
 }
 
@@ -468,10 +638,17 @@
         })
     };
     // Hollow ones were played at another size as well, so that theirs is a law.
-    let all = [point("real", 60, real), point("hollow", 60, hollow), point("hollow", 610, 10.0 * hollow)];
+    let all = [
+        point("real", 60, real),
+        point("hollow", 60, hollow),
+        point("hollow", 610, 10.0 * hollow),
+    ];
     let file = serde_json::json!({ "run": "r", "commit": "c", "seed": 1, "simulated": false, "points": all });
     folder.put("capacity/points/one.json", &file.to_string());
     let files = read_points(&folder.0.join("capacity/points")).expect("points");
-    let made = tables(&from_points(&files, Vec::new()), &target::read(&target_text()).expect("a target"));
+    let made = tables(
+        &from_points(&files, Vec::new()),
+        &target::read(&target_text()).expect("a target"),
+    );
     assert!(made.contains(shown), "{made}");
 }
--- a/crates/passroad-rig/tests/command_line.rs
+++ b/crates/passroad-rig/tests/command_line.rs
@@ -31,7 +31,11 @@
 impl Folder {
     fn with(experiment: &str) -> Folder {
         static COUNT: AtomicUsize = AtomicUsize::new(0);
-        let name = format!("rig-cli-{}-{}", std::process::id(), COUNT.fetch_add(1, SeqCst));
+        let name = format!(
+            "rig-cli-{}-{}",
+            std::process::id(),
+            COUNT.fetch_add(1, SeqCst)
+        );
         let folder = Folder(std::env::temp_dir().join(name));
         std::fs::create_dir_all(&folder.0).unwrap();
         std::fs::write(folder.at("e.toml"), experiment).unwrap();
@@ -50,7 +54,11 @@
 }
 
 fn rig(words: &[&str], paths: &[&Path]) -> Output {
-    Command::new(env!("CARGO_BIN_EXE_passroad-rig")).args(words).args(paths).output().unwrap()
+    Command::new(env!("CARGO_BIN_EXE_passroad-rig"))
+        .args(words)
+        .args(paths)
+        .output()
+        .unwrap()
 }
 
 fn text(bytes: &[u8]) -> String {
@@ -59,11 +67,18 @@
 
 #[rstest]
 #[case::holds("[[hold]]\nmetric = \"served\"\nat_least = 0.9\n", 0, "holds: served")]
-#[case::does_not("[[hold]]\nmetric = \"served\"\nat_most = 0.1\n", 1, "DOES NOT HOLD: served")]
+#[case::does_not(
+    "[[hold]]\nmetric = \"served\"\nat_most = 0.1\n",
+    1,
+    "DOES NOT HOLD: served"
+)]
 fn what_must_hold_decides_the_exit_code(#[case] hold: &str, #[case] code: i32, #[case] said: &str) {
     let folder = Folder::with(&format!("{SMALL}{hold}"));
     let output = rig(&["run"], &[&folder.at("e.toml")]);
-    assert_eq!((output.status.code(), text(&output.stdout).contains(said)), (Some(code), true));
+    assert_eq!(
+        (output.status.code(), text(&output.stdout).contains(said)),
+        (Some(code), true)
+    );
 }
 
 #[rstest]
@@ -89,17 +104,35 @@
 #[rstest]
 fn a_sidecar_that_does_not_come_up_is_named() {
     let folder = Folder::with(SMALL);
-    let output = rig(&["run", "--on", "sockets", "--sidecar", "/bin/false"], &[&folder.at("e.toml")]);
+    let output = rig(
+        &["run", "--on", "sockets", "--sidecar", "/bin/false"],
+        &[&folder.at("e.toml")],
+    );
     let fault = text(&output.stderr);
-    assert_eq!((output.status.code(), fault.lines().count()), (Some(2), 1), "{fault}");
-    assert!(fault.contains("sidecar 0 ended: it said nothing"), "{fault}");
+    assert_eq!(
+        (output.status.code(), fault.lines().count()),
+        (Some(2), 1),
+        "{fault}"
+    );
+    assert!(
+        fault.contains("sidecar 0 ended: it said nothing"),
+        "{fault}"
+    );
 }
 
 #[rstest]
 fn the_same_days_give_the_same_report_on_one_thread_and_on_eight() {
     let folder = Folder::with(SMALL);
     let report = |threads: &str| {
-        let words = ["run", "--seeds", "1..4", "--threads", threads, "--json", "-"];
+        let words = [
+            "run",
+            "--seeds",
+            "1..4",
+            "--threads",
+            threads,
+            "--json",
+            "-",
+        ];
         rig(&words, &[&folder.at("e.toml")]).stdout
     };
     let (one, eight) = (report("1"), report("8"));
@@ -113,11 +146,21 @@
     let (a, b) = (folder.at("a.json"), folder.at("b.json"));
     for path in [&a, &b] {
         let at = path.to_str().unwrap();
-        assert!(rig(&["run", "--seeds", "1..3", "--json", at], &[&folder.at("e.toml")]).status.success());
+        assert!(
+            rig(
+                &["run", "--seeds", "1..3", "--json", at],
+                &[&folder.at("e.toml")]
+            )
+            .status
+            .success()
+        );
     }
     let output = rig(&["compare"], &[&a, &b]);
     assert!(output.status.success() && text(&output.stdout).contains("the same"));
-    assert_eq!(rig(&["compare"], &[&a, &folder.at("e.toml")]).status.code(), Some(2));
+    assert_eq!(
+        rig(&["compare"], &[&a, &folder.at("e.toml")]).status.code(),
+        Some(2)
+    );
 }
 
 /// How many processes have their configuration in a folder of this rig.
@@ -125,7 +168,11 @@
     let mark = format!("passroad-rig-{rig}-");
     let environment =
         |entry: &std::fs::DirEntry| std::fs::read(entry.path().join("environ")).unwrap_or_default();
-    std::fs::read_dir("/proc").unwrap().flatten().filter(|e| text(&environment(e)).contains(&mark)).count()
+    std::fs::read_dir("/proc")
+        .unwrap()
+        .flatten()
+        .filter(|e| text(&environment(e)).contains(&mark))
+        .count()
 }
 
 fn until(mut come: impl FnMut() -> bool) {
@@ -141,7 +188,10 @@
 fn no_process_is_left_behind() {
     let folder = Folder::with(&SMALL.replace("3s", "60s"));
     let mut command = Command::new(env!("CARGO_BIN_EXE_passroad-rig"));
-    command.args(["run", "--on", "sockets"]).arg(folder.at("e.toml")).stdout(std::process::Stdio::null());
+    command
+        .args(["run", "--on", "sockets"])
+        .arg(folder.at("e.toml"))
+        .stdout(std::process::Stdio::null());
     let mut child = command.spawn().unwrap();
     until(|| sidecars_of(child.id()) == 2);
     child.kill().unwrap();
@@ -172,11 +222,20 @@
 /// The processes that an other one started, and whether each is stopped.
 fn children(of: u32) -> Vec<(u32, bool)> {
     let all = std::fs::read_dir("/proc").unwrap().flatten();
-    let number =
-        |entry: std::fs::DirEntry| entry.file_name().to_str().and_then(|name| name.parse::<u32>().ok());
+    let number = |entry: std::fs::DirEntry| {
+        entry
+            .file_name()
+            .to_str()
+            .and_then(|name| name.parse::<u32>().ok())
+    };
     let own = |pid: u32| {
         let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).ok()?;
-        let fields: Vec<String> = stat.rsplit_once(") ")?.1.split(' ').map(str::to_string).collect();
+        let fields: Vec<String> = stat
+            .rsplit_once(") ")?
+            .1
+            .split(' ')
+            .map(str::to_string)
+            .collect();
         (fields[1] == of.to_string() && fields[0] != "Z").then(|| (pid, fields[0] == "T"))
     };
     all.flat_map(number).filter_map(own).collect()
@@ -195,14 +254,21 @@
             std::thread::sleep(std::time::Duration::from_millis(20));
         }
     };
-    until(&|| children(rig.id()).iter().filter(|(_, stopped)| *stopped).count() == 1);
+    until(&|| {
+        children(rig.id())
+            .iter()
+            .filter(|(_, stopped)| *stopped)
+            .count()
+            == 1
+    });
     let pids: Vec<u32> = children(rig.id()).into_iter().map(|(pid, _)| pid).collect();
     assert_eq!(pids.len(), 3);
     rig.kill().unwrap();
     rig.wait().unwrap();
     let alive = |pid: &u32| {
         let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).unwrap_or_default();
-        stat.rsplit_once(") ").is_some_and(|(_, rest)| !rest.starts_with('Z'))
+        stat.rsplit_once(") ")
+            .is_some_and(|(_, rest)| !rest.starts_with('Z'))
     };
     until(&|| !pids.iter().any(alive));
 }
--- a/crates/passroad-rig/tests/known_red.rs
+++ b/crates/passroad-rig/tests/known_red.rs
@@ -27,7 +27,11 @@
 impl Folder {
     fn new() -> Folder {
         static COUNT: AtomicUsize = AtomicUsize::new(0);
-        let name = format!("known-red-{}-{}", std::process::id(), COUNT.fetch_add(1, SeqCst));
+        let name = format!(
+            "known-red-{}-{}",
+            std::process::id(),
+            COUNT.fetch_add(1, SeqCst)
+        );
         let folder = Folder(std::env::temp_dir().join(name));
         std::fs::create_dir_all(&folder.0).unwrap();
         let cargo = folder.0.join("cargo");
@@ -42,7 +46,11 @@
             std::fs::write(&path, text).unwrap();
         }
         let script = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../.ci/known-red");
-        Command::new(script).arg(&path).env("PASSROAD_CARGO", self.0.join("cargo")).output().unwrap()
+        Command::new(script)
+            .arg(&path)
+            .env("PASSROAD_CARGO", self.0.join("cargo"))
+            .output()
+            .unwrap()
     }
 
     fn calls(&self) -> Vec<String> {
@@ -66,20 +74,34 @@
     assert!(folder.run(list).status.success());
     assert_eq!(folder.calls(), ["test --workspace --locked"]);
     std::fs::write(folder.0.join("more"), "").unwrap();
-    assert!(!folder.run(list).status.success(), "a test that fails and isn't listed");
+    assert!(
+        !folder.run(list).status.success(),
+        "a test that fails and isn't listed"
+    );
 }
 
 #[rstest]
 fn listed_tests_have_to_fail_and_only_they_are_passed_over() {
     let folder = Folder::new();
-    let out = folder.run(Some("a::red, a cause, with a comma, issue 12\nb::red, another, issue 13\n"));
+    let out = folder.run(Some(
+        "a::red, a cause, with a comma, issue 12\nb::red, another, issue 13\n",
+    ));
     let said = String::from_utf8_lossy(&out.stdout);
     assert!(out.status.success(), "{said}");
-    assert!(said.contains("a::red, a cause, with a comma, issue 12"), "{said}");
+    assert!(
+        said.contains("a::red, a cause, with a comma, issue 12"),
+        "{said}"
+    );
     let last = folder.calls().pop().unwrap();
-    assert_eq!(last, "test --workspace --locked -- --exact --skip a::red --skip b::red");
+    assert_eq!(
+        last,
+        "test --workspace --locked -- --exact --skip a::red --skip b::red"
+    );
     std::fs::write(folder.0.join("more"), "").unwrap();
-    assert!(!folder.run(None).status.success(), "another test that fails");
+    assert!(
+        !folder.run(None).status.success(),
+        "another test that fails"
+    );
 }
 
 #[rstest]
@@ -92,13 +114,20 @@
 #[case("a::red, , issue 12", "no line of test, cause, issue")]
 #[case("a::red, a cause, ", "no line of test, cause, issue")]
 #[case("a::red, a cause, issue 12\na::red, a cause, issue 12", "listed twice")]
-#[case("a::red, c, 1\nb::red, c, 2\na::red_too, c, 3\na::green, c, 4", "three are the most")]
+#[case(
+    "a::red, c, 1\nb::red, c, 2\na::red_too, c, 3\na::green, c, 4",
+    "three are the most"
+)]
 fn a_list_that_is_not_right_fails(#[case] list: &str, #[case] said: &str) {
     let folder = Folder::new();
     let out = folder.run(Some(list));
     let fault = String::from_utf8_lossy(&out.stderr);
     assert!(!out.status.success() && fault.contains(said), "{fault}");
-    assert!(!folder.calls().iter().any(|call| call.contains("--skip")), "{:?}", folder.calls());
+    assert!(
+        !folder.calls().iter().any(|call| call.contains("--skip")),
+        "{:?}",
+        folder.calls()
+    );
 }
 
 #[rstest]
@@ -108,5 +137,8 @@
     std::fs::write(folder.0.join("cargo"), cargo).unwrap();
     let out = folder.run(Some("unbuilt::x, a cause, issue 12"));
     let fault = String::from_utf8_lossy(&out.stderr);
-    assert!(!out.status.success() && fault.contains("did not fail as a test"), "{fault}");
+    assert!(
+        !out.status.success() && fault.contains("did not fail as a test"),
+        "{fault}"
+    );
 }
--- a/crates/passroad-rig/tests/ramp.rs
+++ b/crates/passroad-rig/tests/ramp.rs
@@ -49,11 +49,29 @@
 /// Sends at these times (ms) of these classes, each by another sidecar, to an endpoint that started at 1 s.
 fn ramp(sends: impl IntoIterator<Item = (u32, usize)>, starts: &[u32]) -> f64 {
     let mut ledger = Ledger::default();
-    starts.iter().for_each(|ms| ledger.note(*ms * MS, Entry::Started { endpoint: 0 }));
+    starts
+        .iter()
+        .for_each(|ms| ledger.note(*ms * MS, Entry::Started { endpoint: 0 }));
     for (n, (ms, verb)) in sends.into_iter().enumerate() {
         let limit = 1000 * MS;
-        ledger.note(ms * MS, Entry::Asked { cmd: n, chain: n, verb, instance: n, limit });
-        ledger.note(ms * MS, Entry::Sent { relay: n, cmd: n, endpoint: 0 });
+        ledger.note(
+            ms * MS,
+            Entry::Asked {
+                cmd: n,
+                chain: n,
+                verb,
+                instance: n,
+                limit,
+            },
+        );
+        ledger.note(
+            ms * MS,
+            Entry::Sent {
+                relay: n,
+                cmd: n,
+                endpoint: 0,
+            },
+        );
     }
     let books = ledger.books();
     assert_eq!(books.ramp(1, &Facts::of(&plan(), Duration::ZERO)).0, 0.0);
@@ -74,7 +92,10 @@
 #[case::what_came_before_the_start(ramp(each(99, 0, 10, 1).chain(each(2, 2000, 1, 1)), &[1000]), 3.0)]
 #[case::never_cold(ramp(each(99, 0, 10, 1), &[]), 0.0)]
 fn requests_of_mean_work_in_a_window_against_n_and_chance(#[case] ramp: f64, #[case] count: f64) {
-    assert!((ramp * BOUND - count).abs() < 0.01, "{ramp} x {BOUND} is not {count}");
+    assert!(
+        (ramp * BOUND - count).abs() < 0.01,
+        "{ramp} x {BOUND} is not {count}"
+    );
 }
 
 /// Six sidecars, four endpoints of which one dies and is back cold, and what else goes wrong.
@@ -113,13 +134,14 @@
 #[rstest]
 fn news_by_turns_come_to_one_sidecar_after_the_other() {
     let drain = "[[fault]]\nkind = \"drain\"\nat = \"8s\"\nfor = \"8s\"\nendpoints = [2]\n";
-    let late =
-        "[[fault]]\nkind = \"discovery-late\"\nat = \"0s\"\nfor = \"16s\"\nby = \"0s\"\nspread = \"6s\"\n";
+    let late = "[[fault]]\nkind = \"discovery-late\"\nat = \"0s\"\nfor = \"16s\"\nby = \"0s\"\nspread = \"6s\"\n";
     let last = |more: &str| {
         let books = play(&day(more), 3, "random").expect("a day").ledger.books();
         let of = |r: &&Sent, n: usize| r.endpoint == 2 && books.commands[r.cmd].instance == n;
         let last = |n: usize| books.relays.iter().filter(|r| of(r, n)).map(|r| r.at).max();
-        (0..6).map(|n| last(n).unwrap_or_default()).collect::<Vec<_>>()
+        (0..6)
+            .map(|n| last(n).unwrap_or_default())
+            .collect::<Vec<_>>()
     };
     let (all, turns) = (last(drain), last(&format!("{drain}{late}")));
     assert!(all.iter().all(|at| *at < 8050 * MS), "{all:?}");
@@ -136,16 +158,37 @@
     let run = &play_all(&plan, 1).expect("a day")[0];
     let lost = |c: &&Told| c.lost;
     let lost: Vec<&Told> = run.books.commands.iter().filter(lost).collect();
-    assert!(!lost.is_empty() && lost.iter().all(|c| c.instance < 3 && c.asked <= 7000 * MS), "{lost:?}");
-    assert!(lost.iter().all(|c| c.relays.iter().all(|r| run.books.relays[*r].ended.is_some())), "{lost:?}");
+    assert!(
+        !lost.is_empty() && lost.iter().all(|c| c.instance < 3 && c.asked <= 7000 * MS),
+        "{lost:?}"
+    );
+    assert!(
+        lost.iter().all(|c| c
+            .relays
+            .iter()
+            .all(|r| run.books.relays[*r].ended.is_some())),
+        "{lost:?}"
+    );
     let after = |n: usize| {
-        let own = run.books.commands.iter().filter(|c| c.instance == n && c.asked > 7000 * MS);
-        own.filter(|c| matches!(c.answers[..], [(_, Answer::Answered)])).count()
+        let own = run
+            .books
+            .commands
+            .iter()
+            .filter(|c| c.instance == n && c.asked > 7000 * MS);
+        own.filter(|c| matches!(c.answers[..], [(_, Answer::Answered)]))
+            .count()
     };
-    assert!((0..6).all(|n| after(n) > 20), "{:?}", (0..6).map(after).collect::<Vec<_>>());
+    assert!(
+        (0..6).all(|n| after(n) > 20),
+        "{:?}",
+        (0..6).map(after).collect::<Vec<_>>()
+    );
     assert!(run.breaches.is_empty(), "{:?}", run.breaches);
     // The same day twice.
-    assert_eq!(play_all(&plan, 1).expect("a day")[0].books.commands, run.books.commands);
+    assert_eq!(
+        play_all(&plan, 1).expect("a day")[0].books.commands,
+        run.books.commands
+    );
 }
 
 // What would have pushed it over is seen whole, at its first start.
@@ -161,5 +204,8 @@
         (starts, run.ramp())
     };
     let ((often, _), (once, whole)) = (ramp(true), ramp(false));
-    assert!(often > 1 && once == 1 && whole > 1.0, "{often} {once} {whole}");
+    assert!(
+        often > 1 && once == 1 && whole > 1.0,
+        "{often} {once} {whole}"
+    );
 }
--- a/crates/passroad-rig/tests/scale.rs
+++ b/crates/passroad-rig/tests/scale.rs
@@ -27,7 +27,8 @@
 
 impl Folder {
     fn with(name: &str, text: &str) -> Folder {
-        let path = std::env::temp_dir().join(format!("passroad-scale-test-{}-{name}", std::process::id()));
+        let path =
+            std::env::temp_dir().join(format!("passroad-scale-test-{}-{name}", std::process::id()));
         std::fs::create_dir_all(&path).unwrap();
         std::fs::write(path.join("scale.toml"), text).unwrap();
         Folder(path)
@@ -54,13 +55,27 @@
 #[rstest]
 #[case::unknown("unknown", "speed = 3\n", "line 1: speed: ")]
 #[case::no_unit("no-unit", "settle = 3\n", "line 1: settle: ")]
-#[case::zones("zones", "apart = \"5ms\"\nreal = 900\n", "line 2: real: 900 is not from 0 to 12")]
-fn a_slip_is_named_by_file_line_and_key(#[case] name: &str, #[case] ahead: &str, #[case] what: &str) {
-    let folder = Folder::with(name, &format!("{ahead}{}", SMALL.replace("settle = \"3s\"\n", "")));
+#[case::zones(
+    "zones",
+    "apart = \"5ms\"\nreal = 900\n",
+    "line 2: real: 900 is not from 0 to 12"
+)]
+fn a_slip_is_named_by_file_line_and_key(
+    #[case] name: &str,
+    #[case] ahead: &str,
+    #[case] what: &str,
+) {
+    let folder = Folder::with(
+        name,
+        &format!("{ahead}{}", SMALL.replace("settle = \"3s\"\n", "")),
+    );
     let output = folder.rig().output().unwrap();
     let (_, error) = said(&output);
     assert_eq!(output.status.code(), Some(2), "{error}");
-    assert!(error.lines().count() == 1 && error.contains("scale.toml: ") && error.contains(what), "{error}");
+    assert!(
+        error.lines().count() == 1 && error.contains("scale.toml: ") && error.contains(what),
+        "{error}"
+    );
 }
 
 #[rstest]
@@ -79,13 +94,20 @@
     "[[event]]\nname = \"e\"\nkind = \"kill\"\nat = \"3s\"\nfor = \"2s\"\n",
     "at: the event ends behind"
 )]
-#[case::metric("metric", "[[hold]]\nmetric = \"seconds\"\nat_least = 1\n", "metric: unknown 'seconds'")]
+#[case::metric(
+    "metric",
+    "[[hold]]\nmetric = \"seconds\"\nat_least = 1\n",
+    "metric: unknown 'seconds'"
+)]
 fn a_slip_in_an_event_is_named(#[case] name: &str, #[case] behind: &str, #[case] what: &str) {
     let folder = Folder::with(name, &format!("{SMALL}{behind}"));
     let output = folder.rig().output().unwrap();
     let (_, error) = said(&output);
     assert_eq!(output.status.code(), Some(2), "{error}");
-    assert!(error.lines().count() == 1 && error.contains("line ") && error.contains(what), "{error}");
+    assert!(
+        error.lines().count() == 1 && error.contains("line ") && error.contains(what),
+        "{error}"
+    );
 }
 
 #[rstest]
@@ -101,17 +123,29 @@
         .unwrap();
     let (out, error) = said(&output);
     assert_eq!(output.status.code(), Some(2), "{error}");
-    assert!(out.contains("needs 11 processes of 200") && error.contains("does not fit"), "{out}{error}");
+    assert!(
+        out.contains("needs 11 processes of 200") && error.contains("does not fit"),
+        "{out}{error}"
+    );
 }
 
 /// Hollow ones, one of which is killed and comes back, and a real one beside them: each hears of all, and points come.
 #[rstest]
 fn hollow_and_real_ones_are_counted_alike() {
-    let text = SMALL.replace("settle", "real = 1\nsettle").replace("length = \"4s\"", "length = \"16s\"");
-    let event = "[[event]]\nname = \"death\"\nkind = \"kill\"\ncount = 1\nat = \"2s\"\nfor = \"9s\"\n";
+    let text = SMALL
+        .replace("settle", "real = 1\nsettle")
+        .replace("length = \"4s\"", "length = \"16s\"");
+    let event =
+        "[[event]]\nname = \"death\"\nkind = \"kill\"\ncount = 1\nat = \"2s\"\nfor = \"9s\"\n";
     let folder = Folder::with("points", &format!("{text}{event}"));
     let json = folder.0.join("points.json");
-    let output = folder.rig().arg("--json").arg(&json).args(["--commit", "abc"]).output().unwrap();
+    let output = folder
+        .rig()
+        .arg("--json")
+        .arg(&json)
+        .args(["--commit", "abc"])
+        .output()
+        .unwrap();
     let (out, error) = said(&output);
     assert_eq!(output.status.code(), Some(0), "{out}{error}");
     let whole: serde_json::Value = serde_json::from_slice(&std::fs::read(&json).unwrap()).unwrap();
@@ -128,11 +162,23 @@
                 && p["quantity"] == quantity
                 && p["statistic"] == "mean"
         });
-        point.unwrap_or_else(|| panic!("{kind} {condition} {quantity}: {out}"))["value"].as_f64().unwrap()
+        point.unwrap_or_else(|| panic!("{kind} {condition} {quantity}: {out}"))["value"]
+            .as_f64()
+            .unwrap()
     };
     for kind in ["hollow", "real"] {
-        for quantity in ["bytes-in", "bytes-out", "messages-in", "messages-out", "cpu", "memory"] {
-            assert!(value(kind, "rest", quantity) > 0.0, "{kind} {quantity}: {out}");
+        for quantity in [
+            "bytes-in",
+            "bytes-out",
+            "messages-in",
+            "messages-out",
+            "cpu",
+            "memory",
+        ] {
+            assert!(
+                value(kind, "rest", quantity) > 0.0,
+                "{kind} {quantity}: {out}"
+            );
         }
     }
     // By ratio: what a hollow one says is what a real one says.
@@ -146,21 +192,41 @@
 
 fn children(of: u32) -> Vec<u32> {
     let all = std::fs::read_dir("/proc").unwrap().flatten();
-    let number = |entry: std::fs::DirEntry| entry.file_name().to_str().and_then(|n| n.parse::<u32>().ok());
-    all.flat_map(number).filter(|pid| parent(*pid) == Some(of)).collect()
+    let number = |entry: std::fs::DirEntry| {
+        entry
+            .file_name()
+            .to_str()
+            .and_then(|n| n.parse::<u32>().ok())
+    };
+    all.flat_map(number)
+        .filter(|pid| parent(*pid) == Some(of))
+        .collect()
 }
 
 /// Of a process that lives.
 fn parent(pid: u32) -> Option<u32> {
     let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).ok()?;
-    let fields: Vec<String> = stat.rsplit_once(") ")?.1.split(' ').map(str::to_string).collect();
+    let fields: Vec<String> = stat
+        .rsplit_once(") ")?
+        .1
+        .split(' ')
+        .map(str::to_string)
+        .collect();
     (fields[0] != "Z").then(|| fields[1].parse().ok()).flatten()
 }
 
 #[rstest]
 fn nothing_is_left_behind_when_the_rig_is_killed() {
-    let folder = Folder::with("left", &SMALL.replace("length = \"4s\"", "length = \"60s\"\nreal = 1"));
-    let mut rig = folder.rig().stdout(Stdio::null()).stderr(Stdio::null()).spawn().unwrap();
+    let folder = Folder::with(
+        "left",
+        &SMALL.replace("length = \"4s\"", "length = \"60s\"\nreal = 1"),
+    );
+    let mut rig = folder
+        .rig()
+        .stdout(Stdio::null())
+        .stderr(Stdio::null())
+        .spawn()
+        .unwrap();
     let until = |what: &str, done: &dyn Fn() -> bool| {
         let began = Instant::now();
         while !done() {
@@ -172,5 +238,7 @@
     let pids = children(rig.id());
     rig.kill().unwrap();
     rig.wait().unwrap();
-    until("some are left", &|| pids.iter().all(|pid| parent(*pid).is_none()));
+    until("some are left", &|| {
+        pids.iter().all(|pid| parent(*pid).is_none())
+    });
 }
--- a/crates/passroad-routes/src/lib.rs
+++ b/crates/passroad-routes/src/lib.rs
@@ -33,11 +33,20 @@
 
 impl Steered {
     /// With `watch`, a second module with those orders is asked beside the one that decides.
-    pub fn new(orders: StandingOrders, watch: Option<StandingOrders>, routes: Option<RouteOrders>) -> Self {
+    pub fn new(
+        orders: StandingOrders,
+        watch: Option<StandingOrders>,
+        routes: Option<RouteOrders>,
+    ) -> Self {
         Steered {
             router: routes.map(|routes| Router::new(routes, &orders)),
             goals: orders.verbs.iter().map(|v| v.goal).collect(),
-            verbs: orders.verbs.iter().enumerate().map(|(at, v)| (v.name.clone(), at)).collect(),
+            verbs: orders
+                .verbs
+                .iter()
+                .enumerate()
+                .map(|(at, v)| (v.name.clone(), at))
+                .collect(),
             return_after: orders.max_retry_after,
             out: Vec::new(),
             balancer: Watched::new(orders, watch),
@@ -64,21 +73,31 @@
             router.retune(&orders, routes);
         }
         self.return_after = orders.max_retry_after;
-        let told: Vec<_> = orders.verbs.iter().map(|v| (v.name.clone(), v.goal)).collect();
+        let told: Vec<_> = orders
+            .verbs
+            .iter()
+            .map(|v| (v.name.clone(), v.goal))
+            .collect();
         let mut actions = self.balancer.decide(now, Event::Retuned(Box::new(orders)));
-        let at = actions.iter().position(|action| matches!(action, Action::Numbered { .. }));
+        let at = actions
+            .iter()
+            .position(|action| matches!(action, Action::Numbered { .. }));
         let Some(Action::Numbered { verbs }) = at.map(|at| actions.remove(at)) else {
             return (actions, Vec::new());
         };
         // A verb that has gone is routed as the first one, for what is open of it.
         for (name, place) in &mut self.verbs {
-            *place = told.iter().position(|(told, _)| told == name).unwrap_or_default();
+            *place = told
+                .iter()
+                .position(|(told, _)| told == name)
+                .unwrap_or_default();
         }
         for (place, slot) in verbs.iter().enumerate() {
             let len = self.goals.len().max(slot + 1);
             self.goals.resize(len, Duration::ZERO);
             self.verbs.resize(len, (String::new(), 0));
-            (self.goals[*slot], self.verbs[*slot]) = (told[place].1, (told[place].0.clone(), place));
+            (self.goals[*slot], self.verbs[*slot]) =
+                (told[place].1, (told[place].0.clone(), place));
         }
         (actions, verbs)
     }
@@ -106,7 +125,9 @@
 
     /// Takes one event and returns what is to be done about it, as the module's own entry does.
     pub fn decide(&mut self, now: Duration, event: Event) -> Vec<Action> {
-        let Some(router) = &mut self.router else { return self.balancer.decide(now, event) };
+        let Some(router) = &mut self.router else {
+            return self.balancer.decide(now, event);
+        };
         let mut actions = Vec::new();
         let event = match event {
             Event::Listed { kind, entries } => {
@@ -128,7 +149,10 @@
                         arrival.play = play;
                         let len = self.out.len().max(cmd + 1);
                         self.out.resize_with(len, || None);
-                        self.out[cmd] = Some(Out { verb: arrival.verb, relays: Vec::new() });
+                        self.out[cmd] = Some(Out {
+                            verb: arrival.verb,
+                            relays: Vec::new(),
+                        });
                         Some(Event::Arrived(arrival))
                     }
                     Ruling::Decline { after } => {
@@ -144,17 +168,42 @@
                 router.cordoned(endpoint, out);
                 Some(event)
             }
-            Event::Finished { cmd, relay, outcome, spent, concluded, report } => {
+            Event::Finished {
+                cmd,
+                relay,
+                outcome,
+                spent,
+                concluded,
+                report,
+            } => {
                 let held = self.out.get(cmd).and_then(Option::as_ref);
-                if let Some((held, endpoint)) = held.and_then(|h| Some((h, *h.relays.get(relay)?))) {
+                if let Some((held, endpoint)) = held.and_then(|h| Some((h, *h.relays.get(relay)?)))
+                {
                     let late = spent.as_secs_f64() / self.goals[held.verb].as_secs_f64().max(1e-6);
                     router.ended(now, endpoint, outcome, Some(late), report.as_ref());
                 }
-                Some(Event::Finished { cmd, relay, outcome, spent, concluded, report })
+                Some(Event::Finished {
+                    cmd,
+                    relay,
+                    outcome,
+                    spent,
+                    concluded,
+                    report,
+                })
             }
-            Event::Checked { endpoint, outcome, spent, report } => {
+            Event::Checked {
+                endpoint,
+                outcome,
+                spent,
+                report,
+            } => {
                 router.ended(now, endpoint, outcome, None, report.as_ref());
-                Some(Event::Checked { endpoint, outcome, spent, report })
+                Some(Event::Checked {
+                    endpoint,
+                    outcome,
+                    spent,
+                    report,
+                })
             }
             other => Some(other),
         };
@@ -212,7 +261,16 @@
     /// Four endpoints in each of the zones a, b and c, in turn.
     fn listing(endpoint: EndpointIx, mode: Mode) -> Listing {
         let started = Duration::ZERO;
-        Listing { endpoint, mark: 0, zone: endpoint / 4, cell: 0, kind: 0, rating: 1.0, started, mode }
+        Listing {
+            endpoint,
+            mark: 0,
+            zone: endpoint / 4,
+            cell: 0,
+            kind: 0,
+            rating: 1.0,
+            started,
+            mode,
+        }
     }
 
     struct Rig {
@@ -233,17 +291,28 @@
         fn new(routes: &str) -> Rig {
             let orders = text::tests::orders();
             let routes = read(routes, &orders).expect("routes");
-            let mut rig = Rig { steered: Steered::new(orders, None, Some(routes)), next: 0, now: 0 };
-            rig.list(ListKind::All, (0..12).map(|e| listing(e, Mode::Running)).collect());
+            let mut rig = Rig {
+                steered: Steered::new(orders, None, Some(routes)),
+                next: 0,
+                now: 0,
+            };
+            rig.list(
+                ListKind::All,
+                (0..12).map(|e| listing(e, Mode::Running)).collect(),
+            );
             rig
         }
 
         fn list(&mut self, kind: ListKind, entries: Vec<Listing>) -> Vec<Action> {
-            self.steered.decide(ms(self.now), Event::Listed { kind, entries })
+            self.steered
+                .decide(ms(self.now), Event::Listed { kind, entries })
         }
 
         fn all_of(&mut self, zone: usize, mode: Mode) -> Vec<Action> {
-            self.list(ListKind::Changes, (4 * zone..4 * zone + 4).map(|e| listing(e, mode)).collect())
+            self.list(
+                ListKind::Changes,
+                (4 * zone..4 * zone + 4).map(|e| listing(e, mode)).collect(),
+            )
         }
 
         /// One command; probes are answered as so busy, what is sent is answered in 50 ms.
@@ -264,13 +333,22 @@
                 play: 0,
                 uploads: false,
             };
-            let report = Report { outstanding: Some(0.0), utilization: Some(busy), ..Report::default() };
+            let report = Report {
+                outstanding: Some(0.0),
+                utilization: Some(busy),
+                ..Report::default()
+            };
             let mut actions = self.steered.decide(ms(self.now), Event::Arrived(arrival));
             let mut n = 0;
             while n < actions.len() {
                 if let Action::Probe { endpoint } = actions[n] {
                     let (outcome, spent) = (Outcome::Answered, Duration::from_millis(1));
-                    let event = Event::Checked { endpoint, outcome, spent, report: Some(report) };
+                    let event = Event::Checked {
+                        endpoint,
+                        outcome,
+                        spent,
+                        report: Some(report),
+                    };
                     actions.extend(self.steered.decide(ms(self.now), event));
                 }
                 n += 1;
@@ -280,7 +358,9 @@
                     Action::Decline { cmd: c, not_before } if *c == cmd => {
                         return Fate::Declined(*not_before);
                     }
-                    Action::Relay { cmd: c, endpoint, .. } if *c == cmd => {
+                    Action::Relay {
+                        cmd: c, endpoint, ..
+                    } if *c == cmd => {
                         let (outcome, spent) = (Outcome::Answered, Duration::from_millis(50));
                         let event = Event::Finished {
                             cmd,
@@ -316,7 +396,13 @@
     fn lines(actions: &[Action]) -> Vec<&str> {
         actions
             .iter()
-            .filter_map(|a| if let Action::Log(line) = a { Some(line.as_str()) } else { None })
+            .filter_map(|a| {
+                if let Action::Log(line) = a {
+                    Some(line.as_str())
+                } else {
+                    None
+                }
+            })
             .collect()
     }
 
@@ -333,10 +419,16 @@
         let mut rig = Rig::new(ROUTES);
         rig.spread(200, 0.3);
         let said = rig.all_of(0, mode);
-        assert!(lines(&said).contains(&"pool all: zone a is dark: the list has none up"), "{said:?}");
+        assert!(
+            lines(&said).contains(&"pool all: zone a is dark: the list has none up"),
+            "{said:?}"
+        );
         rig.spread(200, 0.3);
         let (zones, declined) = rig.spread(200, 0.3);
-        assert!(zones[0] == 0 && zones[1] > 195 && zones[2] == 0 && declined <= 5, "{zones:?} {declined}");
+        assert!(
+            zones[0] == 0 && zones[1] > 195 && zones[2] == 0 && declined <= 5,
+            "{zones:?} {declined}"
+        );
         // The next tier goes as well: the one behind it.
         rig.all_of(1, mode);
         rig.spread(100, 0.3);
@@ -357,7 +449,8 @@
         );
         let times: Vec<_> = (0..20).map(|_| rig.ask(0.97)).collect();
         let told = |f: &Fate| {
-            matches!(f, Fate::Declined(Some(after)) if !after.is_zero()) || matches!(f, Fate::Sent(_))
+            matches!(f, Fate::Declined(Some(after)) if !after.is_zero())
+                || matches!(f, Fate::Sent(_))
         };
         assert!(times.iter().all(told), "{times:?}");
     }
@@ -372,8 +465,14 @@
         rig.all_of(0, Mode::Running);
         let shares: Vec<usize> = (0..6).map(|_| rig.spread(500, 0.3).0[0]).collect();
         // Five seconds each, over twenty and a quarter.
-        assert!(shares[0] < 100 && shares.windows(2).all(|s| s[1] + 25 >= s[0]), "{shares:?}");
-        assert!(shares[2] > 80 && shares[3] > 200 && shares[5] > 480, "{shares:?}");
+        assert!(
+            shares[0] < 100 && shares.windows(2).all(|s| s[1] + 25 >= s[0]),
+            "{shares:?}"
+        );
+        assert!(
+            shares[2] > 80 && shares[3] > 200 && shares[5] > 480,
+            "{shares:?}"
+        );
         // It goes again in the middle of the next return: all is away at once.
         rig.all_of(0, Mode::Deleted);
         rig.spread(100, 0.3);
@@ -387,11 +486,17 @@
     fn a_thinned_zone_keeps_what_it_can_carry() {
         let mut rig = Rig::new(ROUTES);
         rig.spread(200, 0.3);
-        rig.list(ListKind::Changes, (0..2).map(|e| listing(e, Mode::Deleted)).collect());
+        rig.list(
+            ListKind::Changes,
+            (0..2).map(|e| listing(e, Mode::Deleted)).collect(),
+        );
         rig.spread(100, 0.3);
         let (zones, _) = rig.spread(1000, 0.3);
         // Half of it, with headroom for 1.4 times that.
-        assert!((650..750).contains(&zones[0]) && zones[0] + zones[1] == 1000, "{zones:?}");
+        assert!(
+            (650..750).contains(&zones[0]) && zones[0] + zones[1] == 1000,
+            "{zones:?}"
+        );
     }
 
     // One of two home zones goes: the other makes up for it as far as its headroom goes.
@@ -402,20 +507,31 @@
         rig.all_of(0, Mode::Deleted);
         rig.spread(200, 0.3);
         let (zones, _) = rig.spread(1000, 0.3);
-        assert!(zones[0] == 0 && (650..750).contains(&zones[1]) && zones[1] + zones[2] == 1000, "{zones:?}");
+        assert!(
+            zones[0] == 0 && (650..750).contains(&zones[1]) && zones[1] + zones[2] == 1000,
+            "{zones:?}"
+        );
     }
 
     // Two pools in the same zones: that the one's receivers are full says nothing of the other's.
     #[rstest]
     fn a_pool_spills_by_its_own_endpoints_only() {
-        let pool =
-            |n: &str| format!("[[pool]]\nname = \"{n}\"\nlabels = [\"{n}\"]\ntiers = [[\"own\"], [\"b\"]]\n");
+        let pool = |n: &str| {
+            format!("[[pool]]\nname = \"{n}\"\nlabels = [\"{n}\"]\ntiers = [[\"own\"], [\"b\"]]\n")
+        };
         let routes = "[[route]]\nverbs = [\"look\"]\npool = \"x\"\n[[route]]\npool = \"y\"\n";
         let orders = text::tests::orders();
         let read = read(&format!("{}{}{routes}", pool("x"), pool("y")), &orders).expect("routes");
-        let mut rig = Rig { steered: Steered::new(orders, None, Some(read)), next: 0, now: 0 };
+        let mut rig = Rig {
+            steered: Steered::new(orders, None, Some(read)),
+            next: 0,
+            now: 0,
+        };
         (0..12).for_each(|e| rig.steered.name(e, if e % 2 == 0 { "x" } else { "y" }, ""));
-        rig.list(ListKind::All, (0..12).map(|e| listing(e, Mode::Running)).collect());
+        rig.list(
+            ListKind::All,
+            (0..12).map(|e| listing(e, Mode::Running)).collect(),
+        );
         rig.spread(200, 0.3);
         rig.all_of(0, Mode::Deleted);
         let (mut x, mut y) = (0, 0);
@@ -440,9 +556,15 @@
         for endpoint in (0..4).chain(0..4) {
             rig.now += 10;
             let (outcome, spent) = (Outcome::TimedOut, Duration::from_millis(50));
-            said.extend(
-                rig.steered.decide(ms(rig.now), Event::Checked { endpoint, outcome, spent, report: None }),
-            );
+            said.extend(rig.steered.decide(
+                ms(rig.now),
+                Event::Checked {
+                    endpoint,
+                    outcome,
+                    spent,
+                    report: None,
+                },
+            ));
         }
         let line = "pool all: zone a is dark from here: the list has 4 up, none can be reached";
         assert!(lines(&said).contains(&line), "{said:?}");
@@ -474,25 +596,53 @@
         let mut actions = rig.steered.decide(ms(rig.now), Event::Arrived(arrival));
         let probed: Vec<_> = actions
             .iter()
-            .filter_map(|a| if let Action::Probe { endpoint } = a { Some(*endpoint) } else { None })
+            .filter_map(|a| {
+                if let Action::Probe { endpoint } = a {
+                    Some(*endpoint)
+                } else {
+                    None
+                }
+            })
             .collect();
         for endpoint in probed {
             let (outcome, spent) = (Outcome::Answered, Duration::from_millis(1));
-            let report = Some(Report { outstanding: Some(0.0), ..Report::default() });
-            actions
-                .extend(rig.steered.decide(ms(rig.now), Event::Checked { endpoint, outcome, spent, report }));
+            let report = Some(Report {
+                outstanding: Some(0.0),
+                ..Report::default()
+            });
+            actions.extend(rig.steered.decide(
+                ms(rig.now),
+                Event::Checked {
+                    endpoint,
+                    outcome,
+                    spent,
+                    report,
+                },
+            ));
         }
         assert!(
-            actions.iter().any(|a| matches!(a, Action::Relay { cmd: c, .. } if *c == cmd)),
+            actions
+                .iter()
+                .any(|a| matches!(a, Action::Relay { cmd: c, .. } if *c == cmd)),
             "{actions:?}"
         );
         rig.now += 20;
         rig.all_of(0, Mode::Deleted);
         let (outcome, spent) = (Outcome::Broken, Duration::from_millis(20));
-        let event = Event::Finished { cmd, relay: 0, outcome, spent, concluded: false, report: None };
+        let event = Event::Finished {
+            cmd,
+            relay: 0,
+            outcome,
+            spent,
+            concluded: false,
+            report: None,
+        };
         let actions = rig.steered.decide(ms(rig.now), event);
         assert!(actions.contains(&Action::Terminate { cmd }), "{actions:?}");
-        assert!(!actions.iter().any(|a| matches!(a, Action::Relay { .. })), "{actions:?}");
+        assert!(
+            !actions.iter().any(|a| matches!(a, Action::Relay { .. })),
+            "{actions:?}"
+        );
     }
 
     #[rstest]
@@ -500,26 +650,48 @@
         let routes = "[[pool]]\nname = \"e\"\nlabels = [\"e-\"]\nkinds = [\"big\"]\ntiers = [[\"own\"]]\n[[route]]\npool = \"e\"\n";
         let orders = text::tests::orders();
         let mut rig = Rig {
-            steered: Steered::new(orders.clone(), None, Some(read(routes, &orders).expect("routes"))),
+            steered: Steered::new(
+                orders.clone(),
+                None,
+                Some(read(routes, &orders).expect("routes")),
+            ),
             next: 0,
             now: 0,
         };
-        for (endpoint, (id, kind)) in
-            [("e-1", "big"), ("f-1", "big"), ("e-2", "small"), ("e-3", "big")].iter().enumerate()
+        for (endpoint, (id, kind)) in [
+            ("e-1", "big"),
+            ("f-1", "big"),
+            ("e-2", "small"),
+            ("e-3", "big"),
+        ]
+        .iter()
+        .enumerate()
         {
             rig.steered.name(endpoint, id, kind);
         }
-        rig.list(ListKind::All, (0..4).map(|e| listing(e, Mode::Running)).collect());
+        rig.list(
+            ListKind::All,
+            (0..4).map(|e| listing(e, Mode::Running)).collect(),
+        );
         let fates: Vec<_> = (0..100).map(|_| rig.ask(0.3)).collect();
-        assert!(fates.contains(&Fate::Sent(0)) && fates.contains(&Fate::Sent(3)), "{fates:?}");
-        assert!(!fates.iter().any(|f| [Fate::Sent(1), Fate::Sent(2)].contains(f)), "{fates:?}");
+        assert!(
+            fates.contains(&Fate::Sent(0)) && fates.contains(&Fate::Sent(3)),
+            "{fates:?}"
+        );
+        assert!(
+            !fates
+                .iter()
+                .any(|f| [Fate::Sent(1), Fate::Sent(2)].contains(f)),
+            "{fates:?}"
+        );
     }
 
     // Each verb has a pool; names go by the orders, whatever number the module gives a verb.
     #[rstest]
     fn under_other_orders_each_verb_goes_where_its_route_says() {
-        let pool =
-            |name: &str| format!("[[pool]]\nname = \"{name}\"\nlabels = [\"{name}\"]\ntiers = [[\"*\"]]\n");
+        let pool = |name: &str| {
+            format!("[[pool]]\nname = \"{name}\"\nlabels = [\"{name}\"]\ntiers = [[\"*\"]]\n")
+        };
         let routes = |first: &str| {
             format!(
                 "{}{}[[route]]\npool = \"left\"\nverbs = [\"{first}\"]\n[[route]]\npool = \"right\"\n",
@@ -528,15 +700,33 @@
             )
         };
         let before = text::tests::orders();
-        let mut steered = Steered::new(before.clone(), None, Some(read(&routes("look"), &before).unwrap()));
+        let mut steered = Steered::new(
+            before.clone(),
+            None,
+            Some(read(&routes("look"), &before).unwrap()),
+        );
         (0..2).for_each(|at| steered.name(at, ["left-1", "right-1"][at], ""));
-        let entries = (0..2).map(|at| Listing { zone: 0, ..listing(at, Mode::Running) }).collect();
-        steered.decide(ms(0), Event::Listed { kind: ListKind::All, entries });
+        let entries = (0..2)
+            .map(|at| Listing {
+                zone: 0,
+                ..listing(at, Mode::Running)
+            })
+            .collect();
+        steered.decide(
+            ms(0),
+            Event::Listed {
+                kind: ListKind::All,
+                entries,
+            },
+        );
         // The other way round, with a verb more, and the first one changed.
         let mut after = before.clone();
         after.verbs.reverse();
         after.verbs[1].goal *= 2;
-        after.verbs.push(VerbOrder { name: "seek".into(), ..before.verbs[0].clone() });
+        after.verbs.push(VerbOrder {
+            name: "seek".into(),
+            ..before.verbs[0].clone()
+        });
         let other = read(&routes("book"), &after).unwrap();
         assert!(steered.may_retune(&after, Some(&other)));
         let (_, numbers) = steered.retune(ms(1), after.clone(), Some(other));
@@ -544,18 +734,49 @@
         let mut to = |cmd: usize, verb: usize| {
             let (budget, work) = (Duration::from_millis(990), None);
             let (company, key, again, write, play, uploads) = (None, None, false, false, 0, false);
-            let a = Arrival { cmd, verb, company, key, budget, work, again, write, play, uploads };
+            let a = Arrival {
+                cmd,
+                verb,
+                company,
+                key,
+                budget,
+                work,
+                again,
+                write,
+                play,
+                uploads,
+            };
             let at = 1000 * (1 + cmd as u64);
             let mut out = steered.decide(ms(at), Event::Arrived(a));
             out.extend(steered.decide(ms(at + 40), Event::Due { token: 1 }));
-            let to = |a: &Action| if let Action::Relay { endpoint, .. } = a { Some(*endpoint) } else { None };
+            let to = |a: &Action| {
+                if let Action::Relay { endpoint, .. } = a {
+                    Some(*endpoint)
+                } else {
+                    None
+                }
+            };
             let (to, spent) = (out.iter().find_map(to), Duration::from_millis(9));
             let (outcome, concluded, report) = (Outcome::Answered, true, None);
-            steered.decide(ms(at + 50), Event::Finished { cmd, relay: 0, outcome, spent, concluded, report });
+            steered.decide(
+                ms(at + 50),
+                Event::Finished {
+                    cmd,
+                    relay: 0,
+                    outcome,
+                    spent,
+                    concluded,
+                    report,
+                },
+            );
             to
         };
         assert_eq!(
-            numbers.iter().enumerate().map(|(n, verb)| to(n, *verb)).collect::<Vec<_>>(),
+            numbers
+                .iter()
+                .enumerate()
+                .map(|(n, verb)| to(n, *verb))
+                .collect::<Vec<_>>(),
             [Some(0), Some(1), Some(1)]
         );
         // By the orders before, a moment late.
--- a/crates/passroad-routes/src/router.rs
+++ b/crates/passroad-routes/src/router.rs
@@ -56,7 +56,9 @@
     }
 
     fn read(&self, now: Duration) -> f64 {
-        let age = now.saturating_sub(self.from.unwrap_or(now)).clamp(RATE_OVER / 16, RATE_OVER);
+        let age = now
+            .saturating_sub(self.from.unwrap_or(now))
+            .clamp(RATE_OVER / 16, RATE_OVER);
         self.sum * self.left(now) / age.as_secs_f64()
     }
 }
@@ -178,12 +180,13 @@
             self.members.iter_mut().flatten().for_each(|m| m.up = false);
         }
         for entry in entries {
-            self.members.resize(self.members.len().max(entry.endpoint + 1), None);
+            self.members
+                .resize(self.members.len().max(entry.endpoint + 1), None);
             let name = self.names.get(entry.endpoint).and_then(Option::as_ref);
             let (id, kind) = name.map_or(("", ""), |(id, kind)| (id.as_str(), kind.as_str()));
             let factor = |pool: &PoolOrder| {
-                let by_label =
-                    pool.labels.is_empty() || pool.labels.iter().any(|l| id.starts_with(l.as_str()));
+                let by_label = pool.labels.is_empty()
+                    || pool.labels.iter().any(|l| id.starts_with(l.as_str()));
                 let by_kind = pool.kinds.is_empty() || pool.kinds.iter().any(|k| k == kind);
                 let weight = pool.weights.get(kind).copied().unwrap_or(1.0);
                 if by_label && by_kind { weight } else { 0.0 }
@@ -195,9 +198,12 @@
                 zone: entry.zone,
                 weight: entry.rating.clamp(0.01, 1e6),
                 up: entry.mode == Mode::Running,
-                started: entry
-                    .started
-                    .max(before.as_ref().filter(|_| !anew).map_or(Duration::ZERO, |m| m.started)),
+                started: entry.started.max(
+                    before
+                        .as_ref()
+                        .filter(|_| !anew)
+                        .map_or(Duration::ZERO, |m| m.started),
+                ),
                 misses: before.as_ref().filter(|_| !anew).map_or(0, |m| m.misses),
                 away: before.as_ref().filter(|_| !anew).map_or(0, |m| m.away),
                 factors,
@@ -216,7 +222,9 @@
         lateness: Option<f64>,
         report: Option<&Report>,
     ) {
-        let Some(member) = self.members.get_mut(endpoint).and_then(Option::as_mut) else { return };
+        let Some(member) = self.members.get_mut(endpoint).and_then(Option::as_mut) else {
+            return;
+        };
         let before = member.misses >= MISSES;
         match outcome {
             Outcome::NoConnection => member.away += 1,
@@ -232,13 +240,19 @@
             _ => {}
         }
         match outcome {
-            Outcome::Answered | Outcome::Error | Outcome::Full | Outcome::Unfit => member.misses = 0,
-            Outcome::NoConnection | Outcome::TimedOut => member.misses = member.misses.saturating_add(1),
+            Outcome::Answered | Outcome::Error | Outcome::Full | Outcome::Unfit => {
+                member.misses = 0
+            }
+            Outcome::NoConnection | Outcome::TimedOut => {
+                member.misses = member.misses.saturating_add(1)
+            }
             Outcome::Broken | Outcome::Recalled | Outcome::Moot => {}
         }
         self.dirty |= before != (member.misses >= MISSES);
         for (pool, factor) in self.pools.iter_mut().zip(&member.factors) {
-            let receives = pool.receivers.is_some_and(|tier| pool.tiers[tier].contains(&member.zone));
+            let receives = pool
+                .receivers
+                .is_some_and(|tier| pool.tiers[tier].contains(&member.zone));
             // Guards against a pool that is held back by how another's endpoints in the same zone are.
             if !receives || *factor <= 0.0 {
                 continue;
@@ -251,7 +265,10 @@
                     Outcome::Answered => late > LATE,
                     Outcome::TimedOut => true,
                     // Short of connections is not short of time: what is heard of the load says which it was.
-                    Outcome::Full => pool.spill.load(now).is_none_or(|load| load > pool.order.ceiling),
+                    Outcome::Full => pool
+                        .spill
+                        .load(now)
+                        .is_none_or(|load| load > pool.order.ceiling),
                     Outcome::NoConnection | Outcome::Recalled | Outcome::Moot => continue,
                     Outcome::Error | Outcome::Broken | Outcome::Unfit => false,
                 };
@@ -286,7 +303,10 @@
             Place::Zone(zone) => vec![*zone],
             Place::Rest => (0..zones).filter(|z| !named.contains(z)).collect(),
         };
-        pool.tiers.iter().map(|tier| tier.iter().flat_map(of).filter(|z| *z < zones).collect()).collect()
+        pool.tiers
+            .iter()
+            .map(|tier| tier.iter().flat_map(of).filter(|z| *z < zones).collect())
+            .collect()
     }
 
     /// Looks at the zones and gives the weights that have changed: for each play, endpoints and theirs.
@@ -296,12 +316,25 @@
             return Vec::new();
         }
         (self.looked, self.dirty) = (Some(now), false);
-        let zones = self.members.iter().flatten().map(|m| m.zone + 1).max().unwrap_or_default();
+        let zones = self
+            .members
+            .iter()
+            .flatten()
+            .map(|m| m.zone + 1)
+            .max()
+            .unwrap_or_default();
         for n in 0..self.pools.len() {
             let mut sums = vec![Sum::default(); zones];
             let by_hand = |at: usize| self.out.get(at).copied().unwrap_or_default();
-            let members = self.members.iter().enumerate().filter(|(at, _)| !by_hand(*at));
-            for member in members.filter_map(|(_, m)| m.as_ref()).filter(|m| m.up && m.factors[n] > 0.0) {
+            let members = self
+                .members
+                .iter()
+                .enumerate()
+                .filter(|(at, _)| !by_hand(*at));
+            for member in members
+                .filter_map(|(_, m)| m.as_ref())
+                .filter(|m| m.up && m.factors[n] > 0.0)
+            {
                 let (sum, weight) = (&mut sums[member.zone], member.weight * member.factors[n]);
                 sum.count += 1;
                 sum.listed += weight;
@@ -320,14 +353,21 @@
             for (zone, sum) in sums.into_iter().enumerate() {
                 if let Some(turned) = pool.zones[zone].see(now, sum, pool.order.headroom, over) {
                     let known = self.zone_names.get(zone);
-                    let name = known.map_or_else(|| format!("zone {zone}"), |name| format!("zone {name}"));
-                    self.lines.push(format!("pool {}: {name} {turned}", pool.order.name));
+                    let name =
+                        known.map_or_else(|| format!("zone {zone}"), |name| format!("zone {name}"));
+                    self.lines
+                        .push(format!("pool {}: {name} {turned}", pool.order.name));
                 }
             }
             let rate = pool.rate.read(now);
             pool.needs = pool.carries(now) < 1.0;
             let up = |tier: &&Vec<usize>| tier.iter().any(|z| pool.zones[*z].usable());
-            pool.receivers = pool.tiers.iter().skip(1).position(|tier| up(&tier)).map(|n| n + 1);
+            pool.receivers = pool
+                .tiers
+                .iter()
+                .skip(1)
+                .position(|tier| up(&tier))
+                .map(|n| n + 1);
             pool.spill.turn(now, rate, pool.needs);
             self.lines.extend(pool.line(now));
         }
@@ -337,12 +377,16 @@
     fn weights(&mut self, now: Duration) -> Vec<(usize, EndpointIx, f64)> {
         let mut changed = Vec::new();
         for endpoint in 0..self.members.len() {
-            let Some(member) = &self.members[endpoint] else { continue };
+            let Some(member) = &self.members[endpoint] else {
+                continue;
+            };
             let mut plays = Vec::with_capacity(PLAYS * self.pools.len());
             for (pool, factor) in self.pools.iter().zip(&member.factors) {
                 plays.extend(pool.factors(now, member.zone).map(|f| f * factor));
             }
-            let Some(member) = &mut self.members[endpoint] else { continue };
+            let Some(member) = &mut self.members[endpoint] else {
+                continue;
+            };
             for (play, factor) in plays.iter().enumerate() {
                 let before = member.plays.get(play).copied().unwrap_or(-1.0);
                 let same = before == *factor
@@ -366,7 +410,9 @@
         let pool = &mut self.pools[n];
         pool.rate.add(now);
         let carries = pool.carries(now);
-        let go = |play| Ruling::Go { play: PLAYS * n + play };
+        let go = |play| Ruling::Go {
+            play: PLAYS * n + play,
+        };
         let back = pool.home().any(|z| z.health == Health::Returning);
         if carries >= 1.0 && !back || pool.tiers.len() < 2 {
             return go(HOME);
@@ -401,7 +447,11 @@
 
 impl Pool {
     fn home(&self) -> impl Iterator<Item = &Zone> {
-        self.tiers.first().into_iter().flatten().map(|z| &self.zones[*z])
+        self.tiers
+            .first()
+            .into_iter()
+            .flatten()
+            .map(|z| &self.zones[*z])
     }
 
     /// Share of the traffic that the home tier gets.
@@ -414,16 +464,25 @@
             return 1.0;
         }
         // Of several zones those that are well make up for the others while there is headroom.
-        let could: f64 = known.iter().map(|z| z.usual() * z.could_carry(now, self.order.headroom)).sum();
+        let could: f64 = known
+            .iter()
+            .map(|z| z.usual() * z.could_carry(now, self.order.headroom))
+            .sum();
         (could / known.iter().map(|z| z.usual()).sum::<f64>()).min(1.0)
     }
 
     /// Weights of an endpoint in a zone, for each play of this pool.
     fn factors(&self, now: Duration, zone: usize) -> [f64; PLAYS] {
-        let Some(tier) = self.tiers.iter().position(|tier| tier.contains(&zone)) else { return [0.0; PLAYS] };
+        let Some(tier) = self.tiers.iter().position(|tier| tier.contains(&zone)) else {
+            return [0.0; PLAYS];
+        };
         if tier > 0 {
             let receives = self.receivers == Some(tier);
-            return if receives { [0.0, BEYOND, 1.0] } else { [0.0; PLAYS] };
+            return if receives {
+                [0.0, BEYOND, 1.0]
+            } else {
+                [0.0; PLAYS]
+            };
         }
         let z = &self.zones[zone];
         match z.health {
@@ -439,12 +498,17 @@
 
     /// One line where spill begins, moves to another tier or ends.
     fn line(&mut self, now: Duration) -> Option<String> {
-        let to = self.receivers.filter(|_| self.needs && self.tiers.len() > 1);
+        let to = self
+            .receivers
+            .filter(|_| self.needs && self.tiers.len() > 1);
         if self.told == to {
             return None;
         }
         self.told = to;
-        let load = self.spill.load(now).map_or("unknown".into(), |l| format!("{:.0}% busy", l * 100.0));
+        let load = self
+            .spill
+            .load(now)
+            .map_or("unknown".into(), |l| format!("{:.0}% busy", l * 100.0));
         let name = &self.order.name;
         Some(match to {
             Some(tier) => format!(
--- a/crates/passroad-routes/src/spill.rs
+++ b/crates/passroad-routes/src/spill.rs
@@ -34,7 +34,11 @@
 
     fn add(&mut self, now: Duration, value: f64) {
         let left = self.faded(now);
-        *self = Mean { sum: self.sum * left + value, weight: self.weight * left + 1.0, at: now };
+        *self = Mean {
+            sum: self.sum * left + value,
+            weight: self.weight * left + 1.0,
+            at: now,
+        };
     }
 
     /// None where too little was seen of late.
@@ -149,7 +153,9 @@
             self.tokens -= 1.0;
             return Ok(());
         }
-        Err(Duration::from_secs_f64(((need - self.tokens) / self.rate.max(LEAST)).clamp(0.05, 60.0)))
+        Err(Duration::from_secs_f64(
+            ((need - self.tokens) / self.rate.max(LEAST)).clamp(0.05, 60.0),
+        ))
     }
 }
 
@@ -168,7 +174,9 @@
         for n in 0..seconds * 100 {
             let now = ms(1000 + n * 10);
             spill.turn(now, 100.0, true);
-            load(spill.rate).into_iter().for_each(|load| spill.heard(now, load));
+            load(spill.rate)
+                .into_iter()
+                .for_each(|load| spill.heard(now, load));
             if bad {
                 spill.ended(now, true);
             }
--- a/crates/passroad-routes/src/text.rs
+++ b/crates/passroad-routes/src/text.rs
@@ -49,7 +49,12 @@
 
 impl Default for SpillText {
     fn default() -> Self {
-        SpillText { most: Share(1.0), per_second: None, ceiling: Share(0.8), trickle: Share(0.02) }
+        SpillText {
+            most: Share(1.0),
+            per_second: None,
+            ceiling: Share(0.8),
+            trickle: Share(0.02),
+        }
     }
 }
 
@@ -62,7 +67,10 @@
 
 impl Default for ReturnText {
     fn default() -> Self {
-        ReturnText { over: Time(Duration::from_secs(60)), spread: Share(0.25) }
+        ReturnText {
+            over: Time(Duration::from_secs(60)),
+            spread: Share(0.25),
+        }
     }
 }
 
@@ -120,7 +128,8 @@
     pub fn pool_of(&self, verb: usize, company: Option<usize>) -> usize {
         let fits = |route: &&RouteOrder| {
             (route.verbs.is_empty() || route.verbs.contains(&verb))
-                && (route.companies.is_empty() || company.is_some_and(|c| route.companies.contains(&c)))
+                && (route.companies.is_empty()
+                    || company.is_some_and(|c| route.companies.contains(&c)))
         };
         self.routes.iter().find(fits).map_or(0, |route| route.pool)
     }
@@ -128,11 +137,16 @@
 
 /// Reads a file of routes against the settings it is to work with.
 pub fn read(text: &str, orders: &StandingOrders) -> Result<RouteOrders, Wrong> {
-    let told: Text =
-        toml::from_str(text).map_err(|e| Wrong::of(text, e.span().map(|s| s.start), e.message()))?;
+    let told: Text = toml::from_str(text)
+        .map_err(|e| Wrong::of(text, e.span().map(|s| s.start), e.message()))?;
     let mut pools: Vec<PoolOrder> = Vec::new();
     for pool in &told.pool {
-        let wrong = |what: String| Err(Wrong { line: line_of(text, pool.span().start), what });
+        let wrong = |what: String| {
+            Err(Wrong {
+                line: line_of(text, pool.span().start),
+                what,
+            })
+        };
         let p = pool.get_ref();
         if p.name.is_empty() || pools.iter().any(|known| known.name == p.name) {
             return wrong(format!("name: '{}' is empty or taken", p.name));
@@ -145,13 +159,29 @@
             return wrong(format!("pool {}: headroom: from 1 to 10", p.name));
         }
         if let Some((kind, weight)) = p.weights.iter().find(|(_, w)| !(0.0..=1000.0).contains(*w)) {
-            return wrong(format!("pool {}: weights: {kind} = {weight} is out of bounds", p.name));
+            return wrong(format!(
+                "pool {}: weights: {kind} = {weight} is out of bounds",
+                p.name
+            ));
         }
-        if let Some(kind) = p.weights.keys().find(|k| !p.kinds.is_empty() && !p.kinds.contains(k)) {
-            return wrong(format!("pool {}: weights: {kind} is none of its kinds", p.name));
+        if let Some(kind) = p
+            .weights
+            .keys()
+            .find(|k| !p.kinds.is_empty() && !p.kinds.contains(k))
+        {
+            return wrong(format!(
+                "pool {}: weights: {kind} is none of its kinds",
+                p.name
+            ));
         }
-        if p.spill.per_second.is_some_and(|rate| rate.is_nan() || rate < 0.0) {
-            return wrong(format!("pool {}: spill.per_second: less than nothing", p.name));
+        if p.spill
+            .per_second
+            .is_some_and(|rate| rate.is_nan() || rate < 0.0)
+        {
+            return wrong(format!(
+                "pool {}: spill.per_second: less than nothing",
+                p.name
+            ));
         }
         if p.spill.ceiling.0 <= 0.0 {
             return wrong(format!(
@@ -176,7 +206,12 @@
     }
     let mut routes: Vec<RouteOrder> = Vec::new();
     for route in &told.route {
-        let wrong = |what: String| Err(Wrong { line: line_of(text, route.span().start), what });
+        let wrong = |what: String| {
+            Err(Wrong {
+                line: line_of(text, route.span().start),
+                what,
+            })
+        };
         let r = route.get_ref();
         let Some(pool) = pools.iter().position(|p| p.name == r.pool) else {
             return wrong(format!("pool: unknown '{}'", r.pool));
@@ -188,9 +223,16 @@
             };
             names.iter().map(at).collect()
         };
-        let verbs = find(&r.verbs, orders.verbs.iter().map(|v| v.name.as_str()).collect(), "verbs");
-        let companies =
-            find(&r.companies, orders.companies.iter().map(|c| c.name.as_str()).collect(), "companies");
+        let verbs = find(
+            &r.verbs,
+            orders.verbs.iter().map(|v| v.name.as_str()).collect(),
+            "verbs",
+        );
+        let companies = find(
+            &r.companies,
+            orders.companies.iter().map(|c| c.name.as_str()).collect(),
+            "companies",
+        );
         let (verbs, companies) = match (verbs, companies) {
             (Ok(verbs), Ok(companies)) => (verbs, companies),
             (Err(what), _) | (_, Err(what)) => return wrong(what),
@@ -202,22 +244,38 @@
             covers(&e.verbs, &verbs) && covers(&e.companies, &companies)
         };
         if routes.iter().any(hidden) {
-            return wrong(format!("route to {}: an earlier one takes all of its commands", r.pool));
+            return wrong(format!(
+                "route to {}: an earlier one takes all of its commands",
+                r.pool
+            ));
         }
-        routes.push(RouteOrder { verbs, companies, pool });
+        routes.push(RouteOrder {
+            verbs,
+            companies,
+            pool,
+        });
     }
     // A command of no company, or of one that no route names, needs one that names none.
     for (n, verb) in orders.verbs.iter().enumerate() {
-        let takes = |r: &RouteOrder| r.companies.is_empty() && (r.verbs.is_empty() || r.verbs.contains(&n));
+        let takes =
+            |r: &RouteOrder| r.companies.is_empty() && (r.verbs.is_empty() || r.verbs.contains(&n));
         if !routes.iter().any(takes) {
-            let what =
-                format!("route: none takes {} of any company; end with a route that names none", verb.name);
-            return Err(Wrong { line: line_of(text, told.route.last().map_or(0, |r| r.span().start)), what });
+            let what = format!(
+                "route: none takes {} of any company; end with a route that names none",
+                verb.name
+            );
+            return Err(Wrong {
+                line: line_of(text, told.route.last().map_or(0, |r| r.span().start)),
+                what,
+            });
         }
     }
     if let Some(n) = (0..pools.len()).find(|n| !routes.iter().any(|r| r.pool == *n)) {
         let line = line_of(text, told.pool[n].span().start);
-        return Err(Wrong { line, what: format!("pool {}: no route leads to it", pools[n].name) });
+        return Err(Wrong {
+            line,
+            what: format!("pool {}: no route leads to it", pools[n].name),
+        });
     }
     Ok(RouteOrders { pools, routes })
 }
@@ -235,7 +293,9 @@
         let mut tier = Vec::new();
         for name in names {
             if seen.contains(&Place::Rest) {
-                return Err(format!("'{name}' stands behind \"*\", which holds all the rest"));
+                return Err(format!(
+                    "'{name}' stands behind \"*\", which holds all the rest"
+                ));
             }
             let place = match name.as_str() {
                 "own" => Place::Own,
@@ -243,7 +303,10 @@
                 name => match orders.zones.iter().position(|z| z == name) {
                     Some(zone) => Place::Zone(zone),
                     None => {
-                        return Err(format!("unknown zone '{name}'; there are {}", orders.zones.join(", ")));
+                        return Err(format!(
+                            "unknown zone '{name}'; there are {}",
+                            orders.zones.join(", ")
+                        ));
                     }
                 },
             };
@@ -297,7 +360,11 @@
     #[case::no_route(format!("{POOL}{ROUTE}verbs = [\"look\"]\n"), 4, "none takes book of any company")]
     #[case::of_some_companies(format!("{POOL}{ROUTE}companies = [\"acme\"]\n"), 4, "none takes look of any company")]
     #[case::idle_pool(format!("{POOL}[[pool]]\nname = \"p\"\ntiers = [[\"own\"]]\n{ROUTE}"), 4, "no route leads to it")]
-    fn a_slip_is_named_with_its_line(#[case] text: String, #[case] line: usize, #[case] what: &str) {
+    fn a_slip_is_named_with_its_line(
+        #[case] text: String,
+        #[case] line: usize,
+        #[case] what: &str,
+    ) {
         let wrong = read(&text, &orders()).expect_err("it is wrong");
         assert!(wrong.line == line && wrong.what.contains(what), "{wrong}");
     }
@@ -312,7 +379,9 @@
         #[case] company: Option<usize>,
         #[case] pool: usize,
     ) {
-        let pools: String = ["look", "acme", "rest"].map(|n| POOL.replace("all", n)).concat();
+        let pools: String = ["look", "acme", "rest"]
+            .map(|n| POOL.replace("all", n))
+            .concat();
         let routes = "[[route]]\npool = \"look\"\nverbs = [\"look\"]\n[[route]]\npool = \"acme\"\ncompanies = [\"acme\"]\n\
                       [[route]]\npool = \"rest\"\n";
         let read = read(&format!("{pools}{routes}"), &orders()).expect("routes");
--- a/crates/passroad-routes/src/zone.rs
+++ b/crates/passroad-routes/src/zone.rs
@@ -120,7 +120,13 @@
     }
 
     /// Takes in what is seen now. `back_over` is how long a return is to take, as this instance drew it.
-    pub fn see(&mut self, now: Duration, sum: Sum, headroom: f64, back_over: Duration) -> Option<Turned> {
+    pub fn see(
+        &mut self,
+        now: Duration,
+        sum: Sum,
+        headroom: f64,
+        back_over: Duration,
+    ) -> Option<Turned> {
         self.sum = sum;
         // What the list has up is its weight; less of it is a loss, until it has been less for long.
         let forgets = now.saturating_sub(self.smaller) > FORGET && sum.listed > 0.0;
@@ -138,25 +144,37 @@
             Health::Whole if !enough(1.0) => Health::Thinned,
             Health::Thinned if enough(WELL.min(headroom)) => {
                 let since = *self.better.get_or_insert(now);
-                if now.saturating_sub(since) >= STEADY { Health::Whole } else { Health::Thinned }
+                if now.saturating_sub(since) >= STEADY {
+                    Health::Whole
+                } else {
+                    Health::Thinned
+                }
             }
             // What was left when it went is no return; but what stays for a while is something.
             Health::Dark if sum.usable > self.floor => Health::Returning,
-            Health::Dark if share > 0.0 && now.saturating_sub(self.lost) > STEADY => Health::Returning,
+            Health::Dark if share > 0.0 && now.saturating_sub(self.lost) > STEADY => {
+                Health::Returning
+            }
             // It goes again: at once, and what is left of a return counts for nothing.
             Health::Returning if share <= 0.0 || sum.usable < self.peak / 2.0 => Health::Dark,
             // Cold ones open by passes only: alone they can't carry what comes, however long the ramp has been.
-            Health::Returning if self.back(now) >= 1.0 && sum.able > 0.99 * sum.usable => match enough(1.0) {
-                true => Health::Whole,
-                false => Health::Thinned,
-            },
+            Health::Returning if self.back(now) >= 1.0 && sum.able > 0.99 * sum.usable => {
+                match enough(1.0) {
+                    true => Health::Whole,
+                    false => Health::Thinned,
+                }
+            }
             same => same,
         };
         if from != Health::Thinned || !enough(WELL.min(headroom)) {
             self.better = None;
         }
         if to == Health::Dark {
-            self.floor = if from == Health::Dark { self.floor.min(sum.usable) } else { sum.usable };
+            self.floor = if from == Health::Dark {
+                self.floor.min(sum.usable)
+            } else {
+                sum.usable
+            };
         }
         if to == Health::Returning {
             self.peak = self.peak.max(sum.usable);
@@ -170,18 +188,34 @@
                 // Guards against a zone that flaps and drags the others to and fro: each loss soon after the last
                 // doubles the way back.
                 let soon = self.losses > 0 && now.saturating_sub(self.lost) < CALM;
-                self.losses = if soon { (self.losses + 1).min(MOST_DOUBLED + 1) } else { 1 };
+                self.losses = if soon {
+                    (self.losses + 1).min(MOST_DOUBLED + 1)
+                } else {
+                    1
+                };
                 self.lost = now;
             }
             Health::Returning => {
                 self.back_since = now;
                 self.peak = sum.usable;
-                self.back_over = back_over * (1 << (self.losses.saturating_sub(1)).min(MOST_DOUBLED));
+                self.back_over =
+                    back_over * (1 << (self.losses.saturating_sub(1)).min(MOST_DOUBLED));
             }
             Health::Whole | Health::Thinned => {}
         }
-        let why = (to == Health::Dark).then_some(if sum.count > 0 { Why::Unreached } else { Why::Gone });
-        Some(Turned { from, to, why, sum, usual: self.usual, back_over: self.back_over })
+        let why = (to == Health::Dark).then_some(if sum.count > 0 {
+            Why::Unreached
+        } else {
+            Why::Gone
+        });
+        Some(Turned {
+            from,
+            to,
+            why,
+            sum,
+            usual: self.usual,
+            back_over: self.back_over,
+        })
     }
 }
 
@@ -191,7 +225,10 @@
         let Sum { count, reached, .. } = self.sum;
         match (self.to, self.why) {
             (Health::Dark, Some(Why::Unreached)) => {
-                write!(f, "is dark from here: the list has {count} up, none can be reached")
+                write!(
+                    f,
+                    "is dark from here: the list has {count} up, none can be reached"
+                )
             }
             (Health::Dark, _) => write!(f, "is dark: the list has none up"),
             (Health::Returning, _) => {
@@ -208,7 +245,10 @@
                 )
             }
             (Health::Whole, _) => {
-                write!(f, "is whole: {reached} of {count} up can be reached, {share:.0}% of its usual weight")
+                write!(
+                    f,
+                    "is whole: {reached} of {count} up can be reached, {share:.0}% of its usual weight"
+                )
             }
         }
     }
@@ -302,8 +342,14 @@
 
     #[rstest]
     #[case(sum(0, 0, 1.0), "is dark: the list has none up")]
-    #[case(sum(10, 0, 1.0), "is dark from here: the list has 10 up, none can be reached")]
-    #[case(sum(10, 4, 1.0), "is thinned: 4 of 10 up can be reached, 40% of its usual weight")]
+    #[case(
+        sum(10, 0, 1.0),
+        "is dark from here: the list has 10 up, none can be reached"
+    )]
+    #[case(
+        sum(10, 4, 1.0),
+        "is thinned: 4 of 10 up can be reached, 40% of its usual weight"
+    )]
     fn a_cut_that_only_this_sidecar_sees_reads_otherwise(#[case] now: Sum, #[case] line: &str) {
         let mut zone = Zone::default();
         zone.see(Duration::ZERO, sum(10, 10, 1.0), 1.4, SECOND);
--- a/crates/passroad-units/src/lib.rs
+++ b/crates/passroad-units/src/lib.rs
@@ -9,16 +9,26 @@
 pub struct Time(pub Duration);
 
 pub fn read_time(text: &str) -> Result<Duration, String> {
-    let digits = text.find(|c: char| !c.is_ascii_digit() && c != '.').unwrap_or(text.len());
+    let digits = text
+        .find(|c: char| !c.is_ascii_digit() && c != '.')
+        .unwrap_or(text.len());
     let (number, unit) = text.split_at(digits);
     let scale = match unit {
         "us" => 1e-6,
         "ms" => 1e-3,
         "s" => 1.0,
         "m" => 60.0,
-        "" => return Err(format!("'{text}' has no unit; write for example 440ms, 1.5s or 2m")),
+        "" => {
+            return Err(format!(
+                "'{text}' has no unit; write for example 440ms, 1.5s or 2m"
+            ));
+        }
         "%" => return Err(format!("'{text}' is a share where a time is expected")),
-        other => return Err(format!("'{text}': unknown unit '{other}'; there are us, ms, s and m")),
+        other => {
+            return Err(format!(
+                "'{text}': unknown unit '{other}'; there are us, ms, s and m"
+            ));
+        }
     };
     let number: f64 = number.parse().map_err(|_| format!("'{text}' is no time"))?;
     // A year and more is a slip of the pen.
@@ -58,17 +68,22 @@
             }
             fn visit_f64<E: Error>(self, n: f64) -> Result<Share, E> {
                 let fits = (0.0..=1.0).contains(&n);
-                fits.then_some(Share(n)).ok_or_else(|| E::custom(format!("{n} is no share from 0 to 1")))
+                fits.then_some(Share(n))
+                    .ok_or_else(|| E::custom(format!("{n} is no share from 0 to 1")))
             }
             fn visit_i64<E: Error>(self, n: i64) -> Result<Share, E> {
                 self.visit_f64(n as f64)
             }
             fn visit_str<E: Error>(self, text: &str) -> Result<Share, E> {
                 let Some(number) = text.strip_suffix('%') else {
-                    return Err(E::custom(format!("'{text}' is no share; write for example 0.13 or 13%")));
+                    return Err(E::custom(format!(
+                        "'{text}' is no share; write for example 0.13 or 13%"
+                    )));
                 };
-                let number: f64 =
-                    number.trim().parse().map_err(|_| E::custom(format!("'{text}' is no share")))?;
+                let number: f64 = number
+                    .trim()
+                    .parse()
+                    .map_err(|_| E::custom(format!("'{text}' is no share")))?;
                 self.visit_f64(number / 100.0)
             }
         }
@@ -78,7 +93,11 @@
 
 /// The line of a place in a text, from one.
 pub fn line_of(text: &str, at: usize) -> usize {
-    text.as_bytes()[..at.min(text.len())].iter().filter(|b| **b == b'\n').count() + 1
+    text.as_bytes()[..at.min(text.len())]
+        .iter()
+        .filter(|b| **b == b'\n')
+        .count()
+        + 1
 }
 
 /// What is wrong in a file, and where.
@@ -99,9 +118,15 @@
     pub fn of(text: &str, at: Option<usize>, said: &str) -> Wrong {
         let line = line_of(text, at.unwrap_or_default());
         let source = text.lines().nth(line - 1).unwrap_or_default();
-        let key = source.split_once('=').map(|(key, _)| key.trim()).filter(|k| !k.is_empty());
+        let key = source
+            .split_once('=')
+            .map(|(key, _)| key.trim())
+            .filter(|k| !k.is_empty());
         let said = said.replace('\n', " ");
-        Wrong { line, what: key.map_or(said.clone(), |key| format!("{key}: {said}")) }
+        Wrong {
+            line,
+            what: key.map_or(said.clone(), |key| format!("{key}: {said}")),
+        }
     }
 }
 
--- a/crates/passroad-upkeep/src/book.rs
+++ b/crates/passroad-upkeep/src/book.rs
@@ -69,7 +69,10 @@
 impl Book {
     /// Takes an entry where it is newer than what is known; whether it was.
     pub fn take(&mut self, entry: Entry) -> bool {
-        let newer = self.entries.get(&entry.machine).is_none_or(|known| entry.version() > known.version());
+        let newer = self
+            .entries
+            .get(&entry.machine)
+            .is_none_or(|known| entry.version() > known.version());
         if newer {
             self.entries.insert(entry.machine, entry);
         }
@@ -98,7 +101,11 @@
     }
 
     pub fn last_place(&self) -> u32 {
-        self.entries.values().map(|entry| entry.place).max().unwrap_or(0)
+        self.entries
+            .values()
+            .map(|entry| entry.place)
+            .max()
+            .unwrap_or(0)
     }
 
     pub fn len(&self) -> usize {
@@ -112,8 +119,14 @@
     /// Entries of which nothing more is to come, beyond so many, the oldest first.
     pub fn forget(&mut self, most: usize) {
         while self.entries.len() > most {
-            let old = self.entries.values().filter(|e| e.state.over()).min_by_key(|e| e.version());
-            let Some(machine) = old.map(|entry| entry.machine) else { return };
+            let old = self
+                .entries
+                .values()
+                .filter(|e| e.state.over())
+                .min_by_key(|e| e.version());
+            let Some(machine) = old.map(|entry| entry.machine) else {
+                return;
+            };
             self.entries.remove(&machine);
         }
     }
--- a/crates/passroad-upkeep/src/lib.rs
+++ b/crates/passroad-upkeep/src/lib.rs
@@ -44,17 +44,42 @@
     /// The conductor of this epoch: what do you know? Or a hand that has just begun, with no epoch.
     Recall { by: Epoch, from: u32 },
     /// So much from that place on, of so many; blank where the sidecar has heard of no order since it started.
-    Known { by: Epoch, from: u32, all: u32, blank: bool, entries: Vec<Entry> },
+    Known {
+        by: Epoch,
+        from: u32,
+        all: u32,
+        blank: bool,
+        entries: Vec<Entry>,
+    },
     /// The conductor of this epoch tells of steps; of so many entries that are not over.
-    Tell { by: Epoch, all: u32, entries: Vec<Entry> },
+    Tell {
+        by: Epoch,
+        all: u32,
+        entries: Vec<Entry>,
+    },
     /// Heard, of these versions; and of each whether nothing of this sidecar's is on the machine.
-    Ack { by: Epoch, heard: Vec<(Machine, Epoch, u32, bool)> },
+    Ack {
+        by: Epoch,
+        heard: Vec<(Machine, Epoch, u32, bool)>,
+    },
     /// An operator asks for machines.
-    Want { request: u64, lasts: u32, back: bool, machines: Vec<Machine> },
+    Want {
+        request: u64,
+        lasts: u32,
+        back: bool,
+        machines: Vec<Machine>,
+    },
     /// An operator's word on one.
-    Order { request: u64, machine: Machine, what: Order },
+    Order {
+        request: u64,
+        machine: Machine,
+        what: Order,
+    },
     /// The conductor has it, and so has a majority; or why not.
-    Taken { request: u64, refused: Option<Refusal> },
+    Taken {
+        request: u64,
+        refused: Option<Refusal>,
+    },
 }
 
 #[derive(Serialize, Deserialize, Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
@@ -85,7 +110,10 @@
 
     /// None for what is no word, or has something behind it.
     pub fn read(bytes: &[u8]) -> Option<Word> {
-        postcard::take_from_bytes(bytes).ok().filter(|(_, rest)| rest.is_empty()).map(|(word, _)| word)
+        postcard::take_from_bytes(bytes)
+            .ok()
+            .filter(|(_, rest)| rest.is_empty())
+            .map(|(word, _)| word)
     }
 }
 
@@ -266,7 +294,9 @@
     /// An operator asks here; the answer comes by [`Out::Answer`].
     pub fn ask(&mut self, word: Word) {
         if let Word::Want { request, .. } | Word::Order { request, .. } = word {
-            self.asked.entry(request).or_insert(Asked { word, said: None });
+            self.asked
+                .entry(request)
+                .or_insert(Asked { word, said: None });
         }
     }
 
@@ -280,13 +310,24 @@
                 }
                 self.fence = self.fence.max(by);
                 let all = self.book.in_order();
-                let entries: Vec<Entry> = all.iter().skip(at as usize).take(IN_ONE).copied().collect();
-                let word = Word::Known { by, from: at, all: all.len() as u32, blank: !self.keeps, entries };
+                let entries: Vec<Entry> =
+                    all.iter().skip(at as usize).take(IN_ONE).copied().collect();
+                let word = Word::Known {
+                    by,
+                    from: at,
+                    all: all.len() as u32,
+                    blank: !self.keeps,
+                    entries,
+                };
                 out.push(Out::Say { to: from, word });
             }
-            Word::Known { by, from: at, all, blank, entries } => {
-                self.known(sight, from, (by, at, all, blank), entries, &mut out)
-            }
+            Word::Known {
+                by,
+                from: at,
+                all,
+                blank,
+                entries,
+            } => self.known(sight, from, (by, at, all, blank), entries, &mut out),
             Word::Tell { by, all, entries } => {
                 if by < self.fence {
                     return out;
@@ -294,26 +335,42 @@
                 self.fence = by;
                 self.book.take_all(&entries);
                 // Guards against taking a part of the order for the whole.
-                let open = self.book.in_order().iter().filter(|entry| !entry.state.over()).count();
+                let open = self
+                    .book
+                    .in_order()
+                    .iter()
+                    .filter(|entry| !entry.state.over())
+                    .count();
                 if open >= all as usize {
                     (self.blank, self.keeps) = (false, true);
                 }
                 self.book.forget(MOST_KEPT);
                 self.obey(&mut out);
-                let heard = entries.iter().map(|entry| self.ack_of(sight, entry)).collect();
-                out.push(Out::Say { to: from, word: Word::Ack { by, heard } });
+                let heard = entries
+                    .iter()
+                    .map(|entry| self.ack_of(sight, entry))
+                    .collect();
+                out.push(Out::Say {
+                    to: from,
+                    word: Word::Ack { by, heard },
+                });
             }
             Word::Ack { by, heard } => {
                 if matches!(self.chair, Chair::Sits(own) if own == by) {
                     self.note(sight, from, heard);
                 }
             }
-            Word::Want { request, lasts, back, machines } => {
-                self.want(sight, from, (request, lasts, back), &machines, &mut out)
-            }
-            Word::Order { request, machine, what } => {
-                self.order(sight, from, request, machine, what, &mut out)
-            }
+            Word::Want {
+                request,
+                lasts,
+                back,
+                machines,
+            } => self.want(sight, from, (request, lasts, back), &machines, &mut out),
+            Word::Order {
+                request,
+                machine,
+                what,
+            } => self.order(sight, from, request, machine, what, &mut out),
             Word::Taken { request, refused } => {
                 if self.asked.remove(&request).is_some() {
                     out.push(Out::Answer { request, refused });
@@ -332,7 +389,10 @@
             self.began = Some(sight.now);
             // One that has just begun learns what is out, from some of the keepers.
             let others = self.terms.keepers.iter().filter(|k| **k != self.terms.me);
-            out.extend(others.map(|to| Out::Say { to: *to, word: Word::Recall { by: 0, from: 0 } }));
+            out.extend(others.map(|to| Out::Say {
+                to: *to,
+                word: Word::Recall { by: 0, from: 0 },
+            }));
             if self.terms.members <= 1 {
                 (self.blank, self.keeps) = (false, true);
             }
@@ -372,7 +432,13 @@
             Some(epoch) => {
                 self.fence = epoch;
                 let asked = sight.now.saturating_sub(AGAIN);
-                Chair::Learning(epoch, Learning { asked, ..Learning::default() })
+                Chair::Learning(
+                    epoch,
+                    Learning {
+                        asked,
+                        ..Learning::default()
+                    },
+                )
             }
         };
     }
@@ -380,14 +446,18 @@
     /// Asks the keepers what they know, again and again until a majority has told all. Where a majority of them has
     /// forgotten all sidecars are asked: what none of them knows is in effect nowhere.
     fn learn(&mut self, sight: &Sight, out: &mut Vec<Out>) {
-        let (majority, me, members) = (self.majority(), self.terms.me, self.terms.members as Member);
-        let Chair::Learning(epoch, learning) = &mut self.chair else { return };
+        let (majority, me, members) =
+            (self.majority(), self.terms.me, self.terms.members as Member);
+        let Chair::Learning(epoch, learning) = &mut self.chair else {
+            return;
+        };
         if self.keeps && self.terms.keepers.contains(&me) {
             learning.whole.insert(me);
         }
         learning.answered.insert(me);
         learning.knew |= self.keeps;
-        if learning.whole.len() >= majority || learning.knew && learning.answered.len() == self.terms.members
+        if learning.whole.len() >= majority
+            || learning.knew && learning.answered.len() == self.terms.members
         {
             let epoch = *epoch;
             (self.blank, self.keeps) = (false, true);
@@ -398,7 +468,12 @@
             return;
         }
         learning.asked = sight.now;
-        let keepers = self.terms.keepers.iter().copied().filter(|k| *k != me && !learning.whole.contains(k));
+        let keepers = self
+            .terms
+            .keepers
+            .iter()
+            .copied()
+            .filter(|k| *k != me && !learning.whole.contains(k));
         let mut ask: Vec<Member> = keepers.collect();
         if learning.rounds > KEEPERS_FIRST {
             let others = (0..members).map(|n| (n + learning.next) % members);
@@ -410,7 +485,10 @@
         learning.rounds += 1;
         for to in ask {
             let from = learning.parts.get(&to).copied().unwrap_or(0);
-            out.push(Out::Say { to, word: Word::Recall { by: *epoch, from } });
+            out.push(Out::Say {
+                to,
+                word: Word::Recall { by: *epoch, from },
+            });
         }
     }
 
@@ -429,7 +507,10 @@
             if !blank && self.blank {
                 self.book.take_all(&entries);
                 if more {
-                    out.push(Out::Say { to: from, word: Word::Recall { by: 0, from: next } });
+                    out.push(Out::Say {
+                        to: from,
+                        word: Word::Recall { by: 0, from: next },
+                    });
                 } else {
                     self.heard_all.insert(from);
                     self.blank = self.heard_all.len() < self.majority();
@@ -438,14 +519,19 @@
             }
             return;
         }
-        let Chair::Learning(epoch, learning) = &mut self.chair else { return };
+        let Chair::Learning(epoch, learning) = &mut self.chair else {
+            return;
+        };
         if *epoch != by || learning.whole.contains(&from) {
             return;
         }
         self.book.take_all(&entries);
         if more {
             learning.parts.insert(from, next);
-            out.push(Out::Say { to: from, word: Word::Recall { by, from: next } });
+            out.push(Out::Say {
+                to: from,
+                word: Word::Recall { by, from: next },
+            });
         } else {
             learning.answered.insert(from);
             learning.knew |= !blank;
@@ -464,29 +550,57 @@
     /// Whether nobody can have forgotten an order: none of the keepers has begun anew since the first of them did.
     fn fresh(&self, sight: &Sight) -> bool {
         // A whole fleet that starts for the first time starts together; who is alone in being young may have forgotten.
-        let of = |member: &Member| sight.incarnations.get(usize::from(*member)).copied().unwrap_or(0);
-        let known: Vec<Incarnation> = self.terms.keepers.iter().map(of).filter(|n| *n > 0).collect();
-        let (least, most) =
-            (known.iter().min().copied().unwrap_or(0), known.iter().max().copied().unwrap_or(0));
-        known.len() >= self.majority() && most - least < self.terms.limits.together.as_millis() as u64
+        let of = |member: &Member| {
+            sight
+                .incarnations
+                .get(usize::from(*member))
+                .copied()
+                .unwrap_or(0)
+        };
+        let known: Vec<Incarnation> = self
+            .terms
+            .keepers
+            .iter()
+            .map(of)
+            .filter(|n| *n > 0)
+            .collect();
+        let (least, most) = (
+            known.iter().min().copied().unwrap_or(0),
+            known.iter().max().copied().unwrap_or(0),
+        );
+        known.len() >= self.majority()
+            && most - least < self.terms.limits.together.as_millis() as u64
     }
 
     /// Puts bans into effect.
     fn obey(&mut self, out: &mut Vec<Out>) {
         let now: BTreeSet<Machine> = self.book.out().map(|entry| entry.machine).collect();
         for machine in now.difference(&self.banned) {
-            out.push(Out::Ban { machine: *machine, out: true });
+            out.push(Out::Ban {
+                machine: *machine,
+                out: true,
+            });
         }
         for machine in self.banned.difference(&now) {
-            out.push(Out::Ban { machine: *machine, out: false });
+            out.push(Out::Ban {
+                machine: *machine,
+                out: false,
+            });
         }
         self.banned = now;
         // Guards against a ban that was taken over from the process before, and ended before this one had heard of it.
-        let back: Vec<Entry> =
-            self.book.in_order().into_iter().filter(|e| e.state == State::Returning).collect();
+        let back: Vec<Entry> = self
+            .book
+            .in_order()
+            .into_iter()
+            .filter(|e| e.state == State::Returning)
+            .collect();
         for entry in back {
             if self.lifted.insert(entry.machine, entry.place) != Some(entry.place) {
-                out.push(Out::Ban { machine: entry.machine, out: false });
+                out.push(Out::Ban {
+                    machine: entry.machine,
+                    out: false,
+                });
             }
         }
     }
@@ -501,18 +615,27 @@
 
     /// Says by itself when a machine that leaves has come free.
     fn report(&mut self, sight: &Sight, out: &mut Vec<Out>) {
-        let leaving: Vec<Entry> = self.book.out().filter(|e| e.state == State::Leaving).copied().collect();
+        let leaving: Vec<Entry> = self
+            .book
+            .out()
+            .filter(|e| e.state == State::Leaving)
+            .copied()
+            .collect();
         let mut heard = Vec::new();
         for entry in leaving {
             let before = self.acked.get(&entry.machine).copied();
-            let said = matches!(before, Some((epoch, step, true)) if (epoch, step) == entry.version());
+            let said =
+                matches!(before, Some((epoch, step, true)) if (epoch, step) == entry.version());
             let free = self.effective.contains(&entry.machine) && (sight.free)(entry.machine);
             if !said && free && heard.len() < IN_ONE {
                 heard.push(self.ack_of(sight, &entry));
             }
         }
         if let Some(to) = sight.conductor.filter(|_| !heard.is_empty()) {
-            let word = Word::Ack { by: self.fence, heard };
+            let word = Word::Ack {
+                by: self.fence,
+                heard,
+            };
             if to == self.terms.me {
                 if let Word::Ack { heard, .. } = word {
                     self.note(sight, to, heard);
@@ -533,7 +656,10 @@
                 if to == self.terms.me {
                     own.push(asked.word.clone());
                 } else {
-                    out.push(Out::Say { to, word: asked.word.clone() });
+                    out.push(Out::Say {
+                        to,
+                        word: asked.word.clone(),
+                    });
                 }
             }
         }
@@ -556,7 +682,11 @@
     }
 
     fn note(&mut self, sight: &Sight, from: Member, heard: Vec<(Machine, Epoch, u32, bool)>) {
-        let incarnation = sight.incarnations.get(usize::from(from)).copied().unwrap_or(0);
+        let incarnation = sight
+            .incarnations
+            .get(usize::from(from))
+            .copied()
+            .unwrap_or(0);
         let (of, acks) = self.heard.entry(from).or_default();
         // What one said before it began anew says nothing of it now.
         if *of != incarnation {
@@ -580,26 +710,52 @@
         machines: &[Machine],
         out: &mut Vec<Out>,
     ) {
-        let Chair::Sits(epoch) = self.chair else { return };
+        let Chair::Sits(epoch) = self.chair else {
+            return;
+        };
         let taken = |word| Out::Say { to: from, word };
         let known = |machine: &Machine| sight.seen.iter().any(|seen| seen.machine == *machine);
         if machines.is_empty() || machines.len() > MOST_ASKED || !machines.iter().all(known) {
-            return out.push(taken(Word::Taken { request, refused: Some(Refusal::NoMachine) }));
+            return out.push(taken(Word::Taken {
+                request,
+                refused: Some(Refusal::NoMachine),
+            }));
         }
         for machine in machines {
             // Each machine once: asked twice, or at two sidecars, it stays where it is.
-            if self.book.get(*machine).is_some_and(|entry| !entry.state.over()) {
+            if self
+                .book
+                .get(*machine)
+                .is_some_and(|entry| !entry.state.over())
+            {
                 continue;
             }
             // What is over and was this very request has been done.
-            if self.book.get(*machine).is_some_and(|entry| entry.request == request) {
+            if self
+                .book
+                .get(*machine)
+                .is_some_and(|entry| entry.request == request)
+            {
                 continue;
             }
-            let step =
-                self.book.get(*machine).filter(|e| e.epoch == epoch).map_or(0, |e| e.step.saturating_add(1));
+            let step = self
+                .book
+                .get(*machine)
+                .filter(|e| e.epoch == epoch)
+                .map_or(0, |e| e.step.saturating_add(1));
             let place = self.book.last_place().saturating_add(1);
             let (machine, state) = (*machine, State::Queued);
-            self.book.take(Entry { machine, request, place, state, epoch, step, lasts, ends: 0, back });
+            self.book.take(Entry {
+                machine,
+                request,
+                place,
+                state,
+                epoch,
+                step,
+                lasts,
+                ends: 0,
+                back,
+            });
         }
         self.open.insert(request, from);
     }
@@ -624,7 +780,9 @@
         if what == Order::Begin {
             self.begin();
         }
-        let Chair::Sits(epoch) = self.chair else { return };
+        let Chair::Sits(epoch) = self.chair else {
+            return;
+        };
         let state = self.book.get(machine).map(|entry| entry.state);
         let refused = match (what, state) {
             (Order::Withdraw, Some(State::Queued | State::Leaving)) => {
@@ -648,22 +806,53 @@
             (Order::Begin, _) => None,
             (_, None) => Some(Refusal::NoMachine),
         };
-        out.push(Out::Say { to: from, word: Word::Taken { request, refused } });
+        out.push(Out::Say {
+            to: from,
+            word: Word::Taken { request, refused },
+        });
     }
 
-    fn step(&mut self, sight: &Sight, epoch: Epoch, machine: Machine, state: State, out: &mut Vec<Out>) {
-        let Some(entry) = self.book.get(machine).copied() else { return };
-        let step = if entry.epoch == epoch { entry.step.saturating_add(1) } else { 0 };
+    fn step(
+        &mut self,
+        sight: &Sight,
+        epoch: Epoch,
+        machine: Machine,
+        state: State,
+        out: &mut Vec<Out>,
+    ) {
+        let Some(entry) = self.book.get(machine).copied() else {
+            return;
+        };
+        let step = if entry.epoch == epoch {
+            entry.step.saturating_add(1)
+        } else {
+            0
+        };
         let ends = match state {
             State::AtWork => (sight.wall.as_secs() as u32).saturating_add(entry.lasts),
             // Until it is warm.
             State::Returning => (sight.wall + self.terms.limits.warm).as_secs() as u32 + 1,
             _ => 0,
         };
-        self.book.take(Entry { state, epoch, step, ends, ..entry });
-        out.push(Out::Told { machine, what: Line::Moved(state) });
+        self.book.take(Entry {
+            state,
+            epoch,
+            step,
+            ends,
+            ..entry
+        });
+        out.push(Out::Told {
+            machine,
+            what: Line::Moved(state),
+        });
         self.obey(out);
-        let entry = Entry { state, epoch, step, ends, ..entry };
+        let entry = Entry {
+            state,
+            epoch,
+            step,
+            ends,
+            ..entry
+        };
         let own = self.ack_of(sight, &entry);
         self.note(sight, self.terms.me, vec![own]);
     }
@@ -672,12 +861,17 @@
     fn count(&self, sight: &Sight, entry: &Entry) -> (usize, usize) {
         let (mut keep, mut unfree) = (0, 0);
         for member in 0..self.terms.members as Member {
-            let incarnation = sight.incarnations.get(usize::from(member)).copied().unwrap_or(0);
+            let incarnation = sight
+                .incarnations
+                .get(usize::from(member))
+                .copied()
+                .unwrap_or(0);
             let said = self.heard.get(&member).filter(|(of, _)| *of == incarnation);
             let said = said.and_then(|(_, acks)| acks.get(&entry.machine));
             let has = member == self.terms.me
                 || said.is_some_and(|(epoch, step, _)| (*epoch, *step) >= entry.version());
-            let free = said.is_some_and(|(epoch, step, free)| (*epoch, *step) == entry.version() && *free);
+            let free =
+                said.is_some_and(|(epoch, step, free)| (*epoch, *step) == entry.version() && *free);
             keep += usize::from(has && self.terms.keepers.contains(&member));
             unfree += usize::from(!free);
         }
@@ -690,7 +884,11 @@
         let order = self.book.in_order();
         // Entries of an earlier conductor become this one's, so that all hear them again by its epoch.
         for entry in order.iter().filter(|e| e.epoch != epoch && !e.state.over()) {
-            self.book.take(Entry { epoch, step: 0, ..*entry });
+            self.book.take(Entry {
+                epoch,
+                step: 0,
+                ..*entry
+            });
         }
         let order = self.book.in_order();
         let mut settled = Vec::new();
@@ -704,7 +902,10 @@
                 State::Leaving if unfree == 0 || self.forced.contains(&entry.machine) => {
                     if unfree > 0 {
                         let what = Line::Forced { unheard: unfree };
-                        out.push(Out::Told { machine: entry.machine, what });
+                        out.push(Out::Told {
+                            machine: entry.machine,
+                            what,
+                        });
                     }
                     self.forced.remove(&entry.machine);
                     self.step(sight, epoch, entry.machine, State::AtWork, out);
@@ -712,14 +913,20 @@
                 State::Leaving => {
                     let silent = self.silent(sight, entry);
                     if silent > 0 && self.told.insert((entry.machine, entry.epoch, entry.step)) {
-                        out.push(Out::Told { machine: entry.machine, what: Line::Waits { unheard: silent } });
+                        out.push(Out::Told {
+                            machine: entry.machine,
+                            what: Line::Waits { unheard: silent },
+                        });
                     }
                 }
                 State::AtWork if sight.wall.as_secs() as u32 >= entry.ends => {
                     if entry.back {
                         self.step(sight, epoch, entry.machine, State::Done, out);
                     } else if self.told.insert((entry.machine, entry.epoch, entry.step)) {
-                        out.push(Out::Told { machine: entry.machine, what: Line::Overdue });
+                        out.push(Out::Told {
+                            machine: entry.machine,
+                            what: Line::Overdue,
+                        });
                     }
                 }
                 State::Done => self.step(sight, epoch, entry.machine, State::Returning, out),
@@ -734,11 +941,18 @@
             let mut of = order.iter().filter(|e| e.request == *request);
             of.all(|entry| entry.state.over() || settled.contains(&entry.machine))
         };
-        let answered: Vec<(u64, Member)> =
-            self.open.iter().filter(|(r, _)| done(r)).map(|(r, to)| (*r, *to)).collect();
+        let answered: Vec<(u64, Member)> = self
+            .open
+            .iter()
+            .filter(|(r, _)| done(r))
+            .map(|(r, to)| (*r, *to))
+            .collect();
         for (request, to) in answered {
             self.open.remove(&request);
-            let word = Word::Taken { request, refused: None };
+            let word = Word::Taken {
+                request,
+                refused: None,
+            };
             if to == self.terms.me {
                 let outs = self.hear(sight, to, word);
                 out.extend(outs);
@@ -752,12 +966,18 @@
     /// How many have not said anything of a step.
     fn silent(&self, sight: &Sight, entry: &Entry) -> usize {
         let has = |member: &Member| {
-            let incarnation = sight.incarnations.get(usize::from(*member)).copied().unwrap_or(0);
+            let incarnation = sight
+                .incarnations
+                .get(usize::from(*member))
+                .copied()
+                .unwrap_or(0);
             let said = self.heard.get(member).filter(|(of, _)| *of == incarnation);
             said.and_then(|(_, acks)| acks.get(&entry.machine))
                 .is_some_and(|(e, s, _)| (*e, *s) >= entry.version())
         };
-        (0..self.terms.members as Member).filter(|member| *member != self.terms.me && !has(member)).count()
+        (0..self.terms.members as Member)
+            .filter(|member| *member != self.terms.me && !has(member))
+            .count()
     }
 
     /// The first of the queue leaves, if there is room; strictly in order, so that nobody waits behind a later one.
@@ -770,9 +990,14 @@
             .collect();
         let leaving = order.iter().rev().find(|e| e.state == State::Leaving);
         // Others have failed meanwhile: what has not begun goes back, and its turn comes again.
-        if let Some(entry) = leaving.filter(|_| room::too_many(&self.terms.limits, sight.seen, &away)) {
+        if let Some(entry) =
+            leaving.filter(|_| room::too_many(&self.terms.limits, sight.seen, &away))
+        {
             let machine = entry.machine;
-            out.push(Out::Told { machine, what: Line::PutBack });
+            out.push(Out::Told {
+                machine,
+                what: Line::PutBack,
+            });
             return self.step(sight, epoch, machine, State::Queued, out);
         }
         let first = order.iter().find(|e| e.state == State::Queued);
@@ -800,17 +1025,28 @@
             if to == self.terms.me || said >= SAID_AT_ONCE {
                 continue;
             }
-            let incarnation = sight.incarnations.get(usize::from(to)).copied().unwrap_or(0);
+            let incarnation = sight
+                .incarnations
+                .get(usize::from(to))
+                .copied()
+                .unwrap_or(0);
             // What was said to one before it began anew is to be said again at once.
             if self.said_to.insert(to, incarnation) != Some(incarnation) {
                 self.said.retain(|(member, _), _| *member != to);
             }
-            let acks = self.heard.get(&to).filter(|(of, _)| *of == incarnation).map(|(_, acks)| acks);
+            let acks = self
+                .heard
+                .get(&to)
+                .filter(|(of, _)| *of == incarnation)
+                .map(|(_, acks)| acks);
             let unheard = |entry: &&Entry| {
                 let has = acks.and_then(|acks| acks.get(&entry.machine));
-                let lately = self.said.get(&(to, entry.machine)).is_some_and(|(at, epoch, step)| {
-                    sight.now < *at + AGAIN && (*epoch, *step) == entry.version()
-                });
+                let lately =
+                    self.said
+                        .get(&(to, entry.machine))
+                        .is_some_and(|(at, epoch, step)| {
+                            sight.now < *at + AGAIN && (*epoch, *step) == entry.version()
+                        });
                 // That one has come free may have been lost on its way.
                 let leaving = entry.state == State::Leaving;
                 !lately
@@ -820,16 +1056,27 @@
             };
             let entries: Vec<Entry> = news.iter().filter(unheard).take(IN_ONE).copied().collect();
             // Also that there is nothing: who has heard of a conductor has not forgotten an order.
-            let first =
-                acks.is_none() && self.said.get(&(to, 0)).is_none_or(|(at, ..)| sight.now >= *at + AGAIN);
+            let first = acks.is_none()
+                && self
+                    .said
+                    .get(&(to, 0))
+                    .is_none_or(|(at, ..)| sight.now >= *at + AGAIN);
             if entries.is_empty() && !first {
                 continue;
             }
             self.said.insert((to, 0), (sight.now, epoch, 0));
             for entry in &entries {
-                self.said.insert((to, entry.machine), (sight.now, entry.epoch, entry.step));
+                self.said
+                    .insert((to, entry.machine), (sight.now, entry.epoch, entry.step));
             }
-            out.push(Out::Say { to, word: Word::Tell { by: epoch, all, entries } });
+            out.push(Out::Say {
+                to,
+                word: Word::Tell {
+                    by: epoch,
+                    all,
+                    entries,
+                },
+            });
             (said, self.next) = (said + 1, usize::from(to) + 1);
         }
     }
--- a/crates/passroad-upkeep/src/room.rs
+++ b/crates/passroad-upkeep/src/room.rs
@@ -39,7 +39,8 @@
 
 /// Machines that count as out: for work, or not sound.
 fn gone<'a>(seen: &'a [Seen], away: &'a BTreeSet<Machine>) -> impl Iterator<Item = &'a Seen> {
-    seen.iter().filter(|s| away.contains(&s.machine) || !s.sound)
+    seen.iter()
+        .filter(|s| away.contains(&s.machine) || !s.sound)
 }
 
 /// Whether more are out than may be: others have failed meanwhile.
@@ -49,7 +50,9 @@
 
 /// Whether a machine may be taken out beside those that are away.
 pub fn fits(limits: &Limits, seen: &[Seen], away: &BTreeSet<Machine>, machine: Machine) -> bool {
-    let Some(own) = seen.iter().find(|s| s.machine == machine) else { return false };
+    let Some(own) = seen.iter().find(|s| s.machine == machine) else {
+        return false;
+    };
     // One that is down already makes nothing worse, but for what it counts itself.
     let others = || gone(seen, away).filter(|s| s.machine != machine);
     if others().count() >= limits.at_once {
@@ -58,7 +61,11 @@
     if others().filter(|s| s.zone == own.zone).count() >= limits.at_once_in_a_zone {
         return false;
     }
-    if others().filter(|s| (s.zone, s.cell) == (own.zone, own.cell)).count() >= limits.at_once_in_a_cell {
+    if others()
+        .filter(|s| (s.zone, s.cell) == (own.zone, own.cell))
+        .count()
+        >= limits.at_once_in_a_cell
+    {
         return false;
     }
     let stays = |s: &&Seen| s.sound && s.machine != machine && !away.contains(&s.machine);
@@ -66,7 +73,11 @@
     if !seen.iter().filter(stays).any(|s| s.kind == own.kind) {
         return false;
     }
-    let asked: f64 = seen.iter().filter(|s| s.sound).map(|s| s.busy.unwrap_or(0.0) * s.size).sum();
+    let asked: f64 = seen
+        .iter()
+        .filter(|s| s.sound)
+        .map(|s| s.busy.unwrap_or(0.0) * s.size)
+        .sum();
     let left: f64 = seen.iter().filter(stays).map(|s| s.size).sum();
     asked <= left * (1.0 - limits.reserve)
 }
--- a/crates/passroad-upkeep/src/tests.rs
+++ b/crates/passroad-upkeep/src/tests.rs
@@ -17,7 +17,15 @@
 }
 
 fn seen(machine: Machine) -> Seen {
-    Seen { machine, zone: 0, cell: 0, kind: 0, size: 1.0, sound: true, busy: Some(0.3) }
+    Seen {
+        machine,
+        zone: 0,
+        cell: 0,
+        kind: 0,
+        size: 1.0,
+        sound: true,
+        busy: Some(0.3),
+    }
 }
 
 /// Some sidecars, machines 1 to 6, and the words between them, which may be lost.
@@ -61,7 +69,12 @@
     fn hand(&self, me: usize) -> Upkeep {
         let members = self.incarnations.len();
         let keepers = (0..members.min(3) as Member).collect();
-        Upkeep::new(Terms { me: me as Member, members, keepers, limits: limits() })
+        Upkeep::new(Terms {
+            me: me as Member,
+            members,
+            keepers,
+            limits: limits(),
+        })
     }
 
     fn with<T>(&mut self, me: usize, act: impl FnOnce(&mut Upkeep, &Sight) -> T) -> Option<T> {
@@ -71,7 +84,9 @@
         let sight = Sight {
             now: self.now,
             wall: self.now,
-            owned: owner.filter(|(who, _)| usize::from(*who) == me).map(|(_, epoch)| epoch),
+            owned: owner
+                .filter(|(who, _)| usize::from(*who) == me)
+                .map(|(_, epoch)| epoch),
             incarnations: &self.incarnations,
             conductor: owner.map(|(who, _)| who).filter(|_| !cut),
             seen: &self.seen,
@@ -86,17 +101,27 @@
             self.now += 10 * MS;
             let mut mail = Vec::new();
             for me in 0..self.hands.len() {
-                let outs = self.with(me, |hand, sight| hand.turn(sight)).unwrap_or_default();
+                let outs = self
+                    .with(me, |hand, sight| hand.turn(sight))
+                    .unwrap_or_default();
                 self.post(me, outs, &mut mail);
             }
             while let Some((from, to, word)) = mail.pop() {
                 let (from, at) = (from as Member, usize::from(to));
-                self.dice = self.dice.wrapping_mul(1_664_525).wrapping_add(1_013_904_223);
-                if (self.dice >> 16) % 100 < self.lost || self.cut.contains(&from) || self.cut.contains(&to) {
+                self.dice = self
+                    .dice
+                    .wrapping_mul(1_664_525)
+                    .wrapping_add(1_013_904_223);
+                if (self.dice >> 16) % 100 < self.lost
+                    || self.cut.contains(&from)
+                    || self.cut.contains(&to)
+                {
                     continue;
                 }
                 let word = Word::read(&word).unwrap();
-                let outs = self.with(at, |hand, sight| hand.hear(sight, from, word)).unwrap_or_default();
+                let outs = self
+                    .with(at, |hand, sight| hand.hear(sight, from, word))
+                    .unwrap_or_default();
                 self.post(at, outs, &mut mail);
             }
             self.check();
@@ -116,7 +141,10 @@
                 Out::Ban { machine, out: true } => {
                     self.banned[me].insert(machine);
                 }
-                Out::Ban { machine, out: false } => {
+                Out::Ban {
+                    machine,
+                    out: false,
+                } => {
                     self.banned[me].remove(&machine);
                 }
                 Out::Answer { request, refused } => self.answers.push((request, refused)),
@@ -128,21 +156,35 @@
     /// What must never be: a machine at work to which a sidecar that has not been forced past may send, or two at once.
     fn check(&mut self) {
         let Some((owner, _)) = self.owner else { return };
-        let Some(hand) = self.hands[usize::from(owner)].as_ref().filter(|hand| hand.conducts()) else {
+        let Some(hand) = self.hands[usize::from(owner)]
+            .as_ref()
+            .filter(|hand| hand.conducts())
+        else {
             return;
         };
-        let at_work: Vec<Machine> =
-            hand.book.in_order().iter().filter(|e| e.state == State::AtWork).map(|e| e.machine).collect();
+        let at_work: Vec<Machine> = hand
+            .book
+            .in_order()
+            .iter()
+            .filter(|e| e.state == State::AtWork)
+            .map(|e| e.machine)
+            .collect();
         if at_work.len() > limits().at_once {
             self.broken.push(format!("{at_work:?} at work at once"));
         }
-        let forced: Vec<Machine> =
-            self.lines.iter().filter(|(_, l)| matches!(l, Line::Forced { .. })).map(|(m, _)| *m).collect();
+        let forced: Vec<Machine> = self
+            .lines
+            .iter()
+            .filter(|(_, l)| matches!(l, Line::Forced { .. }))
+            .map(|(m, _)| *m)
+            .collect();
         for machine in at_work.iter().filter(|m| !forced.contains(m)) {
             for me in 0..self.hands.len() {
                 let informed = self.hands[me].as_ref().is_some_and(Upkeep::informed);
                 if informed && !self.banned[me].contains(machine) {
-                    self.broken.push(format!("sidecar {me} may send to {machine}, which is at work"));
+                    self.broken.push(format!(
+                        "sidecar {me} may send to {machine}, which is at work"
+                    ));
                 }
             }
         }
@@ -150,23 +192,41 @@
 
     /// Work of a second, after which the machine comes back by itself.
     fn ask(&mut self, at: usize, request: u64, machines: &[Machine]) {
-        let word = Word::Want { request, lasts: 1, back: true, machines: machines.to_vec() };
+        let word = Word::Want {
+            request,
+            lasts: 1,
+            back: true,
+            machines: machines.to_vec(),
+        };
         self.hands[at].as_mut().unwrap().ask(word);
     }
 
     /// Work of an hour.
     fn ask_long(&mut self, at: usize, request: u64, machines: &[Machine]) {
-        let word = Word::Want { request, lasts: 3600, back: false, machines: machines.to_vec() };
+        let word = Word::Want {
+            request,
+            lasts: 3600,
+            back: false,
+            machines: machines.to_vec(),
+        };
         self.hands[at].as_mut().unwrap().ask(word);
     }
 
     fn order(&mut self, at: usize, request: u64, machine: Machine, what: Order) {
-        self.hands[at].as_mut().unwrap().ask(Word::Order { request, machine, what });
+        self.hands[at].as_mut().unwrap().ask(Word::Order {
+            request,
+            machine,
+            what,
+        });
     }
 
     fn state(&self, machine: Machine) -> Option<State> {
         let (owner, _) = self.owner?;
-        self.hands[usize::from(owner)].as_ref()?.book.get(machine).map(|entry| entry.state)
+        self.hands[usize::from(owner)]
+            .as_ref()?
+            .book
+            .get(machine)
+            .map(|entry| entry.state)
     }
 
     fn moved(&self, state: State) -> Vec<Machine> {
@@ -197,8 +257,14 @@
     world.lost = lost;
     world.ask(4, 77, &[3, 5, 2]);
     world.run(Duration::from_secs(40));
-    assert_eq!((world.moved(State::AtWork), world.moved(State::Warm)), (vec![3, 5, 2], vec![3, 5, 2]));
-    assert_eq!((world.answers, world.broken), (vec![(77, None)], Vec::<String>::new()));
+    assert_eq!(
+        (world.moved(State::AtWork), world.moved(State::Warm)),
+        (vec![3, 5, 2], vec![3, 5, 2])
+    );
+    assert_eq!(
+        (world.answers, world.broken),
+        (vec![(77, None)], Vec::<String>::new())
+    );
 }
 
 #[rstest]
@@ -211,7 +277,10 @@
     assert!(world.banned.iter().all(|banned| banned.contains(&3)));
     world.busy.borrow_mut().clear();
     world.run(Duration::from_secs(1));
-    assert_eq!((world.state(3), world.broken), (Some(State::AtWork), vec![]));
+    assert_eq!(
+        (world.state(3), world.broken),
+        (Some(State::AtWork), vec![])
+    );
 }
 
 // In real processes a machine was told empty with a command on its way to it: the look was older than the ban.
@@ -230,12 +299,42 @@
         ends: 0,
         back: false,
     };
-    let tell = Word::Tell { by: 1, all: 1, entries: vec![entry] };
-    let outs = world.with(2, |hand, sight| hand.hear(sight, 0, tell)).unwrap();
-    assert_eq!(outs[0], Out::Ban { machine: 3, out: true });
-    assert_eq!(outs[1], Out::Say { to: 0, word: Word::Ack { by: 1, heard: vec![(3, 1, 5, false)] } });
+    let tell = Word::Tell {
+        by: 1,
+        all: 1,
+        entries: vec![entry],
+    };
+    let outs = world
+        .with(2, |hand, sight| hand.hear(sight, 0, tell))
+        .unwrap();
+    assert_eq!(
+        outs[0],
+        Out::Ban {
+            machine: 3,
+            out: true
+        }
+    );
+    assert_eq!(
+        outs[1],
+        Out::Say {
+            to: 0,
+            word: Word::Ack {
+                by: 1,
+                heard: vec![(3, 1, 5, false)]
+            }
+        }
+    );
     let outs = world.with(2, |hand, sight| hand.turn(sight)).unwrap();
-    assert_eq!(outs, [Out::Say { to: 0, word: Word::Ack { by: 1, heard: vec![(3, 1, 5, true)] } }]);
+    assert_eq!(
+        outs,
+        [Out::Say {
+            to: 0,
+            word: Word::Ack {
+                by: 1,
+                heard: vec![(3, 1, 5, true)]
+            }
+        }]
+    );
 }
 
 // Nobody can know what one that says nothing still sends: the order waits for it, or for an operator, and says so.
@@ -246,7 +345,11 @@
     world.ask_long(1, 5, &[3]);
     world.run(Duration::from_secs(20));
     assert_eq!(world.state(3), Some(State::Leaving));
-    assert!(world.lines.contains(&(3, Line::Waits { unheard: 1 })), "{:?}", world.lines);
+    assert!(
+        world.lines.contains(&(3, Line::Waits { unheard: 1 })),
+        "{:?}",
+        world.lines
+    );
     world.order(2, 6, 3, Order::Force);
     world.run(Duration::from_secs(1));
     assert_eq!(world.state(3), Some(State::AtWork));
@@ -256,7 +359,9 @@
 
 // The next conductor takes up from what a majority knows, at each step of the one before.
 #[rstest]
-fn a_conductor_killed_at_any_time_is_followed(#[values(150, 300, 800, 1500, 2500, 4000, 6000)] after: u32) {
+fn a_conductor_killed_at_any_time_is_followed(
+    #[values(150, 300, 800, 1500, 2500, 4000, 6000)] after: u32,
+) {
     let mut world = World::new(5);
     world.ask(4, 77, &[3, 5]);
     world.run(MS * after);
@@ -265,7 +370,10 @@
     world.run(Duration::from_secs(1));
     world.owner = Some((1, 2));
     world.run(Duration::from_secs(30));
-    assert_eq!((world.state(3), world.state(5)), (Some(State::Warm), Some(State::Warm)));
+    assert_eq!(
+        (world.state(3), world.state(5)),
+        (Some(State::Warm), Some(State::Warm))
+    );
     assert_eq!(world.broken, Vec::<String>::new());
 }
 
@@ -288,7 +396,9 @@
     world.owner = Some((1, 2));
     world.run(Duration::from_secs(2));
     for me in 1..5 {
-        let outs = world.with(me, |hand, sight| hand.hear(sight, 0, late.clone())).unwrap();
+        let outs = world
+            .with(me, |hand, sight| hand.hear(sight, 0, late.clone()))
+            .unwrap();
         assert_eq!(outs, []);
     }
     world.cut.clear();
@@ -311,11 +421,25 @@
         ends: 0,
         back: false,
     };
-    let tell = |step| Word::Tell { by: 1, all: 1, entries: vec![Entry { step, ..entry }] };
-    let lifts = |outs: Vec<Out>| outs.iter().filter(|out| matches!(out, Out::Ban { out: false, .. })).count();
+    let tell = |step| Word::Tell {
+        by: 1,
+        all: 1,
+        entries: vec![Entry { step, ..entry }],
+    };
+    let lifts = |outs: Vec<Out>| {
+        outs.iter()
+            .filter(|out| matches!(out, Out::Ban { out: false, .. }))
+            .count()
+    };
     let counts: Vec<usize> = [5, 6]
         .iter()
-        .map(|step| lifts(world.with(2, |hand, sight| hand.hear(sight, 0, tell(*step))).unwrap()))
+        .map(|step| {
+            lifts(
+                world
+                    .with(2, |hand, sight| hand.hear(sight, 0, tell(*step)))
+                    .unwrap(),
+            )
+        })
         .collect();
     assert_eq!(counts, [1, 0]);
 }
@@ -347,7 +471,10 @@
     assert!(!world.hands[1].as_ref().unwrap().conducts());
     world.cut.clear();
     world.run(Duration::from_secs(30));
-    assert_eq!((world.state(3), world.state(5)), (Some(State::Warm), Some(State::Warm)));
+    assert_eq!(
+        (world.state(3), world.state(5)),
+        (Some(State::Warm), Some(State::Warm))
+    );
     assert_eq!(world.broken, Vec::<String>::new());
 }
 
@@ -385,7 +512,11 @@
         back: false,
     };
     for (machine, informed) in [(3, false), (5, true)] {
-        let word = Word::Tell { by: 1, all: 2, entries: vec![Entry { machine, ..entry }] };
+        let word = Word::Tell {
+            by: 1,
+            all: 2,
+            entries: vec![Entry { machine, ..entry }],
+        };
         world.with(2, |hand, sight| hand.hear(sight, 0, word));
         assert_eq!(world.hands[2].as_ref().unwrap().informed(), informed);
     }
@@ -402,8 +533,19 @@
     world.run(Duration::from_secs(1));
     assert!(world.hands[1].as_ref().unwrap().informed());
     let recall = Word::Recall { by: 9, from: 0 };
-    let outs = world.with(1, |hand, sight| hand.hear(sight, 2, recall)).unwrap();
-    assert!(matches!(outs[..], [Out::Say { word: Word::Known { blank: true, .. }, .. }]), "{outs:?}");
+    let outs = world
+        .with(1, |hand, sight| hand.hear(sight, 2, recall))
+        .unwrap();
+    assert!(
+        matches!(
+            outs[..],
+            [Out::Say {
+                word: Word::Known { blank: true, .. },
+                ..
+            }]
+        ),
+        "{outs:?}"
+    );
 }
 
 #[rstest]
@@ -428,7 +570,12 @@
 #[case::done(Word::Order { request: 9, machine: 3, what: Order::Done }, None)]
 fn operators_are_told_what_can_not_be(#[case] word: Word, #[case] refused: Option<Refusal>) {
     let mut world = World::new(3);
-    let want = Word::Want { request: 7, lasts: 3600, back: false, machines: vec![3, 5] };
+    let want = Word::Want {
+        request: 7,
+        lasts: 3600,
+        back: false,
+        machines: vec![3, 5],
+    };
     world.hands[2].as_mut().unwrap().ask(want);
     world.run(Duration::from_secs(2));
     world.hands[1].as_mut().unwrap().ask(word);
@@ -440,11 +587,23 @@
 #[rstest]
 fn work_that_takes_too_long_is_told_and_stays_out() {
     let mut world = World::new(3);
-    let want = Word::Want { request: 7, lasts: 2, back: false, machines: vec![3] };
+    let want = Word::Want {
+        request: 7,
+        lasts: 2,
+        back: false,
+        machines: vec![3],
+    };
     world.hands[2].as_mut().unwrap().ask(want);
     world.run(Duration::from_secs(10));
     assert_eq!(world.state(3), Some(State::AtWork));
-    assert_eq!(world.lines.iter().filter(|line| **line == (3, Line::Overdue)).count(), 1);
+    assert_eq!(
+        world
+            .lines
+            .iter()
+            .filter(|line| **line == (3, Line::Overdue))
+            .count(),
+        1
+    );
 }
 
 #[rstest]
@@ -460,7 +619,10 @@
     world.seen[5].sound = true;
     world.busy.borrow_mut().clear();
     world.run(Duration::from_secs(1));
-    assert_eq!((world.state(3), world.broken), (Some(State::AtWork), vec![]));
+    assert_eq!(
+        (world.state(3), world.broken),
+        (Some(State::AtWork), vec![])
+    );
 }
 
 // Two may be out, but not in the same zone, or the same cell of one.
@@ -478,8 +640,12 @@
 ) {
     let mut all: Vec<Seen> = (1..7).map(seen).collect();
     (all[1].zone, all[1].cell) = (zone, cell);
-    let limits =
-        Limits { at_once: 2, at_once_in_a_zone: zone_most, at_once_in_a_cell: cell_most, ..limits() };
+    let limits = Limits {
+        at_once: 2,
+        at_once_in_a_zone: zone_most,
+        at_once_in_a_cell: cell_most,
+        ..limits()
+    };
     assert_eq!(fits(&limits, &all, &BTreeSet::from([1]), 2), may);
 }
 
--- a/crates/passroad-wirehost/src/host.rs
+++ b/crates/passroad-wirehost/src/host.rs
@@ -67,7 +67,9 @@
         let position = self.verbs.iter().position(|v| v == verb);
         Ok(Event::Arrived(Arrival {
             verb: position.ok_or_else(|| format!("INGRESS: unknown verb {verb}"))?,
-            company: line.get("tenant").and_then(|t| self.companies.iter().position(|c| c == t)),
+            company: line
+                .get("tenant")
+                .and_then(|t| self.companies.iter().position(|c| c == t)),
             key: line.get("name_key").filter(|k| *k != "-").map(mark),
             budget: line.span("budget")?,
             work: line.get("hint").map(|_| line.span("hint")).transpose()?,
@@ -85,33 +87,62 @@
             "INGRESS" => self.arrival(line)?,
             "STARTED" => {
                 let relay = line.whole("trial")? as usize;
-                let Some(cmd) = self.commands.find(line.need("op_id")?) else { return Ok(None) };
+                let Some(cmd) = self.commands.find(line.need("op_id")?) else {
+                    return Ok(None);
+                };
                 Event::StreamStarted { cmd, relay }
             }
             "FINISHED" => {
-                let (outcome, spent, report) = (line.outcome()?, line.span("spent")?, line.report()?);
+                let (outcome, spent, report) =
+                    (line.outcome()?, line.span("spent")?, line.report()?);
                 let (relay, concluded) = (line.whole("trial")? as usize, line.flag("no_more")?);
-                let Some(cmd) = self.commands.find(line.need("op_id")?) else { return Ok(None) };
-                Event::Finished { cmd, relay, outcome, spent, concluded, report }
+                let Some(cmd) = self.commands.find(line.need("op_id")?) else {
+                    return Ok(None);
+                };
+                Event::Finished {
+                    cmd,
+                    relay,
+                    outcome,
+                    spent,
+                    concluded,
+                    report,
+                }
             }
             "LAPSED" => {
-                let Some(cmd) = self.commands.find(line.need("op_id")?) else { return Ok(None) };
+                let Some(cmd) = self.commands.find(line.need("op_id")?) else {
+                    return Ok(None);
+                };
                 Event::Lapsed { cmd }
             }
             "CHECKED" => {
-                let (outcome, spent, report) = (line.outcome()?, line.span("spent")?, line.report()?);
-                let Some(endpoint) = self.endpoints.find(line.need("endpoint")?) else { return Ok(None) };
-                Event::Checked { endpoint, outcome, spent, report }
+                let (outcome, spent, report) =
+                    (line.outcome()?, line.span("spent")?, line.report()?);
+                let Some(endpoint) = self.endpoints.find(line.need("endpoint")?) else {
+                    return Ok(None);
+                };
+                Event::Checked {
+                    endpoint,
+                    outcome,
+                    spent,
+                    report,
+                }
             }
             "PEER" => {
                 let text = line.need("bytes")?;
                 let bytes = match text {
                     "-" => Vec::new(),
-                    _ => BASE64_STANDARD.decode(text).map_err(|e| format!("PEER: bytes: {e}"))?,
+                    _ => BASE64_STANDARD
+                        .decode(text)
+                        .map_err(|e| format!("PEER: bytes: {e}"))?,
                 };
-                Event::PeerSaid { from: line.whole("neighbour")? as usize, bytes }
+                Event::PeerSaid {
+                    from: line.whole("neighbour")? as usize,
+                    bytes,
+                }
             }
-            "DUE" => Event::Due { token: line.whole("cookie")? },
+            "DUE" => Event::Due {
+                token: line.whole("cookie")?,
+            },
             other => return Err(format!("unknown message {other}")),
         }))
     }
@@ -122,14 +153,23 @@
             Ok(actions) => actions,
             Err(fault) => {
                 let text = fault.downcast_ref::<String>().map(String::as_str);
-                let text = text.or(fault.downcast_ref::<&str>().copied()).unwrap_or("panic");
-                let _ = writeln!(reply, "BUG i={i} message={}", text.replace(['\n', '\r'], " "));
+                let text = text
+                    .or(fault.downcast_ref::<&str>().copied())
+                    .unwrap_or("panic");
+                let _ = writeln!(
+                    reply,
+                    "BUG i={i} message={}",
+                    text.replace(['\n', '\r'], " ")
+                );
                 return;
             }
         };
         for action in actions {
             if self.write(i, &action, reply).is_none() {
-                let _ = writeln!(reply, "BUG i={i} message=action on an unknown id: {action:?}");
+                let _ = writeln!(
+                    reply,
+                    "BUG i={i} message=action on an unknown id: {action:?}"
+                );
             }
         }
     }
@@ -138,7 +178,12 @@
         let cmds = &mut self.commands;
         let points = &self.endpoints;
         let _ = match action {
-            Action::Relay { cmd, endpoint, within, .. } => writeln!(
+            Action::Relay {
+                cmd,
+                endpoint,
+                within,
+                ..
+            } => writeln!(
                 reply,
                 "PLACE i={i} op_id={} endpoint={} try_for={}",
                 cmds.name(*cmd)?,
@@ -146,13 +191,21 @@
                 within.as_nanos()
             ),
             Action::Recall { cmd, relay } => {
-                writeln!(reply, "RECALL i={i} op_id={} trial={relay}", cmds.name(*cmd)?)
+                writeln!(
+                    reply,
+                    "RECALL i={i} op_id={} trial={relay}",
+                    cmds.name(*cmd)?
+                )
             }
             Action::Decline { cmd, not_before } => {
                 let name = cmds.name(*cmd)?;
                 match not_before {
                     Some(wait) => {
-                        writeln!(reply, "PUSH_BACK i={i} op_id={name} not_before_for={}", wait.as_nanos())
+                        writeln!(
+                            reply,
+                            "PUSH_BACK i={i} op_id={name} not_before_for={}",
+                            wait.as_nanos()
+                        )
                     }
                     None => writeln!(reply, "PUSH_BACK i={i} op_id={name}"),
                 }
@@ -167,20 +220,38 @@
                 Ok(())
             }
             Action::Probe { endpoint } => {
-                writeln!(reply, "HEALTH_CHECK i={i} endpoint={}", points.name(*endpoint)?)
+                writeln!(
+                    reply,
+                    "HEALTH_CHECK i={i} endpoint={}",
+                    points.name(*endpoint)?
+                )
             }
             Action::Disconnect { endpoint } => {
-                writeln!(reply, "DISCONNECT i={i} endpoint={}", points.name(*endpoint)?)
+                writeln!(
+                    reply,
+                    "DISCONNECT i={i} endpoint={}",
+                    points.name(*endpoint)?
+                )
+            }
+            Action::Listen { active } => {
+                writeln!(reply, "LISTEN i={i} active={}", u8::from(*active))
             }
-            Action::Listen { active } => writeln!(reply, "LISTEN i={i} active={}", u8::from(*active)),
             Action::AskList => writeln!(reply, "LIST_ALL i={i}"),
             Action::Tell { to, bytes } => {
                 let to = to.map_or("-1".to_string(), |n| n.to_string());
-                let bytes = if bytes.is_empty() { "-".to_string() } else { BASE64_STANDARD.encode(bytes) };
+                let bytes = if bytes.is_empty() {
+                    "-".to_string()
+                } else {
+                    BASE64_STANDARD.encode(bytes)
+                };
                 writeln!(reply, "TELL i={i} dst={to} bytes={bytes}")
             }
             Action::Alarm { after, token } => {
-                writeln!(reply, "SET_ALARM i={i} sleep_for={} cookie={token}", after.as_nanos())
+                writeln!(
+                    reply,
+                    "SET_ALARM i={i} sleep_for={} cookie={token}",
+                    after.as_nanos()
+                )
             }
             // Settings hold for an instance's life here.
             Action::Numbered { .. } => Ok(()),
@@ -206,11 +277,18 @@
         let line = Line::parse(text)?;
         if let Some((list, left)) = self.filling {
             if line.name != "M" {
-                return Err(format!("{} where {left} more entries of list {list} were due", line.name));
+                return Err(format!(
+                    "{} where {left} more entries of list {list} were due",
+                    line.name
+                ));
             }
             let entry = entry(&line)?;
             self.lists.entry(list).or_default().push(entry);
-            self.filling = if left > 1 { Some((list, left - 1)) } else { None };
+            self.filling = if left > 1 {
+                Some((list, left - 1))
+            } else {
+                None
+            };
             return Ok(None);
         }
         let Some((now, seq)) = self.open else {
@@ -234,7 +312,8 @@
             }
             "HELLO" => {
                 let orders = passroad_orders::read(line.whole("prng")?, line.need("config")?)?;
-                self.instances.insert(line.whole("i")?, Instance::new(orders));
+                self.instances
+                    .insert(line.whole("i")?, Instance::new(orders));
             }
             "DETACH" => {
                 self.instances.remove(&line.whole("i")?);
@@ -243,7 +322,10 @@
             "INGRESS" | "STARTED" | "FINISHED" | "LAPSED" | "CHECKED" | "PEER" | "DUE" => {
                 let i = line.whole("i")?;
                 let Some(instance) = self.instances.get_mut(&i) else {
-                    return Err(format!("{} for instance {i}, which has not started", line.name));
+                    return Err(format!(
+                        "{} for instance {i}, which has not started",
+                        line.name
+                    ));
                 };
                 if let Some(event) = instance.event(&line)? {
                     instance.decide(i, now, event, &mut self.reply);
@@ -264,13 +346,18 @@
             other => return Err(format!("PEERS_KNOWN: unknown kind {other}")),
         };
         let Some(instance) = self.instances.get_mut(&i) else {
-            return Err(format!("PEERS_KNOWN for instance {i}, which has not started"));
+            return Err(format!(
+                "PEERS_KNOWN for instance {i}, which has not started"
+            ));
         };
         let entries = match kind {
             ListKind::Refused => Vec::new(),
             _ => {
                 let list = line.whole("list")?;
-                let known = self.lists.get(&list).ok_or_else(|| format!("PEERS_KNOWN: no list {list}"))?;
+                let known = self
+                    .lists
+                    .get(&list)
+                    .ok_or_else(|| format!("PEERS_KNOWN: no list {list}"))?;
                 instance.listings(known)
             }
         };
--- a/crates/passroad-wirehost/src/line.rs
+++ b/crates/passroad-wirehost/src/line.rs
@@ -38,22 +38,32 @@
     }
 
     pub fn need(&self, key: &str) -> Result<&'a str, String> {
-        self.get(key).ok_or_else(|| format!("{} without {key}", self.name))
+        self.get(key)
+            .ok_or_else(|| format!("{} without {key}", self.name))
     }
 
     pub fn whole(&self, key: &str) -> Result<u64, String> {
         let text = self.need(key)?;
-        text.parse().map_err(|_| format!("{}: {key}={text} is not a whole number", self.name))
+        text.parse()
+            .map_err(|_| format!("{}: {key}={text} is not a whole number", self.name))
     }
 
     pub fn whole_or(&self, key: &str, absent: u64) -> Result<u64, String> {
-        if self.get(key).is_some() { self.whole(key) } else { Ok(absent) }
+        if self.get(key).is_some() {
+            self.whole(key)
+        } else {
+            Ok(absent)
+        }
     }
 
     /// A span; negative ones count as nothing left.
     pub fn span_or(&self, key: &str, absent: Duration) -> Result<Duration, String> {
-        let Some(text) = self.get(key) else { return Ok(absent) };
-        let n: i64 = text.parse().map_err(|_| format!("{}: {key}={text} is not a span", self.name))?;
+        let Some(text) = self.get(key) else {
+            return Ok(absent);
+        };
+        let n: i64 = text
+            .parse()
+            .map_err(|_| format!("{}: {key}={text} is not a span", self.name))?;
         Ok(Duration::from_nanos(n.max(0) as u64))
     }
 
@@ -71,7 +81,9 @@
     }
 
     pub fn number_or(&self, key: &str, absent: f64) -> Result<f64, String> {
-        let Some(text) = self.get(key) else { return Ok(absent) };
+        let Some(text) = self.get(key) else {
+            return Ok(absent);
+        };
         finite(text).ok_or_else(|| format!("{}: {key}={text} is not a number", self.name))
     }
 
--- a/crates/passroad-wirehost/src/main.rs
+++ b/crates/passroad-wirehost/src/main.rs
@@ -18,7 +18,9 @@
         bytes.clear();
         number += 1;
         let at = |fault: String| format!("line {number}: {fault}");
-        let read = input.read_until(b'\n', &mut bytes).map_err(|e| at(e.to_string()))?;
+        let read = input
+            .read_until(b'\n', &mut bytes)
+            .map_err(|e| at(e.to_string()))?;
         if read == 0 && host.between_batches() {
             return Ok(());
         }
@@ -27,7 +29,9 @@
         }
         let text = std::str::from_utf8(&bytes).map_err(|_| at("not UTF-8".into()))?;
         if let Some(reply) = host.take(text).map_err(at)? {
-            let sent = output.write_all(reply.as_bytes()).and_then(|()| output.flush());
+            let sent = output
+                .write_all(reply.as_bytes())
+                .and_then(|()| output.flush());
             sent.map_err(|e| format!("line {number}: reply not written: {e}"))?;
         }
     }
