--- a/crates/passroad-wirehost/src/tests.rs
+++ b/crates/passroad-wirehost/src/tests.rs
@@ -22,7 +22,10 @@
         "TICK time=5 seq=1\n{HELLO}INGRESS i=0 op_id=ab profile=v budget=500000000 other=1\nEOF_BATCH\n"
     ));
     assert_eq!(end, Ok(()));
-    assert!(out.contains("PLACE i=0 op_id=ab endpoint=10.0.0.1:9 try_for="), "{out}");
+    assert!(
+        out.contains("PLACE i=0 op_id=ab endpoint=10.0.0.1:9 try_for="),
+        "{out}"
+    );
     assert!(out.ends_with("ACK seq=1\n"), "{out}");
 }
 
@@ -36,14 +39,29 @@
 
 #[rstest]
 #[case("TICK time=5 seq=1\nNONSENSE\n", "line 2: unknown message NONSENSE")]
-#[case("TICK time=5 seq=1\nDUE i=0 cookie=1\n", "line 2: DUE for instance 0, which has not started")]
+#[case(
+    "TICK time=5 seq=1\nDUE i=0 cookie=1\n",
+    "line 2: DUE for instance 0, which has not started"
+)]
 #[case("TICK time=x seq=1\n", "line 1: TICK: time=x is not a span")]
 #[case("DUE i=0 cookie=1\n", "line 1: DUE outside a batch")]
-#[case("TICK time=5 seq=1\nDUE what\n", "line 2: 'what' is no name=value pair")]
-#[case("TICK time=5 seq=1\nHELLO i=0 prng=1 config={\n", "line 2: settings: EOF while parsing")]
-#[case("TICK time=5 seq=1\nCENSUS list=0 lines=2\nEOF_BATCH\n", "line 3: EOF_BATCH where 2 more entries")]
+#[case(
+    "TICK time=5 seq=1\nDUE what\n",
+    "line 2: 'what' is no name=value pair"
+)]
+#[case(
+    "TICK time=5 seq=1\nHELLO i=0 prng=1 config={\n",
+    "line 2: settings: EOF while parsing"
+)]
+#[case(
+    "TICK time=5 seq=1\nCENSUS list=0 lines=2\nEOF_BATCH\n",
+    "line 3: EOF_BATCH where 2 more entries"
+)]
 #[case("TICK time=5 seq=1\n", "line 2: the input ends inside a batch")]
-#[case("TICK time=5 seq=1\nEOF_BATCH", "line 2: the input ends inside a batch")]
+#[case(
+    "TICK time=5 seq=1\nEOF_BATCH",
+    "line 2: the input ends inside a batch"
+)]
 fn bad_input_ends_with_its_line_and_no_reply(#[case] input: &str, #[case] fault: &str) {
     let (out, end) = run(input);
     assert!(end.as_ref().is_err_and(|e| e.starts_with(fault)), "{end:?}");
@@ -52,13 +70,18 @@
 
 #[rstest]
 fn an_unknown_message_to_a_running_instance_is_a_fault() {
-    let (_, end) = run(&format!("TICK time=5 seq=1\n{HELLO}WAGGLE i=0\nEOF_BATCH\n"));
+    let (_, end) = run(&format!(
+        "TICK time=5 seq=1\n{HELLO}WAGGLE i=0\nEOF_BATCH\n"
+    ));
     assert_eq!(end, Err("line 6: unknown message WAGGLE".into()));
 }
 
 #[rstest]
 fn an_empty_batch_is_acknowledged() {
-    assert_eq!(run("TICK time=5 seq=9\nEOF_BATCH\n"), ("ACK seq=9\n".into(), Ok(())));
+    assert_eq!(
+        run("TICK time=5 seq=9\nEOF_BATCH\n"),
+        ("ACK seq=9\n".into(), Ok(()))
+    );
 }
 
 #[rstest]
@@ -69,7 +92,9 @@
 #[case("PEERS_KNOWN i=0 kind=refused revision=2")]
 fn events_that_few_sites_use_are_taken(#[case] event: &str) {
     let command = "INGRESS i=0 op_id=ab profile=v budget=500000000\n";
-    let (out, end) = run(&format!("TICK time=5 seq=1\n{HELLO}{command}{event}\nEOF_BATCH\n"));
+    let (out, end) = run(&format!(
+        "TICK time=5 seq=1\n{HELLO}{command}{event}\nEOF_BATCH\n"
+    ));
     assert_eq!((out.lines().last(), end), (Some("ACK seq=1"), Ok(())));
     assert!(!out.contains("BUG"), "{out}");
 }
@@ -78,7 +103,9 @@
 fn a_stream_that_has_started_is_not_recalled() {
     let started = "STARTED i=0 op_id=ab spent=5 endpoint=10.0.0.1:9 trial=0\nLAPSED i=0 op_id=ab\n";
     let command = "INGRESS i=0 op_id=ab profile=v budget=500000000\n";
-    let (out, _) = run(&format!("TICK time=5 seq=1\n{HELLO}{command}{started}EOF_BATCH\n"));
+    let (out, _) = run(&format!(
+        "TICK time=5 seq=1\n{HELLO}{command}{started}EOF_BATCH\n"
+    ));
     assert!(out.contains("PLACE") && !out.contains("RECALL"), "{out}");
 }
 
--- a/crates/passroad/src/body.rs
+++ b/crates/passroad/src/body.rs
@@ -39,7 +39,13 @@
 impl Patience {
     pub fn new(least: Duration) -> Self {
         let least = least.max(BODY_GRACE);
-        Patience { waited: Duration::ZERO, since: None, least, came: 0, timer: None }
+        Patience {
+            waited: Duration::ZERO,
+            since: None,
+            least,
+            came: 0,
+            timer: None,
+        }
     }
 
     fn all(&self) -> Duration {
@@ -49,14 +55,19 @@
 
     fn came(&mut self, bytes: usize) {
         self.came += bytes;
-        self.waited += self.since.take().map_or(Duration::ZERO, |since| since.elapsed());
+        self.waited += self
+            .since
+            .take()
+            .map_or(Duration::ZERO, |since| since.elapsed());
     }
 
     /// Nothing is there: ready once that has lasted too long.
     fn poll_over(&mut self, cx: &mut Context<'_>) -> Poll<()> {
         let since = *self.since.get_or_insert_with(Instant::now);
         let until = since + self.all().saturating_sub(self.waited);
-        let timer = self.timer.get_or_insert_with(|| Box::pin(sleep_until(until)));
+        let timer = self
+            .timer
+            .get_or_insert_with(|| Box::pin(sleep_until(until)));
         if timer.deadline() != until {
             timer.as_mut().reset(until);
         }
@@ -64,7 +75,11 @@
     }
 
     /// The next piece of a client's body.
-    pub fn poll_next(&mut self, body: &mut Body, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, Ill>>> {
+    pub fn poll_next(
+        &mut self,
+        body: &mut Body,
+        cx: &mut Context<'_>,
+    ) -> Poll<Option<Result<Bytes, Ill>>> {
         loop {
             return match Pin::new(&mut *body).poll_frame(cx) {
                 Poll::Pending => {
@@ -126,7 +141,11 @@
         }
         let first = Some(first).filter(|first| !first.is_empty());
         Arc::new(Coming {
-            rest: Mutex::new(Rest { first, body, patience }),
+            rest: Mutex::new(Rest {
+                first,
+                body,
+                patience,
+            }),
             hint,
             came: AtomicUsize::new(0),
             spent: AtomicBool::new(false),
@@ -137,13 +156,19 @@
 
     fn poll_next(&self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, Ill>>> {
         let mut rest = self.rest.lock().unwrap_or_else(PoisonError::into_inner);
-        let Rest { first, body, patience } = &mut *rest;
+        let Rest {
+            first,
+            body,
+            patience,
+        } = &mut *rest;
         let next = match first.take() {
             Some(first) => Some(Ok(first)),
             None => ready!(patience.poll_next(body, cx)),
         };
         let next = match next {
-            Some(Ok(data)) if self.came.fetch_add(data.len(), Relaxed) + data.len() > LONGEST_BODY => {
+            Some(Ok(data))
+                if self.came.fetch_add(data.len(), Relaxed) + data.len() > LONGEST_BODY =>
+            {
                 Some(Err(Ill::TooLong))
             }
             next => next,
@@ -158,7 +183,11 @@
             None => {
                 self.state.send_if_modified(|state| {
                     let new = *state == State::Coming;
-                    *state = if new { State::Whole(Instant::now()) } else { *state };
+                    *state = if new {
+                        State::Whole(Instant::now())
+                    } else {
+                        *state
+                    };
                     new
                 });
             }
@@ -187,7 +216,10 @@
     async fn turned(&self, wanted: impl Fn(State) -> bool) -> State {
         // The sender lives as long as this does.
         let mut state = self.state.subscribe();
-        state.wait_for(|state| wanted(*state)).await.map_or(State::Coming, |state| *state)
+        state
+            .wait_for(|state| wanted(*state))
+            .await
+            .map_or(State::Coming, |state| *state)
     }
 
     /// Ends when all of it has come.
@@ -281,7 +313,9 @@
         }
         loop {
             let Poll::Ready(frame) = Pin::new(&mut self.rest).poll_frame(cx) else {
-                let stall = self.stall.get_or_insert_with(|| Box::pin(sleep(LONG_STALL)));
+                let stall = self
+                    .stall
+                    .get_or_insert_with(|| Box::pin(sleep(LONG_STALL)));
                 ready!(stall.as_mut().poll(cx));
                 return Poll::Ready(Some(Err("the endpoint stopped halfway".into())));
             };
@@ -290,7 +324,9 @@
                 self.way.answered();
                 return Poll::Ready(None);
             };
-            let Ok(data) = frame?.into_data() else { continue };
+            let Ok(data) = frame?.into_data() else {
+                continue;
+            };
             let Some(left) = self.left.checked_sub(data.len()) else {
                 return Poll::Ready(Some(Err("an answer without end".into())));
             };
@@ -308,7 +344,10 @@
     type Data = Bytes;
     type Error = Fault;
 
-    fn poll_frame(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Option<Result<Frame<Bytes>, Fault>>> {
+    fn poll_frame(
+        self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+    ) -> Poll<Option<Result<Frame<Bytes>, Fault>>> {
         let next = match self.get_mut() {
             Load::Held(held) => held.take().map(Ok),
             Load::Upload(coming) if coming.drains.load(Relaxed) => Some(Err("given up".into())),
@@ -334,7 +373,10 @@
             Load::Held(held) => SizeHint::with_exact(held.as_ref().map_or(0, Bytes::len) as u64),
             Load::Upload(coming) => coming.hint,
             Load::Long(long) => {
-                let (first, mut hint) = (long.first.as_ref().map_or(0, Bytes::len) as u64, SizeHint::new());
+                let (first, mut hint) = (
+                    long.first.as_ref().map_or(0, Bytes::len) as u64,
+                    SizeHint::new(),
+                );
                 if let Some(left) = long.rest.size_hint().exact() {
                     hint.set_exact(left + first);
                 }
--- a/crates/passroad/src/claims.rs
+++ b/crates/passroad/src/claims.rs
@@ -54,7 +54,12 @@
 
     /// What is open here.
     pub fn open(&self) -> Vec<String> {
-        self.ids().here.iter().filter_map(|id| id.to_str().ok()).map(String::from).collect()
+        self.ids()
+            .here
+            .iter()
+            .filter_map(|id| id.to_str().ok())
+            .map(String::from)
+            .collect()
     }
 
     pub fn beside(&self, taken: bool, id: String) {
--- a/crates/passroad/src/desk.rs
+++ b/crates/passroad/src/desk.rs
@@ -6,7 +6,8 @@
 use crate::{probe, relay};
 use passroad_choice::door::{Door, mark};
 use passroad_choice::{
-    Action, Arrival, CmdIx, EndpointIx, Event, ListKind, Listing, Memory, Mode, ReportsHow, StandingOrders,
+    Action, Arrival, CmdIx, EndpointIx, Event, ListKind, Listing, Memory, Mode, ReportsHow,
+    StandingOrders,
 };
 use passroad_routes::{RouteOrders, Steered};
 use std::collections::{BTreeSet, HashSet, VecDeque};
@@ -93,15 +94,23 @@
     ) -> Arc<Self> {
         let (mut zones, mut kinds) = (Door::new(), Door::new());
         orders.through(&mut zones, &mut kinds);
-        watch.iter_mut().for_each(|watch| watch.through(&mut zones, &mut kinds));
+        watch
+            .iter_mut()
+            .for_each(|watch| watch.through(&mut zones, &mut kinds));
         Arc::new(Desk {
             serving: Handle::current(),
             began: Instant::now(),
-            epoch: SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default(),
+            epoch: SystemTime::now()
+                .duration_since(SystemTime::UNIX_EPOCH)
+                .unwrap_or_default(),
             calls,
             probe_within,
             dialer,
-            pulse: Mutex::new(Pulse { last: Instant::now(), stood: Duration::ZERO, since: Instant::now() }),
+            pulse: Mutex::new(Pulse {
+                last: Instant::now(),
+                stood: Duration::ZERO,
+                since: Instant::now(),
+            }),
             held: Mutex::new(Held {
                 reports: orders.reports,
                 balancer: Steered::new(orders, watch, routes),
@@ -144,7 +153,8 @@
     pub fn may_have_waited(&self) -> Duration {
         let pulse = self.pulse.lock().unwrap_or_else(PoisonError::into_inner);
         let gap = Some(pulse.last.elapsed()).filter(|gap| *gap > STALL);
-        gap.or((pulse.since.elapsed() < STALL).then_some(pulse.stood)).unwrap_or_default()
+        gap.or((pulse.since.elapsed() < STALL).then_some(pulse.stood))
+            .unwrap_or_default()
     }
 
     /// Says each time what the watched settings would have decided otherwise so far, while the sidecar runs.
@@ -172,11 +182,17 @@
     /// Has every open command answered, as the process is about to end.
     pub fn out_of_time(&self) {
         let held = self.held();
-        let open: Vec<_> = (0..held.seats.len()).filter(|cmd| held.seats[*cmd].is_some()).collect();
+        let open: Vec<_> = (0..held.seats.len())
+            .filter(|cmd| held.seats[*cmd].is_some())
+            .collect();
         if !open.is_empty() {
-            log::warn!("stopping: {} commands are still open and answered as out of time", open.len());
+            log::warn!(
+                "stopping: {} commands are still open and answered as out of time",
+                open.len()
+            );
         }
-        open.into_iter().for_each(|cmd| held.last_order(cmd, Order::OutOfTime));
+        open.into_iter()
+            .for_each(|cmd| held.last_order(cmd, Order::OutOfTime));
     }
 
     /// A panic elsewhere must not end every later command: what is held stays in use.
@@ -199,7 +215,13 @@
         held.seats.resize_with(len, || None);
         held.seats[cmd] = Some((tell, over.clone()));
         self.decide(&mut held, Event::Arrived(arrival(cmd)));
-        Seat { desk: Arc::clone(self), cmd, orders, over, out: Vec::new() }
+        Seat {
+            desk: Arc::clone(self),
+            cmd,
+            orders,
+            over,
+            out: Vec::new(),
+        }
     }
 
     pub fn listed(self: &Arc<Self>, kind: ListKind, list: &List) {
@@ -209,8 +231,9 @@
         }
         held.revision = Some(list.revision);
         let mut entries = Vec::with_capacity(list.members.len());
-        let strange =
-            |held: &Held, m: &Member| m.mode() == Mode::Deleted && held.endpoints.find(&m.id).is_none();
+        let strange = |held: &Held, m: &Member| {
+            m.mode() == Mode::Deleted && held.endpoints.find(&m.id).is_none()
+        };
         for member in &list.members {
             if strange(&held, member) {
                 continue;
@@ -219,12 +242,17 @@
             held.balancer.name(endpoint, &member.id, &member.flavor);
             let len = held.members.len().max(endpoint + 1);
             held.members.resize(len, None);
-            let anew = held.members[endpoint].as_ref().is_some_and(|m| m.up_since_ms < member.up_since_ms);
+            let anew = held.members[endpoint]
+                .as_ref()
+                .is_some_and(|m| m.up_since_ms < member.up_since_ms);
             held.members[endpoint] = Some(member.clone()).filter(|m| m.mode() != Mode::Deleted);
             let len = held.links.len().max(endpoint + 1);
             held.links.resize_with(len, || None);
             let link = &mut held.links[endpoint];
-            if let Some(link) = link.as_mut().filter(|_| anew || member.mode() != Mode::Running) {
+            if let Some(link) = link
+                .as_mut()
+                .filter(|_| anew || member.mode() != Mode::Running)
+            {
                 link.call_off();
             }
             let address = member.host_port.filter(|_| member.mode() != Mode::Deleted);
@@ -267,17 +295,25 @@
             left: held.left.order.iter().copied().collect(),
             open: Vec::new(),
             descriptors,
-            learnt: serde_json::to_value(held.balancer.memory(|at| held.endpoints.name(at).cloned()))
-                .unwrap_or_default(),
+            learnt: serde_json::to_value(
+                held.balancer.memory(|at| held.endpoints.name(at).cloned()),
+            )
+            .unwrap_or_default(),
         }
     }
 
     /// Takes over what the process before knew, ahead of all commands.
     pub fn inherit(self: &Arc<Self>, known: Known) -> Option<u64> {
-        let list =
-            List { revision: known.revision.unwrap_or_default(), complete: true, members: known.members };
+        let list = List {
+            revision: known.revision.unwrap_or_default(),
+            complete: true,
+            members: known.members,
+        };
         self.listed(ListKind::Remembered, &list);
-        known.left.into_iter().for_each(|mark| self.held().left.note(mark));
+        known
+            .left
+            .into_iter()
+            .for_each(|mark| self.held().left.note(mark));
         for id in &known.bans {
             self.turn(id, true);
         }
@@ -285,9 +321,17 @@
             Ok(memory) => {
                 let mut held = self.held();
                 let slots = memory.ids().map(|id| held.endpoints.find(id)).collect();
-                self.decide(&mut held, Event::Inherited { memory: Box::new(memory), slots });
+                self.decide(
+                    &mut held,
+                    Event::Inherited {
+                        memory: Box::new(memory),
+                        slots,
+                    },
+                );
+            }
+            Err(fault) => {
+                log::warn!("what the process before has learnt is not taken over: {fault}")
             }
-            Err(fault) => log::warn!("what the process before has learnt is not taken over: {fault}"),
         }
         known.revision
     }
@@ -308,21 +352,28 @@
         let held = self.held();
         let all = held.members.iter().enumerate();
         let seems = |at: usize| held.balancer.seems(at);
-        all.filter_map(|(at, member)| Some((member.clone()?, seems(at).0, seems(at).1))).collect()
+        all.filter_map(|(at, member)| Some((member.clone()?, seems(at).0, seems(at).1)))
+            .collect()
     }
 
     /// Whether something of this sidecar's is out on an endpoint now.
     pub fn uses(&self, id: &str) -> bool {
         let held = self.held();
         let at = held.endpoints.find(id);
-        let link = at.and_then(|at| held.links.get(at)).and_then(Option::as_ref);
+        let link = at
+            .and_then(|at| held.links.get(at))
+            .and_then(Option::as_ref);
         link.is_some_and(|link| !link.nothing_out())
     }
 
     /// The same for an id that another process knows.
     pub fn turn(self: &Arc<Self>, id: &str, out: bool) {
         let mut held = self.held();
-        let turned = if out { held.banned.insert(id.to_string()) } else { held.banned.remove(id) };
+        let turned = if out {
+            held.banned.insert(id.to_string())
+        } else {
+            held.banned.remove(id)
+        };
         if turned {
             let endpoint = held.endpoints.admit(&id.to_string());
             log::info!(endpoint = endpoint, id = id; "endpoint {endpoint} ({id}) is {} by hand", if out { "out" } else { "back" });
@@ -362,13 +413,27 @@
     fn carry_out(self: &Arc<Self>, held: &mut Held, actions: Vec<Action>) {
         for action in actions {
             match action {
-                Action::Relay { cmd, endpoint, within, begin } => match held.link(endpoint, &self.dialer) {
-                    Some(link) => held.order(cmd, Order::Relay { link: Box::new(link), within, begin }),
+                Action::Relay {
+                    cmd,
+                    endpoint,
+                    within,
+                    begin,
+                } => match held.link(endpoint, &self.dialer) {
+                    Some(link) => held.order(
+                        cmd,
+                        Order::Relay {
+                            link: Box::new(link),
+                            within,
+                            begin,
+                        },
+                    ),
                     None => log::error!("a relay to endpoint {endpoint}, which has no address"),
                 },
                 // The module recalls only what is concluded.
                 Action::Recall { cmd, relay } => held.last_order(cmd, Order::Recall { relay }),
-                Action::Decline { cmd, not_before } => held.last_order(cmd, Order::Decline { not_before }),
+                Action::Decline { cmd, not_before } => {
+                    held.last_order(cmd, Order::Decline { not_before })
+                }
                 Action::Terminate { cmd } => held.last_order(cmd, Order::Terminate),
                 Action::Forget { cmd } => {
                     held.commands.release(cmd);
@@ -394,7 +459,9 @@
                 Action::Listen { active } => drop(self.calls.send(Call::Watch(active))),
                 Action::AskList => drop(self.calls.send(Call::Whole)),
                 Action::Numbered { .. } => log::error!("verbs numbered anew, unasked"),
-                Action::Tell { .. } => log::error!("the module has a message for peers; it can't be sent"),
+                Action::Tell { .. } => {
+                    log::error!("the module has a message for peers; it can't be sent")
+                }
                 Action::Alarm { after, token } => {
                     let desk = Arc::clone(self);
                     self.serving.spawn(async move {
@@ -414,8 +481,17 @@
             None => relay::Ended::from(passroad_choice::Outcome::NoConnection),
         };
         let spent = began.elapsed();
-        log::debug!("probe of endpoint {endpoint}: {:?} in {spent:.1?}, {:?}", ended.outcome, ended.report);
-        self.tell(Event::Checked { endpoint, outcome: ended.outcome, spent, report: ended.report });
+        log::debug!(
+            "probe of endpoint {endpoint}: {:?} in {spent:.1?}, {:?}",
+            ended.outcome,
+            ended.report
+        );
+        self.tell(Event::Checked {
+            endpoint,
+            outcome: ended.outcome,
+            spent,
+            report: ended.report,
+        });
     }
 }
 
@@ -446,11 +522,23 @@
         // Guards against connections kept to some endpoints that leave none for others: where the last is
         // taken, those to endpoints with nothing out are given up.
         if dialer.used_up() {
-            let idle = self.links.iter_mut().flatten().filter(|link| link.nothing_out());
-            let count = idle.map(|link| *link = Link::new(link.address, dialer)).count();
-            if count > 0 && self.told_used_up.is_none_or(|at| at.elapsed() > USED_UP_AGAIN) {
+            let idle = self
+                .links
+                .iter_mut()
+                .flatten()
+                .filter(|link| link.nothing_out());
+            let count = idle
+                .map(|link| *link = Link::new(link.address, dialer))
+                .count();
+            if count > 0
+                && self
+                    .told_used_up
+                    .is_none_or(|at| at.elapsed() > USED_UP_AGAIN)
+            {
                 self.told_used_up = Some(Instant::now());
-                log::warn!("all connections to endpoints are taken; those to {count} idle ones are closed");
+                log::warn!(
+                    "all connections to endpoints are taken; those to {count} idle ones are closed"
+                );
             }
         }
         self.links.get(endpoint).cloned().flatten()
@@ -458,8 +546,17 @@
 
     /// What a whole list leaves out is gone.
     fn leave_out(&mut self, list: &List) {
-        let stay: Vec<_> = list.members.iter().filter_map(|m| self.endpoints.find(&m.id)).collect();
-        for (at, link) in self.links.iter_mut().enumerate().filter(|(at, _)| !stay.contains(at)) {
+        let stay: Vec<_> = list
+            .members
+            .iter()
+            .filter_map(|m| self.endpoints.find(&m.id))
+            .collect();
+        for (at, link) in self
+            .links
+            .iter_mut()
+            .enumerate()
+            .filter(|(at, _)| !stay.contains(at))
+        {
             self.members.get_mut(at).map(Option::take);
             if let Some(mut link) = link.take() {
                 link.call_off();
@@ -522,13 +619,26 @@
         self.desk.tell(Event::Whole { cmd: self.cmd });
     }
 
-    pub fn finished(&mut self, relay: usize, ended: &relay::Ended, spent: Duration, concluded: bool) {
+    pub fn finished(
+        &mut self,
+        relay: usize,
+        ended: &relay::Ended,
+        spent: Duration,
+        concluded: bool,
+    ) {
         self.out[relay] = false;
         if concluded {
             self.over.cancel();
         }
         let (outcome, report) = (ended.outcome, ended.report);
-        self.desk.tell(Event::Finished { cmd: self.cmd, relay, outcome, spent, concluded, report });
+        self.desk.tell(Event::Finished {
+            cmd: self.cmd,
+            relay,
+            outcome,
+            spent,
+            concluded,
+            report,
+        });
     }
 }
 
@@ -539,7 +649,8 @@
         }
         self.lapsed();
         while let Ok(order) = self.orders.try_recv() {
-            self.out.extend(matches!(order, Order::Relay { .. }).then_some(true));
+            self.out
+                .extend(matches!(order, Order::Relay { .. }).then_some(true));
         }
         let recalled = relay::Ended::from(passroad_choice::Outcome::Recalled);
         for relay in 0..self.out.len() {
--- a/crates/passroad/src/fleet/calls.rs
+++ b/crates/passroad/src/fleet/calls.rs
@@ -42,7 +42,11 @@
                 Ok(request) => timeout(within, exchange(&client, request)).await,
                 Err(fault) => Ok(Came::Open(fault.to_string())),
             };
-            let _ = done.send((n, epoch, came.unwrap_or_else(|_| Came::Open("no answer in time".into()))));
+            let _ = done.send((
+                n,
+                epoch,
+                came.unwrap_or_else(|_| Came::Open("no answer in time".into())),
+            ));
         };
         self.out[n] = Some(tokio::spawn(call).abort_handle());
     }
@@ -64,7 +68,10 @@
         Err(fault) => Came::Open(fault.to_string()),
         Ok(answer) if answer.status().is_success() => Came::Done,
         Ok(answer) => {
-            let highest = answer.headers().get("epoch").and_then(|v| v.to_str().ok()?.parse().ok());
+            let highest = answer
+                .headers()
+                .get("epoch")
+                .and_then(|v| v.to_str().ok()?.parse().ok());
             match (answer.status(), highest) {
                 (StatusCode::CONFLICT, Some(epoch)) => Came::Stale(epoch),
                 (status, _) => Came::Open(format!("answered {status}")),
--- a/crates/passroad/src/fleet/drops.rs
+++ b/crates/passroad/src/fleet/drops.rs
@@ -21,6 +21,9 @@
     }
 
     pub fn counts(&self) -> serde_json::Value {
-        self.causes.iter().map(|(cause, (all, ..))| ((*cause).to_string(), serde_json::json!(all))).collect()
+        self.causes
+            .iter()
+            .map(|(cause, (all, ..))| ((*cause).to_string(), serde_json::json!(all)))
+            .collect()
     }
 }
--- a/crates/passroad/src/fleet/kept.rs
+++ b/crates/passroad/src/fleet/kept.rs
@@ -34,7 +34,12 @@
             Err(e) => return Err(fault(e.to_string())),
             Ok(bytes) => (read(&bytes, name).map_err(fault)?, true),
         };
-        let kept = Kept { path: path.into(), name: name.into(), votes, found };
+        let kept = Kept {
+            path: path.into(),
+            name: name.into(),
+            votes,
+            found,
+        };
         // A file that can't be written is told at the start, not at the first vote.
         kept.write().map_err(|e| fault(e.to_string()))?;
         Ok(kept)
@@ -47,7 +52,11 @@
 
     /// Whole or not at all, and on the disk before this returns.
     fn write(&self) -> std::io::Result<()> {
-        let whole = Whole { version: VERSION, name: self.name.clone(), votes: self.votes.clone() };
+        let whole = Whole {
+            version: VERSION,
+            name: self.name.clone(),
+            votes: self.votes.clone(),
+        };
         let body = postcard::to_stdvec(&whole).map_err(std::io::Error::other)?;
         let sum = crc32fast::hash(&body).to_be_bytes();
         let new = self.path.with_extension("new");
@@ -56,7 +65,11 @@
         file.write_all(&body)?;
         file.sync_all()?;
         std::fs::rename(&new, &self.path)?;
-        let folder = self.path.parent().filter(|f| !f.as_os_str().is_empty()).unwrap_or(Path::new("."));
+        let folder = self
+            .path
+            .parent()
+            .filter(|f| !f.as_os_str().is_empty())
+            .unwrap_or(Path::new("."));
         File::open(folder)?.sync_all()
     }
 }
@@ -94,7 +107,8 @@
     ) {
         static COUNT: std::sync::atomic::AtomicUsize = std::sync::atomic::AtomicUsize::new(0);
         let count = COUNT.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
-        let folder = std::env::temp_dir().join(format!("passroad-kept-{}-{count}", std::process::id()));
+        let folder =
+            std::env::temp_dir().join(format!("passroad-kept-{}-{count}", std::process::id()));
         std::fs::create_dir_all(&folder).unwrap();
         let path = folder.join("state");
         let mut kept = Kept::open(&path, "n1").unwrap();
--- a/crates/passroad/src/fleet/mod.rs
+++ b/crates/passroad/src/fleet/mod.rs
@@ -53,21 +53,50 @@
         log::info!("fleet: off, as the settings forbid talk between sidecars (allowed.may_tell)");
         return Ok(None);
     }
-    let kept = orders.state.as_deref().map(|path| kept::Kept::open(path, &place.name)).transpose()?;
+    let kept = orders
+        .state
+        .as_deref()
+        .map(|path| kept::Kept::open(path, &place.name))
+        .transpose()?;
     let (door, asked) = status::door(orders.upkeep.is_some());
-    let machines = orders.upkeep.as_ref().map(|upkeep| work::Machines::new(Arc::clone(desk), upkeep));
-    Ok(Some((door, Ready { orders, place, kept, machines, asked, stages, turns: None })))
+    let machines = orders
+        .upkeep
+        .as_ref()
+        .map(|upkeep| work::Machines::new(Arc::clone(desk), upkeep));
+    Ok(Some((
+        door,
+        Ready {
+            orders,
+            place,
+            kept,
+            machines,
+            asked,
+            stages,
+            turns: None,
+        },
+    )))
 }
 
 impl Ready {
     /// Has each change of what is thought of a member told there, too.
     pub fn telling(self, turns: UnboundedSender<Turned>) -> Ready {
-        Ready { turns: Some(turns), ..self }
+        Ready {
+            turns: Some(turns),
+            ..self
+        }
     }
 
     /// Talks until it is to stop.
     pub async fn serve(self) {
-        let Ready { orders, place, kept, machines, asked, stages, turns } = self;
+        let Ready {
+            orders,
+            place,
+            kept,
+            machines,
+            asked,
+            stages,
+            turns,
+        } = self;
         let began = tokio::time::Instant::now();
         let socket = loop {
             match tokio::net::UdpSocket::bind(place.listen).await {
@@ -78,7 +107,10 @@
                 Err(_) => tokio::time::sleep(ADDRESS_EVERY).await,
             }
         };
-        talk::Talk::new(orders, place, kept, socket, machines).telling(turns).run(asked, stages).await;
+        talk::Talk::new(orders, place, kept, socket, machines)
+            .telling(turns)
+            .run(asked, stages)
+            .await;
     }
 }
 
@@ -90,14 +122,26 @@
     desk: &Arc<Desk>,
     stages: Stages,
 ) -> Result<Option<Door>, String> {
-    let Some((door, ready)) = prepare(orders, place, desk, stages)? else { return Ok(None) };
+    let Some((door, ready)) = prepare(orders, place, desk, stages)? else {
+        return Ok(None);
+    };
     let fault = |e: std::io::Error| format!("fleet: {e}");
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(fault)?;
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .map_err(fault)?;
     let (listen, members) = (ready.place.listen, ready.place.peers.len());
     let (voters, lease) = (ready.orders.voters, ready.orders.lease);
-    let memory = if ready.kept.is_some() { "a state file" } else { "no state file" };
+    let memory = if ready.kept.is_some() {
+        "a state file"
+    } else {
+        "no state file"
+    };
     let serve = move || runtime.block_on(ready.serve());
-    std::thread::Builder::new().name("fleet".into()).spawn(serve).map_err(fault)?;
+    std::thread::Builder::new()
+        .name("fleet".into())
+        .spawn(serve)
+        .map_err(fault)?;
     log::info!(
         "fleet: one of {members} sidecars, at {listen}; {voters} voters a duty, leases of {lease:?}, {memory}"
     );
--- a/crates/passroad/src/fleet/orders.rs
+++ b/crates/passroad/src/fleet/orders.rs
@@ -125,15 +125,20 @@
     /// From the whole configuration.
     pub fn of(name: &str, told: &serde_json::Value) -> Result<Place, String> {
         let at = |path: &str| told.pointer(path).filter(|v| !v.is_null());
-        let address = |v: &serde_json::Value, key: &str| match v.as_str().map(str::parse::<SocketAddr>) {
-            Some(Ok(address)) => Ok(address),
-            _ => Err(format!("{key}: {v} is no address")),
-        };
-        let listen = at("/peer_listen").ok_or("peer_listen is missing, and the fleet's file needs it")?;
+        let address =
+            |v: &serde_json::Value, key: &str| match v.as_str().map(str::parse::<SocketAddr>) {
+                Some(Ok(address)) => Ok(address),
+                _ => Err(format!("{key}: {v} is no address")),
+            };
+        let listen =
+            at("/peer_listen").ok_or("peer_listen is missing, and the fleet's file needs it")?;
         let listen = address(listen, "peer_listen")?;
         let peers = at("/peers").and_then(serde_json::Value::as_array);
         let peers = peers.ok_or("peers: no list, and the fleet's file needs it")?;
-        let peers = peers.iter().map(|v| address(v, "peers")).collect::<Result<Vec<_>, _>>()?;
+        let peers = peers
+            .iter()
+            .map(|v| address(v, "peers"))
+            .collect::<Result<Vec<_>, _>>()?;
         if let Some(twice) = (1..peers.len()).find(|n| peers[..*n].contains(&peers[*n])) {
             return Err(format!("peers: {} is there twice", peers[twice]));
         }
@@ -142,7 +147,11 @@
             Some((v, _)) => return Err(format!("settings: /my_number: {v} is no place in peers")),
             None => match peers.iter().position(|peer| *peer == listen) {
                 Some(me) => me as u16,
-                None => return Err("settings: /my_number is missing, and peer_listen is not in peers".into()),
+                None => {
+                    return Err(
+                        "settings: /my_number is missing, and peer_listen is not in peers".into(),
+                    );
+                }
             },
         };
         if peers.len() > 8000 {
@@ -150,17 +159,30 @@
         }
         let may_talk = match at("/settings/allowed/may_tell") {
             None => false,
-            Some(v) => v.as_bool().ok_or("settings: /allowed/may_tell is not true or false")?,
+            Some(v) => v
+                .as_bool()
+                .ok_or("settings: /allowed/may_tell is not true or false")?,
         };
-        Ok(Place { name: name.into(), me, listen, peers, may_talk })
+        Ok(Place {
+            name: name.into(),
+            me,
+            listen,
+            peers,
+            may_talk,
+        })
     }
 }
 
 /// Reads the fleet's file; what is wrong is named by its line.
 pub fn read(text: &str) -> Result<FleetOrders, Wrong> {
-    let told: Text =
-        toml::from_str(text).map_err(|e| Wrong::of(text, e.span().map(|s| s.start), e.message()))?;
-    let wrong = |at: usize, what: String| Err(Wrong { line: line_of(text, at), what });
+    let told: Text = toml::from_str(text)
+        .map_err(|e| Wrong::of(text, e.span().map(|s| s.start), e.message()))?;
+    let wrong = |at: usize, what: String| {
+        Err(Wrong {
+            line: line_of(text, at),
+            what,
+        })
+    };
     let lease = told.lease.get_ref().0;
     if !(SHORTEST_LEASE..=LONGEST_LEASE).contains(&lease) {
         return wrong(told.lease.span().start, "lease: from 200ms to 60s".into());
@@ -171,13 +193,26 @@
     }
     let voters = *told.voters.get_ref();
     if voters > MOST_VOTERS || voters.is_multiple_of(2) {
-        return wrong(told.voters.span().start, format!("voters: {voters} is not 1, 3, 5 or 7"));
+        return wrong(
+            told.voters.span().start,
+            format!("voters: {voters} is not 1, 3, 5 or 7"),
+        );
     }
-    if told.state.as_ref().is_some_and(|state| state.get_ref().is_empty()) {
-        return wrong(told.state.map_or(0, |s| s.span().start), "state: names no file".into());
+    if told
+        .state
+        .as_ref()
+        .is_some_and(|state| state.get_ref().is_empty())
+    {
+        return wrong(
+            told.state.map_or(0, |s| s.span().start),
+            "state: names no file".into(),
+        );
     }
     if told.duty.len() > MOST_DUTIES {
-        return wrong(told.duty[MOST_DUTIES].span().start, format!("duty: more than {MOST_DUTIES}"));
+        return wrong(
+            told.duty[MOST_DUTIES].span().start,
+            format!("duty: more than {MOST_DUTIES}"),
+        );
     }
     let mut duties: Vec<DutyOrder> = Vec::new();
     for spanned in &told.duty {
@@ -186,16 +221,24 @@
         let odd = name.is_empty() || !name.bytes().all(|b| b.is_ascii_alphanumeric() || b == b'-');
         if odd || name == UPKEEP || duties.iter().any(|known| known.name == name) {
             let at = duty.name.span().start;
-            return wrong(at, format!("name: '{name}' is taken, or not of letters, digits and -"));
+            return wrong(
+                at,
+                format!("name: '{name}' is taken, or not of letters, digits and -"),
+            );
         }
         let every = duty.every.get_ref().0;
         if every < Duration::from_millis(1) {
-            return wrong(duty.every.span().start, "every: a millisecond at least".into());
+            return wrong(
+                duty.every.span().start,
+                "every: a millisecond at least".into(),
+            );
         }
         let call = duty.call.get_ref();
         let uri = call.parse::<Uri>().ok().filter(|uri| {
             uri.scheme_str() == Some("http")
-                && uri.host().is_some_and(|host| host.parse::<std::net::IpAddr>().is_ok())
+                && uri
+                    .host()
+                    .is_some_and(|host| host.parse::<std::net::IpAddr>().is_ok())
         });
         let Some(uri) = uri else {
             let at = duty.call.span().start;
@@ -212,26 +255,44 @@
                 let at = told.span().start;
                 return wrong(
                     at,
-                    format!("within: more than nothing and at most {most:?}, by the lease of {lease:?}"),
+                    format!(
+                        "within: more than nothing and at most {most:?}, by the lease of {lease:?}"
+                    ),
                 );
             }
             Some(told) => told.get_ref().0,
         };
         let mark = passroad_choice::door::mark(&name);
-        duties.push(DutyOrder { name, mark, every, call: Some(uri), within });
+        duties.push(DutyOrder {
+            name,
+            mark,
+            every,
+            call: Some(uri),
+            within,
+        });
     }
     let upkeep = match &told.upkeep {
         None => None,
         Some(told) => {
             let (at, told) = (told.span().start, told.get_ref());
-            let nought =
-                told.at_once == 0 || told.at_once_in_a_zone == 0 || told.at_once_in_a_cell == Some(0);
+            let nought = told.at_once == 0
+                || told.at_once_in_a_zone == 0
+                || told.at_once_in_a_cell == Some(0);
             if nought || told.reserve.0 > 0.9 {
-                return wrong(at, "upkeep: at_once, in a zone and in a cell from 1, reserve to 90%".into());
+                return wrong(
+                    at,
+                    "upkeep: at_once, in a zone and in a cell from 1, reserve to 90%".into(),
+                );
             }
             let (within, every) = (Duration::MAX, Duration::MAX);
             let mark = passroad_choice::door::mark(UPKEEP);
-            duties.push(DutyOrder { name: UPKEEP.into(), mark, every, call: None, within });
+            duties.push(DutyOrder {
+                name: UPKEEP.into(),
+                mark,
+                every,
+                call: None,
+                within,
+            });
             Some(UpkeepOrder {
                 at_once: told.at_once,
                 at_once_in_a_zone: told.at_once_in_a_zone,
@@ -242,7 +303,14 @@
         }
     };
     let state = told.state.map(|state| PathBuf::from(state.into_inner()));
-    Ok(FleetOrders { lease, period, voters, state, duties, upkeep })
+    Ok(FleetOrders {
+        lease,
+        period,
+        voters,
+        state,
+        duties,
+        upkeep,
+    })
 }
 
 #[cfg(test)]
@@ -251,7 +319,8 @@
     use rstest::rstest;
     use serde_json::json;
 
-    const DUTY: &str = "[[duty]]\nname = \"sweep\"\nevery = \"1s\"\ncall = \"http://127.0.0.1:9/x\"\n";
+    const DUTY: &str =
+        "[[duty]]\nname = \"sweep\"\nevery = \"1s\"\ncall = \"http://127.0.0.1:9/x\"\n";
 
     #[rstest]
     #[case::unknown(format!("speed = 1\n{DUTY}"), 1, "speed: unknown field")]
@@ -262,7 +331,11 @@
     #[case::twice(format!("{DUTY}{DUTY}"), 6, "name: 'sweep' is taken")]
     #[case::name_of_a_host(DUTY.replace("127.0.0.1", "db"), 4, "names are not looked up")]
     #[case::long_call(format!("lease = \"1s\"\n{DUTY}within = \"900ms\"\n"), 6, "within: more than nothing")]
-    fn a_slip_is_named_with_its_line(#[case] text: String, #[case] line: usize, #[case] what: &str) {
+    fn a_slip_is_named_with_its_line(
+        #[case] text: String,
+        #[case] line: usize,
+        #[case] what: &str,
+    ) {
         let wrong = read(&text).unwrap_err();
         assert!(wrong.line == line && wrong.what.contains(what), "{wrong}");
     }
--- a/crates/passroad/src/fleet/part.rs
+++ b/crates/passroad/src/fleet/part.rs
@@ -125,9 +125,26 @@
         times: Times,
         votes: Option<BTreeMap<Duty, Vote>>,
     ) -> Part {
-        let &Who { me, members, incarnation, seed } = who;
-        let terms = peers::Terms { me, members, incarnation, period, seed };
-        let own = lease::Terms { me, members, voters, lease, seed };
+        let &Who {
+            me,
+            members,
+            incarnation,
+            seed,
+        } = who;
+        let terms = peers::Terms {
+            me,
+            members,
+            incarnation,
+            period,
+            seed,
+        };
+        let own = lease::Terms {
+            me,
+            members,
+            voters,
+            lease,
+            seed,
+        };
         let count = duties.len();
         let mut part = Part {
             me,
@@ -161,7 +178,12 @@
             together: TOGETHER,
         };
         let keepers = lease::council(mark, members, self.lease.voters());
-        self.work = Some(Upkeep::new(upkeep::Terms { me: self.me, members, keepers, limits }));
+        self.work = Some(Upkeep::new(upkeep::Terms {
+            me: self.me,
+            members,
+            keepers,
+            limits,
+        }));
         self
     }
 
@@ -175,20 +197,33 @@
     }
 
     /// The order of work: with a word that was heard, or for time alone.
-    pub fn work(&mut self, times: Times, view: &View, heard: Option<(u16, upkeep::Word)>) -> Vec<Do> {
+    pub fn work(
+        &mut self,
+        times: Times,
+        view: &View,
+        heard: Option<(u16, upkeep::Word)>,
+    ) -> Vec<Do> {
         let mut todo = Vec::new();
-        let Some(mut work) = self.work.take() else { return todo };
+        let Some(mut work) = self.work.take() else {
+            return todo;
+        };
         let mark = passroad_choice::door::mark(UPKEEP);
         let owned = self.lease.owned(times, mark).map(|(epoch, _)| epoch);
         let note = self.peers.note_of(mark).and_then(|note| note.holder);
-        let incarnations: Vec<u64> =
-            self.peers.known().iter().map(|known| peers::life(known.incarnation)).collect();
+        let incarnations: Vec<u64> = self
+            .peers
+            .known()
+            .iter()
+            .map(|known| peers::life(known.incarnation))
+            .collect();
         let sight = Sight {
             now: times.steady,
             wall: times.wall,
             owned: owned.filter(|_| !self.stops),
             incarnations: &incarnations,
-            conductor: owned.map(|_| self.me).or(note.filter(|holder| *holder != self.me)),
+            conductor: owned
+                .map(|_| self.me)
+                .or(note.filter(|holder| *holder != self.me)),
             seen: view.seen,
             free: view.free,
         };
@@ -201,7 +236,9 @@
             match out {
                 upkeep::Out::Say { to, word } => self.send(to, WORK, &word.bytes(), &mut todo),
                 upkeep::Out::Ban { machine, out } => todo.push(Do::Ban { machine, out }),
-                upkeep::Out::Answer { request, refused } => todo.push(Do::Answer { request, refused }),
+                upkeep::Out::Answer { request, refused } => {
+                    todo.push(Do::Answer { request, refused })
+                }
                 upkeep::Out::Told { machine, what } => todo.push(Do::Machine { machine, what }),
             }
         }
@@ -216,7 +253,11 @@
         let outs = self.lease.tick(times);
         self.carry_out(times, outs, &mut todo);
         for n in 0..self.duties.len() {
-            if self.stops || self.out[n] || times.steady < self.next[n] || self.duties[n].call.is_none() {
+            if self.stops
+                || self.out[n]
+                || times.steady < self.next[n]
+                || self.duties[n].call.is_none()
+            {
                 continue;
             }
             let duty = &self.duties[n];
@@ -225,7 +266,11 @@
                 && left > duty.within
             {
                 (self.out[n], self.next[n]) = (true, times.steady + duty.every);
-                todo.push(Do::Begin { n, epoch, within: duty.within });
+                todo.push(Do::Begin {
+                    n,
+                    epoch,
+                    within: duty.within,
+                });
             }
         }
         self.count(times.steady, &mut todo);
@@ -234,17 +279,28 @@
 
     /// How long until the next turn, if nothing comes.
     pub fn wait(&mut self, times: Times) -> Duration {
-        let mut wait = self.peers.wait(times.steady).min(self.lease.wait().unwrap_or(LONGEST_WAIT));
+        let mut wait = self
+            .peers
+            .wait(times.steady)
+            .min(self.lease.wait().unwrap_or(LONGEST_WAIT));
         for n in 0..self.duties.len() {
             if self.stops || self.out[n] || self.duties[n].call.is_none() {
                 continue;
             }
             if let Some((_, left)) = self.lease.owned(times, self.duties[n].mark) {
                 let due = self.next[n].saturating_sub(times.steady);
-                wait = wait.min(if left > self.duties[n].within { due } else { due.max(NEXT_LOOK) });
+                wait = wait.min(if left > self.duties[n].within {
+                    due
+                } else {
+                    due.max(NEXT_LOOK)
+                });
             }
         }
-        let wait = if self.work.as_ref().is_some_and(Upkeep::awake) { wait.min(upkeep::TURN) } else { wait };
+        let wait = if self.work.as_ref().is_some_and(Upkeep::awake) {
+            wait.min(upkeep::TURN)
+        } else {
+            wait
+        };
         wait.min(LONGEST_WAIT)
     }
 
@@ -281,8 +337,12 @@
                 None => todo.push(Do::Unheard("unreadable")),
             },
             WORK => match upkeep::Word::read(body) {
-                Some(word) if self.work.is_some() => todo.extend(self.work(times, view, Some((from, word)))),
-                Some(_) => todo.push(Do::Unheard("of work on machines, which the file does not ask for")),
+                Some(word) if self.work.is_some() => {
+                    todo.extend(self.work(times, view, Some((from, word))))
+                }
+                Some(_) => todo.push(Do::Unheard(
+                    "of work on machines, which the file does not ask for",
+                )),
                 None => todo.push(Do::Unheard("unreadable")),
             },
             _ => todo.push(Do::Unheard("on an unknown channel")),
@@ -301,7 +361,10 @@
             Came::Stale(highest) => {
                 say(
                     Level::Warn,
-                    format!("duty {}: epoch {epoch} was refused, {highest} is known there", duty.name),
+                    format!(
+                        "duty {}: epoch {epoch} was refused, {highest} is known there",
+                        duty.name
+                    ),
                 );
                 let outs = self.lease.learn(times, duty.mark, highest);
                 self.carry_out(times, outs, &mut todo);
@@ -311,7 +374,10 @@
                     self.told[n] = Some(times.steady);
                     say(
                         Level::Warn,
-                        format!("duty {}: a call that may have been done or not: {why}", duty.name),
+                        format!(
+                            "duty {}: a call that may have been done or not: {why}",
+                            duty.name
+                        ),
                     );
                 }
             }
@@ -347,7 +413,9 @@
 
     /// Whether this sidecar takes itself for the owner, and by which epoch.
     pub fn owned(&mut self, times: Times, n: usize) -> Option<Epoch> {
-        self.lease.owned(times, self.duties[n].mark).map(|(epoch, _)| epoch)
+        self.lease
+            .owned(times, self.duties[n].mark)
+            .map(|(epoch, _)| epoch)
     }
 
     pub fn counts(&self) -> peers::Counts {
@@ -375,9 +443,13 @@
                     self.carry_out(times, outs, todo);
                 }
                 peers::Out::Starved(late) => {
-                    let line =
-                        format!("this sidecar stood still for {late:.1?}; it doubts nobody for that time");
-                    todo.push(Do::Say { level: Level::Warn, line });
+                    let line = format!(
+                        "this sidecar stood still for {late:.1?}; it doubts nobody for that time"
+                    );
+                    todo.push(Do::Say {
+                        level: Level::Warn,
+                        line,
+                    });
                 }
             }
         }
@@ -391,8 +463,13 @@
         for n in 0..self.duties.len() {
             let duty = self.duties[n].mark;
             let order = lease::order(duty, self.peers.known().len());
-            let here = |member: &u16| *member == self.me || self.peers.standing(*member) == Standing::Here;
-            let place = order.into_iter().filter(here).take(STAND).position(|member| member == self.me);
+            let here =
+                |member: &u16| *member == self.me || self.peers.standing(*member) == Standing::Here;
+            let place = order
+                .into_iter()
+                .filter(here)
+                .take(STAND)
+                .position(|member| member == self.me);
             if !self.stops && (place.is_some() || self.lease.owned(times, duty).is_none()) {
                 let outs = self.lease.stand(times, duty, place);
                 self.carry_out(times, outs, todo);
@@ -410,9 +487,19 @@
                 lease::Out::Say { to, word } => self.send(to, LEASES, &word.bytes(), todo),
                 lease::Out::Keep { duty, vote } => todo.push(Do::Keep { duty, vote }),
                 lease::Out::Won { duty, epoch } => {
-                    self.peers.note(Note { topic: duty, number: epoch, holder: Some(self.me) });
-                    let line = format!("duty {} is owned here from now, by epoch {epoch}", self.name(duty));
-                    todo.push(Do::Say { level: Level::Info, line });
+                    self.peers.note(Note {
+                        topic: duty,
+                        number: epoch,
+                        holder: Some(self.me),
+                    });
+                    let line = format!(
+                        "duty {} is owned here from now, by epoch {epoch}",
+                        self.name(duty)
+                    );
+                    todo.push(Do::Say {
+                        level: Level::Info,
+                        line,
+                    });
                 }
                 lease::Out::Lost { duty, epoch, why } => {
                     if let Some(n) = self.duties.iter().position(|d| d.mark == duty)
@@ -421,23 +508,35 @@
                         todo.push(Do::Drop { n });
                     }
                     if why == Why::Left {
-                        self.peers.note(Note { topic: duty, number: epoch, holder: None });
+                        self.peers.note(Note {
+                            topic: duty,
+                            number: epoch,
+                            holder: None,
+                        });
                     }
                     let why = match why {
                         Why::RanOut => "no majority renewed it in time",
                         Why::Left => "given up",
                         Why::Outrun => "a higher epoch is known elsewhere",
                     };
-                    let line =
-                        format!("duty {} is no longer owned here (epoch {epoch}): {why}", self.name(duty));
-                    todo.push(Do::Say { level: Level::Info, line });
+                    let line = format!(
+                        "duty {} is no longer owned here (epoch {epoch}): {why}",
+                        self.name(duty)
+                    );
+                    todo.push(Do::Say {
+                        level: Level::Info,
+                        line,
+                    });
                 }
             }
         }
     }
 
     fn name(&self, duty: Duty) -> &str {
-        self.duties.iter().find(|d| d.mark == duty).map_or("?", |d| d.name.as_str())
+        self.duties
+            .iter()
+            .find(|d| d.mark == duty)
+            .map_or("?", |d| d.name.as_str())
     }
 
     /// One line where it has changed, a second apart: the fleet may turn by the dozen.
@@ -446,12 +545,28 @@
             return;
         }
         self.counted_at = now;
-        let count = |standing| self.peers.known().iter().filter(|k| k.standing == standing).count();
-        let counted = (count(Standing::Here), count(Standing::Doubt), count(Standing::Gone));
+        let count = |standing| {
+            self.peers
+                .known()
+                .iter()
+                .filter(|k| k.standing == standing)
+                .count()
+        };
+        let counted = (
+            count(Standing::Here),
+            count(Standing::Doubt),
+            count(Standing::Gone),
+        );
         if counted != self.counted {
             self.counted = counted;
-            let line = format!("{} here, {} in doubt, {} gone", counted.0, counted.1, counted.2);
-            todo.push(Do::Say { level: Level::Info, line });
+            let line = format!(
+                "{} here, {} in doubt, {} gone",
+                counted.0, counted.1, counted.2
+            );
+            todo.push(Do::Say {
+                level: Level::Info,
+                line,
+            });
         }
     }
 
--- a/crates/passroad/src/fleet/part/tests.rs
+++ b/crates/passroad/src/fleet/part/tests.rs
@@ -5,7 +5,10 @@
 const LEASE: Duration = Duration::from_secs(1);
 
 fn at(ms: u32) -> Times {
-    Times { steady: MS * ms, wall: MS * (1_000_000 + ms) }
+    Times {
+        steady: MS * ms,
+        wall: MS * (1_000_000 + ms),
+    }
 }
 
 /// The only voter, so that it owns its duty as soon as it is no longer mute.
@@ -17,21 +20,36 @@
         call: Some(hyper::Uri::from_static("http://127.0.0.1:1/")),
         within: 300 * MS,
     };
-    let who = Who { me: 0, members: 1, incarnation: 5, seed: 9 };
+    let who = Who {
+        me: 0,
+        members: 1,
+        incarnation: 5,
+        seed: 9,
+    };
     Part::new(&who, 1, LEASE, LEASE, vec![duty], at(0), None)
 }
 
 /// Turns each millisecond; what was to be done of calls, with when.
 fn run(part: &mut Part, span: std::ops::Range<u32>) -> Vec<(u32, Do)> {
     let call = |todo: &Do| matches!(todo, Do::Begin { .. } | Do::Drop { .. });
-    span.flat_map(|ms| part.turn(at(ms)).into_iter().filter(call).map(move |todo| (ms, todo))).collect()
+    span.flat_map(|ms| {
+        part.turn(at(ms))
+            .into_iter()
+            .filter(call)
+            .map(move |todo| (ms, todo))
+    })
+    .collect()
 }
 
 /// One that has just begun its first call: when, and by which epoch.
 fn owning() -> (Part, u32, Epoch) {
     let mut part = alone();
-    let (ms, begun) = (0..3000).find_map(|ms| run(&mut part, ms..ms + 1).pop()).unwrap();
-    let Do::Begin { epoch, .. } = begun else { panic!("{begun:?}") };
+    let (ms, begun) = (0..3000)
+        .find_map(|ms| run(&mut part, ms..ms + 1).pop())
+        .unwrap();
+    let Do::Begin { epoch, .. } = begun else {
+        panic!("{begun:?}")
+    };
     (part, ms, epoch)
 }
 
@@ -50,7 +68,10 @@
 #[case::wall_clock_alone(1, 8000)]
 fn what_slept_past_its_lease_drops_what_was_out(#[case] steady: u32, #[case] wall: u32) {
     let (mut part, ms, epoch) = owning();
-    let woken = Times { steady: at(ms + steady).steady, wall: at(ms + wall).wall };
+    let woken = Times {
+        steady: at(ms + steady).steady,
+        wall: at(ms + wall).wall,
+    };
     assert_eq!(part.owned(woken, 0), None);
     let todo = part.turn(woken);
     assert!(todo.contains(&Do::Drop { n: 0 }), "{todo:?}");
@@ -64,7 +85,16 @@
     part.ended(at(ms + 10), 0, epoch, Came::Stale(5_000_000));
     assert_eq!(part.owned(at(ms + 10), 0), None);
     let begun = run(&mut part, ms + 10..ms + 3000);
-    assert!(matches!(begun[0].1, Do::Begin { epoch: 5_000_001, .. }), "{begun:?}");
+    assert!(
+        matches!(
+            begun[0].1,
+            Do::Begin {
+                epoch: 5_000_001,
+                ..
+            }
+        ),
+        "{begun:?}"
+    );
 }
 
 #[rstest]
--- a/crates/passroad/src/fleet/status.rs
+++ b/crates/passroad/src/fleet/status.rs
@@ -43,7 +43,11 @@
 }
 
 impl Door {
-    async fn answer<T>(&self, ask: impl FnOnce(oneshot::Sender<T>) -> Ask, within: Duration) -> Option<T> {
+    async fn answer<T>(
+        &self,
+        ask: impl FnOnce(oneshot::Sender<T>) -> Ask,
+        within: Duration,
+    ) -> Option<T> {
         let (tell, told) = oneshot::channel();
         self.ask.send(ask(tell)).ok()?;
         tokio::time::timeout(within, told).await.ok()?.ok()
@@ -55,7 +59,8 @@
     }
 
     pub async fn those(&self, of: Those) -> Option<Vec<String>> {
-        self.answer(|tell| Ask::Those(of, tell), ANSWER_WITHIN).await
+        self.answer(|tell| Ask::Those(of, tell), ANSWER_WITHIN)
+            .await
     }
 
     pub async fn work(&self) -> Option<Value> {
@@ -64,7 +69,8 @@
 
     /// None where no conductor has answered yet: the request stands, and goes on being said.
     pub async fn operator(&self, word: Word) -> Option<Option<Refusal>> {
-        self.answer(|answer| Ask::Operator { word, answer }, ANSWER_WITHIN).await
+        self.answer(|answer| Ask::Operator { word, answer }, ANSWER_WITHIN)
+            .await
     }
 
     /// Waits until this sidecar knows what is out for work, but no longer than so.
@@ -82,7 +88,8 @@
     let head = format!(
         "{method} {path} HTTP/1.1\r\nHost: {door}\r\nConnection: close\r\nContent-Length: {length}\r\n\r\n"
     );
-    to.write_all(format!("{head}{body}").as_bytes()).map_err(fault)?;
+    to.write_all(format!("{head}{body}").as_bytes())
+        .map_err(fault)?;
     let mut bytes = Vec::new();
     to.take(LONGEST).read_to_end(&mut bytes).map_err(fault)?;
     let mut room = [httparse::EMPTY_HEADER; 32];
@@ -91,10 +98,14 @@
         Ok(httparse::Status::Complete(length)) => length,
         _ => return Err(format!("{door}: no answer that can be read")),
     };
-    let said: Value = serde_json::from_slice(&bytes[length..]).map_err(|e| format!("{door}: {e}"))?;
+    let said: Value =
+        serde_json::from_slice(&bytes[length..]).map_err(|e| format!("{door}: {e}"))?;
     match head.code {
         Some(200 | 202) => Ok(said),
-        _ => Err(format!("{door}: {}", said["error"].as_str().unwrap_or("it said no"))),
+        _ => Err(format!(
+            "{door}: {}",
+            said["error"].as_str().unwrap_or("it said no")
+        )),
     }
 }
 
@@ -102,7 +113,10 @@
 pub fn table(said: &Value) -> String {
     let mut text = String::new();
     let number = |v: &Value| v.as_u64().unwrap_or_default();
-    let members = said["members"].as_array().map(Vec::as_slice).unwrap_or_default();
+    let members = said["members"]
+        .as_array()
+        .map(Vec::as_slice)
+        .unwrap_or_default();
     let count = |word: &str| members.iter().filter(|m| m["standing"] == word).count();
     let _ = writeln!(
         text,
@@ -112,14 +126,30 @@
         count("here"),
         count("doubt"),
         count("gone"),
-        if said["mute"] == true { "; mute as a voter" } else { "" }
+        if said["mute"] == true {
+            "; mute as a voter"
+        } else {
+            ""
+        }
+    );
+    let _ = writeln!(
+        text,
+        "{:<16} {:>7} {:>15} {:>8}  voters",
+        "duty", "owner", "epoch", "left ms"
     );
-    let _ = writeln!(text, "{:<16} {:>7} {:>15} {:>8}  voters", "duty", "owner", "epoch", "left ms");
     for duty in said["duties"].as_array().into_iter().flatten() {
-        let owner = duty["owner"].as_u64().map_or("none".into(), |n| n.to_string());
-        let left = duty["left_ms"].as_u64().map_or("-".into(), |n| n.to_string());
-        let voters: Vec<String> =
-            duty["voters"].as_array().into_iter().flatten().map(|v| number(v).to_string()).collect();
+        let owner = duty["owner"]
+            .as_u64()
+            .map_or("none".into(), |n| n.to_string());
+        let left = duty["left_ms"]
+            .as_u64()
+            .map_or("-".into(), |n| n.to_string());
+        let voters: Vec<String> = duty["voters"]
+            .as_array()
+            .into_iter()
+            .flatten()
+            .map(|v| number(v).to_string())
+            .collect();
         let name = duty["name"].as_str().unwrap_or_default();
         let _ = writeln!(
             text,
@@ -129,7 +159,10 @@
         );
     }
     for word in ["doubt", "gone"] {
-        let those = members.iter().filter(|m| m["standing"] == word).map(|m| number(&m["n"]).to_string());
+        let those = members
+            .iter()
+            .filter(|m| m["standing"] == word)
+            .map(|m| number(&m["n"]).to_string());
         let those: Vec<String> = those.collect();
         if !those.is_empty() {
             let _ = writeln!(text, "{word}: {}", those.join(" "));
--- a/crates/passroad/src/fleet/talk.rs
+++ b/crates/passroad/src/fleet/talk.rs
@@ -51,7 +51,9 @@
 }
 
 fn wall() -> Duration {
-    SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default()
+    SystemTime::now()
+        .duration_since(SystemTime::UNIX_EPOCH)
+        .unwrap_or_default()
 }
 
 impl Talk {
@@ -65,18 +67,42 @@
         // The time of the start: later processes of this name have a higher one.
         let incarnation = passroad_peers::begun(wall());
         let seed = incarnation.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ (u64::from(place.me) << 32);
-        let who = Who { me: place.me, members: place.peers.len(), incarnation, seed };
-        let times = Times { steady: Duration::ZERO, wall: wall() };
-        let votes = kept.as_ref().filter(|kept| kept.found).map(|kept| kept.votes.clone());
+        let who = Who {
+            me: place.me,
+            members: place.peers.len(),
+            incarnation,
+            seed,
+        };
+        let times = Times {
+            steady: Duration::ZERO,
+            wall: wall(),
+        };
+        let votes = kept
+            .as_ref()
+            .filter(|kept| kept.found)
+            .map(|kept| kept.votes.clone());
         let (calls, came) = Calls::new(orders.duties.len());
         let duties = orders.duties.clone();
-        let part = Part::new(&who, orders.voters, orders.lease, orders.period, duties, times, votes);
+        let part = Part::new(
+            &who,
+            orders.voters,
+            orders.lease,
+            orders.period,
+            duties,
+            times,
+            votes,
+        );
         let part = match &orders.upkeep {
             Some(upkeep) => part.with_upkeep(upkeep),
             None => part,
         };
         Talk {
-            numbers: place.peers.iter().enumerate().map(|(n, at)| (*at, n as u16)).collect(),
+            numbers: place
+                .peers
+                .iter()
+                .enumerate()
+                .map(|(n, at)| (*at, n as u16))
+                .collect(),
             part,
             machines,
             looked: Instant::now(),
@@ -100,11 +126,16 @@
     }
 
     fn times(&self) -> Times {
-        Times { steady: self.began.elapsed(), wall: wall() }
+        Times {
+            steady: self.began.elapsed(),
+            wall: wall(),
+        }
     }
 
     pub async fn run(mut self, mut asked: Asked, mut stages: Stages) {
-        let Some(mut came) = self.came.take() else { return };
+        let Some(mut came) = self.came.take() else {
+            return;
+        };
         // One more than a datagram may hold, so that a longer one is seen to be.
         let mut bytes = [0; passroad_peers::LONGEST + 1];
         let mut leaves: Option<Instant> = None;
@@ -173,20 +204,32 @@
     /// The order of work, some twenty times a second while there is one.
     fn work(&mut self) {
         let times = self.times();
-        let Some(machines) = &mut self.machines else { return };
+        let Some(machines) = &mut self.machines else {
+            return;
+        };
         // Guards against a fleet that starts together and has each sidecar go through the whole list twenty times a
         // second: one that is not informed yet has nothing to do with machines.
         let busy = |upkeep: &Upkeep| upkeep.awake() && (upkeep.informed() || upkeep.conducts());
-        let every = if self.part.upkeep().is_some_and(busy) { passroad_upkeep::TURN } else { LOOK };
+        let every = if self.part.upkeep().is_some_and(busy) {
+            passroad_upkeep::TURN
+        } else {
+            LOOK
+        };
         if self.looked.elapsed() >= every {
             self.looked = Instant::now();
             machines.look(times.wall);
             // What was banned before it was listed here.
             let machines = &*machines;
-            self.unlisted.retain(|machine| !machines.turn(*machine, true));
+            self.unlisted
+                .retain(|machine| !machines.turn(*machine, true));
         }
-        let Some(machines) = &self.machines else { return };
-        let view = View { seen: &machines.seen, free: &|machine| machines.free(machine) };
+        let Some(machines) = &self.machines else {
+            return;
+        };
+        let view = View {
+            seen: &machines.seen,
+            free: &|machine| machines.free(machine),
+        };
         let todo = self.part.work(times, &view, None);
         self.carry_out(todo);
         if self.part.upkeep().is_some_and(Upkeep::informed) {
@@ -213,14 +256,27 @@
                 let times = self.times();
                 let todo = match &self.machines {
                     Some(machines) => {
-                        let view = View { seen: &machines.seen, free: &|machine| machines.free(machine) };
+                        let view = View {
+                            seen: &machines.seen,
+                            free: &|machine| machines.free(machine),
+                        };
                         self.part.hear(times, member, bytes, &view)
                     }
-                    None => self.part.hear(times, member, bytes, &View { seen: &[], free: &|_| false }),
+                    None => self.part.hear(
+                        times,
+                        member,
+                        bytes,
+                        &View {
+                            seen: &[],
+                            free: &|_| false,
+                        },
+                    ),
                 };
                 self.carry_out(todo);
             }
-            None => self.drops.note(self.began.elapsed(), "of an address that is not in peers"),
+            None => self
+                .drops
+                .note(self.began.elapsed(), "of an address that is not in peers"),
         }
     }
 
@@ -244,7 +300,8 @@
                     }
                 }
                 Do::Begin { n, epoch, within } => {
-                    self.calls.begin(n, &self.duties[n], epoch, self.place.me, within);
+                    self.calls
+                        .begin(n, &self.duties[n], epoch, self.place.me, within);
                 }
                 Do::Drop { n } => self.calls.drop(n),
                 Do::Say { level, line } => log::log!(level, "fleet: {line}"),
@@ -274,8 +331,11 @@
                     }
                 }
                 Do::Machine { machine, what } => {
-                    let id =
-                        self.machines.as_ref().map(|machines| machines.name(machine)).unwrap_or_default();
+                    let id = self
+                        .machines
+                        .as_ref()
+                        .map(|machines| machines.name(machine))
+                        .unwrap_or_default();
                     let (level, line) = work::line(&id, what);
                     log::log!(level, "fleet: {line}");
                 }
--- a/crates/passroad/src/fleet/work.rs
+++ b/crates/passroad/src/fleet/work.rs
@@ -29,17 +29,25 @@
 
 impl Machines {
     pub fn new(desk: Arc<Desk>, orders: &UpkeepOrder) -> Self {
-        Machines { desk, warm: orders.warm, names: BTreeMap::new(), seen: Vec::new() }
+        Machines {
+            desk,
+            warm: orders.warm,
+            names: BTreeMap::new(),
+            seen: Vec::new(),
+        }
     }
 
     pub fn look(&mut self, wall: Duration) {
         self.seen.clear();
         let (mut zones, mut kinds) = (Vec::new(), Vec::new());
         let number = |names: &mut Vec<String>, name: &str| {
-            names.iter().position(|known| known == name).unwrap_or_else(|| {
-                names.push(name.to_string());
-                names.len() - 1
-            })
+            names
+                .iter()
+                .position(|known| known == name)
+                .unwrap_or_else(|| {
+                    names.push(name.to_string());
+                    names.len() - 1
+                })
         };
         for (member, busy, fails) in self.desk.machines() {
             let machine = passroad_choice::door::mark(&member.id);
@@ -61,17 +69,24 @@
 
     /// The ids in a zone, of a kind, in a cell, in the list's order.
     pub fn those(&self, of: &Those) -> Vec<String> {
-        let is = |asked: &Option<String>, told: &str| asked.as_ref().is_none_or(|asked| asked == told);
+        let is =
+            |asked: &Option<String>, told: &str| asked.as_ref().is_none_or(|asked| asked == told);
         let all = self.desk.machines().into_iter().map(|(member, ..)| member);
         let fits = |m: &Member| {
-            is(&of.zone, &m.locality) && is(&of.kind, &m.flavor) && of.cell.is_none_or(|cell| cell == m.cell)
+            is(&of.zone, &m.locality)
+                && is(&of.kind, &m.flavor)
+                && of.cell.is_none_or(|cell| cell == m.cell)
         };
-        all.filter(|m| fits(m) && m.mode() != Mode::Deleted).map(|m| m.id).collect()
+        all.filter(|m| fits(m) && m.mode() != Mode::Deleted)
+            .map(|m| m.id)
+            .collect()
     }
 
     /// Whether nothing of this sidecar's is on it now. What was never listed here got nothing from here.
     pub fn free(&self, machine: Machine) -> bool {
-        self.names.get(&machine).is_none_or(|id| !self.desk.uses(id))
+        self.names
+            .get(&machine)
+            .is_none_or(|id| !self.desk.uses(id))
     }
 
     /// Puts a ban into effect; false where the machine was never listed here: there is nothing to keep off yet.
@@ -82,7 +97,10 @@
     }
 
     pub fn name(&self, machine: Machine) -> String {
-        self.names.get(&machine).cloned().unwrap_or_else(|| format!("#{machine:016x}"))
+        self.names
+            .get(&machine)
+            .cloned()
+            .unwrap_or_else(|| format!("#{machine:016x}"))
     }
 
     pub fn status(&self, upkeep: &passroad_upkeep::Upkeep) -> Value {
@@ -130,9 +148,10 @@
             log::Level::Warn,
             format!("work: {id} is out for longer than was asked; `passroad work done {id}`"),
         ),
-        Line::PutBack => {
-            (log::Level::Warn, format!("work: {id} goes back into the queue, as others have failed"))
-        }
+        Line::PutBack => (
+            log::Level::Warn,
+            format!("work: {id} goes back into the queue, as others have failed"),
+        ),
     }
 }
 
@@ -164,5 +183,9 @@
         let place = entry["place"].as_u64().unwrap_or_default();
         text += &format!("{place:>4} {:<24} {}\n", word("machine"), word("state"));
     }
-    if text.is_empty() { "nothing is out for work, and nothing waits\n".into() } else { text }
+    if text.is_empty() {
+        "nothing is out for work, and nothing waits\n".into()
+    } else {
+        text
+    }
 }
--- a/crates/passroad/src/frame.rs
+++ b/crates/passroad/src/frame.rs
@@ -37,9 +37,16 @@
 
 impl Default for Frame {
     fn default() -> Self {
-        let reading =
-            Reading { part: Part::Head(Vec::new()), two_lengths: false, head_since: None, ahead: false };
-        Frame { reading: Mutex::new(reading), comes: Notify::new() }
+        let reading = Reading {
+            part: Part::Head(Vec::new()),
+            two_lengths: false,
+            head_since: None,
+            ahead: false,
+        };
+        Frame {
+            reading: Mutex::new(reading),
+            comes: Notify::new(),
+        }
     }
 }
 
@@ -148,12 +155,17 @@
         Err(_) => return Some((head.len(), Part::Over, false)),
     };
     let named = |name: &'static str| {
-        request.headers.iter().filter(move |h| h.name.eq_ignore_ascii_case(name)).map(|h| h.value)
+        request
+            .headers
+            .iter()
+            .filter(move |h| h.name.eq_ignore_ascii_case(name))
+            .map(|h| h.value)
     };
     let chunks = named("transfer-encoding").next().is_some();
     let two = named("content-length").count() + usize::from(chunks) > 1;
-    let length =
-        named("content-length").next().and_then(|v| std::str::from_utf8(v).ok()?.trim().parse().ok());
+    let length = named("content-length")
+        .next()
+        .and_then(|v| std::str::from_utf8(v).ok()?.trim().parse().ok());
     let part = match (chunks, length) {
         (true, _) => Part::Chunks,
         (false, None | Some(0)) => Part::Over,
@@ -178,7 +190,11 @@
 }
 
 impl AsyncRead for Watched {
-    fn poll_read(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
+    fn poll_read(
+        self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        buf: &mut ReadBuf<'_>,
+    ) -> Poll<io::Result<()>> {
         let before = buf.filled().len();
         let read = Pin::new(&mut *self.stream()).poll_read(cx, buf);
         self.talk.frame.saw(&buf.filled()[before..]);
@@ -187,7 +203,11 @@
 }
 
 impl AsyncWrite for Watched {
-    fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
+    fn poll_write(
+        self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        buf: &[u8],
+    ) -> Poll<io::Result<usize>> {
         Pin::new(&mut *self.stream()).poll_write(cx, buf)
     }
 
--- a/crates/passroad/src/front.rs
+++ b/crates/passroad/src/front.rs
@@ -36,7 +36,8 @@
 /// How long a connection that was of use is kept with nothing open, as long as few are.
 const KEPT_WITHIN: Duration = Duration::from_secs(10);
 const LIBRARY_WITHIN: Duration = Duration::from_secs(30); // the library's own clock for heads, behind these
-const TOO_SLOW: &[u8] = b"HTTP/1.1 408 Request Timeout\r\nConnection: close\r\nContent-Length: 0\r\n\r\n";
+const TOO_SLOW: &[u8] =
+    b"HTTP/1.1 408 Request Timeout\r\nConnection: close\r\nContent-Length: 0\r\n\r\n";
 const LINGER: Duration = Duration::from_millis(50); // for a last answer to be read before what still comes is refused
 const ADDRESS_WITHIN: Duration = Duration::from_secs(3); // a process before this one may be ending
 const QUIET_IN_CROWD: Duration = Duration::from_millis(100);
@@ -92,7 +93,11 @@
 pub async fn listen(at: SocketAddr, beside: bool) -> Result<TcpListener, String> {
     let began = Instant::now();
     loop {
-        let socket = if at.is_ipv4() { TcpSocket::new_v4() } else { TcpSocket::new_v6() };
+        let socket = if at.is_ipv4() {
+            TcpSocket::new_v4()
+        } else {
+            TcpSocket::new_v6()
+        };
         let bound = socket.and_then(|socket| {
             socket.set_reuseaddr(true)?;
             if beside {
@@ -102,7 +107,9 @@
             socket.listen(BACKLOG)
         });
         match bound {
-            Err(fault) if fault.kind() == ErrorKind::AddrInUse && began.elapsed() < ADDRESS_WITHIN => {
+            Err(fault)
+                if fault.kind() == ErrorKind::AddrInUse && began.elapsed() < ADDRESS_WITHIN =>
+            {
                 sleep(TRIES_APART).await;
             }
             bound => return bound.map_err(|e| format!("listen on {at}: {e}")),
@@ -112,13 +119,17 @@
 
 /// The socket that another process listens on, too.
 pub fn adopt(socket: std::net::TcpListener) -> Result<TcpListener, String> {
-    let adopted = socket.set_nonblocking(true).and_then(|()| TcpListener::from_std(socket));
+    let adopted = socket
+        .set_nonblocking(true)
+        .and_then(|()| TcpListener::from_std(socket));
     adopted.map_err(|e| format!("listen: {e}"))
 }
 
 /// The same socket once more.
 pub fn copy(listener: &TcpListener) -> Result<std::net::TcpListener, String> {
-    let copy = socket2::SockRef::from(listener).try_clone().map_err(|e| format!("listen: {e}"))?;
+    let copy = socket2::SockRef::from(listener)
+        .try_clone()
+        .map_err(|e| format!("listen: {e}"))?;
     Ok(copy.into())
 }
 
@@ -159,8 +170,15 @@
     /// attempts have none: for a while there are fewer of them than came in.
     fn runs_short(&self, fault: &std::io::Error) {
         let most = self.open.load(Relaxed).saturating_sub(RESERVE).max(RESERVE);
-        let short = Short { most, until: Instant::now() + SHORT_FOR };
-        let before = self.short.lock().unwrap_or_else(PoisonError::into_inner).replace(short);
+        let short = Short {
+            most,
+            until: Instant::now() + SHORT_FOR,
+        };
+        let before = self
+            .short
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .replace(short);
         if before.is_none_or(|before| before.until < Instant::now()) {
             log::warn!("accept: {fault}; at most {most} connections of clients for {SHORT_FOR:?}");
         }
@@ -175,7 +193,9 @@
 
     /// Whether one more of a crowd may be given up now.
     fn one_goes(&self) -> bool {
-        self.may_go.fetch_update(Relaxed, Relaxed, |may| may.checked_sub(1)).is_ok()
+        self.may_go
+            .fetch_update(Relaxed, Relaxed, |may| may.checked_sub(1))
+            .is_ok()
     }
 
     fn few_kept(&self) -> bool {
@@ -194,7 +214,10 @@
     intake: Arc<Intake>,
     paces: watch::Receiver<Pace>,
 ) {
-    let router = Router::new().route("/healthz", get(ready)).fallback(take).with_state(Arc::clone(&intake));
+    let router = Router::new()
+        .route("/healthz", get(ready))
+        .fallback(take)
+        .with_state(Arc::clone(&intake));
     let (mut stages, mut taking) = (front.stages.clone(), front.taking.subscribe());
     let mut full = None; // since when some may wait in the backlog
     let (mut accepted, mut crowds) = (Accepted::default(), interval(CROWD_EVERY));
@@ -312,17 +335,26 @@
     }
 
     fn quiet_for(&self, span: Duration) -> bool {
-        self.quiet.lock().is_ok_and(|since| since.is_some_and(|at| at.elapsed() >= span))
+        self.quiet
+            .lock()
+            .is_ok_and(|since| since.is_some_and(|at| at.elapsed() >= span))
     }
 
     pub fn set_quiet(&self, since: Option<Instant>) {
-        self.quiet.lock().iter_mut().for_each(|quiet| **quiet = since);
+        self.quiet
+            .lock()
+            .iter_mut()
+            .for_each(|quiet| **quiet = since);
         self.turned.notify_one();
     }
 
     /// How long a command read now may have waited for its connection to be let in.
     pub fn may_have_waited(&self) -> Duration {
-        if self.came.elapsed() < AT_ONCE { self.waited } else { Duration::ZERO }
+        if self.came.elapsed() < AT_ONCE {
+            self.waited
+        } else {
+            Duration::ZERO
+        }
     }
 
     /// Whether the client of the command in hand still waits for its answer. The system is asked: the end of a connection
@@ -362,7 +394,9 @@
         let quiet = self.quiet.lock().ok().and_then(|since| *since)?;
         match self.frame.awaits_head()? {
             // Guards against one that begins late and goes on for long: its client is owed a word in time.
-            Some(since) if quiet == self.came => Some((since + HEAD_WITHIN).min(self.came + FIRST_WITHIN)),
+            Some(since) if quiet == self.came => {
+                Some((since + HEAD_WITHIN).min(self.came + FIRST_WITHIN))
+            }
             Some(since) => Some(since + HEAD_WITHIN),
             // Guards against an end that crosses what a client writes: where few come and the process waits for its core
             // there is time for that. So those that were of use are kept well past the usual pause between commands.
@@ -409,7 +443,9 @@
     match socket2::SockRef::from(stream).peek(&mut [MaybeUninit::uninit()]) {
         Ok(0) => Lies::Ended,
         Ok(_) => Lies::Bytes,
-        Err(fault) if matches!(fault.kind(), ErrorKind::WouldBlock | ErrorKind::Interrupted) => Lies::Nothing,
+        Err(fault) if matches!(fault.kind(), ErrorKind::WouldBlock | ErrorKind::Interrupted) => {
+            Lies::Nothing
+        }
         Err(_) => Lies::Ended,
     }
 }
@@ -423,42 +459,56 @@
         let waited = full.map_or(Duration::ZERO, |since| since.elapsed());
         let talk = Arc::new(Talk::new(&stream, came, waited));
         let kept = Mutex::new(None);
-        let service = hyper::service::service_fn(|mut request: hyper::Request<hyper::body::Incoming>| {
-            request.extensions_mut().insert(Arc::clone(&talk));
-            kept.lock().iter_mut().for_each(|kept| **kept = None);
-            let kept = &kept;
-            let (answer, talk) = (router.clone().call(request), &talk);
-            async move {
-                let mut answer = answer.await?;
-                // Guards against what is hidden behind a request that can't be used, or comes before its turn: the
-                // connection ends with this answer, and nothing more is read from it. So it does while the
-                // sidecar stops.
-                let usable = !answer.status().is_client_error();
-                let stays = front.stage() == Stage::Serving && *front.taking.borrow();
-                let on = usable && !talk.frame.ends_here() && stays;
-                // Guards against clients that ask once and stay: what they may hold is soon taken up by connections
-                // that nobody uses. Past half of it each goes with its answer.
-                let mut keep = on.then(|| Kept::one_more(front)).flatten();
-                if keep.is_none() {
-                    answer.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
+        let service =
+            hyper::service::service_fn(|mut request: hyper::Request<hyper::body::Incoming>| {
+                request.extensions_mut().insert(Arc::clone(&talk));
+                kept.lock().iter_mut().for_each(|kept| **kept = None);
+                let kept = &kept;
+                let (answer, talk) = (router.clone().call(request), &talk);
+                async move {
+                    let mut answer = answer.await?;
+                    // Guards against what is hidden behind a request that can't be used, or comes before its turn: the
+                    // connection ends with this answer, and nothing more is read from it. So it does while the
+                    // sidecar stops.
+                    let usable = !answer.status().is_client_error();
+                    let stays = front.stage() == Stage::Serving && *front.taking.borrow();
+                    let on = usable && !talk.frame.ends_here() && stays;
+                    // Guards against clients that ask once and stay: what they may hold is soon taken up by connections
+                    // that nobody uses. Past half of it each goes with its answer.
+                    let mut keep = on.then(|| Kept::one_more(front)).flatten();
+                    if keep.is_none() {
+                        answer
+                            .headers_mut()
+                            .insert(header::CONNECTION, HeaderValue::from_static("close"));
+                    }
+                    kept.lock().iter_mut().for_each(|kept| **kept = keep.take());
+                    talk.answered.fetch_or(usable, Relaxed);
+                    let talk = Arc::clone(talk);
+                    // Guards against a client that reads slowly taken for one that says nothing.
+                    let then = move || {
+                        talk.frame.answered();
+                        talk.set_quiet(Some(Instant::now()));
+                    };
+                    let passing = |body| {
+                        Body::new(Passing {
+                            body,
+                            then: Some(then),
+                        })
+                    };
+                    Ok::<_, std::convert::Infallible>(answer.map(passing))
                 }
-                kept.lock().iter_mut().for_each(|kept| **kept = keep.take());
-                talk.answered.fetch_or(usable, Relaxed);
-                let talk = Arc::clone(talk);
-                // Guards against a client that reads slowly taken for one that says nothing.
-                let then = move || {
-                    talk.frame.answered();
-                    talk.set_quiet(Some(Instant::now()));
-                };
-                let passing = |body| Body::new(Passing { body, then: Some(then) });
-                Ok::<_, std::convert::Infallible>(answer.map(passing))
-            }
-        });
+            });
         let mut connection = http1::Builder::new()
             .timer(TokioTimer::new())
             .header_read_timeout(LIBRARY_WITHIN)
             .max_buf_size(LONGEST_HEAD)
-            .serve_connection(TokioIo::new(Watched { stream, talk: Arc::clone(&talk) }), service);
+            .serve_connection(
+                TokioIo::new(Watched {
+                    stream,
+                    talk: Arc::clone(&talk),
+                }),
+                service,
+            );
         let mut next = Stage::Leaving;
         let ended = loop {
             tokio::select! {
@@ -485,18 +535,28 @@
                 }
             }
         };
-        let late =
-            ended.is_none() && talk.frame.in_head() && talk.due(front).is_some_and(|at| at <= Instant::now());
+        let late = ended.is_none()
+            && talk.frame.in_head()
+            && talk.due(front).is_some_and(|at| at <= Instant::now());
         if ended.is_none() && !late {
             Pin::new(&mut connection).graceful_shutdown();
             // Only a client that is quiet in the middle of a request, or does not read its answer, is cut off.
-            let patience = if talk.answered.load(Relaxed) { LAST_WORDS } else { AT_ONCE };
+            let patience = if talk.answered.load(Relaxed) {
+                LAST_WORDS
+            } else {
+                AT_ONCE
+            };
             let stays = || !talk.quiet_for(patience) || talk.unread();
             while timeout(patience, &mut connection).await.is_err() && stays() {}
         }
         let stream = connection.into_parts().io.into_inner().stream;
         match ended {
-            None if late => drop(stream.lock().unwrap_or_else(PoisonError::into_inner).try_write(TOO_SLOW)),
+            None if late => drop(
+                stream
+                    .lock()
+                    .unwrap_or_else(PoisonError::into_inner)
+                    .try_write(TOO_SLOW),
+            ),
             Some(Ok(())) if talk.frame.unread() => sleep(LINGER).await,
             _ => {}
         }
--- a/crates/passroad/src/front/tests.rs
+++ b/crates/passroad/src/front/tests.rs
@@ -25,7 +25,9 @@
     sleep(HEAD_WITHIN - Duration::from_millis(100)).await;
     for client in &mut clients {
         assert!(client.read(&mut [0; 1000]).unwrap() > 0);
-        client.set_read_timeout(Some(Duration::from_secs(5))).unwrap();
+        client
+            .set_read_timeout(Some(Duration::from_secs(5)))
+            .unwrap();
         client.write_all(request).unwrap();
     }
     std::thread::sleep(until + Duration::from_millis(50) - Instant::now());
--- a/crates/passroad/src/handover.rs
+++ b/crates/passroad/src/handover.rs
@@ -7,8 +7,8 @@
 use crate::stop::{Stage, Stages};
 use rustix::fd::OwnedFd;
 use rustix::net::{
-    RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags, SendAncillaryBuffer, SendAncillaryMessage,
-    SendFlags,
+    RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags, SendAncillaryBuffer,
+    SendAncillaryMessage, SendFlags,
 };
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
@@ -66,9 +66,15 @@
 /// A path that fits an address of a Unix socket, as long as the folder is held open.
 fn short(path: &Path) -> io::Result<(PathBuf, std::fs::File)> {
     use std::os::fd::AsRawFd;
-    let (folder, name) = (path.parent().unwrap_or(Path::new(".")), path.file_name().unwrap_or_default());
+    let (folder, name) = (
+        path.parent().unwrap_or(Path::new(".")),
+        path.file_name().unwrap_or_default(),
+    );
     let folder = std::fs::File::open(folder)?;
-    Ok((PathBuf::from(format!("/proc/self/fd/{}", folder.as_raw_fd())).join(name), folder))
+    Ok((
+        PathBuf::from(format!("/proc/self/fd/{}", folder.as_raw_fd())).join(name),
+        folder,
+    ))
 }
 
 /// Asks the process that serves there. None if there is none; a fault is told in one line, and the start goes on
@@ -94,24 +100,37 @@
     let mut size = [0; 4];
     let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))];
     let mut beside = RecvAncillaryBuffer::new(&mut space);
-    let got =
-        rustix::net::recvmsg(&link, &mut [IoSliceMut::new(&mut size)], &mut beside, RecvFlags::CMSG_CLOEXEC)
-            .map_err(|e| e.to_string())?;
+    let got = rustix::net::recvmsg(
+        &link,
+        &mut [IoSliceMut::new(&mut size)],
+        &mut beside,
+        RecvFlags::CMSG_CLOEXEC,
+    )
+    .map_err(|e| e.to_string())?;
     let sockets = beside.drain().filter_map(|message| match message {
         RecvAncillaryMessage::ScmRights(sockets) => Some(sockets),
         _ => None,
     });
     let socket: Option<OwnedFd> = sockets.flatten().next();
-    let listener = TcpListener::from(socket.filter(|_| got.bytes == size.len()).ok_or("no socket came")?);
+    let listener = TcpListener::from(
+        socket
+            .filter(|_| got.bytes == size.len())
+            .ok_or("no socket came")?,
+    );
     let at = listener.local_addr().map_err(said)?;
     if at != listen {
         return Err(format!("its socket listens on {at}, not {listen}"));
     }
     let known = read(&mut link, u32::from_be_bytes(size) as usize, listen);
     // The socket is of use whatever came with it.
-    let known =
-        known.map_err(|fault| log::warn!("what the process before knows is not taken over: {fault}")).ok();
-    Ok(Inherited { listener, known, link })
+    let known = known
+        .map_err(|fault| log::warn!("what the process before knows is not taken over: {fault}"))
+        .ok();
+    Ok(Inherited {
+        listener,
+        known,
+        link,
+    })
 }
 
 fn read(link: &mut impl Read, size: usize, listen: SocketAddr) -> Result<Known, String> {
@@ -119,7 +138,8 @@
         return Err(format!("{size} bytes, over {LONGEST_STATE}"));
     }
     let mut bytes = vec![0; size];
-    link.read_exact(&mut bytes).map_err(|e| format!("cut short: {e}"))?;
+    link.read_exact(&mut bytes)
+        .map_err(|e| format!("cut short: {e}"))?;
     // The version first: of another one nothing else may be readable.
     let value: serde_json::Value = serde_json::from_slice(&bytes).map_err(|e| e.to_string())?;
     let version = value.get("version").and_then(serde_json::Value::as_u64);
@@ -171,7 +191,16 @@
     ) -> Result<Arc<Self>, String> {
         let listen = socket.local_addr().map_err(|e| e.to_string())?;
         let (links, away) = (Mutex::default(), watch::channel(false).0);
-        Ok(Arc::new(Handover { desk, claims, stages, listen, socket: socket.into(), room, links, away }))
+        Ok(Arc::new(Handover {
+            desk,
+            claims,
+            stages,
+            listen,
+            socket: socket.into(),
+            room,
+            links,
+            away,
+        }))
     }
 
     /// Bans an endpoint or calls it back, here and in the process beside this one. False for an id never listed.
@@ -180,9 +209,18 @@
             return false;
         }
         let mut waits = Vec::new();
-        for link in self.links.lock().unwrap_or_else(PoisonError::into_inner).iter() {
+        for link in self
+            .links
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .iter()
+        {
             let (done, told) = oneshot::channel();
-            let line = if out { Line::Out(id.into()) } else { Line::Back(id.into()) };
+            let line = if out {
+                Line::Out(id.into())
+            } else {
+                Line::Back(id.into())
+            };
             if link.send((line, done)).is_ok() {
                 waits.push(told);
             }
@@ -194,7 +232,9 @@
         };
         // One that does not answer must not cost the operator the answer.
         if timeout(TOLD_WITHIN, all).await.is_err() {
-            log::warn!("the process beside this one has not taken what was told of {id} in {TOLD_WITHIN:?}");
+            log::warn!(
+                "the process beside this one has not taken what was told of {id} in {TOLD_WITHIN:?}"
+            );
         }
         true
     }
@@ -209,7 +249,10 @@
             let listener = match bind(&place) {
                 Ok(listener) => listener,
                 Err(fault) => {
-                    return log::warn!("no upgrade beside this process: {}: {fault}", place.display());
+                    return log::warn!(
+                        "no upgrade beside this process: {}: {fault}",
+                        place.display()
+                    );
                 }
             };
             loop {
@@ -233,7 +276,10 @@
 
     /// This process is the new one.
     async fn follow(self: Arc<Self>, before: Inherited) {
-        let link = before.link.set_nonblocking(true).and_then(|()| UnixStream::from_std(before.link));
+        let link = before
+            .link
+            .set_nonblocking(true)
+            .and_then(|()| UnixStream::from_std(before.link));
         match link {
             Ok(mut link) => {
                 if link.write_all(&text(&Line::Ready)).await.is_ok() {
@@ -262,7 +308,10 @@
             }
             // From here on bans are told over the link: none falls between.
             let (tell, told) = mpsc::unbounded_channel();
-            self.links.lock().unwrap_or_else(PoisonError::into_inner).push(tell);
+            self.links
+                .lock()
+                .unwrap_or_else(PoisonError::into_inner)
+                .push(tell);
             // So are ids that turn; those that are open now go along.
             let ids = self.claims.follow();
             self.give(&mut stream).await?;
@@ -281,13 +330,19 @@
             Ok(Err(fault)) => log::warn!("upgrade: nothing handed over: {fault}"),
             Err(_) => log::warn!("upgrade: whoever asked did not take it in {ANSWER_WITHIN:?}"),
         }
-        self.links.lock().unwrap_or_else(PoisonError::into_inner).retain(|link| !link.is_closed());
+        self.links
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .retain(|link| !link.is_closed());
     }
 
     async fn give(&self, stream: &mut UnixStream) -> io::Result<()> {
         let known = self.desk.known(VERSION, self.listen, descriptors());
         // Guards against an id that is taken there before the first line of the link is read.
-        let known = Known { open: self.claims.open(), ..known };
+        let known = Known {
+            open: self.claims.open(),
+            ..known
+        };
         let state = serde_json::to_vec(&known).map_err(io::Error::other)?;
         let size = (state.len() as u32).to_be_bytes();
         loop {
@@ -297,7 +352,12 @@
                 let mut beside = SendAncillaryBuffer::new(&mut space);
                 let sockets = [rustix::fd::AsFd::as_fd(&self.socket)];
                 beside.push(SendAncillaryMessage::ScmRights(&sockets));
-                Ok(rustix::net::sendmsg(&*stream, &[IoSlice::new(&size)], &mut beside, SendFlags::empty())?)
+                Ok(rustix::net::sendmsg(
+                    &*stream,
+                    &[IoSlice::new(&size)],
+                    &mut beside,
+                    SendFlags::empty(),
+                )?)
             });
             match sent {
                 Ok(4) => return stream.write_all(&state).await,
@@ -310,10 +370,16 @@
 
     async fn keep(&self, stream: UnixStream, old: bool) {
         let (tell, told) = mpsc::unbounded_channel();
-        self.links.lock().unwrap_or_else(PoisonError::into_inner).push(tell);
+        self.links
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .push(tell);
         self.run(stream, told, self.claims.follow(), old).await;
         self.claims.alone();
-        self.links.lock().unwrap_or_else(PoisonError::into_inner).retain(|link| !link.is_closed());
+        self.links
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .retain(|link| !link.is_closed());
     }
 
     /// Tells and hears over a link until it ends.
--- a/crates/passroad/src/handover/tests.rs
+++ b/crates/passroad/src/handover/tests.rs
@@ -8,7 +8,10 @@
 #[case::another_address(|state: &mut serde_json::Value| state["listen"] = "127.0.0.1:2".into(), "it is of 127.0.0.1:2")]
 #[case::no_bans(|state: &mut serde_json::Value| drop(state.as_object_mut().unwrap().remove("bans")), "missing field `bans`")]
 #[case::other_form_learnt(|state: &mut serde_json::Value| state["learnt"] = "much".into(), "")]
-fn what_was_known_is_read_whole_or_not_at_all(#[case] turn: fn(&mut serde_json::Value), #[case] fault: &str) {
+fn what_was_known_is_read_whole_or_not_at_all(
+    #[case] turn: fn(&mut serde_json::Value),
+    #[case] fault: &str,
+) {
     let listen: SocketAddr = "127.0.0.1:1".parse().unwrap();
     let learnt = serde_json::Value::Null;
     let known = Known {
@@ -28,8 +31,15 @@
     let whole = read(&mut &bytes[..], bytes.len(), listen);
     match fault {
         "" => assert_eq!(whole.unwrap().bans, ["s-1"]),
-        fault => assert!(whole.as_ref().is_err_and(|said| said.contains(fault)), "{whole:?}"),
+        fault => assert!(
+            whole.as_ref().is_err_and(|said| said.contains(fault)),
+            "{whole:?}"
+        ),
     }
-    assert!(read(&mut &bytes[..9], bytes.len(), listen).is_err_and(|said| said.contains("cut short")));
-    assert!(read(&mut &bytes[..], LONGEST_STATE + 1, listen).is_err_and(|said| said.contains("over")));
+    assert!(
+        read(&mut &bytes[..9], bytes.len(), listen).is_err_and(|said| said.contains("cut short"))
+    );
+    assert!(
+        read(&mut &bytes[..], LONGEST_STATE + 1, listen).is_err_and(|said| said.contains("over"))
+    );
 }
--- a/crates/passroad/src/hollow.rs
+++ b/crates/passroad/src/hollow.rs
@@ -58,14 +58,25 @@
                 }
             });
         };
-        let mut lives = vec![std::thread::Builder::new().name("list".into()).spawn(live).map_err(fault)?];
+        let mut lives = vec![
+            std::thread::Builder::new()
+                .name("list".into())
+                .spawn(live)
+                .map_err(fault)?,
+        ];
         let (path, begun) = told.blocking_recv().map_err(|e| format!("hollow: {e}"))??;
         let mut threads = vec![path];
         if let Some((path, life)) = begun.fleet {
             threads.push(path);
             lives.push(life);
         }
-        Ok(Hollow { door: begun.door, threads, stages, over, lives })
+        Ok(Hollow {
+            door: begun.door,
+            threads,
+            stages,
+            over,
+            lives,
+        })
     }
 
     /// The planned end: it gives up what it owns first. Returns when nothing of it is left.
@@ -131,7 +142,12 @@
             Some((orders, place)) => fleet::prepare(orders, place, &desk, stage)?,
             None => None,
         };
-        let Some((door, ready)) = ready else { return Ok(List { door: None, fleet: None }) };
+        let Some((door, ready)) = ready else {
+            return Ok(List {
+                door: None,
+                fleet: None,
+            });
+        };
         let runtime = runtime().map_err(fault)?;
         let (tell, told) = std::sync::mpsc::channel();
         let serve = move || {
@@ -143,8 +159,14 @@
                 }
             });
         };
-        let life = std::thread::Builder::new().name("fleet".into()).spawn(serve).map_err(fault)?;
+        let life = std::thread::Builder::new()
+            .name("fleet".into())
+            .spawn(serve)
+            .map_err(fault)?;
         let path = told.recv().map_err(|e| format!("hollow: {e}"))?;
-        Ok(List { door: Some(door), fleet: Some((path, life)) })
+        Ok(List {
+            door: Some(door),
+            fleet: Some((path, life)),
+        })
     }
 }
--- a/crates/passroad/src/intake.rs
+++ b/crates/passroad/src/intake.rs
@@ -47,7 +47,12 @@
 impl Table {
     fn of(orders: &StandingOrders, numbers: &[usize], before: Vec<(VerbOrder, usize)>) -> Self {
         Table {
-            verbs: orders.verbs.iter().cloned().zip(numbers.iter().copied()).collect(),
+            verbs: orders
+                .verbs
+                .iter()
+                .cloned()
+                .zip(numbers.iter().copied())
+                .collect(),
             before,
             since: Instant::now(),
             companies: orders.companies.iter().map(|c| c.name.clone()).collect(),
@@ -56,9 +61,16 @@
 
     /// The orders that a command goes by. Clients name verbs as before for a while after the orders have changed: for
     /// so long what fits the orders before goes by those, and for a while more what fits none of the new ones.
-    fn verb(&self, name: &str, fits: impl Fn(&VerbOrder) -> bool) -> Option<Result<&(VerbOrder, usize), ()>> {
+    fn verb(
+        &self,
+        name: &str,
+        fits: impl Fn(&VerbOrder) -> bool,
+    ) -> Option<Result<&(VerbOrder, usize), ()>> {
         let age = self.since.elapsed();
-        let before = self.before.iter().filter(|_| age < STILL_BEFORE + STILL_BEFORE);
+        let before = self
+            .before
+            .iter()
+            .filter(|_| age < STILL_BEFORE + STILL_BEFORE);
         let (first, then): (Vec<_>, Vec<_>) = match age < STILL_BEFORE {
             true => (before.collect(), self.verbs.iter().collect()),
             false => (self.verbs.iter().collect(), before.collect()),
@@ -70,7 +82,11 @@
 }
 
 pub async fn ready(State(intake): State<Arc<Intake>>) -> StatusCode {
-    if intake.serving() { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE }
+    if intake.serving() {
+        StatusCode::OK
+    } else {
+        StatusCode::SERVICE_UNAVAILABLE
+    }
 }
 
 pub async fn take(
@@ -137,7 +153,15 @@
         let table = Mutex::new(Arc::new(Table::of(orders, &numbers, Vec::new())));
         let steps = memory / ROOM_SHARE / ROOM;
         let (room, half) = (Arc::new(Semaphore::new(steps)), steps / 2);
-        Intake { desk, table, stages, room, claims, half, left: AtomicUsize::new(0) }
+        Intake {
+            desk,
+            table,
+            stages,
+            room,
+            claims,
+            half,
+            left: AtomicUsize::new(0),
+        }
     }
 
     /// Has every open command answered.
@@ -155,7 +179,10 @@
     /// Leaves half of the room to another process, or has all of it again. What is taken already stays so.
     pub fn share(&self, shared: bool) {
         match shared {
-            true => drop(self.left.fetch_add(self.room.forget_permits(self.half), Relaxed)),
+            true => drop(
+                self.left
+                    .fetch_add(self.room.forget_permits(self.half), Relaxed),
+            ),
             false => self.room.add_permits(self.left.swap(0, Relaxed)),
         }
     }
@@ -181,13 +208,18 @@
         let told = framing.iter().any(|name| parts.headers.contains_key(name));
         let keyed = parts.headers.contains_key(KEY);
         let carries = |verb: &VerbOrder| match verb.effect {
-            Effect::Pure => parts.method == Method::GET && length.exact().is_none_or(|length| length == 0),
+            Effect::Pure => {
+                parts.method == Method::GET && length.exact().is_none_or(|length| length == 0)
+            }
             Effect::Effectful => parts.method == Method::POST && told,
-            Effect::Receipted => [Method::POST, Method::PUT].contains(&parts.method) && told && keyed,
+            Effect::Receipted => {
+                [Method::POST, Method::PUT].contains(&parts.method) && told && keyed
+            }
         };
         let verb = table.verb(name, carries).ok_or(StatusCode::NOT_FOUND)?;
         let verb = verb.map_err(|()| StatusCode::BAD_REQUEST)?;
-        let need = need(verb, &table.companies, &parts.headers, talk).filter(|_| !talk.frame.two_lengths());
+        let need = need(verb, &table.companies, &parts.headers, talk)
+            .filter(|_| !talk.frame.two_lengths());
         let mut need = need.ok_or(StatusCode::BAD_REQUEST)?;
         let pure = verb.0.effect == Effect::Pure;
         let mut patience = Patience::new(talk.patience());
@@ -230,7 +262,8 @@
         }
         while let Some(data) = std::future::poll_fn(|cx| patience.poll_next(&mut body, cx)).await {
             held.extend_from_slice(&data.map_err(status)?);
-            if stated.is_none() && held.len() > SMALL_BODY && !self.room_for(held.len(), &mut room) {
+            if stated.is_none() && held.len() > SMALL_BODY && !self.room_for(held.len(), &mut room)
+            {
                 return Ok((Read::Part(held.freeze(), body), room));
             }
         }
@@ -244,7 +277,9 @@
         if length > LONGEST_KEPT {
             return false;
         }
-        let Ok(more) = Arc::clone(&self.room).try_acquire_many_owned(more) else { return false };
+        let Ok(more) = Arc::clone(&self.room).try_acquire_many_owned(more) else {
+            return false;
+        };
         match room {
             Some(room) => room.merge(more),
             None => *room = Some(more),
@@ -290,7 +325,9 @@
     };
     // What it is about, where endpoints remember that: one of the further figures, `name=value,name=value`.
     let figures = single(headers, "req-extra")?.unwrap_or_default();
-    let about = figures.split(',').find_map(|pair| pair.trim().strip_prefix("name_key="));
+    let about = figures
+        .split(',')
+        .find_map(|pair| pair.trim().strip_prefix("name_key="));
     let margin = MARGIN.min(limit / 20);
     (!id.is_empty() && !limit.is_zero() && marked).then(|| Need {
         verb: *verb,
@@ -298,7 +335,9 @@
         budget: limit - margin,
         last: limit - margin / 2,
         again,
-        key: about.filter(|about| !about.is_empty() && *about != "-").map(mark),
+        key: about
+            .filter(|about| !about.is_empty() && *about != "-")
+            .map(mark),
         client: Arc::clone(client),
     })
 }
--- a/crates/passroad/src/lib.rs
+++ b/crates/passroad/src/lib.rs
@@ -160,7 +160,9 @@
     match Told::parse().what {
         None => main(),
         Some(What::Run { files, log_format }) => sidecar(files, log_format),
-        Some(What::Fleet { what: FleetWhat::Status { door, json } }) => ended(fleet_status(door, json)),
+        Some(What::Fleet {
+            what: FleetWhat::Status { door, json },
+        }) => ended(fleet_status(door, json)),
         Some(What::Work { what, door }) => ended(work(what, door)),
         Some(What::Check { files }) => ended(start::check(&files).map(|said| println!("{said}"))),
     }
@@ -174,13 +176,21 @@
 fn sidecar(files: Files, format: LogFormat) -> ExitCode {
     logging::begin(format == LogFormat::Json);
     ended(start::read(&files).and_then(|start| {
-        let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-        runtime.map_err(|e| format!("runtime: {e}"))?.block_on(run(start, files))
+        let runtime = tokio::runtime::Builder::new_current_thread()
+            .enable_all()
+            .build();
+        runtime
+            .map_err(|e| format!("runtime: {e}"))?
+            .block_on(run(start, files))
     }))
 }
 
 fn operators_door(door: Option<std::net::SocketAddr>) -> Result<std::net::SocketAddr, String> {
-    let named = || std::env::var("LB_MANAGEMENT").ok().filter(|text| !text.is_empty());
+    let named = || {
+        std::env::var("LB_MANAGEMENT")
+            .ok()
+            .filter(|text| !text.is_empty())
+    };
     match (door, named()) {
         (Some(door), _) => Ok(door),
         (None, Some(text)) => text.parse().map_err(|e| format!("LB_MANAGEMENT: {e}")),
@@ -201,13 +211,30 @@
     let said = match what {
         WorkWhat::Status { json } => {
             let said = fleet::ask(door, "GET", "/admin/work", "")?;
-            print!("{}", if json { format!("{said}\n") } else { fleet::work_table(&said) });
+            print!(
+                "{}",
+                if json {
+                    format!("{said}\n")
+                } else {
+                    fleet::work_table(&said)
+                }
+            );
             return Ok(());
         }
-        WorkWhat::Request { machines, zone, kind, cell, lasts, back, name } => {
-            let lasts = passroad_units::read_time(&lasts).map_err(|fault| format!("--for: {fault}"))?;
-            let all =
-                machines.is_empty().then(|| serde_json::json!({ "zone": zone, "kind": kind, "cell": cell }));
+        WorkWhat::Request {
+            machines,
+            zone,
+            kind,
+            cell,
+            lasts,
+            back,
+            name,
+        } => {
+            let lasts =
+                passroad_units::read_time(&lasts).map_err(|fault| format!("--for: {fault}"))?;
+            let all = machines
+                .is_empty()
+                .then(|| serde_json::json!({ "zone": zone, "kind": kind, "cell": cell }));
             let body = serde_json::json!({
                 "machines": machines, "all": all, "for_s": lasts.as_secs().max(1), "back": back, "name": name,
             });
@@ -225,7 +252,14 @@
 fn fleet_status(door: Option<std::net::SocketAddr>, json: bool) -> Result<(), String> {
     let door = operators_door(door)?;
     let said = fleet::ask(door, "GET", "/admin/fleet", "")?;
-    print!("{}", if json { format!("{said}\n") } else { fleet::table(&said) });
+    print!(
+        "{}",
+        if json {
+            format!("{said}\n")
+        } else {
+            fleet::table(&said)
+        }
+    );
     Ok(())
 }
 
@@ -245,7 +279,9 @@
 }
 
 /// Takes an address, as soon as whoever holds it lets go of it.
-async fn once_free<T, F: Future<Output = Result<T, String>>>(take: impl Fn() -> F) -> Result<T, String> {
+async fn once_free<T, F: Future<Output = Result<T, String>>>(
+    take: impl Fn() -> F,
+) -> Result<T, String> {
     let began = std::time::Instant::now();
     loop {
         match take().await {
@@ -259,8 +295,12 @@
 
 async fn run(mut start: start::Start, files: Files) -> Result<(), String> {
     let hangups = start::sighup()?;
-    let place = start.management.and_then(|_| handover::place(start.listen, start.folder.clone()));
-    let mut before = place.as_ref().and_then(|place| handover::ask(place, start.listen));
+    let place = start
+        .management
+        .and_then(|_| handover::place(start.listen, start.folder.clone()));
+    let mut before = place
+        .as_ref()
+        .and_then(|place| handover::ask(place, start.listen));
     let limits = room::Limits::of(&start, before.as_ref());
     let (most_in, most_out) = (limits.now.clients, limits.now.endpoints);
     let listener = match before.as_mut().map(|before| before.listener.try_clone()) {
@@ -299,29 +339,52 @@
         watch
     });
     let (every, watch) = watch.map(|watch| (watch.every, watch.orders)).unzip();
-    let desk =
-        desk::Desk::new(start.orders, watch, start.routes, dialer.clone(), start.connect_within / 5, calls);
+    let desk = desk::Desk::new(
+        start.orders,
+        watch,
+        start.routes,
+        dialer.clone(),
+        start.connect_within / 5,
+        calls,
+    );
     if let Some(every) = every {
         tokio::spawn(Arc::clone(&desk).tell_watch(every));
     }
     let revision = start.known.as_ref().map(|list| list.revision);
     let mut known = before.as_mut().and_then(|before| before.known.take());
     let claims = Arc::<claims::Claims>::default();
-    let open = known.as_mut().map(|known| std::mem::take(&mut known.open)).unwrap_or_default();
+    let open = known
+        .as_mut()
+        .map(|known| std::mem::take(&mut known.open))
+        .unwrap_or_default();
     open.into_iter().for_each(|id| claims.beside(true, id));
     let revision = match known {
         Some(known) => desk.inherit(known),
         // An empty one, too: the module calls discovery from there on.
         None => {
-            desk.listed(passroad_choice::ListKind::Remembered, &start.known.unwrap_or_default());
+            desk.listed(
+                passroad_choice::ListKind::Remembered,
+                &start.known.unwrap_or_default(),
+            );
             revision
         }
     };
     tokio::spawn(Arc::clone(&desk).beat());
-    tokio::spawn(list::follow(Arc::clone(&desk), at, paces.clone(), revision, called));
+    tokio::spawn(list::follow(
+        Arc::clone(&desk),
+        at,
+        paces.clone(),
+        revision,
+        called,
+    ));
     let taken = Arc::clone(&claims);
-    let intake =
-        Arc::new(intake::Intake::new(Arc::clone(&desk), &orders, start.memory, taken, stages.clone()));
+    let intake = Arc::new(intake::Intake::new(
+        Arc::clone(&desk),
+        &orders,
+        start.memory,
+        taken,
+        stages.clone(),
+    ));
     let retune = {
         let (desk, intake) = (Arc::clone(&desk), Arc::clone(&intake));
         move |start: &start::Start| {
@@ -351,14 +414,30 @@
         }
         let (held_back, socket) = (Mutex::default(), front::copy(&listener)?);
         let (front, intake) = (Arc::clone(&front), Arc::clone(&intake));
-        let room = Box::new(room::Room { limits, front, dialer, intake, held_back });
-        let handover = handover::Handover::new(Arc::clone(&desk), claims, stages.clone(), socket, room)?;
-        let open =
-            move |door| management::open(door, handover, place.map(|place| (before, place)), fleet, stages);
+        let room = Box::new(room::Room {
+            limits,
+            front,
+            dialer,
+            intake,
+            held_back,
+        });
+        let handover =
+            handover::Handover::new(Arc::clone(&desk), claims, stages.clone(), socket, room)?;
+        let open = move |door| {
+            management::open(
+                door,
+                handover,
+                place.map(|place| (before, place)),
+                fleet,
+                stages,
+            )
+        };
         match door {
             Some(door) => open(door)?,
             None => drop(tokio::spawn(async move {
-                let opened = once_free(|| std::future::ready(management::listen(at))).await.and_then(open);
+                let opened = once_free(|| std::future::ready(management::listen(at)))
+                    .await
+                    .and_then(open);
                 opened.unwrap_or_else(|fault| log::error!("operators are not answered: {fault}"));
             })),
         }
--- a/crates/passroad/src/list.rs
+++ b/crates/passroad/src/list.rs
@@ -54,10 +54,24 @@
 }
 
 impl Out {
-    fn ask(client: &Client, at: SocketAddr, from: Option<(u64, Duration)>, grace: Duration) -> Self {
-        let (began, wait) = (Instant::now(), from.map_or(Duration::ZERO, |(_, wait)| wait));
+    fn ask(
+        client: &Client,
+        at: SocketAddr,
+        from: Option<(u64, Duration)>,
+        grace: Duration,
+    ) -> Self {
+        let (began, wait) = (
+            Instant::now(),
+            from.map_or(Duration::ZERO, |(_, wait)| wait),
+        );
         let answer = Box::pin(ask(client.clone(), at, from));
-        Out { at, answer, waits: from.is_some(), until: began + wait + grace, began }
+        Out {
+            at,
+            answer,
+            waits: from.is_some(),
+            until: began + wait + grace,
+            began,
+        }
     }
 }
 
@@ -127,7 +141,10 @@
             let (wait, grace) = match from {
                 Some(_) if sure => (hold, RENEWED_GRACE),
                 Some(_) => (FIRST_HOLD, GRACE),
-                None => (Duration::ZERO, agent.map_or(GRACE, |grace| grace.min(GRACE))),
+                None => (
+                    Duration::ZERO,
+                    agent.map_or(GRACE, |grace| grace.min(GRACE)),
+                ),
             };
             let from = from.map(|from| (from, wait));
             out = Some(Out::ask(&client, discovery, from, grace));
@@ -205,7 +222,9 @@
             // Guards against a change that discovery had when the watch fell silent: with the module's wait behind a second
             // silent call it would be heard 7 s later. Once only, as discovery may be in trouble.
             Err(Fault::Refused(fault)) if fault == NO_ANSWER && silent => {
-                log::warn!("discovery: {fault} behind a watch that fell silent; asked again at once");
+                log::warn!(
+                    "discovery: {fault} behind a watch that fell silent; asked again at once"
+                );
                 overtake(&mut overtaken, call);
                 (whole, sure, silent) = (true, false, false);
                 rests = Instant::now() + breath();
@@ -225,7 +244,8 @@
         };
         (whole, sure, silent) = (false, answer.is_ok(), false);
         // Guards against old news taken for new: from where it belongs is not known, so all is asked for next.
-        let older = |list: &List| !list.complete && revision.is_some_and(|held| list.revision < held);
+        let older =
+            |list: &List| !list.complete && revision.is_some_and(|held| list.revision < held);
         let old = answer.as_ref().is_ok_and(older);
         match answer {
             Ok(_) if old => {
@@ -244,7 +264,10 @@
             }
             Err(fault) => {
                 // One that was only late may come yet.
-                overtake(&mut overtaken, call.filter(|call| call.until <= Instant::now()));
+                overtake(
+                    &mut overtaken,
+                    call.filter(|call| call.until <= Instant::now()),
+                );
                 watching = false;
                 refused(&desk, &fault);
             }
@@ -258,15 +281,26 @@
 }
 
 fn take(desk: &Arc<Desk>, list: &List) {
-    let kind = if list.complete { ListKind::All } else { ListKind::Changes };
-    log::debug!("list {}: {} entries, {kind:?}", list.revision, list.members.len());
+    let kind = if list.complete {
+        ListKind::All
+    } else {
+        ListKind::Changes
+    };
+    log::debug!(
+        "list {}: {} entries, {kind:?}",
+        list.revision,
+        list.members.len()
+    );
     desk.listed(kind, list);
 }
 
 /// The module says when to call again.
 fn refused(desk: &Arc<Desk>, fault: &str) {
     log::warn!("discovery: {fault}; the list before stays in force");
-    desk.tell(Event::Listed { kind: ListKind::Refused, entries: Vec::new() });
+    desk.tell(Event::Listed {
+        kind: ListKind::Refused,
+        entries: Vec::new(),
+    });
 }
 
 async fn ask(client: Client, at: SocketAddr, from: Option<(u64, Duration)>) -> Result<List, Fault> {
@@ -282,6 +316,8 @@
     if answer.status() != StatusCode::OK {
         return Err(Fault::Refused(format!("answered {}", answer.status())));
     }
-    let body = Limited::new(answer.into_body(), LONGEST_LIST).collect().await;
+    let body = Limited::new(answer.into_body(), LONGEST_LIST)
+        .collect()
+        .await;
     read(&body.map_err(|e| Fault::Lost(e.to_string()))?.to_bytes()).map_err(Fault::Lost)
 }
--- a/crates/passroad/src/look.rs
+++ b/crates/passroad/src/look.rs
@@ -13,7 +13,10 @@
 /// behind them can't be peeked at.
 pub fn hung_up(stream: &TcpStream) -> bool {
     let mut asked = [PollFd::new(stream, PollFlags::RDHUP)];
-    let now = Timespec { tv_sec: 0, tv_nsec: 0 };
+    let now = Timespec {
+        tv_sec: 0,
+        tv_nsec: 0,
+    };
     poll(&mut asked, Some(&now)).is_ok_and(|_| asked[0].revents().contains(PollFlags::RDHUP))
 }
 
@@ -49,7 +52,14 @@
         until: Option<Instant>,
         client: Arc<Talk>,
     ) -> Self {
-        Look { over, out, until, client, begun: AtomicBool::new(false), left: AtomicBool::new(false) }
+        Look {
+            over,
+            out,
+            until,
+            client,
+            begun: AtomicBool::new(false),
+            left: AtomicBool::new(false),
+        }
     }
 
     /// None if the first byte may go out now. What bars once does so for good.
@@ -91,6 +101,10 @@
             () = self.over.cancelled() => Barred::Over,
             () = self.out.cancelled() => Barred::Out,
         };
-        if self.begun() { std::future::pending().await } else { barred }
+        if self.begun() {
+            std::future::pending().await
+        } else {
+            barred
+        }
     }
 }
--- a/crates/passroad/src/management.rs
+++ b/crates/passroad/src/management.rs
@@ -48,7 +48,11 @@
 /// Takes the address.
 pub fn listen(at: SocketAddr) -> Result<std::net::TcpListener, String> {
     let bound = || {
-        let socket = socket2::Socket::new(socket2::Domain::for_address(at), socket2::Type::STREAM, None)?;
+        let socket = socket2::Socket::new(
+            socket2::Domain::for_address(at),
+            socket2::Type::STREAM,
+            None,
+        )?;
         socket.set_reuse_address(true)?;
         socket.set_nonblocking(true)?;
         socket.bind(&at.into())?;
@@ -67,7 +71,10 @@
     stages: Stages,
 ) -> Result<(), String> {
     let fault = |e: std::io::Error| format!("management: {e}");
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(fault)?;
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .map_err(fault)?;
     let at = listener.local_addr().map_err(fault)?;
     let serve = move || {
         runtime.block_on(async move {
@@ -75,12 +82,25 @@
                 tokio::spawn(Arc::clone(&handover).serve(before, place));
             }
             match TcpListener::from_std(listener) {
-                Ok(listener) => serve(listener, router(Door { handover, fleet, stages })).await,
+                Ok(listener) => {
+                    serve(
+                        listener,
+                        router(Door {
+                            handover,
+                            fleet,
+                            stages,
+                        }),
+                    )
+                    .await
+                }
                 Err(fault) => log::error!("management: {fault}"),
             }
         });
     };
-    std::thread::Builder::new().name("management".into()).spawn(serve).map_err(fault)?;
+    std::thread::Builder::new()
+        .name("management".into())
+        .spawn(serve)
+        .map_err(fault)?;
     log::info!(management:% = at; "operators are answered on {at}");
     Ok(())
 }
@@ -92,8 +112,13 @@
         .route("/admin/work", get(work_status).post(work_request))
         .route("/admin/work/{word}", post(work_word))
         .route("/admin/cordon", post(|door, body| turn(door, body, true)))
-        .route("/admin/uncordon", post(|door, body| turn(door, body, false)))
-        .method_not_allowed_fallback(async || said(StatusCode::METHOD_NOT_ALLOWED, "not by this method"))
+        .route(
+            "/admin/uncordon",
+            post(|door, body| turn(door, body, false)),
+        )
+        .method_not_allowed_fallback(async || {
+            said(StatusCode::METHOD_NOT_ALLOWED, "not by this method")
+        })
         .fallback(async || said(StatusCode::NOT_FOUND, "no such call"))
         .with_state(door)
 }
@@ -107,7 +132,10 @@
 
 async fn fleet_status(State(door): State<Door>) -> Response {
     let Some(fleet) = door.fleet else {
-        return said(StatusCode::NOT_FOUND, "this sidecar has no fleet's file, or may not talk to others");
+        return said(
+            StatusCode::NOT_FOUND,
+            "this sidecar has no fleet's file, or may not talk to others",
+        );
     };
     known(fleet.status().await)
 }
@@ -116,11 +144,17 @@
 fn known(told: Option<serde_json::Value>) -> Response {
     match told {
         Some(told) => {
-            let json = (header::CONTENT_TYPE, HeaderValue::from_static("application/json"));
+            let json = (
+                header::CONTENT_TYPE,
+                HeaderValue::from_static("application/json"),
+            );
             let close = (header::CONNECTION, HeaderValue::from_static("close"));
             (StatusCode::OK, [json, close], format!("{told}\n")).into_response()
         }
-        None => said(StatusCode::SERVICE_UNAVAILABLE, "the fleet's part has ended or is too busy"),
+        None => said(
+            StatusCode::SERVICE_UNAVAILABLE,
+            "the fleet's part has ended or is too busy",
+        ),
     }
 }
 
@@ -155,28 +189,44 @@
 }
 
 fn no_upkeep() -> Response {
-    said(StatusCode::NOT_FOUND, "no order of work here: no fleet's file with [upkeep], or no leave to talk")
+    said(
+        StatusCode::NOT_FOUND,
+        "no order of work here: no fleet's file with [upkeep], or no leave to talk",
+    )
 }
 
 async fn work_status(State(door): State<Door>) -> Response {
-    let Some(fleet) = upkeep(&door) else { return no_upkeep() };
+    let Some(fleet) = upkeep(&door) else {
+        return no_upkeep();
+    };
     known(fleet.work().await)
 }
 
 async fn work_request(State(door): State<Door>, body: Body) -> Response {
-    let Some(fleet) = upkeep(&door) else { return no_upkeep() };
+    let Some(fleet) = upkeep(&door) else {
+        return no_upkeep();
+    };
     let Ok(body) = to_bytes(body, LONGEST_BODY).await else {
-        return said(StatusCode::PAYLOAD_TOO_LARGE, "the body is too large or breaks off");
+        return said(
+            StatusCode::PAYLOAD_TOO_LARGE,
+            "the body is too large or breaks off",
+        );
     };
     let mut request: Request = match serde_json::from_slice(&body) {
         Ok(request) => request,
         Err(fault) => {
-            return said(StatusCode::BAD_REQUEST, &format!("not {{\"machines\":[\"ID\"]}}: {fault}"));
+            return said(
+                StatusCode::BAD_REQUEST,
+                &format!("not {{\"machines\":[\"ID\"]}}: {fault}"),
+            );
         }
     };
     match request.all.take() {
         Some(_) if !request.machines.is_empty() => {
-            return said(StatusCode::BAD_REQUEST, "machines by their ids, or all of some, not both");
+            return said(
+                StatusCode::BAD_REQUEST,
+                "machines by their ids, or all of some, not both",
+            );
         }
         Some(all) if all.zone.is_none() && all.kind.is_none() && all.cell.is_none() => {
             return said(StatusCode::BAD_REQUEST, "all of which zone, kind or cell");
@@ -189,11 +239,14 @@
         || !(1..=LONGEST_WORK).contains(&request.for_s)
     {
         let (count, most) = (request.machines.len(), passroad_upkeep::MOST_ASKED);
-        let what = format!("from 1 to {most} machines, for a second to thirty days; these are {count}");
+        let what =
+            format!("from 1 to {most} machines, for a second to thirty days; these are {count}");
         return said(StatusCode::BAD_REQUEST, &what);
     }
     // Asked twice by its name, it is one request.
-    let name = request.name.unwrap_or_else(|| format!("{:?}", std::time::SystemTime::now()));
+    let name = request
+        .name
+        .unwrap_or_else(|| format!("{:?}", std::time::SystemTime::now()));
     let word = passroad_upkeep::Word::Want {
         request: mark(&name),
         lasts: request.for_s,
@@ -204,18 +257,35 @@
 }
 
 async fn work_word(State(door): State<Door>, Path(word): Path<String>, body: Body) -> Response {
-    let Some(fleet) = upkeep(&door) else { return no_upkeep() };
-    let Some(what) = fleet::order(&word) else { return said(StatusCode::NOT_FOUND, "no such call") };
+    let Some(fleet) = upkeep(&door) else {
+        return no_upkeep();
+    };
+    let Some(what) = fleet::order(&word) else {
+        return said(StatusCode::NOT_FOUND, "no such call");
+    };
     let body = to_bytes(body, LONGEST_BODY).await.unwrap_or_default();
     let of: OfMachine = match serde_json::from_slice(&body) {
         Ok(of) => of,
-        Err(fault) => return said(StatusCode::BAD_REQUEST, &format!("not {{\"machine\":\"ID\"}}: {fault}")),
+        Err(fault) => {
+            return said(
+                StatusCode::BAD_REQUEST,
+                &format!("not {{\"machine\":\"ID\"}}: {fault}"),
+            );
+        }
     };
-    let request = mark(&format!("{word} {} {:?}", of.machine, std::time::SystemTime::now()));
+    let request = mark(&format!(
+        "{word} {} {:?}",
+        of.machine,
+        std::time::SystemTime::now()
+    ));
     if word == "force" || word == "begin" {
         log::warn!("fleet: work: an operator says {word} {}", of.machine);
     }
-    let word = passroad_upkeep::Word::Order { request, machine: mark(&of.machine), what };
+    let word = passroad_upkeep::Word::Order {
+        request,
+        machine: mark(&of.machine),
+        what,
+    };
     told(fleet.operator(word).await, "done")
 }
 
@@ -233,11 +303,19 @@
 
 async fn turn(State(door): State<Door>, body: Body, out: bool) -> Response {
     let Ok(body) = to_bytes(body, LONGEST_BODY).await else {
-        return said(StatusCode::PAYLOAD_TOO_LARGE, "the body is too large or breaks off");
+        return said(
+            StatusCode::PAYLOAD_TOO_LARGE,
+            "the body is too large or breaks off",
+        );
     };
     let which: Which = match serde_json::from_slice(&body) {
         Ok(which) => which,
-        Err(fault) => return said(StatusCode::BAD_REQUEST, &format!("not {{\"id\":\"ID\"}}: {fault}")),
+        Err(fault) => {
+            return said(
+                StatusCode::BAD_REQUEST,
+                &format!("not {{\"id\":\"ID\"}}: {fault}"),
+            );
+        }
     };
     // The yes is said only once the ban is in effect.
     match door.handover.cordon(&which.id, out).await {
@@ -250,7 +328,10 @@
 fn said(status: StatusCode, what: &str) -> Response {
     let key = if status.is_success() { "ok" } else { "error" };
     let line = format!("{}\n", serde_json::json!({ key: what }));
-    let json = (header::CONTENT_TYPE, HeaderValue::from_static("application/json"));
+    let json = (
+        header::CONTENT_TYPE,
+        HeaderValue::from_static("application/json"),
+    );
     let close = (header::CONNECTION, HeaderValue::from_static("close"));
     (status, [json, close], line).into_response()
 }
--- a/crates/passroad/src/members.rs
+++ b/crates/passroad/src/members.rs
@@ -79,8 +79,15 @@
 
 pub fn read(bytes: &[u8]) -> Result<List, String> {
     let list: List = serde_json::from_slice(bytes).map_err(|e| format!("malformed list: {e}"))?;
-    match list.members.iter().find(|m| m.phase == Phase::Up && m.host_port.is_none()) {
-        Some(lost) => Err(format!("malformed list: {} is up without an address", lost.id)),
+    match list
+        .members
+        .iter()
+        .find(|m| m.phase == Phase::Up && m.host_port.is_none())
+    {
+        Some(lost) => Err(format!(
+            "malformed list: {} is up without an address",
+            lost.id
+        )),
         None => Ok(list),
     }
 }
--- a/crates/passroad/src/probe.rs
+++ b/crates/passroad/src/probe.rs
@@ -25,16 +25,29 @@
         return ended;
     }
     // Guards against an endpoint taken for silent after a stall of this process: its answer waits to be read.
-    timeout(AFTER_STALL, told).await.ok().and_then(Result::ok).unwrap_or(Outcome::TimedOut.into())
+    timeout(AFTER_STALL, told)
+        .await
+        .ok()
+        .and_then(Result::ok)
+        .unwrap_or(Outcome::TimedOut.into())
 }
 
 async fn ask(client: &Client, at: std::net::SocketAddr, reports: ReportsHow) -> Ended {
-    let path = if reports == ReportsHow::Silent { "/healthz" } else { "/load" };
+    let path = if reports == ReportsHow::Silent {
+        "/healthz"
+    } else {
+        "/load"
+    };
     let Ok(request) = Request::get(format!("http://{at}{path}")).body(Load::default()) else {
         return Outcome::Moot.into();
     };
     let mut ended = exchange(client, request, &|| Some(path.len()), None).await;
-    let body = ended.answer.take().map(Response::into_body).unwrap_or_default().held();
+    let body = ended
+        .answer
+        .take()
+        .map(Response::into_body)
+        .unwrap_or_default()
+        .held();
     ended.report = ended.report.or_else(|| body_load(&body));
     ended
 }
--- a/crates/passroad/src/probe/tests.rs
+++ b/crates/passroad/src/probe/tests.rs
@@ -19,7 +19,10 @@
         while stream.read_buf(&mut came).await.is_ok_and(|n| n > 0) {
             if came.ends_with(b"\r\n\r\n") {
                 came.clear();
-                stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok").await.unwrap();
+                stream
+                    .write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
+                    .await
+                    .unwrap();
             }
         }
     });
@@ -27,7 +30,11 @@
 }
 
 fn command() -> Arc<Cargo> {
-    let (parts, ()) = Request::get("/look").header("req-id", "a").body(()).unwrap().into_parts();
+    let (parts, ()) = Request::get("/look")
+        .header("req-id", "a")
+        .body(())
+        .unwrap()
+        .into_parts();
     Arc::new(Cargo::of(parts, Bytes::new(), None).unwrap())
 }
 
@@ -59,21 +66,41 @@
     let link = Link::new(endpoint().await, &dialer);
     pause();
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
-    let _waits = tokio::net::TcpStream::connect(listener.local_addr().unwrap()).await.unwrap();
+    let _waits = tokio::net::TcpStream::connect(listener.local_addr().unwrap())
+        .await
+        .unwrap();
     let stream = Arc::new(std::sync::Mutex::new(listener.accept().await.unwrap().0));
-    let client = Arc::new(Talk::new(&stream, std::time::Instant::now(), Duration::ZERO));
+    let client = Arc::new(Talk::new(
+        &stream,
+        std::time::Instant::now(),
+        Duration::ZERO,
+    ));
     let send = || {
         let (recall, recalled) = oneshot::channel();
         let (link, cargo) = (link.clone(), command());
-        let look = Look::new(CancellationToken::new(), link.out.clone(), None, Arc::clone(&client));
+        let look = Look::new(
+            CancellationToken::new(),
+            link.out.clone(),
+            None,
+            Arc::clone(&client),
+        );
         async move {
-            let ended = relay(link, cargo, Arc::new(look), Duration::from_secs(9), recalled).await;
+            let ended = relay(
+                link,
+                cargo,
+                Arc::new(look),
+                Duration::from_secs(9),
+                recalled,
+            )
+            .await;
             drop(recall);
             ended.outcome
         }
     };
     let first = if probed {
-        in_no_time(run(link.clone(), ReportsHow::Silent, second)).await.map(|ended| ended.outcome)
+        in_no_time(run(link.clone(), ReportsHow::Silent, second))
+            .await
+            .map(|ended| ended.outcome)
     } else {
         in_no_time(send()).await
     };
--- a/crates/passroad/src/relay.rs
+++ b/crates/passroad/src/relay.rs
@@ -9,7 +9,9 @@
 use hyper::header::{self, HeaderMap, HeaderName, HeaderValue};
 use hyper::http::{Uri, request};
 use hyper::{Request, Response, StatusCode};
-use hyper_util::client::legacy::connect::{CaptureConnection, Connected, Connection, HttpConnector};
+use hyper_util::client::legacy::connect::{
+    CaptureConnection, Connected, Connection, HttpConnector,
+};
 use hyper_util::client::legacy::{self, connect::capture_connection};
 use hyper_util::rt::{TokioExecutor, TokioIo, TokioTimer};
 use passroad_choice::{Outcome, Report};
@@ -69,14 +71,23 @@
 impl Link {
     pub fn new(address: SocketAddr, dialer: &Dialer) -> Self {
         let (client, dialer) = (dialer.client(), dialer.clone());
-        Link { address, client, dialer, users: Arc::default(), out: CancellationToken::new() }
+        Link {
+            address,
+            client,
+            dialer,
+            users: Arc::default(),
+            out: CancellationToken::new(),
+        }
     }
 
     /// In place of this one, with connections of its own; what is out counts on.
     pub fn anew(&mut self, address: SocketAddr) -> Self {
         self.call_off();
         let users = Arc::clone(&self.users);
-        Link { users, ..Link::new(address, &self.dialer) }
+        Link {
+            users,
+            ..Link::new(address, &self.dialer)
+        }
     }
 
     /// What has not sent its first byte yet does not send it.
@@ -108,7 +119,11 @@
 
 impl From<Outcome> for Ended {
     fn from(outcome: Outcome) -> Self {
-        Ended { outcome, report: None, answer: None }
+        Ended {
+            outcome,
+            report: None,
+            answer: None,
+        }
     }
 }
 
@@ -125,15 +140,37 @@
 }
 
 impl Cargo {
-    pub fn of(parts: request::Parts, body: Bytes, room: Option<OwnedSemaphorePermit>) -> Option<Self> {
-        let target = parts.uri.path_and_query().map_or("/", |target| target.as_str()).to_string();
-        let (id, key) = (parts.headers.get(ID)?.clone(), parts.headers.get(KEY).cloned());
-        Some(Cargo { method: parts.method, target, id, key, body, coming: None, _room: room })
+    pub fn of(
+        parts: request::Parts,
+        body: Bytes,
+        room: Option<OwnedSemaphorePermit>,
+    ) -> Option<Self> {
+        let target = parts
+            .uri
+            .path_and_query()
+            .map_or("/", |target| target.as_str())
+            .to_string();
+        let (id, key) = (
+            parts.headers.get(ID)?.clone(),
+            parts.headers.get(KEY).cloned(),
+        );
+        Some(Cargo {
+            method: parts.method,
+            target,
+            id,
+            key,
+            body,
+            coming: None,
+            _room: room,
+        })
     }
 
     /// The same with a body that still comes.
     pub fn with(self, coming: Arc<Coming>) -> Self {
-        Cargo { coming: Some(coming), ..self }
+        Cargo {
+            coming: Some(coming),
+            ..self
+        }
     }
 
     pub fn coming(&self) -> Option<&Arc<Coming>> {
@@ -142,7 +179,10 @@
 
     /// A length that it surely has on the wire; none as long as that is not known.
     fn least(&self) -> Option<usize> {
-        let body = self.coming.as_ref().map_or(Some(self.body.len()), |coming| coming.least());
+        let body = self
+            .coming
+            .as_ref()
+            .map_or(Some(self.body.len()), |coming| coming.least());
         body.map(|body| self.target.len() + body)
     }
 
@@ -160,7 +200,9 @@
         let left = (within.as_millis() as u64).max(1);
         request.headers_mut().insert(ID, self.id.clone());
         // Guards against a receipted command that its endpoint can't tell from a new one.
-        self.key.iter().for_each(|key| drop(request.headers_mut().insert(KEY, key.clone())));
+        self.key
+            .iter()
+            .for_each(|key| drop(request.headers_mut().insert(KEY, key.clone())));
         request.headers_mut().insert(MARK, left.into());
         Some(request)
     }
@@ -201,14 +243,18 @@
     recall: oneshot::Receiver<()>,
 ) -> Ended {
     // A connection of its own for a long body: a kept one that is of no use would have taken a part of it.
-    let client = cargo.coming().map_or_else(|| link.client.clone(), |_| link.dialer.client());
+    let client = cargo
+        .coming()
+        .map_or_else(|| link.client.clone(), |_| link.dialer.client());
     let exchanged = async {
         // A kept connection that turns out to be of no use has taken nothing: the next one, or a new one, does.
         loop {
             if let Some(barred) = look.barred() {
                 return barred.into();
             }
-            let Some(request) = cargo.request(link.address, within) else { return Outcome::Moot.into() };
+            let Some(request) = cargo.request(link.address, within) else {
+                return Outcome::Moot.into();
+            };
             let mut ended = exchange(&client, request, &|| cargo.least(), Some(&look)).await;
             // An answer that can't be read, as against one that says it is an error.
             if ended.outcome == Outcome::Error && ended.answer.is_none() {
@@ -217,7 +263,10 @@
             if let Some(Load::Long(long)) = ended.answer.as_mut().map(hyper::Response::body_mut) {
                 long.link = Some(link.clone());
             }
-            if cargo.coming().is_some_and(|coming| coming.is_ill().is_some()) {
+            if cargo
+                .coming()
+                .is_some_and(|coming| coming.is_ill().is_some())
+            {
                 return Outcome::Moot.into();
             }
             if ended.outcome != Outcome::Moot {
@@ -271,7 +320,9 @@
     let told = Arc::clone(&ahead);
     // What is said ahead of an answer is not its beginning.
     hyper::ext::on_informational(&mut request, move |_| {
-        told.lock().iter_mut().for_each(|at| **at = Some(Instant::now()));
+        told.lock()
+            .iter_mut()
+            .for_each(|at| **at = Some(Instant::now()));
     });
     let (chosen, rests) = (way.clone(), look.is_some());
     let way = Open(way);
@@ -286,7 +337,14 @@
             answer.map(|first| {
                 let first = first.held();
                 let left = LONGEST_BODY.saturating_sub(first.len());
-                Load::Long(Box::new(Long { first: Some(first), rest, way, left, stall: None, link: None }))
+                Load::Long(Box::new(Long {
+                    first: Some(first),
+                    rest,
+                    way,
+                    left,
+                    stall: None,
+                    link: None,
+                }))
             })
         });
     }
@@ -336,23 +394,52 @@
         Ok(answer) => answer.into_parts(),
         Err(fault) => return (broke(&fault, way, least()), None),
     };
-    let report = parts.headers.get(LOAD).and_then(|v| v.to_str().ok()).and_then(read_load);
+    let report = parts
+        .headers
+        .get(LOAD)
+        .and_then(|v| v.to_str().ok())
+        .and_then(read_load);
     if body.size_hint().lower() > LONGEST_BODY as u64 {
-        return (Ended { report, ..spoilt("it says that it is too long") }, None);
+        return (
+            Ended {
+                report,
+                ..spoilt("it says that it is too long")
+            },
+            None,
+        );
     }
     if let Some(meter) = meter(way) {
         meter.may_hear.store(LONGEST_BODY + LONGEST_AHEAD, Relaxed);
     }
     let (held, rest) = match first_of(body).await {
         Ok(read) => read,
-        Err(fault) if !fault.is_parse() => return (Ended { report, ..Outcome::Broken.into() }, None),
-        Err(fault) => return (Ended { report, ..spoilt(&fault) }, None),
+        Err(fault) if !fault.is_parse() => {
+            return (
+                Ended {
+                    report,
+                    ..Outcome::Broken.into()
+                },
+                None,
+            );
+        }
+        Err(fault) => {
+            return (
+                Ended {
+                    report,
+                    ..spoilt(&fault)
+                },
+                None,
+            );
+        }
     };
     // Before the connection can be given the next request: that needs a turn of its own task.
     if let Some(meter) = meter(way).filter(|_| rest.is_none()) {
         meter.ends(rests);
     }
-    let declined = parts.headers.get(NEVER_RAN).is_some_and(|v| v.as_bytes() == b"1");
+    let declined = parts
+        .headers
+        .get(NEVER_RAN)
+        .is_some_and(|v| v.as_bytes() == b"1");
     let outcome = match parts.status {
         StatusCode::OK => Outcome::Answered,
         StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if declined => Outcome::Full,
@@ -361,12 +448,25 @@
     };
     // Only what serves a command is passed on as it comes.
     if rest.is_some() && outcome != Outcome::Answered {
-        return (Ended { report, ..outcome.into() }, None);
+        return (
+            Ended {
+                report,
+                ..outcome.into()
+            },
+            None,
+        );
     }
     let mut answer = Response::new(held.into());
     *answer.status_mut() = parts.status;
     *answer.headers_mut() = end_to_end(parts.headers);
-    (Ended { outcome, report, answer: Some(answer) }, rest)
+    (
+        Ended {
+            outcome,
+            report,
+            answer: Some(answer),
+        },
+        rest,
+    )
 }
 
 /// As much of an answer as is held at once, and the rest if there is more. One that says it is long is passed on from
@@ -374,7 +474,11 @@
 async fn first_of(mut body: Incoming) -> Result<(Bytes, Option<Incoming>), hyper::Error> {
     let mut held = BytesMut::new();
     let stated = body.size_hint().exact();
-    let most = if stated.is_some_and(|length| length > LONGEST_HELD as u64) { 0 } else { LONGEST_HELD };
+    let most = if stated.is_some_and(|length| length > LONGEST_HELD as u64) {
+        0
+    } else {
+        LONGEST_HELD
+    };
     let mut moment = std::pin::pin!(tokio::time::sleep(MOMENT));
     loop {
         let frame = tokio::select! {
@@ -382,8 +486,12 @@
             frame = body.frame() => frame,
             () = &mut moment, if stated.is_none() && !held.is_empty() => return Ok((held.freeze(), Some(body))),
         };
-        let Some(frame) = frame else { return Ok((held.freeze(), None)) };
-        let Ok(data) = frame?.into_data() else { continue };
+        let Some(frame) = frame else {
+            return Ok((held.freeze(), None));
+        };
+        let Ok(data) = frame?.into_data() else {
+            continue;
+        };
         held.extend_from_slice(&data);
         if held.len() > most {
             return Ok((held.freeze(), Some(body)));
@@ -399,13 +507,18 @@
 
 /// What a request that failed proves.
 fn broke(fault: &legacy::Error, way: &CaptureConnection, least: Option<usize>) -> Ended {
-    let below = fault.source().and_then(|s| s.downcast_ref::<hyper::Error>());
+    let below = fault
+        .source()
+        .and_then(|s| s.downcast_ref::<hyper::Error>());
     let (meter, unstarted) = (meter(way), below.is_some_and(hyper::Error::is_canceled));
     if meter.as_ref().is_some_and(|meter| meter.worn.load(Relaxed)) {
         return Outcome::Moot.into();
     }
     // No connection came up, the library gave the request back unstarted, or the system took fewer bytes than it has.
-    if fault.is_connect() || unstarted || meter.as_ref().is_some_and(|meter| meter.fewer_than(least)) {
+    if fault.is_connect()
+        || unstarted
+        || meter.as_ref().is_some_and(|meter| meter.fewer_than(least))
+    {
         return Outcome::NoConnection.into();
     }
     let endless = meter.is_some_and(|meter| meter.heard.load(Relaxed) > LONGEST_AHEAD);
@@ -439,7 +552,9 @@
 
 fn meter(way: &CaptureConnection) -> Option<Arc<Meter>> {
     let mut extras = hyper::http::Extensions::new();
-    way.connection_metadata().iter().for_each(|info| info.get_extras(&mut extras));
+    way.connection_metadata()
+        .iter()
+        .for_each(|info| info.get_extras(&mut extras));
     extras.get::<Arc<Meter>>().cloned()
 }
 
@@ -448,7 +563,13 @@
     let mut report = Report::default();
     for pair in text.trim().strip_prefix("TEXT ")?.split(',') {
         let (name, value) = pair.trim().split_once('=')?;
-        let value = Some(value.trim().parse().ok().filter(|n: &f64| n.is_finite() && *n >= 0.0)?);
+        let value = Some(
+            value
+                .trim()
+                .parse()
+                .ok()
+                .filter(|n: &f64| n.is_finite() && *n >= 0.0)?,
+        );
         match name.trim() {
             "inflight" | "outstanding" => report.outstanding = value,
             "queue" | "backlog" => report.backlog = value,
@@ -486,7 +607,11 @@
 
     fn rest(&self) -> Duration {
         let last = *self.0.lock().unwrap_or_else(PoisonError::into_inner);
-        if last.is_some_and(|at| at.elapsed() < LATELY) { LONG_REST } else { REST }
+        if last.is_some_and(|at| at.elapsed() < LATELY) {
+            LONG_REST
+        } else {
+            REST
+        }
     }
 }
 
@@ -498,13 +623,26 @@
         let mut http = HttpConnector::new();
         http.set_nodelay(true);
         http.set_connect_timeout(Some(within));
-        let (idle, permits) = (idle_close.mul_f64(IDLE_SHARE), Arc::new(Semaphore::new(most)));
-        Dialer { http, within, idle, bounded: true, permits, spoilt: Spoilt::default() }
+        let (idle, permits) = (
+            idle_close.mul_f64(IDLE_SHARE),
+            Arc::new(Semaphore::new(most)),
+        );
+        Dialer {
+            http,
+            within,
+            idle,
+            bounded: true,
+            permits,
+            spoilt: Spoilt::default(),
+        }
     }
 
     /// For whoever bounds by itself what it reads.
     pub fn unbounded(self) -> Self {
-        Dialer { bounded: false, ..self }
+        Dialer {
+            bounded: false,
+            ..self
+        }
     }
 
     /// How long an idle connection is kept at least.
@@ -555,7 +693,14 @@
             let permit = tokio::time::timeout(within, permits.acquire_owned()).await??;
             let stream = http.call(to).await?.into_inner();
             let meter = Arc::default();
-            Ok(TokioIo::new(Wire { stream, meter, bounded, spoilt, rest: None, _permit: permit }))
+            Ok(TokioIo::new(Wire {
+                stream,
+                meter,
+                bounded,
+                spoilt,
+                rest: None,
+                _permit: permit,
+            }))
         })
     }
 }
@@ -603,7 +748,10 @@
     fn ends(&self, rests: bool) {
         self.done.store(true, Relaxed);
         self.rests.store(rests, Relaxed);
-        self.shown.lock().unwrap_or_else(PoisonError::into_inner).look = None;
+        self.shown
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .look = None;
     }
 
     /// Whether the request may begin.
@@ -619,17 +767,24 @@
     }
 
     fn hears(&self, count: usize) -> usize {
-        self.last.lock().iter_mut().for_each(|last| **last = Some(Instant::now()));
+        self.last
+            .lock()
+            .iter_mut()
+            .for_each(|last| **last = Some(Instant::now()));
         self.heard.fetch_add(count, Relaxed) + count
     }
 
     /// When the present answer was last heard of.
     fn last_heard(&self) -> Option<Instant> {
-        self.last.lock().ok().and_then(|last| last.filter(|_| self.heard.load(Relaxed) > 0))
+        self.last
+            .lock()
+            .ok()
+            .and_then(|last| last.filter(|_| self.heard.load(Relaxed) > 0))
     }
 
     fn fewer_than(&self, least: Option<usize>) -> bool {
-        self.heard.load(Relaxed) == 0 && least.is_none_or(|least| self.written.load(Relaxed) < least)
+        self.heard.load(Relaxed) == 0
+            && least.is_none_or(|least| self.written.load(Relaxed) < least)
     }
 }
 
@@ -668,12 +823,18 @@
         if self.meter.worn.load(Relaxed) {
             return Poll::Ready(Err(io::ErrorKind::BrokenPipe.into()));
         }
-        let Some(last) = self.meter.last_heard().filter(|_| self.meter.done.load(Relaxed)) else {
+        let Some(last) = self
+            .meter
+            .last_heard()
+            .filter(|_| self.meter.done.load(Relaxed))
+        else {
             return Poll::Ready(Ok(()));
         };
         if self.meter.rests.load(Relaxed) {
             let until = last + self.spoilt.rest();
-            let rest = self.rest.get_or_insert_with(|| Box::pin(tokio::time::sleep_until(until)));
+            let rest = self
+                .rest
+                .get_or_insert_with(|| Box::pin(tokio::time::sleep_until(until)));
             ready!(rest.as_mut().poll(cx));
         }
         match lies(&self.stream) {
@@ -722,14 +883,21 @@
         // Guards against an answer without end.
         let most = self.meter.may_hear.load(Relaxed).max(LONGEST_AHEAD);
         if count > 0 && self.meter.hears(count) > most && self.bounded {
-            return Poll::Ready(Err(io::Error::new(io::ErrorKind::InvalidData, "an answer without end")));
+            return Poll::Ready(Err(io::Error::new(
+                io::ErrorKind::InvalidData,
+                "an answer without end",
+            )));
         }
         Poll::Ready(Ok(()))
     }
 }
 
 impl AsyncWrite for Wire {
-    fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
+    fn poll_write(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        buf: &[u8],
+    ) -> Poll<io::Result<usize>> {
         ready!(self.may_begin(cx))?;
         let written = Pin::new(&mut self.stream).poll_write(cx, buf);
         self.wrote(written)
--- a/crates/passroad/src/relay/tests.rs
+++ b/crates/passroad/src/relay/tests.rs
@@ -12,7 +12,11 @@
     #[case] never: bool,
 ) {
     // One request went over this connection before and was answered.
-    let meter = Meter { written: AtomicUsize::new(500), heard: AtomicUsize::new(80), ..Meter::default() };
+    let meter = Meter {
+        written: AtomicUsize::new(500),
+        heard: AtomicUsize::new(80),
+        ..Meter::default()
+    };
     meter.begins();
     taken.iter().for_each(|n| {
         meter.written.fetch_add(*n, Relaxed);
@@ -28,7 +32,10 @@
 #[case("TEXT inflight=7, queue=NaN, util=0.61", None)]
 #[case("inflight=7, queue=2, util=0.61", None)]
 #[case("TEXT", None)]
-fn a_load_report_is_read_whole_or_not_at_all(#[case] text: &str, #[case] read: Option<(f64, f64, f64)>) {
+fn a_load_report_is_read_whole_or_not_at_all(
+    #[case] text: &str,
+    #[case] read: Option<(f64, f64, f64)>,
+) {
     let read = read.map(|(outstanding, backlog, utilization)| Report {
         outstanding: Some(outstanding),
         backlog: Some(backlog),
--- a/crates/passroad/src/room.rs
+++ b/crates/passroad/src/room.rs
@@ -21,12 +21,16 @@
 fn allowed() -> usize {
     let limits = std::fs::read_to_string("/proc/self/limits").unwrap_or_default();
     let open = std::fs::read_dir("/proc/self/fd").map_or(0, Iterator::count);
-    limit(&limits).map_or(usize::MAX, |limit| limit.saturating_sub(open.saturating_sub(OTHER / 2)))
+    limit(&limits).map_or(usize::MAX, |limit| {
+        limit.saturating_sub(open.saturating_sub(OTHER / 2))
+    })
 }
 
 /// The soft limit on descriptors; none where there is none.
 fn limit(limits: &str) -> Option<usize> {
-    let line = limits.lines().find_map(|line| line.strip_prefix("Max open files"))?;
+    let line = limits
+        .lines()
+        .find_map(|line| line.strip_prefix("Max open files"))?;
     line.split_whitespace().next()?.parse().ok()
 }
 
@@ -43,7 +47,10 @@
     fn of(sockets: usize) -> Self {
         let sockets = sockets.max(LEAST);
         let endpoints = sockets * 2 / 5;
-        Shares { clients: sockets - endpoints, endpoints }
+        Shares {
+            clients: sockets - endpoints,
+            endpoints,
+        }
     }
 }
 
@@ -62,7 +69,10 @@
             Some(known) => known.descriptors + BESIDE,
             None => sockets / 2,
         });
-        Limits { now: Shares::of(sockets.saturating_sub(theirs)), alone: Shares::of(sockets) }
+        Limits {
+            now: Shares::of(sockets.saturating_sub(theirs)),
+            alone: Shares::of(sockets),
+        }
     }
 }
 
@@ -78,7 +88,10 @@
     fn give_way(&self, away: bool) {
         self.front.take(!away);
         self.intake.share(away);
-        let mut held_back = self.held_back.lock().unwrap_or_else(PoisonError::into_inner);
+        let mut held_back = self
+            .held_back
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
         if away {
             *held_back += self.dialer.hold_back();
         } else {
--- a/crates/passroad/src/start.rs
+++ b/crates/passroad/src/start.rs
@@ -50,14 +50,26 @@
 
 impl Pace {
     pub fn of(orders: &StandingOrders) -> Self {
-        let longest = orders.verbs.iter().map(|v| v.limit).max().unwrap_or_default();
+        let longest = orders
+            .verbs
+            .iter()
+            .map(|v| v.limit)
+            .max()
+            .unwrap_or_default();
         let agent = (!orders.list_on_request).then_some(orders.drain_grace / 2);
-        Pace { hold: orders.ask_every / 4, longest, agent }
+        Pace {
+            hold: orders.ask_every / 4,
+            longest,
+            agent,
+        }
     }
 
     /// Other orders: commands of the ones before may be open.
     pub fn then(self, other: Pace) -> Self {
-        Pace { longest: self.longest.max(other.longest), ..other }
+        Pace {
+            longest: self.longest.max(other.longest),
+            ..other
+        }
     }
 }
 
@@ -103,7 +115,10 @@
 
 impl Default for Limits {
     fn default() -> Self {
-        Limits { sockets: 1024, memory_mb: 192.0 }
+        Limits {
+            sockets: 1024,
+            memory_mb: 192.0,
+        }
     }
 }
 
@@ -111,9 +126,11 @@
 /// the first leaves out.
 pub fn read(files: &Files) -> Result<Start, String> {
     let named = |told: &Option<PathBuf>, name: &str| {
-        told.clone().or_else(|| std::env::var_os(name).map(PathBuf::from))
+        told.clone()
+            .or_else(|| std::env::var_os(name).map(PathBuf::from))
     };
-    let path = named(&files.config, "LB_CONFIG").ok_or_else(|| "LB_CONFIG is not set".to_string())?;
+    let path =
+        named(&files.config, "LB_CONFIG").ok_or_else(|| "LB_CONFIG is not set".to_string())?;
     let bytes = std::fs::read(&path).map_err(|e| format!("{}: {e}", path.display()))?;
     let read = parse(&bytes, |name| std::env::var(name).ok());
     let mut start = read.map_err(|fault| format!("{}: {fault}", path.display()))?;
@@ -121,11 +138,17 @@
         start.routes = Some(read_routes(&path, &start.orders)?);
     }
     if let Some(path) = named(&files.fleet, "LB_FLEET") {
-        let text = std::fs::read_to_string(&path).map_err(|e| format!("{}: {e}", path.display()))?;
-        let mut orders = fleet::read(&text).map_err(|wrong| format!("{}: {wrong}", path.display()))?;
+        let text =
+            std::fs::read_to_string(&path).map_err(|e| format!("{}: {e}", path.display()))?;
+        let mut orders =
+            fleet::read(&text).map_err(|wrong| format!("{}: {wrong}", path.display()))?;
         // As long as the settings say, where the file does not.
         let warm = start.orders.warm_within;
-        orders.upkeep.iter_mut().filter(|upkeep| upkeep.warm.is_zero()).for_each(|upkeep| upkeep.warm = warm);
+        orders
+            .upkeep
+            .iter_mut()
+            .filter(|upkeep| upkeep.warm.is_zero())
+            .for_each(|upkeep| upkeep.warm = warm);
         start.fleet = Some((orders, fleet::Place::of(&start.name, &start.told)?));
     }
     Ok(start)
@@ -134,20 +157,34 @@
 /// What a start would say of these files, without one.
 pub fn check(files: &Files) -> Result<String, String> {
     let start = read(files)?;
-    let watch = if start.watch.is_some() { ", with other settings watched" } else { "" };
+    let watch = if start.watch.is_some() {
+        ", with other settings watched"
+    } else {
+        ""
+    };
     let (verbs, zones) = (start.orders.verbs.len(), start.orders.zones.len());
     let routes = match &start.routes {
-        Some(routes) => format!("{} routes to {} pools", routes.routes.len(), routes.pools.len()),
+        Some(routes) => format!(
+            "{} routes to {} pools",
+            routes.routes.len(),
+            routes.pools.len()
+        ),
         None => "no routes".into(),
     };
     let fleet = match &start.fleet {
         Some((orders, place)) if place.may_talk => {
-            format!(", {} duties among {} sidecars", orders.duties.len(), place.peers.len())
+            format!(
+                ", {} duties among {} sidecars",
+                orders.duties.len(),
+                place.peers.len()
+            )
         }
         Some(_) => ", a fleet's file but no leave to talk".into(),
         None => String::new(),
     };
-    let door = start.management.map_or_else(String::new, |at| format!(", operators at {at}"));
+    let door = start
+        .management
+        .map_or_else(String::new, |at| format!(", operators at {at}"));
     Ok(format!(
         "{}: {verbs} verbs, {zones} zones, {routes}{fleet}{door}{watch}: nothing is wrong",
         start.name
@@ -186,7 +223,11 @@
                     .discovery
                     .send_if_modified(|at| std::mem::replace(at, now.discovery) != now.discovery);
                 let waiting = before.differs(&now);
-                let rest = if waiting.is_empty() { "nothing".into() } else { waiting.join(", ") };
+                let rest = if waiting.is_empty() {
+                    "nothing".into()
+                } else {
+                    waiting.join(", ")
+                };
                 let word = if moved { "now" } else { "still" };
                 log::info!(
                     "configuration read again: discovery is {word} at {}; for the next start: {rest}",
@@ -227,12 +268,20 @@
 impl Kept {
     pub fn of(start: &Start, discovery: watch::Sender<SocketAddr>) -> Self {
         let (told, routes) = (start.told.clone(), start.routes.clone());
-        Kept { at_start: fixed(&told), told, routes, discovery }
+        Kept {
+            at_start: fixed(&told),
+            told,
+            routes,
+            discovery,
+        }
     }
 
     fn differs(&self, now: &Start) -> Vec<&'static str> {
         let all = self.at_start.iter().zip(fixed(&now.told));
-        let mut parts: Vec<_> = all.filter(|(was, is)| was.1 != is.1).map(|(was, _)| &was.0[1..]).collect();
+        let mut parts: Vec<_> = all
+            .filter(|(was, is)| was.1 != is.1)
+            .map(|(was, _)| &was.0[1..])
+            .collect();
         parts.extend((self.told.get("watch") != now.told.get("watch")).then_some("watch"));
         parts
     }
@@ -274,8 +323,15 @@
             let mut all = before.iter().filter_map(|held| held.as_object());
             let mut common = all.next()?.clone();
             all.for_each(|held| common.retain(|key, _| held.contains_key(key)));
-            let common = Object(common.into_iter().map(|(key, _)| (key, serde_json::Value::Null)).collect());
-            now.iter().enumerate().find_map(|(n, now)| lacks(&common, now, &format!("{path}/{n}")))
+            let common = Object(
+                common
+                    .into_iter()
+                    .map(|(key, _)| (key, serde_json::Value::Null))
+                    .collect(),
+            );
+            now.iter()
+                .enumerate()
+                .find_map(|(n, now)| lacks(&common, now, &format!("{path}/{n}")))
         }
         _ => None,
     }
@@ -290,11 +346,17 @@
         (None, Some(text)) => text.parse().map_err(|e| format!("{name}: {e}")),
         (None, None) => Err(format!("no address: {name} is not set either")),
     };
-    let management = match (told.management, variable("LB_MANAGEMENT").filter(|text| !text.is_empty())) {
+    let management = match (
+        told.management,
+        variable("LB_MANAGEMENT").filter(|text| !text.is_empty()),
+    ) {
         (None, Some(text)) => Some(text.parse().map_err(|e| format!("LB_MANAGEMENT: {e}"))?),
         (told, _) => told,
     };
-    let watch = told.watch.map(|watch| watched(seed, &told.settings, watch)).transpose();
+    let watch = told
+        .watch
+        .map(|watch| watched(seed, &told.settings, watch))
+        .transpose();
     Ok(Start {
         watch: watch.map_err(|fault| format!("watch: {fault}"))?,
         listen: address(told.listen, "LB_LISTEN")?,
@@ -308,35 +370,52 @@
         orders: passroad_orders::from_value(seed, &told.settings)?,
         routes: None,
         fleet: None,
-        name: told.name.or_else(|| variable("LB_NAME")).unwrap_or_else(|| "passroad".into()),
+        name: told
+            .name
+            .or_else(|| variable("LB_NAME"))
+            .unwrap_or_else(|| "passroad".into()),
         told: whole,
     })
 }
 
 /// Guards against a watch that counts nothing comparable: what commands are and where the sidecar stands can't differ.
 fn watched(seed: u64, settings: &serde_json::Value, watch: Watched) -> Result<Watch, String> {
-    let over = watch.settings.as_object().ok_or("settings: not an object")?;
-    if let Some(key) =
-        ["verbs", "tenants", "dcs", "az", "discovery", "tick"].iter().find(|key| over.contains_key(**key))
+    let over = watch
+        .settings
+        .as_object()
+        .ok_or("settings: not an object")?;
+    if let Some(key) = ["verbs", "tenants", "dcs", "az", "discovery", "tick"]
+        .iter()
+        .find(|key| over.contains_key(**key))
     {
         return Err(format!("settings: /{key} must be as it is"));
     }
     if !(0.1..=86_400.0).contains(&watch.every_s) {
-        return Err(format!("every_s: {} is not from 0.1 to 86400", watch.every_s));
+        return Err(format!(
+            "every_s: {} is not from 0.1 to 86400",
+            watch.every_s
+        ));
     }
     let mut whole = settings.clone();
     lay_over(&mut whole, &watch.settings);
     let orders = passroad_orders::from_value(seed, &whole)?;
-    Ok(Watch { orders, every: Duration::from_secs_f64(watch.every_s) })
+    Ok(Watch {
+        orders,
+        every: Duration::from_secs_f64(watch.every_s),
+    })
 }
 
 /// As RFC 7396 has it.
 fn lay_over(under: &mut serde_json::Value, over: &serde_json::Value) {
-    let Some(keys) = over.as_object() else { return under.clone_from(over) };
+    let Some(keys) = over.as_object() else {
+        return under.clone_from(over);
+    };
     if !under.is_object() {
         *under = serde_json::json!({});
     }
-    let Some(held) = under.as_object_mut() else { return };
+    let Some(held) = under.as_object_mut() else {
+        return;
+    };
     for (key, value) in keys {
         if value.is_null() {
             held.remove(key);
--- a/crates/passroad/src/start/tests.rs
+++ b/crates/passroad/src/start/tests.rs
@@ -6,7 +6,10 @@
 #[rstest]
 #[case(r#""listen":"127.0.0.1:1","discovery":"127.0.0.1:2","#, Ok(("n7", 1)))]
 #[case(r#""name":"n8","discovery":"127.0.0.1:2","#, Ok(("n8", 9)))]
-#[case(r#""listen":"127.0.0.1:1","#, Err("no address: LB_DISCOVERY is not set either"))]
+#[case(
+    r#""listen":"127.0.0.1:1","#,
+    Err("no address: LB_DISCOVERY is not set either")
+)]
 fn variables_stand_in_for_what_the_file_leaves_out(
     #[case] fields: &str,
     #[case] expected: Result<(&str, u16), &str>,
@@ -18,6 +21,12 @@
         _ => None,
     };
     let start = parse(text.as_bytes(), variable);
-    let read = start.as_ref().map(|s| (s.name.as_str(), s.listen.port())).map_err(String::as_str);
-    assert_eq!((read, start.as_ref().ok().map(|s| s.sockets)), (expected, expected.ok().map(|_| 1024)));
+    let read = start
+        .as_ref()
+        .map(|s| (s.name.as_str(), s.listen.port()))
+        .map_err(String::as_str);
+    assert_eq!(
+        (read, start.as_ref().ok().map(|s| s.sockets)),
+        (expected, expected.ok().map(|_| 1024))
+    );
 }
--- a/crates/passroad/tests/cancellation.rs
+++ b/crates/passroad/tests/cancellation.rs
@@ -16,7 +16,10 @@
 
 /// Where attempts may not be cancelled, nothing but the last look keeps them from beginning.
 fn that(may_cancel: bool) -> String {
-    unhurried().replace("\"may_cancel\":true", &format!("\"may_cancel\":{may_cancel}"))
+    unhurried().replace(
+        "\"may_cancel\":true",
+        &format!("\"may_cancel\":{may_cancel}"),
+    )
 }
 
 /// Rounds, so that each of two endpoints alike comes first in some.
@@ -24,16 +27,23 @@
 
 /// A request that goes on after `first` where its client stays.
 fn request(first: First, id: &str) -> String {
-    patiently(&if first == First::Declined { book(id) } else { look(id) })
+    patiently(&if first == First::Declined {
+        book(id)
+    } else {
+        look(id)
+    })
 }
 
 fn warm_up(sidecar: &Sidecar, endpoints: [&StandIn; 2]) {
     let mut n = 0;
     until(|| {
         n += 1;
-        let mut clients: Vec<_> =
-            (0..3).map(|k| sends(sidecar, &patiently(&look(&format!("warm{n}-{k}"))))).collect();
-        clients.iter_mut().for_each(|client| assert_eq!(Message::read(client).unwrap().word(), "200"));
+        let mut clients: Vec<_> = (0..3)
+            .map(|k| sends(sidecar, &patiently(&look(&format!("warm{n}-{k}")))))
+            .collect();
+        clients
+            .iter_mut()
+            .for_each(|client| assert_eq!(Message::read(client).unwrap().word(), "200"));
         endpoints.iter().all(|endpoint| endpoint.count() > 3)
     });
 }
@@ -45,13 +55,22 @@
 #[rstest]
 fn no_further_attempt_begins_once_the_client_left(
     #[values(First::Declined, First::Failed, First::Reset)] first: First,
-    #[values(Leaves::Closes, Leaves::Resets, Leaves::ShutsSending, Leaves::BehindNext)] how: Leaves,
+    #[values(
+        Leaves::Closes,
+        Leaves::Resets,
+        Leaves::ShutsSending,
+        Leaves::BehindNext
+    )]
+    how: Leaves,
     #[values(false, true)] kept: bool,
     #[values(false, true)] may_cancel: bool,
 ) {
     for _ in 0..ROUNDS {
         let (gate, attempts) = (Gate::default(), Arc::<AtomicUsize>::default());
-        let (one, other) = (fails_first(&gate, &attempts, first), fails_first(&gate, &attempts, first));
+        let (one, other) = (
+            fails_first(&gate, &attempts, first),
+            fails_first(&gate, &attempts, first),
+        );
         let sidecar = sidecar_with(&both(&one, &other), nowhere(), &that(may_cancel));
         if kept {
             warm_up(&sidecar, [&one, &other]);
@@ -72,7 +91,10 @@
     #[values(First::Declined, First::Failed, First::Reset)] first: First,
 ) {
     let (gate, attempts) = (Gate::default(), Arc::<AtomicUsize>::default());
-    let (one, other) = (fails_first(&gate, &attempts, first), fails_first(&gate, &attempts, first));
+    let (one, other) = (
+        fails_first(&gate, &attempts, first),
+        fails_first(&gate, &attempts, first),
+    );
     let sidecar = sidecar_with(&both(&one, &other), nowhere(), &unhurried());
     let mut client = sends(&sidecar, &request(first, "left"));
     until(|| attempts.load(SeqCst) == 1);
@@ -82,7 +104,10 @@
 }
 
 /// A sidecar whose first attempt of `left` was turned away, and whose next one waits for a connection.
-fn second_waits(request: &str, may_cancel: bool) -> (Sidecar, BufReader<std::net::TcpStream>, Late) {
+fn second_waits(
+    request: &str,
+    may_cancel: bool,
+) -> (Sidecar, BufReader<std::net::TcpStream>, Late) {
     let (gate, attempts, late) = (Gate::default(), Arc::<AtomicUsize>::default(), Late::new());
     let first = fails_first(&gate, &attempts, First::Declined);
     let known = member("s-1", first.address, "up");
@@ -90,9 +115,21 @@
     let sidecar = sidecar_with(&known, discovery.stand_in.address, &that(may_cancel));
     let client = sends(&sidecar, request);
     until(|| attempts.load(SeqCst) == 1);
-    let list = format!("{},{}", member("s-1", first.address, "draining"), member("s-2", late.address, "up"));
+    let list = format!(
+        "{},{}",
+        member("s-1", first.address, "draining"),
+        member("s-2", late.address, "up")
+    );
     *discovery.list.lock().unwrap() = (2, list);
-    until(|| discovery.stand_in.seen.lock().unwrap().iter().any(|m| m.word().contains("from=2&")));
+    until(|| {
+        discovery
+            .stand_in
+            .seen
+            .lock()
+            .unwrap()
+            .iter()
+            .any(|m| m.word().contains("from=2&"))
+    });
     gate.open();
     until(|| dials(late.address));
     (sidecar, client, late)
@@ -101,7 +138,13 @@
 // The connection of a further attempt comes up after the client has left, or in the same turn.
 #[rstest]
 fn the_connection_of_a_further_attempt_comes_up_for_nobody(
-    #[values(Leaves::Closes, Leaves::Resets, Leaves::ShutsSending, Leaves::BehindNext)] how: Leaves,
+    #[values(
+        Leaves::Closes,
+        Leaves::Resets,
+        Leaves::ShutsSending,
+        Leaves::BehindNext
+    )]
+    how: Leaves,
     #[values(false, true)] same_turn: bool,
     #[values(false, true)] may_cancel: bool,
 ) {
@@ -134,8 +177,15 @@
 fn no_attempt_begins_behind_a_backoff_once_the_client_left(#[case] how: Option<Leaves>) {
     let address = nowhere();
     // An endpoint is tried again by the shortest goal, and a request waits for a quarter of its own.
-    let settings = that(false).replacen("\"response_goal\":5000000000", "\"response_goal\":400000000", 1);
-    let settings = settings.replace("\"response_goal\":5000000000", "\"response_goal\":40000000000");
+    let settings = that(false).replacen(
+        "\"response_goal\":5000000000",
+        "\"response_goal\":400000000",
+        1,
+    );
+    let settings = settings.replace(
+        "\"response_goal\":5000000000",
+        "\"response_goal\":40000000000",
+    );
     let settings = settings.replace("\"time_limit\":8000000000", "\"time_limit\":60000000000");
     let sidecar = sidecar_with(&member("s-1", address, "up"), nowhere(), &settings);
     let mut client = sends(&sidecar, &book("left").replace("Ms: 900", "Ms: 59000"));
@@ -154,7 +204,11 @@
     sleep(STANDSTILL);
     sidecar.signal("CONT");
     until(|| sidecar.ask(&patiently(&look("next-one"))).word() == "200");
-    assert!(!seen.lock().unwrap().contains(&"left".to_string()), "{:?}", seen.lock().unwrap());
+    assert!(
+        !seen.lock().unwrap().contains(&"left".to_string()),
+        "{:?}",
+        seen.lock().unwrap()
+    );
     drop(rest);
 }
 
@@ -168,7 +222,10 @@
 fn unhurried_endpoint(attempts: &Arc<AtomicUsize>) -> StandIn {
     let attempts = Arc::clone(attempts);
     stand_in(move |message, to| {
-        if message.header("req-id").is_some_and(|id| id.starts_with("left")) {
+        if message
+            .header("req-id")
+            .is_some_and(|id| id.starts_with("left"))
+        {
             attempts.fetch_add(1, SeqCst);
             return true;
         }
@@ -183,7 +240,10 @@
     let (one, other) = (unhurried_endpoint(attempts), unhurried_endpoint(attempts));
     let sidecar = sidecar_with(&both(&one, &other), nowhere(), settings);
     for n in 0..12 {
-        assert_eq!(sidecar.ask(&patiently(&look(&format!("warm{n}")))).word(), "200");
+        assert_eq!(
+            sidecar.ask(&patiently(&look(&format!("warm{n}")))).word(),
+            "200"
+        );
     }
     (sidecar, one, other)
 }
@@ -209,7 +269,10 @@
         let rest = leave(client, how);
         sleep(1500 * MS);
         sidecar.signal("CONT");
-        assert_eq!(sidecar.ask(&patiently(&look(&format!("next{n}")))).word(), "200");
+        assert_eq!(
+            sidecar.ask(&patiently(&look(&format!("next{n}")))).word(),
+            "200"
+        );
         assert_eq!(attempts.load(SeqCst), before);
         drop(rest);
         rounds += usize::from(before == 1);
@@ -234,16 +297,29 @@
 #[rstest]
 fn what_waited_for_a_permit_to_connect_is_not_sent_once_its_client_left(
     #[values(false, true)] further: bool,
-    #[values(Leaves::Closes, Leaves::Resets, Leaves::ShutsSending, Leaves::BehindNext)] how: Leaves,
+    #[values(
+        Leaves::Closes,
+        Leaves::Resets,
+        Leaves::ShutsSending,
+        Leaves::BehindNext
+    )]
+    how: Leaves,
     #[values(false, true)] may_cancel: bool,
 ) {
     // Six connections to endpoints.
     const OUT: usize = 6;
-    let (gate, turns_away, attempts) = (Gate::default(), Gate::default(), Arc::<AtomicUsize>::default());
+    let (gate, turns_away, attempts) = (
+        Gate::default(),
+        Gate::default(),
+        Arc::<AtomicUsize>::default(),
+    );
     let endpoint = |_| {
         let (own, turns_away, attempts) = (gate.clone(), turns_away.clone(), Arc::clone(&attempts));
         stand_in(move |message, to| {
-            if message.header("req-id").is_some_and(|id| id.starts_with("left")) {
+            if message
+                .header("req-id")
+                .is_some_and(|id| id.starts_with("left"))
+            {
                 if attempts.fetch_add(1, SeqCst) == 0 && further {
                     turns_away.pass();
                     declines(to);
@@ -260,8 +336,11 @@
         })
     };
     let endpoints: Vec<_> = (0..12).map(endpoint).collect();
-    let known: Vec<_> =
-        endpoints.iter().enumerate().map(|(n, e)| member(&format!("s-{n}"), e.address, "up")).collect();
+    let known: Vec<_> = endpoints
+        .iter()
+        .enumerate()
+        .map(|(n, e)| member(&format!("s-{n}"), e.address, "up"))
+        .collect();
     let address = nowhere();
     let text = told(address, nowhere(), &known.join(","), &that(may_cancel));
     let sidecar = Sidecar::start(address, &text.replace("\"sockets\":64", "\"sockets\":48"));
@@ -296,7 +375,10 @@
 
 /// Settings under which what finds no room waits for ten seconds.
 fn waits_long(may_cancel: bool) -> String {
-    let settings = that(may_cancel).replace("\"response_goal\":5000000000", "\"response_goal\":40000000000");
+    let settings = that(may_cancel).replace(
+        "\"response_goal\":5000000000",
+        "\"response_goal\":40000000000",
+    );
     let settings = settings.replace("\"time_limit\":8000000000", "\"time_limit\":60000000000");
     settings.replace("\"probes\":false", "\"probes\":true")
 }
@@ -304,7 +386,13 @@
 // There is room at the endpoint, and then the client of what waits for it leaves.
 #[rstest]
 fn what_waited_in_the_module_is_not_sent_once_its_client_left(
-    #[values(Leaves::Closes, Leaves::Resets, Leaves::ShutsSending, Leaves::BehindNext)] how: Leaves,
+    #[values(
+        Leaves::Closes,
+        Leaves::Resets,
+        Leaves::ShutsSending,
+        Leaves::BehindNext
+    )]
+    how: Leaves,
     #[values(false, true)] may_cancel: bool,
 ) {
     let gate = Gate::default();
@@ -333,7 +421,12 @@
     for client in &mut out {
         assert_eq!(Message::read(client).unwrap().word(), "200");
     }
-    assert_eq!(sidecar.ask(&look("next-one").replace("Ms: 900", "Ms: 59000")).word(), "200");
+    assert_eq!(
+        sidecar
+            .ask(&look("next-one").replace("Ms: 900", "Ms: 59000"))
+            .word(),
+        "200"
+    );
     assert_eq!(sent(&endpoint, &id), 0);
     drop(rest);
 }
@@ -345,14 +438,23 @@
 #[rstest]
 fn what_a_client_left_behind_during_a_stop_does_not_begin(
     #[values(false, true)] half_read: bool,
-    #[values(Leaves::Closes, Leaves::Resets, Leaves::ShutsSending, Leaves::BehindNext)] how: Leaves,
+    #[values(
+        Leaves::Closes,
+        Leaves::Resets,
+        Leaves::ShutsSending,
+        Leaves::BehindNext
+    )]
+    how: Leaves,
     #[values(false, true)] may_cancel: bool,
 ) {
     let endpoint = willing("ok");
     let known = member("s-1", endpoint.address, "up");
     let mut sidecar = sidecar_with(&known, nowhere(), &that(may_cancel));
-    let mut warm: Vec<_> = (0..4).map(|n| sends(&sidecar, &patiently(&look(&format!("warm{n}"))))).collect();
-    warm.iter_mut().for_each(|client| assert_eq!(Message::read(client).unwrap().word(), "200"));
+    let mut warm: Vec<_> = (0..4)
+        .map(|n| sends(&sidecar, &patiently(&look(&format!("warm{n}")))))
+        .collect();
+    warm.iter_mut()
+        .for_each(|client| assert_eq!(Message::read(client).unwrap().word(), "200"));
     let request = patiently(&book("left"));
     let (first, rest) = request.split_at(request.len() - 2);
     let early = half_read.then(|| sends(&sidecar, first));
@@ -377,8 +479,10 @@
 const NEXT: &str = "GET /look HTTP/1.1\r\nHost: b\r\nX-More: ";
 
 fn in_chunks(id: &str) -> String {
-    patiently(&book(id))
-        .replace("Content-Length: 4\r\n\r\nseat", "Transfer-Encoding: chunked\r\n\r\n4\r\nseat\r\n0\r\n\r\n")
+    patiently(&book(id)).replace(
+        "Content-Length: 4\r\n\r\nseat",
+        "Transfer-Encoding: chunked\r\n\r\n4\r\nseat\r\n0\r\n\r\n",
+    )
 }
 
 // Where a body comes in chunks only the HTTP library knows its end, and while a next request lies in its buffer it reads
@@ -417,8 +521,10 @@
 fn the_leaving_behind_a_part_of_a_long_body_is_seen(#[case] how: Leaves) {
     let late = Late::new();
     let sidecar = sidecar_with(&member("s-1", late.address, "up"), nowhere(), &unhurried());
-    let head =
-        patiently(&book("left")).replace("Content-Length: 4\r\n\r\nseat", "Content-Length: 2000000\r\n\r\n");
+    let head = patiently(&book("left")).replace(
+        "Content-Length: 4\r\n\r\nseat",
+        "Content-Length: 2000000\r\n\r\n",
+    );
     let mut client = sends(&sidecar, &head);
     until(|| dials(late.address));
     client.get_mut().write_all(&[b'x'; 40_000]).unwrap();
@@ -445,7 +551,10 @@
     let endpoint = stand_in(move |message, to| {
         let port = usize::from(to.peer_addr().unwrap().port());
         let id = message.header("req-id").unwrap();
-        let Some(pieces) = id.strip_prefix("long").and_then(|n| n.parse::<usize>().ok()) else {
+        let Some(pieces) = id
+            .strip_prefix("long")
+            .and_then(|n| n.parse::<usize>().ok())
+        else {
             // Longer than an answer may stop halfway.
             sleep(250 * MS);
             answer(to, "200 OK", "", port.to_string().as_bytes());
@@ -462,14 +571,20 @@
         let _ = to.write_all(b"0\r\n\r\n");
         true
     });
-    let sidecar = sidecar_with(&member("s-1", endpoint.address, "up"), nowhere(), &unhurried());
+    let sidecar = sidecar_with(
+        &member("s-1", endpoint.address, "up"),
+        nowhere(),
+        &unhurried(),
+    );
     // The answer behind a long one that nobody reads, and whether it came over the same connection.
     let behind = |pieces: usize| {
-        let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
+        let socket =
+            socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
         socket.set_recv_buffer_size(4096).unwrap();
         socket.connect(&sidecar.address.into()).unwrap();
         let mut slow = std::net::TcpStream::from(socket);
-        slow.write_all(patiently(&look(&format!("long{pieces}"))).as_bytes()).unwrap();
+        slow.write_all(patiently(&look(&format!("long{pieces}"))).as_bytes())
+            .unwrap();
         sleep(150 * MS);
         let answer = sidecar.ask(&patiently(&book(&format!("next{pieces}"))));
         let same = answer.body == long_over.load(SeqCst).to_string().as_bytes();
@@ -479,8 +594,14 @@
     let (mut taken, mut held_up) = (2, 1000);
     while held_up - taken > 2 {
         let half = (taken + held_up) / 2;
-        *(if behind(half).1 { &mut taken } else { &mut held_up }) = half;
+        *(if behind(half).1 {
+            &mut taken
+        } else {
+            &mut held_up
+        }) = half;
     }
-    let words: Vec<_> = (taken.max(6) - 4..held_up + 4).map(|pieces| behind(pieces).0).collect();
+    let words: Vec<_> = (taken.max(6) - 4..held_up + 4)
+        .map(|pieces| behind(pieces).0)
+        .collect();
     assert!(words.iter().all(|word| word == "200"), "{words:?}");
 }
--- a/crates/passroad/tests/clients/mod.rs
+++ b/crates/passroad/tests/clients/mod.rs
@@ -66,7 +66,13 @@
 
 /// How often an endpoint was sent a request of this id.
 pub fn sent(endpoint: &StandIn, id: &str) -> usize {
-    endpoint.seen.lock().unwrap().iter().filter(|m| m.header("req-id").as_deref() == Some(id)).count()
+    endpoint
+        .seen
+        .lock()
+        .unwrap()
+        .iter()
+        .filter(|m| m.header("req-id").as_deref() == Some(id))
+        .count()
 }
 
 /// Says that a request was not run.
@@ -88,7 +94,9 @@
 pub fn fails_first(gate: &Gate, attempts: &Arc<AtomicUsize>, how: First) -> StandIn {
     let (gate, attempts) = (gate.clone(), attempts.clone());
     stand_in(move |message, to| {
-        let left = message.header("req-id").is_some_and(|id| id.starts_with("left"));
+        let left = message
+            .header("req-id")
+            .is_some_and(|id| id.starts_with("left"));
         if left && attempts.fetch_add(1, SeqCst) == 0 {
             gate.pass();
             match how {
@@ -117,7 +125,11 @@
 impl Late {
     pub fn new() -> Self {
         let (address, listener, filling) = deaf();
-        Late { address, listener, filling }
+        Late {
+            address,
+            listener,
+            filling,
+        }
     }
 
     /// Lets in what waits, for long enough: the system tries a connection again after one second, two, and four. The bytes
@@ -125,7 +137,11 @@
     pub fn lets_in(self) -> JoinHandle<Vec<u8>> {
         spawn(move || {
             self.listener.set_nonblocking(true).unwrap();
-            let fillers: Vec<_> = self.filling.iter().map(|f| f.local_addr().unwrap()).collect();
+            let fillers: Vec<_> = self
+                .filling
+                .iter()
+                .map(|f| f.local_addr().unwrap())
+                .collect();
             let (mut came, mut open) = (Vec::new(), Vec::new());
             for _ in 0..800 {
                 while let Ok((stream, from)) = self.listener.accept() {
@@ -156,25 +172,37 @@
 
 /// Whether there is a connection under way to an address.
 pub fn dials(to: SocketAddr) -> bool {
-    let SocketAddr::V4(to) = to else { unreachable!() };
+    let SocketAddr::V4(to) = to else {
+        unreachable!()
+    };
     let [a, b, c, d] = to.ip().octets();
     let at = format!("{:02X}{:02X}{:02X}{:02X}:{:04X} 02", d, c, b, a, to.port());
-    std::fs::read_to_string("/proc/net/tcp").unwrap().contains(&at)
+    std::fs::read_to_string("/proc/net/tcp")
+        .unwrap()
+        .contains(&at)
 }
 
 /// Patient settings with no probes, under which a connection may take two seconds to come up.
 pub fn unhurried() -> String {
     let settings = patient().replace("\"probes\":true", "\"probes\":false");
-    settings.replace("\"connect_timeout\":250000000", "\"connect_timeout\":32000000000")
+    settings.replace(
+        "\"connect_timeout\":250000000",
+        "\"connect_timeout\":32000000000",
+    )
 }
 
 pub fn both(one: &StandIn, other: &StandIn) -> String {
-    [("s-1", one), ("s-2", other)].map(|(id, e)| member(id, e.address, "up")).join(",")
+    [("s-1", one), ("s-2", other)]
+        .map(|(id, e)| member(id, e.address, "up"))
+        .join(",")
 }
 
 /// An endpoint that answers all from here on, at an address where nobody listened; the ids that it has seen.
 pub fn willing_at(address: SocketAddr) -> Arc<Mutex<Vec<String>>> {
-    let (listener, seen) = (TcpListener::bind(address).unwrap(), Arc::<Mutex<Vec<String>>>::default());
+    let (listener, seen) = (
+        TcpListener::bind(address).unwrap(),
+        Arc::<Mutex<Vec<String>>>::default(),
+    );
     let own = Arc::clone(&seen);
     spawn(move || {
         for stream in listener.incoming().flatten() {
