--- a/crates/passroad/tests/crossings.rs
+++ b/crates/passroad/tests/crossings.rs
@@ -30,13 +30,22 @@
             client.get_ref().shutdown(Shutdown::Write).unwrap();
             return Some(client);
         }
-        Leaves::ClosesBehindMore => client.get_mut().write_all(b"GET /look HTTP/1.1\r\n").unwrap(),
+        Leaves::ClosesBehindMore => client
+            .get_mut()
+            .write_all(b"GET /look HTTP/1.1\r\n")
+            .unwrap(),
     }
     None
 }
 
 fn ids(endpoint: &StandIn) -> Vec<String> {
-    endpoint.seen.lock().unwrap().iter().filter_map(|m| m.header("req-id")).collect()
+    endpoint
+        .seen
+        .lock()
+        .unwrap()
+        .iter()
+        .filter_map(|m| m.header("req-id"))
+        .collect()
 }
 
 // The command and the end of its client lie ready in one turn: the command is read first.
@@ -47,11 +56,20 @@
 #[case::closes_behind_more(Leaves::ClosesBehindMore)]
 fn what_a_client_left_behind_while_the_process_stood_still_is_not_sent(#[case] how: Leaves) {
     let endpoint = willing("ok");
-    let sidecar = sidecar_with(&member("s-1", endpoint.address, "up"), nowhere(), &patient());
+    let sidecar = sidecar_with(
+        &member("s-1", endpoint.address, "up"),
+        nowhere(),
+        &patient(),
+    );
     // One that is let in already, and a connection to the endpoint that is kept.
     for n in 0..5 {
         let mut known = sidecar.client();
-        assert_eq!(ask(&mut known, &patiently(&look(&format!("first{n}")))).unwrap().word(), "200");
+        assert_eq!(
+            ask(&mut known, &patiently(&look(&format!("first{n}"))))
+                .unwrap()
+                .word(),
+            "200"
+        );
         sidecar.signal("STOP");
         let gone: Vec<_> = [known, sidecar.client(), sidecar.client()]
             .into_iter()
@@ -59,22 +77,36 @@
             .map(|(k, mut client)| {
                 let id = format!("left{n}-{k}");
                 let command = if k == 1 { book(&id) } else { look(&id) };
-                client.get_mut().write_all(patiently(&command).as_bytes()).unwrap();
+                client
+                    .get_mut()
+                    .write_all(patiently(&command).as_bytes())
+                    .unwrap();
                 leave(client, how)
             })
             .collect();
         sidecar.signal("CONT");
-        assert_eq!(sidecar.ask(&patiently(&look(&format!("next{n}")))).word(), "200");
+        assert_eq!(
+            sidecar.ask(&patiently(&look(&format!("next{n}")))).word(),
+            "200"
+        );
         drop(gone);
     }
-    assert!(ids(&endpoint).iter().all(|id| !id.starts_with("left")), "{:?}", ids(&endpoint));
+    assert!(
+        ids(&endpoint).iter().all(|id| !id.starts_with("left")),
+        "{:?}",
+        ids(&endpoint)
+    );
 }
 
 // The same while the process stops, with half of the body read before.
 #[rstest]
 fn what_a_client_left_behind_during_a_stop_is_not_sent() {
     let endpoint = willing("ok");
-    let mut sidecar = sidecar_with(&member("s-1", endpoint.address, "up"), nowhere(), &patient());
+    let mut sidecar = sidecar_with(
+        &member("s-1", endpoint.address, "up"),
+        nowhere(),
+        &patient(),
+    );
     let command = patiently(&book("left-half"));
     let (first, rest) = command.split_at(command.len() - 2);
     let mut half = sidecar.client();
@@ -86,10 +118,16 @@
     drop(half);
     for n in 0..5 {
         let mut client = sidecar.client();
-        client.get_mut().write_all(patiently(&book(&format!("left{n}"))).as_bytes()).unwrap();
+        client
+            .get_mut()
+            .write_all(patiently(&book(&format!("left{n}"))).as_bytes())
+            .unwrap();
     }
     let mut stays = sidecar.client();
-    stays.get_mut().write_all(patiently(&book("stays")).as_bytes()).unwrap();
+    stays
+        .get_mut()
+        .write_all(patiently(&book("stays")).as_bytes())
+        .unwrap();
     sidecar.signal("CONT");
     assert_eq!(Message::read(&mut stays).unwrap().word(), "200");
     assert_eq!(sidecar.child.wait().unwrap().code(), Some(0));
@@ -110,12 +148,16 @@
         true
     });
     // Room is waited for, for a quarter of the goal.
-    let settings = SETTINGS.replace("\"response_goal\":400000000", "\"response_goal\":40000000000");
+    let settings = SETTINGS.replace(
+        "\"response_goal\":400000000",
+        "\"response_goal\":40000000000",
+    );
     let settings = settings.replace("\"time_limit\":1000000000", "\"time_limit\":60000000000");
     let sidecar = sidecar_with(&member("s-1", endpoint.address, "up"), nowhere(), &settings);
     let send = |n: usize| {
         let mut client = sidecar.client();
-        let command = book(&n.to_string()).replace("Req-Deadline-Ms: 900", "Req-Deadline-Ms: 59000");
+        let command =
+            book(&n.to_string()).replace("Req-Deadline-Ms: 900", "Req-Deadline-Ms: 59000");
         client.get_mut().write_all(command.as_bytes()).unwrap();
         client
     };
@@ -132,9 +174,20 @@
     gate.open();
     sleep(50 * MS);
     sidecar.signal("CONT");
-    assert!(stay.iter_mut().all(|client| Message::read(client).unwrap().word() == "200"));
-    assert_eq!(sidecar.ask(&look("next").replace("Ms: 900", "Ms: 59000")).word(), "200");
-    let seen: Vec<_> = ids(&endpoint).into_iter().filter(|id| id != "next").collect();
+    assert!(
+        stay.iter_mut()
+            .all(|client| Message::read(client).unwrap().word() == "200")
+    );
+    assert_eq!(
+        sidecar
+            .ask(&look("next").replace("Ms: 900", "Ms: 59000"))
+            .word(),
+        "200"
+    );
+    let seen: Vec<_> = ids(&endpoint)
+        .into_iter()
+        .filter(|id| id != "next")
+        .collect();
     assert_eq!(seen, out);
 }
 
@@ -148,7 +201,11 @@
 impl Late {
     fn new() -> Self {
         let (address, listener, filling) = deaf();
-        Late { address, listener, filling }
+        Late {
+            address,
+            listener,
+            filling,
+        }
     }
 
     /// Lets in what waits; every byte that comes over a connection of the sidecar's within a while.
@@ -186,7 +243,10 @@
 /// Settings under which a connection may take two seconds to come up, with no probes.
 fn unhurried() -> String {
     let settings = patient().replace("\"probes\":true", "\"probes\":false");
-    settings.replace("\"connect_timeout\":250000000", "\"connect_timeout\":32000000000")
+    settings.replace(
+        "\"connect_timeout\":250000000",
+        "\"connect_timeout\":32000000000",
+    )
 }
 
 fn says(came: &[u8], id: &str) -> bool {
@@ -195,10 +255,14 @@
 
 /// Whether the process has a connection under way to an address.
 fn dials(to: SocketAddr) -> bool {
-    let SocketAddr::V4(to) = to else { unreachable!() };
+    let SocketAddr::V4(to) = to else {
+        unreachable!()
+    };
     let [a, b, c, d] = to.ip().octets();
     let at = format!("{:02X}{:02X}{:02X}{:02X}:{:04X} 02", d, c, b, a, to.port());
-    std::fs::read_to_string("/proc/net/tcp").unwrap().contains(&at)
+    std::fs::read_to_string("/proc/net/tcp")
+        .unwrap()
+        .contains(&at)
 }
 
 // The connection comes up after the client has left, or in the same turn.
@@ -212,10 +276,16 @@
     #[case] same_turn: bool,
 ) {
     let late = Late::new();
-    let settings = unhurried().replace("\"may_cancel\":true", &format!("\"may_cancel\":{may_recall}"));
+    let settings = unhurried().replace(
+        "\"may_cancel\":true",
+        &format!("\"may_cancel\":{may_recall}"),
+    );
     let sidecar = sidecar_with(&member("s-1", late.address, "up"), nowhere(), &settings);
     let mut client = sidecar.client();
-    client.get_mut().write_all(patiently(&book("left")).as_bytes()).unwrap();
+    client
+        .get_mut()
+        .write_all(patiently(&book("left")).as_bytes())
+        .unwrap();
     until(|| dials(late.address));
     if same_turn {
         sidecar.signal("STOP");
@@ -251,7 +321,10 @@
     let sidecar = sidecar_with(&known, discovery.stand_in.address, &unhurried());
     until(|| discovery.stand_in.count() > 0);
     let mut client = sidecar.client();
-    client.get_mut().write_all(patiently(&book("a")).as_bytes()).unwrap();
+    client
+        .get_mut()
+        .write_all(patiently(&book("a")).as_bytes())
+        .unwrap();
     until(|| dials(late.address));
     let list = [now(late.address), member("s-2", well.address, "up")].join(",");
     if same_turn {
@@ -277,14 +350,27 @@
     let known = member("s-1", late.address, "up");
     let discovery = discovery(&known);
     let text = told(address, discovery.stand_in.address, &known, &unhurried());
-    let sidecar =
-        Sidecar::start(address, &with_door(&text.replace("\"sockets\":64", "\"sockets\":256"), door));
+    let sidecar = Sidecar::start(
+        address,
+        &with_door(&text.replace("\"sockets\":64", "\"sockets\":256"), door),
+    );
     until(|| discovery.stand_in.count() > 0);
     let mut client = sidecar.client();
-    client.get_mut().write_all(patiently(&book("a")).as_bytes()).unwrap();
+    client
+        .get_mut()
+        .write_all(patiently(&book("a")).as_bytes())
+        .unwrap();
     until(|| dials(late.address));
     *discovery.list.lock().unwrap() = (2, [known, member("s-2", well.address, "up")].join(","));
-    until(|| discovery.stand_in.seen.lock().unwrap().iter().any(|m| m.word().contains("from=2&")));
+    until(|| {
+        discovery
+            .stand_in
+            .seen
+            .lock()
+            .unwrap()
+            .iter()
+            .any(|m| m.word().contains("from=2&"))
+    });
     assert_eq!(cordon(door, "cordon", "s-1"), "200");
     assert_eq!(Message::read(&mut client).unwrap().body, b"ok");
     assert!(!says(&late.lets_in(), "a"));
@@ -314,7 +400,10 @@
 }
 
 fn paced(ask_every_ms: u64) -> String {
-    patient().replace("\"ask_every\":400000000", &format!("\"ask_every\":{ask_every_ms}000000"))
+    patient().replace(
+        "\"ask_every\":400000000",
+        &format!("\"ask_every\":{ask_every_ms}000000"),
+    )
 }
 
 /// Waits until the endpoint that drains is out of use: by chance alone it would have one in two.
@@ -326,7 +415,9 @@
 #[rstest]
 fn a_watch_that_is_out_is_not_dropped_for_a_later_word_of_the_module() {
     let (first, second) = (willing("first"), willing("second"));
-    let both = [("s-1", &first), ("s-2", &second)].map(|(id, e)| member(id, e.address, "up")).join(",");
+    let both = [("s-1", &first), ("s-2", &second)]
+        .map(|(id, e)| member(id, e.address, "up"))
+        .join(",");
     let refuses = asked(|_, _, to| answer(to, "503 Busy", "", b""));
     let (known, gone) = (both.clone(), member("s-1", first.address, "draining"));
     let answers = asked(move |target, _, to| match target {
@@ -344,8 +435,17 @@
     until(|| refuses.count() == 1);
     sidecar.reload(&text(answers.address));
     until(|| answers.count() == 3);
-    let targets: Vec<_> = answers.seen.lock().unwrap().iter().map(|m| m.word().to_string()).collect();
-    assert!(targets[1].contains("from=5&") && targets[2].contains("from=6&"), "{targets:?}");
+    let targets: Vec<_> = answers
+        .seen
+        .lock()
+        .unwrap()
+        .iter()
+        .map(|m| m.word().to_string())
+        .collect();
+    assert!(
+        targets[1].contains("from=5&") && targets[2].contains("from=6&"),
+        "{targets:?}"
+    );
     all_go_to(&sidecar, b"second");
 }
 
@@ -353,7 +453,9 @@
 #[rstest]
 fn what_the_old_discovery_still_says_is_heard_until_the_new_one_has_answered() {
     let (first, second) = (willing("first"), willing("second"));
-    let both = [("s-1", &first), ("s-2", &second)].map(|(id, e)| member(id, e.address, "up")).join(",");
+    let both = [("s-1", &first), ("s-2", &second)]
+        .map(|(id, e)| member(id, e.address, "up"))
+        .join(",");
     let gate = Gate::default();
     let (own, gone) = (gate.clone(), member("s-1", first.address, "draining"));
     let before = asked(move |_, _, to| {
@@ -378,7 +480,9 @@
 #[case::in_the_same_turn(true)]
 fn the_answer_to_a_watch_that_seemed_silent_is_heard(#[case] same_turn: bool) {
     let (first, second) = (willing("first"), willing("second"));
-    let both = [("s-1", &first), ("s-2", &second)].map(|(id, e)| member(id, e.address, "up")).join(",");
+    let both = [("s-1", &first), ("s-2", &second)]
+        .map(|(id, e)| member(id, e.address, "up"))
+        .join(",");
     let gate = Gate::default();
     let (own, gone) = (gate.clone(), member("s-1", first.address, "draining"));
     let discovery = asked(move |target, _, to| {
@@ -387,7 +491,11 @@
             tells(to, &changes(2, &gone));
         }
     });
-    let sidecar = sidecar_with(&both, discovery.address, &paced(40_000).replace("on_request", "pushed"));
+    let sidecar = sidecar_with(
+        &both,
+        discovery.address,
+        &paced(40_000).replace("on_request", "pushed"),
+    );
     until(|| discovery.count() == 1);
     if same_turn {
         sidecar.signal("STOP");
@@ -409,7 +517,9 @@
 #[rstest]
 fn where_lists_are_pushed_a_silent_agent_is_watched_again_at_once() {
     let (first, second) = (willing("first"), willing("second"));
-    let both = [("s-1", &first), ("s-2", &second)].map(|(id, e)| member(id, e.address, "up")).join(",");
+    let both = [("s-1", &first), ("s-2", &second)]
+        .map(|(id, e)| member(id, e.address, "up"))
+        .join(",");
     let gone = member("s-1", first.address, "draining");
     let watches = AtomicUsize::new(0);
     let agent = asked(move |target, _, to| {
@@ -423,9 +533,18 @@
     let sidecar = sidecar_with(&both, agent.address, &settings);
     all_go_to(&sidecar, b"second");
     until(|| agent.count() > 2);
-    let targets: Vec<_> = agent.seen.lock().unwrap().iter().map(|m| m.word().to_string()).collect();
+    let targets: Vec<_> = agent
+        .seen
+        .lock()
+        .unwrap()
+        .iter()
+        .map(|m| m.word().to_string())
+        .collect();
     assert_eq!(targets[1], "/v1/servers");
-    assert!(targets[0].contains("from=1&") && targets[2].contains("from=1&"), "{targets:?}");
+    assert!(
+        targets[0].contains("from=1&") && targets[2].contains("from=1&"),
+        "{targets:?}"
+    );
 }
 
 // ---- connections that close ----
@@ -446,17 +565,31 @@
         let mut clients: Vec<_> = (0..3).map(|_| sidecar.client()).collect();
         // Several are kept, as they are used at the same time.
         for (k, client) in clients.iter_mut().enumerate() {
-            client.get_mut().write_all(patiently(&look(&format!("{n}-{k}"))).as_bytes()).unwrap();
+            client
+                .get_mut()
+                .write_all(patiently(&look(&format!("{n}-{k}"))).as_bytes())
+                .unwrap();
         }
-        assert!(clients.iter_mut().all(|client| Message::read(client).unwrap().word() == "200"));
+        assert!(
+            clients
+                .iter_mut()
+                .all(|client| Message::read(client).unwrap().word() == "200")
+        );
         sidecar.signal("STOP");
         for stream in closing.lock().unwrap().drain(..) {
             let _ = stream.shutdown(Shutdown::Both);
         }
-        clients[0].get_mut().write_all(patiently(&book(&format!("{n}"))).as_bytes()).unwrap();
+        clients[0]
+            .get_mut()
+            .write_all(patiently(&book(&format!("{n}"))).as_bytes())
+            .unwrap();
         sleep(20 * MS);
         sidecar.signal("CONT");
-        assert_eq!(Message::read(&mut clients[0]).unwrap().word(), "200", "round {n}");
+        assert_eq!(
+            Message::read(&mut clients[0]).unwrap().word(),
+            "200",
+            "round {n}"
+        );
     }
 }
 
@@ -483,7 +616,11 @@
     sleep(3700 * MS);
     sidecar.signal("KILL");
     let answer = Message::read(&mut client).expect("an answer");
-    assert!(["502", "503", "504"].contains(&answer.word()), "{}", answer.head);
+    assert!(
+        ["502", "503", "504"].contains(&answer.word()),
+        "{}",
+        answer.head
+    );
     let _ = sidecar.child.wait();
 }
 
@@ -497,10 +634,17 @@
     #[case] stands_ms: u32,
 ) {
     let endpoint = willing("ok");
-    let mut sidecar = sidecar_with(&member("s-1", endpoint.address, "up"), nowhere(), &patient());
+    let mut sidecar = sidecar_with(
+        &member("s-1", endpoint.address, "up"),
+        nowhere(),
+        &patient(),
+    );
     let mut clients: Vec<_> = (0..10).map(|_| sidecar.client()).collect();
     for client in clients.iter_mut().filter(|_| answered) {
-        assert_eq!(ask(client, &patiently(&look("first"))).unwrap().word(), "200");
+        assert_eq!(
+            ask(client, &patiently(&look("first"))).unwrap().word(),
+            "200"
+        );
     }
     // Half a head first: the connections are let in and known to be in use.
     let command = patiently(&book("last"));
@@ -540,16 +684,31 @@
     });
     let late = Late::new();
     let discovery = discovery(&member("s-1", breaks.address, "up"));
-    let settings = unhurried().replace("\"non_idempotent\"", "\"idempotency_key\",\"window\":1500000000");
+    let settings = unhurried().replace(
+        "\"non_idempotent\"",
+        "\"idempotency_key\",\"window\":1500000000",
+    );
     let known = member("s-1", breaks.address, "up");
     let sidecar = sidecar_with(&known, discovery.stand_in.address, &settings);
     let mut client = sidecar.client();
     let command = patiently(&book("once")).replace("Req-Owner", "Idempotency-Key: 7\r\nReq-Owner");
     client.get_mut().write_all(command.as_bytes()).unwrap();
     until(|| breaks.count() == 1);
-    let list = format!("{},{}", member("s-1", breaks.address, "draining"), member("s-2", late.address, "up"));
+    let list = format!(
+        "{},{}",
+        member("s-1", breaks.address, "draining"),
+        member("s-2", late.address, "up")
+    );
     *discovery.list.lock().unwrap() = (2, list);
-    until(|| discovery.stand_in.seen.lock().unwrap().iter().any(|m| m.word().contains("from=2&")));
+    until(|| {
+        discovery
+            .stand_in
+            .seen
+            .lock()
+            .unwrap()
+            .iter()
+            .any(|m| m.word().contains("from=2&"))
+    });
     gate.open();
     until(|| dials(late.address));
     sleep(1500 * MS);
--- a/crates/passroad/tests/crowd/mod.rs
+++ b/crates/passroad/tests/crowd/mod.rs
@@ -43,13 +43,16 @@
     /// Lets it hold only so many from now on.
     pub fn limit(&self, descriptors: usize) {
         let pid = self.child.id().to_string();
-        let told =
-            Command::new("prlimit").args(["--pid", &pid, &format!("--nofile={descriptors}:")]).status();
+        let told = Command::new("prlimit")
+            .args(["--pid", &pid, &format!("--nofile={descriptors}:")])
+            .status();
         assert!(told.unwrap().success());
     }
 
     pub fn descriptors(&self) -> usize {
-        std::fs::read_dir(format!("/proc/{}/fd", self.child.id())).unwrap().count()
+        std::fs::read_dir(format!("/proc/{}/fd", self.child.id()))
+            .unwrap()
+            .count()
     }
 
     /// The lines that it has written and that hold these words.
@@ -61,7 +64,12 @@
     /// Of a processor, in hundredths of a second: the process's time in user and system mode.
     pub fn processor(&self) -> u64 {
         let stat = std::fs::read_to_string(format!("/proc/{}/stat", self.child.id())).unwrap();
-        let fields: Vec<_> = stat.rsplit(')').next().unwrap().split_whitespace().collect();
+        let fields: Vec<_> = stat
+            .rsplit(')')
+            .next()
+            .unwrap()
+            .split_whitespace()
+            .collect();
         fields[11].parse::<u64>().unwrap() + fields[12].parse::<u64>().unwrap()
     }
 }
@@ -101,9 +109,16 @@
             .map(|mut child| {
                 drop(child.stdin.take());
                 let mut said = String::new();
-                child.stdout.take().unwrap().read_to_string(&mut said).unwrap();
+                child
+                    .stdout
+                    .take()
+                    .unwrap()
+                    .read_to_string(&mut said)
+                    .unwrap();
                 child.wait().unwrap();
-                let again = said.lines().find_map(|line| line.split("came again ").nth(1));
+                let again = said
+                    .lines()
+                    .find_map(|line| line.split("came again ").nth(1));
                 again.expect("a count").parse::<usize>().unwrap()
             })
             .sum()
@@ -122,7 +137,9 @@
 /// What a process of the crowd does, if this is one: until its standard input ends it keeps so many connections open that say
 /// nothing, and opens each again as soon as it is closed.
 pub fn play() {
-    let Ok(task) = std::env::var(TASK) else { return };
+    let Ok(task) = std::env::var(TASK) else {
+        return;
+    };
     let (to, count) = task.split_once(' ').unwrap();
     let (to, count): (SocketAddr, usize) = (to.parse().unwrap(), count.parse().unwrap());
     let over = std::sync::Arc::new(std::sync::atomic::AtomicBool::new(false));
--- a/crates/passroad/tests/descriptors.rs
+++ b/crates/passroad/tests/descriptors.rs
@@ -20,13 +20,17 @@
 
 /// A discovery that is back: tells a list and lets watches from there wait. When it was called first.
 fn back(at: SocketAddr, list: String) -> Arc<Mutex<Option<Instant>>> {
-    let (came, listener) = (Arc::<Mutex<Option<Instant>>>::default(), TcpListener::bind(at).unwrap());
+    let (came, listener) = (
+        Arc::<Mutex<Option<Instant>>>::default(),
+        TcpListener::bind(at).unwrap(),
+    );
     let own = Arc::clone(&came);
     spawn(move || {
         for stream in listener.incoming().flatten() {
             let (own, list) = (Arc::clone(&own), list.clone());
             spawn(move || {
-                let (mut reader, mut stream) = (BufReader::new(stream.try_clone().unwrap()), stream);
+                let (mut reader, mut stream) =
+                    (BufReader::new(stream.try_clone().unwrap()), stream);
                 while let Some(call) = Message::read(&mut reader) {
                     if !call.word().contains("from=9&") {
                         own.lock().unwrap().get_or_insert(Instant::now());
@@ -42,7 +46,9 @@
 /// One request over a connection of its own that sends at once, as clients do; the answer's status and body.
 fn request(to: SocketAddr, id: &str) -> Option<(String, Vec<u8>)> {
     let mut stream = TcpStream::connect(to).ok()?;
-    stream.set_read_timeout(Some(Duration::from_secs(20))).ok()?;
+    stream
+        .set_read_timeout(Some(Duration::from_secs(20)))
+        .ok()?;
     stream.write_all(patiently(&look(id)).as_bytes()).ok()?;
     let answer = Message::read(&mut BufReader::new(stream))?;
     Some((answer.word().to_string(), answer.body))
@@ -91,11 +97,20 @@
     #[case] later: Option<usize>,
 ) {
     let (first, second) = (willing("first"), willing("second"));
-    let both = |phase| [member("s-1", first.address, phase), member("s-2", second.address, "up")].join(",");
+    let both = |phase| {
+        [
+            member("s-1", first.address, phase),
+            member("s-2", second.address, "up"),
+        ]
+        .join(",")
+    };
     let (address, discovery) = (nowhere(), nowhere());
     let settings = patient().replace("\"ask_every\":400000000", "\"ask_every\":10000000000");
     // A busy machine is not taken for endpoints that can't be reached: connections have 2 s to come up, probes 1.6 s.
-    let settings = settings.replace("\"connect_timeout\":250000000", "\"connect_timeout\":8000000000");
+    let settings = settings.replace(
+        "\"connect_timeout\":250000000",
+        "\"connect_timeout\":8000000000",
+    );
     let text = told(address, discovery, &both("up"), &settings)
         .replace("\"sockets\":64", &format!("\"sockets\":{told_limit}"));
     let sidecar = Limited::start(address, &text, at_start);
@@ -104,13 +119,21 @@
     let crowd = Crowd::come(address, limit * 3 / 2);
     until(|| sidecar.descriptors() > limit / 2);
     let (began, used) = (Instant::now(), sidecar.processor());
-    let mut requests = Requests { to: address, count: 0, refused: 0, worst: Duration::ZERO };
+    let mut requests = Requests {
+        to: address,
+        count: 0,
+        refused: 0,
+        worst: Duration::ZERO,
+    };
     // For longer than a request's limit: the crowd has then been there for as long as any request may wait.
     while began.elapsed() < Duration::from_secs(9) {
         requests.next();
         assert!(sidecar.descriptors() <= limit, "{}", sidecar.descriptors());
     }
-    let list = format!(r#"{{"revision":9,"complete":true,"members":[{}]}}"#, both("draining"));
+    let list = format!(
+        r#"{{"revision":9,"complete":true,"members":[{}]}}"#,
+        both("draining")
+    );
     let (returned, came) = (Instant::now(), back(discovery, list));
     until(|| came.lock().unwrap().is_some());
     let waited = came.lock().unwrap().unwrap() - returned;
--- a/crates/passroad/tests/discovery.rs
+++ b/crates/passroad/tests/discovery.rs
@@ -34,7 +34,8 @@
     Silent,
 }
 
-const HALF: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\n{\"revision\":9,\"complete\":true";
+const HALF: &[u8] =
+    b"HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\n{\"revision\":9,\"complete\":true";
 
 impl Failure {
     /// Answers so; tells whether the connection stays open.
@@ -53,7 +54,10 @@
             sleep(10 * MS);
             let _ = socket2::SockRef::from(&*to).set_linger(Some(Duration::ZERO));
         }
-        matches!(self, Failure::Busy | Failure::NotFound | Failure::HalfThenSilent | Failure::Silent)
+        matches!(
+            self,
+            Failure::Busy | Failure::NotFound | Failure::HalfThenSilent | Failure::Silent
+        )
     }
 }
 
@@ -65,7 +69,9 @@
 fn asking_every(span: Duration, discovery: &str) -> String {
     let every = format!("\"ask_every\":{}", span.as_nanos());
     let every = format!("{every},\"drain_grace\":60000000000");
-    patient().replace("\"ask_every\":400000000", &every).replace("on_request", discovery)
+    patient()
+        .replace("\"ask_every\":400000000", &every)
+        .replace("on_request", discovery)
 }
 
 /// Waits until the endpoint that drains is out of use: by chance alone it would have one in two.
@@ -76,7 +82,13 @@
 /// Two endpoints, of which the first is to drain: what a sidecar knows, and the list that tells.
 fn about_to_drain() -> (StandIn, StandIn, String, String) {
     let (first, second) = (willing("first"), willing("second"));
-    let both = |phase| [member("s-1", first.address, phase), member("s-2", second.address, "up")].join(",");
+    let both = |phase| {
+        [
+            member("s-1", first.address, phase),
+            member("s-2", second.address, "up"),
+        ]
+        .join(",")
+    };
     let (known, told) = (both("up"), list(9, true, &both("draining")));
     (first, second, known, told)
 }
@@ -123,7 +135,11 @@
         }
         true
     });
-    let sidecar = sidecar_with(&known, discovery.address, &asking_every(Duration::from_secs(3600), mode));
+    let sidecar = sidecar_with(
+        &known,
+        discovery.address,
+        &asking_every(Duration::from_secs(3600), mode),
+    );
     until(|| told_at.lock().unwrap().is_some());
     let waited = told_at.lock().unwrap().unwrap() - failed_at.lock().unwrap().unwrap();
     println!("heard {waited:?} after the last call that failed");
@@ -163,8 +179,16 @@
     let rounds: Vec<_> = std::iter::repeat_with(round).take(3).collect();
     println!("behind the whole call, behind the watch: {rounds:?}");
     // Its own two seconds, and no more than a breath.
-    assert!(rounds.iter().any(|(whole, _)| *whole < Duration::from_millis(2400)), "{rounds:?}");
-    assert!(rounds.iter().any(|(_, watch)| *watch < TOLD_AFTER), "{rounds:?}");
+    assert!(
+        rounds
+            .iter()
+            .any(|(whole, _)| *whole < Duration::from_millis(2400)),
+        "{rounds:?}"
+    );
+    assert!(
+        rounds.iter().any(|(_, watch)| *watch < TOLD_AFTER),
+        "{rounds:?}"
+    );
 }
 
 /// Serves a discovery's calls from a listener: each is told the same. When the first call came.
@@ -175,7 +199,8 @@
         for stream in listener.incoming().flatten() {
             let (own, told) = (Arc::clone(&own), told.clone());
             spawn(move || {
-                let (mut reader, mut stream) = (std::io::BufReader::new(stream.try_clone().unwrap()), stream);
+                let (mut reader, mut stream) =
+                    (std::io::BufReader::new(stream.try_clone().unwrap()), stream);
                 while let Some(call) = Message::read(&mut reader) {
                     // A watch from there waits.
                     if !call.word().contains("from=9&") {
@@ -234,7 +259,10 @@
     let whole = |call: &Message| call.word() == "/v1/servers";
     assert!(seen.iter().skip(1).step_by(2).all(whole), "{seen:?}");
     // A whole call has half of the grace. A busy machine makes some of them longer, hardly each.
-    let gaps = seen.windows(2).filter(|pair| whole(&pair[0])).map(|pair| pair[1].at - pair[0].at);
+    let gaps = seen
+        .windows(2)
+        .filter(|pair| whole(&pair[0]))
+        .map(|pair| pair[1].at - pair[0].at);
     let shortest = gaps.min().unwrap();
     assert!(shortest < 2400 * MS, "{shortest:?}");
 }
@@ -253,8 +281,11 @@
         }
         true
     });
-    let sidecar =
-        sidecar_with(&known, discovery.address, &asking_every(Duration::from_secs(3600), "on_request"));
+    let sidecar = sidecar_with(
+        &known,
+        discovery.address,
+        &asking_every(Duration::from_secs(3600), "on_request"),
+    );
     until(|| discovery.count() == 4);
     gate.open();
     all_go_to(&sidecar, b"second");
@@ -270,7 +301,10 @@
     until(|| resets.count() >= 12);
     let seen = resets.seen.lock().unwrap();
     // Six, a breath apart; then the module's waits of half a second at least.
-    let apart: Vec<_> = seen.windows(2).map(|pair| pair[1].at - pair[0].at).collect();
+    let apart: Vec<_> = seen
+        .windows(2)
+        .map(|pair| pair[1].at - pair[0].at)
+        .collect();
     assert!(apart[6..].iter().all(|wait| *wait >= 450 * MS), "{apart:?}");
 }
 
@@ -281,7 +315,10 @@
 
 /// What the module says to a call that was refused: the wait until the next.
 fn wait_after_refusal(module: &mut Balancer, now: Duration) -> Duration {
-    let refused = Event::Listed { kind: ListKind::Refused, entries: Vec::new() };
+    let refused = Event::Listed {
+        kind: ListKind::Refused,
+        entries: Vec::new(),
+    };
     let out = module.decide(now, refused);
     let wait = out.iter().find_map(|action| match action {
         Action::Alarm { after, token } => Some((*after, *token)),
@@ -300,8 +337,10 @@
     #[values(400, 10_000, 60_000, 3_600_000)] every_ms: u64,
     #[values(100, 4_000, 600_000)] grace_ms: u64,
 ) {
-    let settings = asking_every(Duration::from_millis(every_ms), mode)
-        .replace("\"drain_grace\":60000000000", &format!("\"drain_grace\":{grace_ms}000000"));
+    let settings = asking_every(Duration::from_millis(every_ms), mode).replace(
+        "\"drain_grace\":60000000000",
+        &format!("\"drain_grace\":{grace_ms}000000"),
+    );
     for seed in 0..30 {
         let (mut module, mut now) = (balancer(seed, &settings), Duration::from_secs(100));
         let waits: Vec<_> = (0..20)
@@ -327,9 +366,18 @@
 
 #[derive(Clone, Copy)]
 enum State {
-    Rests { until: u64, whole: bool },
-    Calls { call: usize, until: u64, whole: bool },
-    Told { at: u64 },
+    Rests {
+        until: u64,
+        whole: bool,
+    },
+    Calls {
+        call: usize,
+        until: u64,
+        whole: bool,
+    },
+    Told {
+        at: u64,
+    },
 }
 
 const SIDECARS: usize = 300;
@@ -355,7 +403,10 @@
     let mut fleet: Vec<_> = (0..SIDECARS)
         .map(|n| Caller {
             module: balancer(0x51ab_37c5 + 7919 * n as u64, &settings),
-            state: State::Rests { until: chance(), whole: false },
+            state: State::Rests {
+                until: chance(),
+                whole: false,
+            },
             calls: 0,
             overtaken: Vec::new(),
         })
@@ -366,8 +417,12 @@
         let (up, mut calls) = (now >= DOWN, 0);
         for (n, caller) in fleet.iter_mut().enumerate() {
             let refused = |caller: &mut Caller| {
-                let wait = wait_after_refusal(&mut caller.module, Duration::from_millis(100_000 + now));
-                State::Rests { until: now + wait.as_millis() as u64, whole: false }
+                let wait =
+                    wait_after_refusal(&mut caller.module, Duration::from_millis(100_000 + now));
+                State::Rests {
+                    until: now + wait.as_millis() as u64,
+                    whole: false,
+                }
             };
             match caller.state {
                 State::Rests { until, whole } if until <= now => {
@@ -376,7 +431,11 @@
                     if up {
                         queue.push_back((n, caller.calls, now));
                         let until = now + if whole { WHOLE } else { FIRST_WATCH };
-                        caller.state = State::Calls { call: caller.calls, until, whole };
+                        caller.state = State::Calls {
+                            call: caller.calls,
+                            until,
+                            whole,
+                        };
                     } else {
                         caller.state = refused(caller);
                     }
@@ -386,7 +445,10 @@
                     caller.overtaken.push(call);
                     caller.state = match whole {
                         true => refused(caller),
-                        false => State::Rests { until: now + chance(), whole: true },
+                        false => State::Rests {
+                            until: now + chance(),
+                            whole: true,
+                        },
                     };
                 }
                 _ => {}
@@ -402,13 +464,21 @@
             let current = matches!(caller.state, State::Calls { call: out, .. } if out == call);
             if now - at > patience {
                 if current {
-                    let wait = wait_after_refusal(&mut caller.module, Duration::from_millis(100_000 + now));
-                    caller.state = State::Rests { until: now + wait.as_millis() as u64, whole: false };
+                    let wait = wait_after_refusal(
+                        &mut caller.module,
+                        Duration::from_millis(100_000 + now),
+                    );
+                    caller.state = State::Rests {
+                        until: now + wait.as_millis() as u64,
+                        whole: false,
+                    };
                 }
                 continue;
             }
             busy_until += 1_000_000 / a_second;
-            if current || caller.overtaken.contains(&call) && !matches!(caller.state, State::Told { .. }) {
+            if current
+                || caller.overtaken.contains(&call) && !matches!(caller.state, State::Told { .. })
+            {
                 caller.state = State::Told { at: now };
             } else {
                 price.wasted += 1;
@@ -416,9 +486,20 @@
         }
     }
     let (down, up) = each_ms.split_at(DOWN as usize);
-    price.down_each_second = down.chunks(1000).map(|second| second.iter().sum()).collect();
-    price.up_each_second = up.chunks(1000).map(|second| second.iter().sum()).take(12).collect();
-    price.in_step = each_ms[1000..].windows(10).map(|span| span.iter().sum()).max().unwrap_or_default();
+    price.down_each_second = down
+        .chunks(1000)
+        .map(|second| second.iter().sum())
+        .collect();
+    price.up_each_second = up
+        .chunks(1000)
+        .map(|second| second.iter().sum())
+        .take(12)
+        .collect();
+    price.in_step = each_ms[1000..]
+        .windows(10)
+        .map(|span| span.iter().sum())
+        .max()
+        .unwrap_or_default();
     price.told = fleet
         .iter()
         .filter_map(|caller| match caller.state {
@@ -434,7 +515,9 @@
 fn short_pauses() -> impl FnMut() -> u64 {
     let mut state = 0x9e37_79b9_7f4a_7c15u64;
     move || {
-        state = state.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
+        state = state
+            .wrapping_mul(6_364_136_223_846_793_005)
+            .wrapping_add(1_442_695_040_888_963_407);
         25 + (state >> 33) % 51
     }
 }
@@ -468,7 +551,13 @@
     assert_eq!(price.told.len(), SIDECARS);
     assert!(all <= within_ms, "{all} ms");
     // About one call a second of each, and at no moment a crowd: in step they would be 300.
-    assert!(price.down_each_second[1..].iter().all(|calls| *calls <= 400), "{:?}", price.down_each_second);
+    assert!(
+        price.down_each_second[1..]
+            .iter()
+            .all(|calls| *calls <= 400),
+        "{:?}",
+        price.down_each_second
+    );
     assert!(price.in_step <= 20, "{}", price.in_step);
     // What was given up and asked for again, where the queue is longer than calls may take.
     assert!(price.wasted <= 2 * SIDECARS, "{}", price.wasted);
--- a/crates/passroad/tests/fleet.rs
+++ b/crates/passroad/tests/fleet.rs
@@ -11,9 +11,13 @@
 
 /// Addresses for datagrams that nobody else comes to.
 fn datagrams(count: usize) -> Vec<SocketAddr> {
-    let bound: Vec<_> =
-        (0..count).map(|_| UdpSocket::bind(SocketAddr::new(nowhere().ip(), 0)).unwrap()).collect();
-    bound.iter().map(|socket| socket.local_addr().unwrap()).collect()
+    let bound: Vec<_> = (0..count)
+        .map(|_| UdpSocket::bind(SocketAddr::new(nowhere().ip(), 0)).unwrap())
+        .collect();
+    bound
+        .iter()
+        .map(|socket| socket.local_addr().unwrap())
+        .collect()
 }
 
 /// What came to the resource: epoch, owner, whether it was accepted.
@@ -39,7 +43,13 @@
 }
 
 /// The configuration of the nth of some.
-fn among(n: usize, peers: &[SocketAddr], address: SocketAddr, door: SocketAddr, may_talk: bool) -> String {
+fn among(
+    n: usize,
+    peers: &[SocketAddr],
+    address: SocketAddr,
+    door: SocketAddr,
+    may_talk: bool,
+) -> String {
     before(n, peers, address, door, may_talk, "")
 }
 
@@ -53,10 +63,20 @@
     known: &str,
 ) -> String {
     let settings = SETTINGS.replacen('{', &format!(r#"{{"my_number":{n},"#), 1);
-    let settings = settings.replace(r#""allowed":{"#, &format!(r#""allowed":{{"may_tell":{may_talk},"#));
+    let settings = settings.replace(
+        r#""allowed":{"#,
+        &format!(r#""allowed":{{"may_tell":{may_talk},"#),
+    );
     let list: Vec<String> = peers.iter().map(|at| format!("\"{at}\"")).collect();
-    let own = format!(r#"{{"peer_listen":"{}","peers":[{}],"#, peers[n], list.join(","));
-    with_door(&told(address, nowhere(), known, &settings).replacen('{', &own, 1), door)
+    let own = format!(
+        r#"{{"peer_listen":"{}","peers":[{}],"#,
+        peers[n],
+        list.join(",")
+    );
+    with_door(
+        &told(address, nowhere(), known, &settings).replacen('{', &own, 1),
+        door,
+    )
 }
 
 fn file(call: SocketAddr) -> String {
@@ -79,10 +99,20 @@
     let doors: Vec<_> = (0..count).map(|_| nowhere()).collect();
     let start = |n: usize| {
         let address = nowhere();
-        Sidecar::start_among(address, &among(n, &peers, address, doors[n], true), &file(resource.address)).0
+        Sidecar::start_among(
+            address,
+            &among(n, &peers, address, doors[n], true),
+            &file(resource.address),
+        )
+        .0
     };
     let sidecars = (0..count).map(start).collect();
-    Fleet { sidecars, doors, peers: peers.clone(), acts }
+    Fleet {
+        sidecars,
+        doors,
+        peers: peers.clone(),
+        acts,
+    }
 }
 
 impl Fleet {
@@ -96,7 +126,12 @@
         let acts = self.acts.lock().unwrap();
         let accepted: Vec<_> = acts.iter().filter(|a| a.2).collect();
         assert!(accepted.windows(2).all(|w| w[0].0 <= w[1].0), "{acts:?}");
-        assert!(accepted.windows(2).all(|w| w[0].0 < w[1].0 || w[0].1 == w[1].1), "{acts:?}");
+        assert!(
+            accepted
+                .windows(2)
+                .all(|w| w[0].0 < w[1].0 || w[0].1 == w[1].1),
+            "{acts:?}"
+        );
     }
 }
 
@@ -104,7 +139,10 @@
     let call = "GET /admin/fleet HTTP/1.1\r\nHost: b\r\nConnection: close\r\n\r\n";
     let mut caller = BufReader::new(TcpStream::connect(door).unwrap());
     let said = ask(&mut caller, call).expect("an answer");
-    (said.word().to_string(), String::from_utf8_lossy(&said.body).into_owned())
+    (
+        said.word().to_string(),
+        String::from_utf8_lossy(&said.body).into_owned(),
+    )
 }
 
 #[rstest]
@@ -114,12 +152,22 @@
     let fleet = fleet(3);
     let owner = fleet.owner();
     fleet.sidecars[owner].signal(signal);
-    until(|| fleet.acts.lock().unwrap().last().is_some_and(|act| act.1 != owner));
+    until(|| {
+        fleet
+            .acts
+            .lock()
+            .unwrap()
+            .last()
+            .is_some_and(|act| act.1 != owner)
+    });
     let count = fleet.acts.lock().unwrap().len();
     until(|| fleet.acts.lock().unwrap().len() > count + 20);
     fleet.in_order();
     let acts = fleet.acts.lock().unwrap();
-    let last = acts.iter().rposition(|act| act.1 == owner && act.2).unwrap();
+    let last = acts
+        .iter()
+        .rposition(|act| act.1 == owner && act.2)
+        .unwrap();
     assert!(last < count, "{acts:?}");
 }
 
@@ -129,7 +177,14 @@
     let fleet = fleet(3);
     let owner = fleet.owner();
     fleet.sidecars[owner].signal("STOP");
-    until(|| fleet.acts.lock().unwrap().last().is_some_and(|act| act.1 != owner));
+    until(|| {
+        fleet
+            .acts
+            .lock()
+            .unwrap()
+            .last()
+            .is_some_and(|act| act.1 != owner)
+    });
     let count = fleet.acts.lock().unwrap().len();
     until(|| fleet.acts.lock().unwrap().len() > count + 10);
     fleet.sidecars[owner].signal("CONT");
@@ -139,8 +194,13 @@
     // What it does by its old epoch behind another's act was under way, and is refused.
     let acts = fleet.acts.lock().unwrap();
     let other = acts.iter().position(|act| act.1 != owner).unwrap();
-    let old = acts[other..].iter().filter(|act| act.1 == owner && act.0 < acts[other].0);
-    assert!(old.clone().all(|act| !act.2) && old.count() <= 1, "{acts:?}");
+    let old = acts[other..]
+        .iter()
+        .filter(|act| act.1 == owner && act.0 < acts[other].0);
+    assert!(
+        old.clone().all(|act| !act.2) && old.count() <= 1,
+        "{acts:?}"
+    );
 }
 
 #[rstest]
@@ -148,11 +208,18 @@
     let fleet = fleet(3);
     let owner = fleet.owner();
     let word = format!("\"owner\":{owner}");
-    until(|| fleet.doors.iter().all(|door| status(*door).1.contains(&word)));
+    until(|| {
+        fleet
+            .doors
+            .iter()
+            .all(|door| status(*door).1.contains(&word))
+    });
     let run = |more: &[&str]| {
         let mut command = Command::new(env!("CARGO_BIN_EXE_passroad"));
-        let output =
-            command.args(["fleet", "status", "--door", &fleet.doors[0].to_string()]).args(more).output();
+        let output = command
+            .args(["fleet", "status", "--door", &fleet.doors[0].to_string()])
+            .args(more)
+            .output();
         let output = output.unwrap();
         assert!(output.status.success(), "{output:?}");
         String::from_utf8(output.stdout).unwrap()
@@ -178,10 +245,18 @@
     until(|| fleet.doors.iter().all(|door| status(*door).0 == "200"));
     let stranger = UdpSocket::bind("127.0.0.1:0").unwrap();
     for bytes in [&b"GET / HTTP/1.1"[..], &[0xb5, 1, 9], &[0; 256], &[]] {
-        fleet.peers.iter().for_each(|to| drop(stranger.send_to(bytes, to)));
+        fleet
+            .peers
+            .iter()
+            .for_each(|to| drop(stranger.send_to(bytes, to)));
     }
     let word = "of an address that is not in peers\":4";
-    until(|| fleet.doors.iter().all(|door| status(*door).1.contains(word)));
+    until(|| {
+        fleet
+            .doors
+            .iter()
+            .all(|door| status(*door).1.contains(word))
+    });
     let count = fleet.acts.lock().unwrap().len();
     until(|| fleet.acts.lock().unwrap().len() > count + 5);
 }
@@ -201,20 +276,37 @@
     assert_eq!(status(door).0, "404");
     drop(UdpSocket::bind(peers[1]).unwrap());
     let said = std::fs::read_to_string(log).unwrap();
-    assert_eq!(said.matches("the settings forbid talk between sidecars").count(), 1, "{said}");
+    assert_eq!(
+        said.matches("the settings forbid talk between sidecars")
+            .count(),
+        1,
+        "{said}"
+    );
 }
 
 #[rstest]
 #[case::sound(|text: String| text, 0, "1 duties among 2 sidecars")]
 #[case::faulty(|text: String| text.replace("voters = 3", "voters = 2"), 2, "line 3: voters: 2 is not 1, 3, 5 or 7")]
-fn a_fleets_file_is_checked(#[case] turn: fn(String) -> String, #[case] code: i32, #[case] what: &str) {
+fn a_fleets_file_is_checked(
+    #[case] turn: fn(String) -> String,
+    #[case] code: i32,
+    #[case] what: &str,
+) {
     let (mut command, folder) = program(&among(0, &datagrams(2), nowhere(), nowhere(), true));
     let path = folder.join("fleet.toml");
     std::fs::write(&path, turn(file(nowhere()))).unwrap();
-    let output = command.arg("check").arg("--fleet").arg(path).output().unwrap();
+    let output = command
+        .arg("check")
+        .arg("--fleet")
+        .arg(path)
+        .output()
+        .unwrap();
     std::fs::remove_dir_all(folder).unwrap();
     let said = String::from_utf8_lossy(&[output.stdout, output.stderr].concat()).into_owned();
-    assert!(output.status.code() == Some(code) && said.contains(what), "{said}");
+    assert!(
+        output.status.code() == Some(code) && said.contains(what),
+        "{said}"
+    );
 }
 
 // A voter that is restarted with its file has forgotten nothing; a file of another name is refused.
@@ -223,7 +315,11 @@
     let (resource, acts) = resource();
     let (peers, folder) = (datagrams(1), shared());
     let state = folder.0.join("state");
-    let fleet = format!("state = {:?}\n{}", state.display().to_string(), file(resource.address));
+    let fleet = format!(
+        "state = {:?}\n{}",
+        state.display().to_string(),
+        file(resource.address)
+    );
     let start = || {
         let address = nowhere();
         Sidecar::start_among(address, &among(0, &peers, address, nowhere(), true), &fleet).0
@@ -240,10 +336,16 @@
     let (mut command, other) =
         program(&among(0, &peers, nowhere(), nowhere(), true).replace("\"n0\"", "\"n1\""));
     std::fs::write(other.join("fleet.toml"), &fleet).unwrap();
-    let output = command.env("LB_FLEET", other.join("fleet.toml")).output().unwrap();
+    let output = command
+        .env("LB_FLEET", other.join("fleet.toml"))
+        .output()
+        .unwrap();
     std::fs::remove_dir_all(other).unwrap();
     let said = String::from_utf8_lossy(&output.stderr).into_owned();
-    assert!(output.status.code() == Some(2) && said.contains("it is of n0, not of n1"), "{said}");
+    assert!(
+        output.status.code() == Some(2) && said.contains("it is of n0, not of n1"),
+        "{said}"
+    );
 }
 
 /// Three sidecars before four machines, which settle an order of work.
@@ -257,23 +359,37 @@
 const UPKEEP: &str = "lease = \"2s\"\nperiod = \"200ms\"\nvoters = 3\n[upkeep]\n";
 
 impl Upkeep {
-    fn new(act: impl Fn(usize, &Message, &mut TcpStream) -> bool + Clone + Send + Sync + 'static) -> Upkeep {
+    fn new(
+        act: impl Fn(usize, &Message, &mut TcpStream) -> bool + Clone + Send + Sync + 'static,
+    ) -> Upkeep {
         let machine = |n: usize| {
             let act = act.clone();
             stand_in(move |message, to| act(n, message, to))
         };
         let (peers, doors) = (datagrams(3), (0..3).map(|_| nowhere()).collect());
-        let mut upkeep =
-            Upkeep { sidecars: Vec::new(), doors, peers, machines: (0..4).map(machine).collect() };
+        let mut upkeep = Upkeep {
+            sidecars: Vec::new(),
+            doors,
+            peers,
+            machines: (0..4).map(machine).collect(),
+        };
         upkeep.sidecars = (0..3).map(|n| upkeep.start(n)).collect();
         upkeep
     }
 
     fn start(&self, n: usize) -> Sidecar {
-        let listed = |(n, machine): (usize, &StandIn)| member(&format!("s-{n}"), machine.address, "up");
+        let listed =
+            |(n, machine): (usize, &StandIn)| member(&format!("s-{n}"), machine.address, "up");
         let known: Vec<String> = self.machines.iter().enumerate().map(listed).collect();
         let address = nowhere();
-        let text = before(n, &self.peers, address, self.doors[n], true, &known.join(","));
+        let text = before(
+            n,
+            &self.peers,
+            address,
+            self.doors[n],
+            true,
+            &known.join(","),
+        );
         // What is held is not given up meanwhile, on however busy a machine.
         let text = text.replace(
             "\"response_goal\":400000000,\"time_limit\":1000000000",
@@ -286,15 +402,29 @@
     fn work(&self, at: usize, words: &[&str]) -> (Option<i32>, String) {
         let mut command = Command::new(env!("CARGO_BIN_EXE_passroad"));
         let door = self.doors[at].to_string();
-        let output = command.arg("work").args(words).args(["--door", &door]).output().unwrap();
-        (output.status.code(), String::from_utf8_lossy(&[output.stdout, output.stderr].concat()).into_owned())
+        let output = command
+            .arg("work")
+            .args(words)
+            .args(["--door", &door])
+            .output()
+            .unwrap();
+        (
+            output.status.code(),
+            String::from_utf8_lossy(&[output.stdout, output.stderr].concat()).into_owned(),
+        )
     }
 
     /// What a sidecar says of a machine's state.
     fn state(&self, at: usize, machine: &str) -> String {
         let (_, said) = self.work(at, &["status"]);
-        let line = said.lines().find(|line| line.contains(machine)).unwrap_or_default();
-        line.split_whitespace().skip(2).collect::<Vec<_>>().join(" ")
+        let line = said
+            .lines()
+            .find(|line| line.contains(machine))
+            .unwrap_or_default();
+        line.split_whitespace()
+            .skip(2)
+            .collect::<Vec<_>>()
+            .join(" ")
     }
 
     fn until(&self, at: usize, machine: &str, state: &str) {
@@ -337,11 +467,17 @@
     let upkeep = Upkeep::new(answers);
     assert_eq!(upkeep.ask(), [0, 1, 2, 3]);
     until(|| {
-        upkeep.work(2, &["request", "s-1", "s-3", "--name", "patch"]).1.contains("taken into the order")
+        upkeep
+            .work(2, &["request", "s-1", "s-3", "--name", "patch"])
+            .1
+            .contains("taken into the order")
     });
     // Asked again by its name, and elsewhere, it stays one.
     until(|| {
-        upkeep.work(0, &["request", "s-1", "s-3", "--name", "patch"]).1.contains("taken into the order")
+        upkeep
+            .work(0, &["request", "s-1", "s-3", "--name", "patch"])
+            .1
+            .contains("taken into the order")
     });
     upkeep.until(1, "s-1", "at work");
     assert_eq!(upkeep.state(1, "s-3"), "queued");
@@ -367,10 +503,21 @@
 #[case::odd_time(&["request", "s-1", "--for", "5"], 2, "has no unit")]
 #[case::too_long(&["request", "s-1", "--for", "60000m"], 2, "to thirty days")]
 #[case::unknown(&["done", "s-9"], 2, "no such machine is listed")]
-fn machines_may_be_asked_for_by_label(#[case] words: &[&str], #[case] code: i32, #[case] what: &str) {
+fn machines_may_be_asked_for_by_label(
+    #[case] words: &[&str],
+    #[case] code: i32,
+    #[case] what: &str,
+) {
     let upkeep = Upkeep::new(answers);
     // Until there is a conductor a request is only held.
-    until(|| (0..3).any(|at| upkeep.work(at, &["status", "--json"]).1.contains("\"conducts\":true")));
+    until(|| {
+        (0..3).any(|at| {
+            upkeep
+                .work(at, &["status", "--json"])
+                .1
+                .contains("\"conducts\":true")
+        })
+    });
     let mut last = (None, String::new());
     until(|| {
         last = upkeep.work(1, words);
@@ -388,7 +535,11 @@
     let gate = Gate::default();
     let held = gate.clone();
     let upkeep = Upkeep::new(move |n, message, to| {
-        if n == 1 && message.header("req-id").is_some_and(|id| id.starts_with("held")) {
+        if n == 1
+            && message
+                .header("req-id")
+                .is_some_and(|id| id.starts_with("held"))
+        {
             held.pass();
         }
         answers(n, message, to)
@@ -396,21 +547,41 @@
     let mut client = upkeep.sidecars[2].client();
     let mut n = 0;
     // One that has come to the machine that is to go.
-    while upkeep.machines[1].seen.lock().unwrap().iter().all(|m| !m.head.contains("held")) {
+    while upkeep.machines[1]
+        .seen
+        .lock()
+        .unwrap()
+        .iter()
+        .all(|m| !m.head.contains("held"))
+    {
         n += 1;
         let command = unhurried(&look(&format!("held-{n}")));
         client.get_mut().write_all(command.as_bytes()).unwrap();
         until(|| {
-            upkeep
-                .machines
-                .iter()
-                .any(|m| m.seen.lock().unwrap().iter().any(|m| m.head.contains(&format!("held-{n}\r"))))
+            upkeep.machines.iter().any(|m| {
+                m.seen
+                    .lock()
+                    .unwrap()
+                    .iter()
+                    .any(|m| m.head.contains(&format!("held-{n}\r")))
+            })
         });
-        if upkeep.machines[1].seen.lock().unwrap().iter().all(|m| !m.head.contains("held")) {
+        if upkeep.machines[1]
+            .seen
+            .lock()
+            .unwrap()
+            .iter()
+            .all(|m| !m.head.contains("held"))
+        {
             Message::read(&mut client).unwrap();
         }
     }
-    until(|| upkeep.work(0, &["request", "s-1"]).1.contains("taken into the order"));
+    until(|| {
+        upkeep
+            .work(0, &["request", "s-1"])
+            .1
+            .contains("taken into the order")
+    });
     upkeep.until(0, "s-1", "leaving");
     (0..3).for_each(|at| upkeep.until(at, "s-1", "leaving"));
     let (_, said) = upkeep.work(2, &["status", "--json"]);
@@ -423,16 +594,29 @@
 #[rstest]
 fn the_order_outlives_its_conductor_and_is_learnt_by_who_starts_from_nothing() {
     let mut upkeep = Upkeep::new(answers);
-    until(|| upkeep.work(2, &["request", "s-1", "s-3"]).1.contains("taken into the order"));
+    until(|| {
+        upkeep
+            .work(2, &["request", "s-1", "s-3"])
+            .1
+            .contains("taken into the order")
+    });
     // Where one alone knows, it may be leaving again when that one ends.
     (0..3).for_each(|at| upkeep.until(at, "s-1", "at work"));
-    let conducts = |at: usize| upkeep.work(at, &["status", "--json"]).1.contains("\"conducts\":true");
+    let conducts = |at: usize| {
+        upkeep
+            .work(at, &["status", "--json"])
+            .1
+            .contains("\"conducts\":true")
+    };
     let conductor = (0..3).find(|at| conducts(*at)).unwrap();
     upkeep.sidecars[conductor].signal("KILL");
     let other = (conductor + 1) % 3;
     until(|| (0..3).any(|at| at != conductor && conducts(at)));
     assert_eq!(
-        (upkeep.state(other, "s-1").as_str(), upkeep.state(other, "s-3").as_str()),
+        (
+            upkeep.state(other, "s-1").as_str(),
+            upkeep.state(other, "s-3").as_str()
+        ),
         ("at work", "queued")
     );
     let again = upkeep.start(conductor);
@@ -447,15 +631,30 @@
 #[rstest]
 fn one_that_says_nothing_is_waited_for_or_forced_past() {
     let upkeep = Upkeep::new(answers);
-    until(|| upkeep.work(2, &["request", "s-1"]).1.contains("taken into the order"));
+    until(|| {
+        upkeep
+            .work(2, &["request", "s-1"])
+            .1
+            .contains("taken into the order")
+    });
     upkeep.until(0, "s-1", "at work");
     assert_eq!(upkeep.work(0, &["done", "s-1"]).0, Some(0));
     upkeep.until(0, "s-1", "warm");
-    let conducts = |at: usize| upkeep.work(at, &["status", "--json"]).1.contains("\"conducts\":true");
+    let conducts = |at: usize| {
+        upkeep
+            .work(at, &["status", "--json"])
+            .1
+            .contains("\"conducts\":true")
+    };
     let conductor = (0..3).find(|at| conducts(*at)).unwrap();
     let silent = (conductor + 1) % 3;
     upkeep.sidecars[silent].signal("STOP");
-    until(|| upkeep.work(conductor, &["request", "s-2"]).1.contains("taken into the order"));
+    until(|| {
+        upkeep
+            .work(conductor, &["request", "s-2"])
+            .1
+            .contains("taken into the order")
+    });
     upkeep.until(conductor, "s-2", "leaving");
     assert_eq!(upkeep.work(conductor, &["done", "s-2"]).0, Some(2));
     assert_eq!(upkeep.work(conductor, &["force", "s-2"]).0, Some(0));
--- a/crates/passroad/tests/long_bodies.rs
+++ b/crates/passroad/tests/long_bodies.rs
@@ -13,11 +13,15 @@
 
 /// A body in which no two places look alike.
 fn body(length: usize) -> Vec<u8> {
-    (0..length as u32).map(|n| (n.wrapping_mul(2_654_435_761) >> 24) as u8).collect()
+    (0..length as u32)
+        .map(|n| (n.wrapping_mul(2_654_435_761) >> 24) as u8)
+        .collect()
 }
 
 fn head(id: &str, framing: &str) -> String {
-    format!("POST /book HTTP/1.1\r\nHost: b\r\nReq-Id: {id}\r\nReq-Deadline-Ms: 900\r\n{framing}\r\n\r\n")
+    format!(
+        "POST /book HTTP/1.1\r\nHost: b\r\nReq-Id: {id}\r\nReq-Deadline-Ms: 900\r\n{framing}\r\n\r\n"
+    )
 }
 
 fn stated(length: usize) -> String {
@@ -30,8 +34,11 @@
 }
 
 fn small_with(endpoints: &[SocketAddr], settings: &str) -> Sidecar {
-    let list: Vec<_> =
-        endpoints.iter().enumerate().map(|(n, at)| member(&format!("s-{n}"), *at, "up")).collect();
+    let list: Vec<_> = endpoints
+        .iter()
+        .enumerate()
+        .map(|(n, at)| member(&format!("s-{n}"), *at, "up"))
+        .collect();
     let (address, list) = (nowhere(), list.join(","));
     let text = told(address, nowhere(), &list, settings)
         .replace("\"sockets\":64", "\"sockets\":400,\"memory_mb\":8");
@@ -87,7 +94,9 @@
         if chunked {
             let _ = to.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
             for piece in given.chunks(70_001) {
-                let _ = to.write_all(&[format!("{:x}\r\n", piece.len()).as_bytes(), piece, b"\r\n"].concat());
+                let _ = to.write_all(
+                    &[format!("{:x}\r\n", piece.len()).as_bytes(), piece, b"\r\n"].concat(),
+                );
             }
             let _ = to.write_all(b"0\r\n\r\n");
         } else {
@@ -99,7 +108,11 @@
     let mut client = sidecar.client();
     for id in ["a", "b"] {
         let got = ask(&mut client, &look(id)).unwrap();
-        assert!(got.word() == "200" && got.body == sent, "{}", got.body.len());
+        assert!(
+            got.word() == "200" && got.body == sent,
+            "{}",
+            got.body.len()
+        );
     }
 }
 
@@ -196,9 +209,13 @@
                     let head = patiently(&head(&id, &stated(EACH)));
                     client.get_mut().write_all(head.as_bytes()).unwrap();
                     pour(client.get_mut(), &sent, &written);
-                    return Message::read(&mut client).map(|m| String::from_utf8_lossy(&m.body).into_owned());
+                    return Message::read(&mut client)
+                        .map(|m| String::from_utf8_lossy(&m.body).into_owned());
                 }
-                client.get_mut().write_all(patiently(&look(&id)).as_bytes()).unwrap();
+                client
+                    .get_mut()
+                    .write_all(patiently(&look(&id)).as_bytes())
+                    .unwrap();
                 let mut line = String::new();
                 while line != "\r\n" {
                     line.clear();
@@ -210,7 +227,10 @@
             })
         })
         .collect();
-    let got: Vec<_> = clients.into_iter().map(|client| client.join().unwrap()).collect();
+    let got: Vec<_> = clients
+        .into_iter()
+        .map(|client| client.join().unwrap())
+        .collect();
     assert_eq!(got, vec![Some(EACH.to_string()); 10]);
     assert!(sidecar.memory() < 40, "{} MB", sidecar.memory());
 }
@@ -223,7 +243,10 @@
     let endpoint = counts();
     let sidecar = small(&[endpoint.address]);
     let (mut client, sent) = (sidecar.client(), body(length));
-    client.get_mut().write_all(head("a", &stated(length)).as_bytes()).unwrap();
+    client
+        .get_mut()
+        .write_all(head("a", &stated(length)).as_bytes())
+        .unwrap();
     for piece in sent.chunks(length / 12) {
         client.get_mut().write_all(piece).unwrap();
         sleep(100 * MS);
@@ -262,7 +285,11 @@
     let mut all = Vec::new();
     let _ = client.read_to_end(&mut all);
     let text = String::from_utf8_lossy(&all);
-    assert!(text.starts_with("HTTP/1.1 200 OK") && !text.ends_with("0\r\n\r\n"), "{}", all.len());
+    assert!(
+        text.starts_with("HTTP/1.1 200 OK") && !text.ends_with("0\r\n\r\n"),
+        "{}",
+        all.len()
+    );
     assert!(all.len() > 100_000 && all.len() < 150_000, "{}", all.len());
 }
 
@@ -278,7 +305,12 @@
                     let mut piece = [0; 50_000];
                     let count = stream.read(&mut piece).unwrap_or(0);
                     match piece[..count].starts_with(b"GET /load") {
-                        true => answer(&mut stream, "200 OK", "", b"TEXT inflight=0, queue=0, util=0.1"),
+                        true => answer(
+                            &mut stream,
+                            "200 OK",
+                            "",
+                            b"TEXT inflight=0, queue=0, util=0.1",
+                        ),
                         false => drop(stream.read(&mut piece)),
                     }
                 });
@@ -289,7 +321,10 @@
     let sidecar = small(&[breaks(), breaks()]);
     let mut client = sidecar.client();
     let (length, sent) = (4_000_000, body(4_000_000));
-    client.get_mut().write_all(head("a", &stated(length)).as_bytes()).unwrap();
+    client
+        .get_mut()
+        .write_all(head("a", &stated(length)).as_bytes())
+        .unwrap();
     // Its client may read only when all is written.
     client.get_mut().write_all(&sent).unwrap();
     assert_eq!(Message::read(&mut client).unwrap().word(), "503");
@@ -302,7 +337,10 @@
     let sidecar = small(&list);
     for n in 0..6 {
         let (mut client, sent) = (sidecar.client(), body(2_000_000));
-        client.get_mut().write_all(head(&n.to_string(), &stated(sent.len())).as_bytes()).unwrap();
+        client
+            .get_mut()
+            .write_all(head(&n.to_string(), &stated(sent.len())).as_bytes())
+            .unwrap();
         client.get_mut().write_all(&sent).unwrap();
         assert_eq!(Message::read(&mut client).unwrap().word(), "200");
     }
@@ -335,7 +373,10 @@
     let endpoint = counts();
     let sidecar = small(&[endpoint.address]);
     let (began, mut client) = (Instant::now(), sidecar.client());
-    client.get_mut().write_all(head("a", &stated(length)).as_bytes()).unwrap();
+    client
+        .get_mut()
+        .write_all(head("a", &stated(length)).as_bytes())
+        .unwrap();
     let mut writer = client.get_ref().try_clone().unwrap();
     spawn(move || {
         while writer.write_all(b"x").is_ok() {
@@ -343,7 +384,11 @@
         }
     });
     assert_eq!(Message::read(&mut client).unwrap().word(), "408");
-    assert!((2000 * MS..4000 * MS).contains(&began.elapsed()), "{:?}", began.elapsed());
+    assert!(
+        (2000 * MS..4000 * MS).contains(&began.elapsed()),
+        "{:?}",
+        began.elapsed()
+    );
     assert_eq!(endpoint.count(), 0);
 }
 
@@ -355,7 +400,8 @@
     let sidecar = small(&[endpoint.address]);
     let text = head("a", framing).replace("POST /book", "GET /look");
     assert_eq!(sidecar.ask(&text).word(), "200");
-    let more = head("b", "Transfer-Encoding: chunked\r\n\r\n1\r\nx\r\n0").replace("POST /book", "GET /look");
+    let more = head("b", "Transfer-Encoding: chunked\r\n\r\n1\r\nx\r\n0")
+        .replace("POST /book", "GET /look");
     assert_eq!(sidecar.ask(&more).word(), "400");
 }
 
@@ -401,7 +447,10 @@
     match answer.header("content-length") {
         Some(_) => assert_eq!(answer.body, b"fourteen bytes"),
         // Passed on as it came: no length was stated.
-        None => assert_eq!(answer.header("transfer-encoding").as_deref(), Some("chunked")),
+        None => assert_eq!(
+            answer.header("transfer-encoding").as_deref(),
+            Some("chunked")
+        ),
     }
     assert_eq!(answer.body, b"fourteen bytes");
 }
@@ -411,7 +460,10 @@
     let endpoint = counts();
     let sidecar = small(&[endpoint.address]);
     let mut client = sidecar.client();
-    let head = head("a", &format!("Expect: 100-continue\r\n{}", stated(2_000_000)));
+    let head = head(
+        "a",
+        &format!("Expect: 100-continue\r\n{}", stated(2_000_000)),
+    );
     assert_eq!(ask(&mut client, &head).unwrap().word(), "100");
     client.get_mut().write_all(&body(2_000_000)).unwrap();
     assert_eq!(Message::read(&mut client).unwrap().word(), "200");
@@ -430,10 +482,14 @@
     reader.get_mut().write_all(look("a").as_bytes()).unwrap();
     let mut first = [0; 1000];
     reader.read_exact(&mut first).unwrap();
-    let crowd: Vec<_> = (0..400).filter_map(|_| TcpStream::connect(sidecar.address).ok()).collect();
+    let crowd: Vec<_> = (0..400)
+        .filter_map(|_| TcpStream::connect(sidecar.address).ok())
+        .collect();
     sleep(Duration::from_millis(2500));
     let mut rest = Vec::new();
-    BufReader::new(&mut reader).read_to_end(&mut rest).unwrap_or_default();
+    BufReader::new(&mut reader)
+        .read_to_end(&mut rest)
+        .unwrap_or_default();
     assert!(rest.len() > 19_999_000, "{}", rest.len());
     drop(crowd);
 }
--- a/crates/passroad/tests/operators.rs
+++ b/crates/passroad/tests/operators.rs
@@ -10,10 +10,22 @@
 
 /// A sidecar with a door, between some endpoints and a discovery.
 fn with_endpoints(endpoints: &[(&str, &StandIn)]) -> (Sidecar, SocketAddr, Discovery) {
-    let list: Vec<_> = endpoints.iter().map(|(id, e)| member(id, e.address, "up")).collect();
+    let list: Vec<_> = endpoints
+        .iter()
+        .map(|(id, e)| member(id, e.address, "up"))
+        .collect();
     let (address, door, discovery) = (nowhere(), nowhere(), discovery(&list.join(",")));
-    let text = told(address, discovery.stand_in.address, &list.join(","), &patient());
-    (Sidecar::start(address, &with_door(&text, door)), door, discovery)
+    let text = told(
+        address,
+        discovery.stand_in.address,
+        &list.join(","),
+        &patient(),
+    );
+    (
+        Sidecar::start(address, &with_door(&text, door)),
+        door,
+        discovery,
+    )
 }
 
 #[rstest]
@@ -45,7 +57,8 @@
 #[rstest]
 fn an_endpoint_out_by_hand_gets_nothing_until_it_is_called_back() {
     let endpoints = [willing("a"), willing("b")];
-    let (sidecar, door, discovery) = with_endpoints(&[("s-1", &endpoints[0]), ("s-2", &endpoints[1])]);
+    let (sidecar, door, discovery) =
+        with_endpoints(&[("s-1", &endpoints[0]), ("s-2", &endpoints[1])]);
     assert_eq!(cordon(door, "cordon", "s-1"), "200");
     let before = endpoints[0].count();
     let ask = |n: usize| assert_eq!(sidecar.ask(&patiently(&look(&n.to_string()))).word(), "200");
@@ -77,10 +90,14 @@
 #[rstest]
 fn an_id_that_has_left_can_be_taken_out() {
     let endpoints = [willing("a"), willing("b")];
-    let (sidecar, door, discovery) = with_endpoints(&[("s-1", &endpoints[0]), ("s-2", &endpoints[1])]);
+    let (sidecar, door, discovery) =
+        with_endpoints(&[("s-1", &endpoints[0]), ("s-2", &endpoints[1])]);
     let list = |revision: u64, ids: &[(&str, &StandIn)]| {
         let calls = discovery.stand_in.count();
-        let members: Vec<_> = ids.iter().map(|(id, e)| member(id, e.address, "up")).collect();
+        let members: Vec<_> = ids
+            .iter()
+            .map(|(id, e)| member(id, e.address, "up"))
+            .collect();
         *discovery.list.lock().unwrap() = (revision, members.join(","));
         until(|| discovery.stand_in.count() > calls);
     };
@@ -111,8 +128,11 @@
     let held: Vec<_> = (0..200)
         .map(|n| {
             let mut stream = TcpStream::connect(door).unwrap();
-            let part =
-                ["", "POST /admin/cor", "POST /admin/cordon HTTP/1.1\r\nContent-Length: 12\r\n\r\n{"][n % 3];
+            let part = [
+                "",
+                "POST /admin/cor",
+                "POST /admin/cordon HTTP/1.1\r\nContent-Length: 12\r\n\r\n{",
+            ][n % 3];
             stream.write_all(part.as_bytes()).unwrap();
             stream
         })
@@ -121,7 +141,11 @@
     assert_eq!(cordon(door, "cordon", "s-1"), "200");
     // Left to their own, they would be let go after three seconds.
     assert!(began.elapsed() < 1500 * MS, "{:?}", began.elapsed());
-    assert!(held.into_iter().take(100).all(|stream| closes(&mut BufReader::new(stream))));
+    assert!(
+        held.into_iter()
+            .take(100)
+            .all(|stream| closes(&mut BufReader::new(stream)))
+    );
 }
 
 // No place is left for clients, and none of the descriptors for them is the door's.
@@ -129,9 +153,15 @@
 fn clients_that_take_all_places_do_not_take_the_doors() {
     let endpoint = willing("a");
     let (sidecar, door, _discovery) = with_endpoints(&[("s-1", &endpoint)]);
-    let clients: Vec<_> = (0..300).filter_map(|_| TcpStream::connect(sidecar.address).ok()).collect();
+    let clients: Vec<_> = (0..300)
+        .filter_map(|_| TcpStream::connect(sidecar.address).ok())
+        .collect();
     assert_eq!(operate(door, "GET", "/admin/health", ""), "200");
-    assert!(sidecar.descriptors() <= 64 + 56, "{}", sidecar.descriptors());
+    assert!(
+        sidecar.descriptors() <= 64 + 56,
+        "{}",
+        sidecar.descriptors()
+    );
     drop(clients);
 }
 
@@ -141,7 +171,10 @@
 fn retuned() -> String {
     let look = r#"{"name":"look","effect":"read_like""#;
     let seek = r#"{"name":"seek","effect":"read_like","response_goal":5000000000,"time_limit":8000000000,"utility":1}"#;
-    patient().replace(look, &format!("{seek},{}", look.replace("read_like", "non_idempotent")))
+    patient().replace(
+        look,
+        &format!("{seek},{}", look.replace("read_like", "non_idempotent")),
+    )
 }
 
 fn post(verb: &str, id: &str) -> String {
@@ -165,14 +198,26 @@
     let sidecar = Sidecar::start(address, &told(address, discovery, &list, &patient()));
     // Open, and its verb pure: its endpoint breaks the connection each time.
     let mut open = sidecar.client();
-    open.get_mut().write_all(patiently(&look("open")).as_bytes()).unwrap();
+    open.get_mut()
+        .write_all(patiently(&look("open")).as_bytes())
+        .unwrap();
     until(|| endpoint.count() == 1);
-    assert_eq!(sidecar.ask(&patiently(&look("n1").replace("/look", "/seek"))).word(), "404");
+    assert_eq!(
+        sidecar
+            .ask(&patiently(&look("n1").replace("/look", "/seek")))
+            .word(),
+        "404"
+    );
     sidecar.reload(&told(address, discovery, &list, &retuned()));
     let mut n = 0;
     let mut seek = || {
         n += 1;
-        sidecar.ask(&patiently(&look(&format!("s{n}")).replace("/look", "/seek"))).word().to_string()
+        sidecar
+            .ask(&patiently(
+                &look(&format!("s{n}")).replace("/look", "/seek"),
+            ))
+            .word()
+            .to_string()
     };
     until(|| seek() == "200");
     // For a while clients name a verb as before, and as it is now.
@@ -206,7 +251,10 @@
 #[case::twice(|text: &str| text.replace("\"seek\"", "\"book\""))]
 fn a_faulty_file_changes_nothing(#[case] spoil: fn(&str) -> String) {
     let endpoint = willing("ok");
-    let (before, after) = (discovery(&member("s-1", endpoint.address, "up")), discovery(""));
+    let (before, after) = (
+        discovery(&member("s-1", endpoint.address, "up")),
+        discovery(""),
+    );
     let (address, list) = (nowhere(), member("s-1", endpoint.address, "up"));
     let text = |settings: &str, discovery: SocketAddr| told(address, discovery, &list, settings);
     let sidecar = Sidecar::start(address, &text(&patient(), before.stand_in.address));
@@ -218,6 +266,11 @@
     sidecar.reload(&text(&patient(), last.stand_in.address));
     until(|| last.stand_in.count() > 0);
     assert_eq!(after.stand_in.count(), 0);
-    assert_eq!(sidecar.ask(&patiently(&look("a").replace("/look", "/seek"))).word(), "404");
+    assert_eq!(
+        sidecar
+            .ask(&patiently(&look("a").replace("/look", "/seek")))
+            .word(),
+        "404"
+    );
     assert_eq!(sidecar.ask(&patiently(&look("b"))).word(), "200");
 }
--- a/crates/passroad/tests/restarts.rs
+++ b/crates/passroad/tests/restarts.rs
@@ -27,7 +27,11 @@
             std::fs::write(&file, fleet).unwrap();
             command.env("LB_FLEET", file);
         }
-        Started(command.stderr(Stdio::null()).spawn().unwrap(), folder, Instant::now())
+        Started(
+            command.stderr(Stdio::null()).spawn().unwrap(),
+            folder,
+            Instant::now(),
+        )
     }
 
     /// How long after its start it took clients; none if it has ended, or a minute has passed.
@@ -63,18 +67,34 @@
 fn an_address_is_waited_for_until_the_process_before_is_killed(#[case] with_operators: bool) {
     let endpoint = willing("ok");
     let (address, door) = (nowhere(), nowhere());
-    let text = told(address, nowhere(), &member("s-1", endpoint.address, "up"), &patient());
-    let text = if with_operators { with_door(&text, door) } else { text };
+    let text = told(
+        address,
+        nowhere(),
+        &member("s-1", endpoint.address, "up"),
+        &patient(),
+    );
+    let text = if with_operators {
+        with_door(&text, door)
+    } else {
+        text
+    };
     let mut before = Sidecar::start(address, &text);
     before.signal("STOP");
     let mut next = Started::new(&text, None);
     sleep(3700 * MS);
-    assert!(next.0.try_wait().unwrap().is_none(), "it ended with {:?}", next.0.try_wait());
+    assert!(
+        next.0.try_wait().unwrap().is_none(),
+        "it ended with {:?}",
+        next.0.try_wait()
+    );
     before.child.kill().unwrap();
     before.child.wait().unwrap();
     assert!(next.ready(address).expect("it is to come up") < READY_WITHIN);
     let mut client = BufReader::new(TcpStream::connect(address).unwrap());
-    assert_eq!(ask(&mut client, &patiently(&look("a"))).unwrap().word(), "200");
+    assert_eq!(
+        ask(&mut client, &patiently(&look("a"))).unwrap().word(),
+        "200"
+    );
     if with_operators {
         until(|| ready_for_operators(door));
     }
@@ -95,7 +115,15 @@
     let address = nowhere();
     let holder = std::net::TcpListener::bind(nowhere()).unwrap();
     let door = holder.local_addr().unwrap();
-    let text = with_door(&told(address, nowhere(), &member("s-1", endpoint.address, "up"), SETTINGS), door);
+    let text = with_door(
+        &told(
+            address,
+            nowhere(),
+            &member("s-1", endpoint.address, "up"),
+            SETTINGS,
+        ),
+        door,
+    );
     let mut sidecar = Started::new(&text, None);
     assert!(sidecar.ready(address).is_some(), "it ended");
     drop(holder);
@@ -107,12 +135,21 @@
 fn a_process_before_that_hands_nothing_over_is_not_waited_for() {
     let endpoint = willing("ok");
     let (address, folder) = (nowhere(), shared());
-    let text = told(address, nowhere(), &member("s-1", endpoint.address, "up"), &patient());
+    let text = told(
+        address,
+        nowhere(),
+        &member("s-1", endpoint.address, "up"),
+        &patient(),
+    );
     let before = Sidecar::start_beside(address, nowhere(), &text, &folder.0);
     before.signal("STOP");
     let door = nowhere();
     let (mut command, own) = program(&with_door(&text, door));
-    let child = command.env("TMPDIR", &folder.0).stderr(Stdio::null()).spawn().unwrap();
+    let child = command
+        .env("TMPDIR", &folder.0)
+        .stderr(Stdio::null())
+        .spawn()
+        .unwrap();
     let next = Started(child, own, Instant::now());
     // At its door: the one that stands still has the clients' address, too.
     until(|| ready_for_operators(door));
@@ -152,7 +189,10 @@
 
 /// A client that sends one request after the other from before its sidecar is there, each on a connection of its own: how
 /// many were answered, and how many were taken and had no answer.
-fn sends_from_the_first_moment(address: SocketAddr, over: &Arc<AtomicBool>) -> JoinHandle<(usize, usize)> {
+fn sends_from_the_first_moment(
+    address: SocketAddr,
+    over: &Arc<AtomicBool>,
+) -> JoinHandle<(usize, usize)> {
     let over = Arc::clone(over);
     spawn(move || {
         let (mut answered, mut lost) = (0, 0);
@@ -161,7 +201,9 @@
                 sleep(5 * MS);
                 continue;
             };
-            stream.set_read_timeout(Some(Duration::from_secs(30))).unwrap();
+            stream
+                .set_read_timeout(Some(Duration::from_secs(30)))
+                .unwrap();
             let mut client = BufReader::new(stream);
             match ask(&mut client, &patiently(&look(&format!("first{answered}")))) {
                 Some(message) => answered += usize::from(["200", "503"].contains(&message.word())),
@@ -175,7 +217,10 @@
 
 /// So many start at once, 210 where that is measured: `PASSROAD_CROWD=210`.
 fn crowd() -> usize {
-    std::env::var("PASSROAD_CROWD").ok().and_then(|n| n.parse().ok()).unwrap_or(12)
+    std::env::var("PASSROAD_CROWD")
+        .ok()
+        .and_then(|n| n.parse().ok())
+        .unwrap_or(12)
 }
 
 fn share(sorted: &[Duration], share: f64) -> Duration {
@@ -185,8 +230,10 @@
 /// Starts them all at once; how long each took to be ready, sorted, of those that came up.
 fn start_at_once(what: &str, texts: Vec<(SocketAddr, String, Option<String>)>) -> Vec<Duration> {
     let over = Arc::<AtomicBool>::default();
-    let clients: Vec<_> =
-        texts.iter().map(|(address, ..)| sends_from_the_first_moment(*address, &over)).collect();
+    let clients: Vec<_> = texts
+        .iter()
+        .map(|(address, ..)| sends_from_the_first_moment(*address, &over))
+        .collect();
     let all: Vec<_> = texts
         .into_iter()
         .map(|(address, text, fleet)| {
@@ -199,16 +246,24 @@
         .collect();
     let all: Vec<_> = all.into_iter().map(|one| one.join().unwrap()).collect();
     over.store(true, SeqCst);
-    let (answered, lost): (Vec<_>, Vec<_>) = clients.into_iter().map(|one| one.join().unwrap()).unzip();
+    let (answered, lost): (Vec<_>, Vec<_>) =
+        clients.into_iter().map(|one| one.join().unwrap()).unzip();
     let mut times: Vec<_> = all.iter().filter_map(|(ready, _)| *ready).collect();
     times.sort();
     if !times.is_empty() {
         let [half, most, last] = [0.5, 0.9, 1.0].map(|s| share(&times, s));
-        println!("{what}: {} of {} ready, p50 {half:?}, p90 {most:?}, max {last:?}", times.len(), all.len());
+        println!(
+            "{what}: {} of {} ready, p50 {half:?}, p90 {most:?}, max {last:?}",
+            times.len(),
+            all.len()
+        );
     }
     assert_eq!(lost.iter().sum::<usize>(), 0, "taken and not answered");
     // Who is ready answers; a client may not have come between.
-    assert!(answered.iter().filter(|n| **n > 0).count() * 10 >= answered.len() * 9, "{answered:?}");
+    assert!(
+        answered.iter().filter(|n| **n > 0).count() * 10 >= answered.len() * 9,
+        "{answered:?}"
+    );
     times
 }
 
@@ -230,7 +285,10 @@
         let address = nowhere();
         (address, told(address, discovery, &known, &patient()), None)
     };
-    let times = start_at_once(&format!("{how:?}, old list: {old}"), (0..crowd()).map(text).collect());
+    let times = start_at_once(
+        &format!("{how:?}, old list: {old}"),
+        (0..crowd()).map(text).collect(),
+    );
     nine_in_ten(&times, crowd());
 }
 
@@ -249,9 +307,17 @@
         true
     });
     let address = nowhere();
-    let known = if revision.is_empty() { String::new() } else { member("s-1", nowhere(), "up") };
+    let known = if revision.is_empty() {
+        String::new()
+    } else {
+        member("s-1", nowhere(), "up")
+    };
     let text = told(address, discovery.address, &known, &patient());
-    let text = if revision.is_empty() { text } else { text.replace("\"revision\":1,", revision) };
+    let text = if revision.is_empty() {
+        text
+    } else {
+        text.replace("\"revision\":1,", revision)
+    };
     let mut sidecar = Started::new(&text, None);
     assert!(sidecar.ready(address).is_some());
     until(|| discovery.count() > 0);
@@ -271,15 +337,23 @@
     let endpoint = willing("ok");
     let known = member("s-1", endpoint.address, "up");
     let count = crowd();
-    let bound: Vec<_> =
-        (0..count).map(|_| UdpSocket::bind(SocketAddr::new(nowhere().ip(), 0)).unwrap()).collect();
-    let peers: Vec<_> = bound.iter().map(|socket| socket.local_addr().unwrap()).collect();
+    let bound: Vec<_> = (0..count)
+        .map(|_| UdpSocket::bind(SocketAddr::new(nowhere().ip(), 0)).unwrap())
+        .collect();
+    let peers: Vec<_> = bound
+        .iter()
+        .map(|socket| socket.local_addr().unwrap())
+        .collect();
     drop(bound);
     let list: Vec<String> = peers.iter().map(|at| format!("\"{at}\"")).collect();
     let text = |n: usize| {
         let settings = patient().replacen('{', &format!(r#"{{"my_number":{n},"#), 1);
         let settings = settings.replace(r#""allowed":{"#, r#""allowed":{"may_tell":true,"#);
-        let own = format!(r#"{{"peer_listen":"{}","peers":[{}],"#, peers[n], list.join(","));
+        let own = format!(
+            r#"{{"peer_listen":"{}","peers":[{}],"#,
+            peers[n],
+            list.join(",")
+        );
         let address = nowhere();
         let text = told(address, nowhere(), &known, &settings).replacen('{', &own, 1);
         (address, with_door(&text, nowhere()), Some(WORK.to_string()))
--- a/crates/passroad/tests/sidecar.rs
+++ b/crates/passroad/tests/sidecar.rs
@@ -19,11 +19,25 @@
     let sidecar = sidecar(&member("s-1", endpoint.address, "up"));
     let mut client = sidecar.client();
     let answers = [look("a1"), book("a2")].map(|command| ask(&mut client, &command).unwrap());
-    assert_eq!(answers.each_ref().map(|a| (a.word(), &a.body[..])), [("200", &b"free: 3"[..]); 2]);
+    assert_eq!(
+        answers.each_ref().map(|a| (a.word(), &a.body[..])),
+        [("200", &b"free: 3"[..]); 2]
+    );
     let seen = endpoint.seen.lock().unwrap();
-    assert!(seen[0].head.starts_with("GET /look/7?x=%20y HTTP/1.1\r\n"), "{}", seen[0].head);
-    assert!(seen[1].head.starts_with("POST /book HTTP/1.1\r\n"), "{}", seen[1].head);
-    assert_eq!((seen[1].header("req-id").as_deref(), &seen[1].body[..]), (Some("a2"), &b"seat"[..]));
+    assert!(
+        seen[0].head.starts_with("GET /look/7?x=%20y HTTP/1.1\r\n"),
+        "{}",
+        seen[0].head
+    );
+    assert!(
+        seen[1].head.starts_with("POST /book HTTP/1.1\r\n"),
+        "{}",
+        seen[1].head
+    );
+    assert_eq!(
+        (seen[1].header("req-id").as_deref(), &seen[1].body[..]),
+        (Some("a2"), &b"seat"[..])
+    );
     let left: u64 = seen[1].header("req-deadline-ms").unwrap().parse().unwrap();
     assert!((500..900).contains(&left), "{left} ms");
 }
@@ -35,21 +49,36 @@
     "400"
 )]
 #[case::no_limit("GET /look HTTP/1.1\r\nHost: b\r\nReq-Id: 1\r\n\r\n", "400")]
-#[case::odd_limit("GET /look HTTP/1.1\r\nHost: b\r\nReq-Id: 1\r\nReq-Deadline-Ms: soon\r\n\r\n", "400")]
-#[case::no_time("GET /look HTTP/1.1\r\nHost: b\r\nReq-Id: 1\r\nReq-Deadline-Ms: 0\r\n\r\n", "400")]
+#[case::odd_limit(
+    "GET /look HTTP/1.1\r\nHost: b\r\nReq-Id: 1\r\nReq-Deadline-Ms: soon\r\n\r\n",
+    "400"
+)]
+#[case::no_time(
+    "GET /look HTTP/1.1\r\nHost: b\r\nReq-Id: 1\r\nReq-Deadline-Ms: 0\r\n\r\n",
+    "400"
+)]
 #[case::odd_retry(
     "GET /look HTTP/1.1\r\nHost: b\r\nReq-Id: 1\r\nReq-Deadline-Ms: 9\r\nReq-Retry: x\r\n\r\n",
     "400"
 )]
 #[case::no_http("LOOK\r\n\r\n", "400")]
 #[case::odd_header("GET /look HTTP/1.1\r\nHost b\r\n\r\n", "400")]
-#[case::strange("GET /lock HTTP/1.1\r\nHost: b\r\nReq-Id: 1\r\nReq-Deadline-Ms: 900\r\n\r\n", "404")]
-#[case::signed_limit("GET /look HTTP/1.1\r\nHost: b\r\nReq-Id: 1\r\nReq-Deadline-Ms: +900\r\n\r\n", "400")]
+#[case::strange(
+    "GET /lock HTTP/1.1\r\nHost: b\r\nReq-Id: 1\r\nReq-Deadline-Ms: 900\r\n\r\n",
+    "404"
+)]
+#[case::signed_limit(
+    "GET /look HTTP/1.1\r\nHost: b\r\nReq-Id: 1\r\nReq-Deadline-Ms: +900\r\n\r\n",
+    "400"
+)]
 #[case::huge_limit(
     "GET /look HTTP/1.1\r\nHost: b\r\nReq-Id: 1\r\nReq-Deadline-Ms: 18446744073709551615\r\n\r\n",
     "400"
 )]
-#[case::no_length("POST /book HTTP/1.1\r\nHost: b\r\nReq-Id: 1\r\nReq-Deadline-Ms: 900\r\n\r\n", "400")]
+#[case::no_length(
+    "POST /book HTTP/1.1\r\nHost: b\r\nReq-Id: 1\r\nReq-Deadline-Ms: 900\r\n\r\n",
+    "400"
+)]
 #[case::body_on_get(
     "GET /look HTTP/1.1\r\nHost: b\r\nReq-Id: 1\r\nReq-Deadline-Ms: 900\r\nContent-Length: 4\r\n\r\nseat",
     "400"
@@ -102,7 +131,10 @@
     assert_eq!(ask(&mut client, request).unwrap().word(), status);
     // Nothing more is read from it.
     assert!(ask(&mut client, &look("behind")).is_none());
-    assert_eq!((sidecar.ask(&look("next")).word(), endpoint.count()), ("200", 1));
+    assert_eq!(
+        (sidecar.ask(&look("next")).word(), endpoint.count()),
+        ("200", 1)
+    );
 }
 
 // Each gets an error or a close while its client still reads; a head and a body used to have 75 s and 10 s.
@@ -146,7 +178,10 @@
     let sidecar = sidecar(&member("s-1", endpoint.address, "up"));
     let mut client = sidecar.client();
     for n in 0..2 {
-        assert_eq!(ask(&mut client, &look(&n.to_string())).unwrap().word(), "200");
+        assert_eq!(
+            ask(&mut client, &look(&n.to_string())).unwrap().word(),
+            "200"
+        );
         sleep(3000 * MS);
     }
     assert_eq!(ask(&mut client, &look("last")).unwrap().word(), "200");
@@ -166,7 +201,12 @@
     assert_eq!(kept, 64 / 6);
     // Whoever leaves makes room.
     drop(clients);
-    until(|| ask(&mut sidecar.client(), &look("z")).unwrap().header("connection").is_none());
+    until(|| {
+        ask(&mut sidecar.client(), &look("z"))
+            .unwrap()
+            .header("connection")
+            .is_none()
+    });
 }
 
 #[rstest]
@@ -178,14 +218,24 @@
         answer(to, "200 OK", "", b"booked");
         true
     });
-    let sidecar = sidecar_with(&member("s-1", endpoint.address, "up"), nowhere(), &patient());
+    let sidecar = sidecar_with(
+        &member("s-1", endpoint.address, "up"),
+        nowhere(),
+        &patient(),
+    );
     let mut first = sidecar.client();
-    first.get_mut().write_all(patiently(&book("a")).as_bytes()).unwrap();
+    first
+        .get_mut()
+        .write_all(patiently(&book("a")).as_bytes())
+        .unwrap();
     until(|| endpoint.count() == 1);
     assert_eq!(sidecar.ask(&book("a")).word(), "409");
     gate.open();
     assert_eq!(Message::read(&mut first).unwrap().body, b"booked");
-    assert_eq!((sidecar.ask(&patiently(&book("a"))).word(), endpoint.count()), ("200", 2));
+    assert_eq!(
+        (sidecar.ask(&patiently(&book("a"))).word(), endpoint.count()),
+        ("200", 2)
+    );
 }
 
 // The first has gone out when the second comes: it ends, and the second goes nowhere.
@@ -198,11 +248,21 @@
         answer(to, "200 OK", "", b"booked");
         true
     });
-    let sidecar = sidecar_with(&member("s-1", endpoint.address, "up"), nowhere(), &patient());
+    let sidecar = sidecar_with(
+        &member("s-1", endpoint.address, "up"),
+        nowhere(),
+        &patient(),
+    );
     let mut client = sidecar.client();
-    client.get_mut().write_all(patiently(&book("a")).as_bytes()).unwrap();
+    client
+        .get_mut()
+        .write_all(patiently(&book("a")).as_bytes())
+        .unwrap();
     until(|| endpoint.count() == 1);
-    assert_eq!(ask(&mut client, &patiently(&book("b"))).unwrap().word(), "400");
+    assert_eq!(
+        ask(&mut client, &patiently(&book("b"))).unwrap().word(),
+        "400"
+    );
     gate.open();
     assert_eq!((closes(&mut client), endpoint.count()), (true, 1));
 }
@@ -211,12 +271,18 @@
 fn of_a_clients_headers_only_those_of_the_protocol_go_on() {
     let endpoint = willing("ok");
     let sidecar = sidecar(&member("s-1", endpoint.address, "up"));
-    let odd =
-        look("a").replace("Host: b", "Host: b\r\nSrv-Declined: 1\r\nOdd: \u{e9}\r\nExpect: 100-continue");
+    let odd = look("a").replace(
+        "Host: b",
+        "Host: b\r\nSrv-Declined: 1\r\nOdd: \u{e9}\r\nExpect: 100-continue",
+    );
     assert_eq!(sidecar.ask(&odd).word(), "200");
     let head = endpoint.seen.lock().unwrap()[0].head.to_lowercase();
-    let names: Vec<_> =
-        head.lines().skip(1).filter_map(|line| line.split_once(':')).map(|(name, _)| name).collect();
+    let names: Vec<_> = head
+        .lines()
+        .skip(1)
+        .filter_map(|line| line.split_once(':'))
+        .map(|(name, _)| name)
+        .collect();
     assert_eq!(names, ["req-id", "req-deadline-ms", "host"]);
 }
 
@@ -232,17 +298,29 @@
         false
     });
     let well = willing("ok");
-    let list = [&breaks, &well].map(|e| member(&e.address.to_string(), e.address, "up")).join(",");
-    let settings = SETTINGS.replace("\"non_idempotent\"", "\"idempotency_key\",\"window\":9000000000");
+    let list = [&breaks, &well]
+        .map(|e| member(&e.address.to_string(), e.address, "up"))
+        .join(",");
+    let settings = SETTINGS.replace(
+        "\"non_idempotent\"",
+        "\"idempotency_key\",\"window\":9000000000",
+    );
     let sidecar = sidecar_with(&list, nowhere(), &settings);
     let command = book("a").replace("Req-Owner", &format!("{key}Req-Owner"));
     until(|| {
         assert_eq!(sidecar.ask(&command).word(), status);
         status != "200" || breaks.count() > 0
     });
-    let seen = [breaks.seen.lock().unwrap().clone(), well.seen.lock().unwrap().clone()].concat();
+    let seen = [
+        breaks.seen.lock().unwrap().clone(),
+        well.seen.lock().unwrap().clone(),
+    ]
+    .concat();
     assert_eq!(seen.is_empty(), status != "200");
-    assert!(seen.iter().all(|m| m.header("idempotency-key").as_deref() == Some("5b7a-f9")));
+    assert!(
+        seen.iter()
+            .all(|m| m.header("idempotency-key").as_deref() == Some("5b7a-f9"))
+    );
 }
 
 #[rstest]
@@ -250,12 +328,24 @@
 #[case((32 << 20) + 1, "413")]
 fn the_longest_body_holds_without_a_stated_length_too(#[case] length: usize, #[case] status: &str) {
     let endpoint = stand_in(|command, to| {
-        answer(to, "200 OK", "", format!("{}", command.body.len()).as_bytes());
+        answer(
+            to,
+            "200 OK",
+            "",
+            format!("{}", command.body.len()).as_bytes(),
+        );
         true
     });
-    let sidecar = sidecar_with(&member("s-1", endpoint.address, "up"), nowhere(), &patient());
+    let sidecar = sidecar_with(
+        &member("s-1", endpoint.address, "up"),
+        nowhere(),
+        &patient(),
+    );
     let head = "POST /book HTTP/1.1\r\nHost: b\r\nReq-Id: 1\r\nReq-Deadline-Ms: 7900\r\nTransfer-Encoding: chunked\r\n\r\n";
-    let answer = sidecar.ask(&format!("{head}{length:x}\r\n{}\r\n0\r\n\r\n", "x".repeat(length)));
+    let answer = sidecar.ask(&format!(
+        "{head}{length:x}\r\n{}\r\n0\r\n\r\n",
+        "x".repeat(length)
+    ));
     assert_eq!(answer.word(), status);
     assert!(status != "200" || answer.body == length.to_string().as_bytes());
 }
@@ -276,22 +366,39 @@
     let output = command.output().unwrap();
     std::fs::remove_dir_all(folder).unwrap();
     let said = String::from_utf8(output.stderr).unwrap();
-    assert_eq!((output.status.code(), said.lines().count()), (Some(2), 1), "{said}");
-    assert!(said.starts_with("passroad: ") && said.contains(fault), "{said}");
+    assert_eq!(
+        (output.status.code(), said.lines().count()),
+        (Some(2), 1),
+        "{said}"
+    );
+    assert!(
+        said.starts_with("passroad: ") && said.contains(fault),
+        "{said}"
+    );
 }
 
-const ROUTES: &str = "[[pool]]\nname = \"all\"\ntiers = [[\"own\"], [\"*\"]]\n[[route]]\npool = \"all\"\n";
+const ROUTES: &str =
+    "[[pool]]\nname = \"all\"\ntiers = [[\"own\"], [\"*\"]]\n[[route]]\npool = \"all\"\n";
 
 #[rstest]
 #[case::well(ROUTES, 0, "1 routes to 1 pools: nothing is wrong")]
 #[case::no_zone(&ROUTES.replace("\"*\"", "\"far\""), 2, "routes.toml: line 1: pool all: tiers: unknown zone 'far'")]
 #[case::odd_key(&format!("{ROUTES}speed = 1\n"), 2, "routes.toml: line 6: speed: unknown field")]
 #[case::no_toml("[[pool]", 2, "routes.toml: line 1")]
-fn check_says_what_is_wrong_with_routes(#[case] routes: &str, #[case] code: i32, #[case] said: &str) {
+fn check_says_what_is_wrong_with_routes(
+    #[case] routes: &str,
+    #[case] code: i32,
+    #[case] said: &str,
+) {
     let (mut command, folder) = program(&told(nowhere(), nowhere(), "", SETTINGS));
     let file = folder.join("routes.toml");
     std::fs::write(&file, routes).unwrap();
-    let output = command.arg("check").arg("--routes").arg(&file).output().unwrap();
+    let output = command
+        .arg("check")
+        .arg("--routes")
+        .arg(&file)
+        .output()
+        .unwrap();
     // A start says the same and does not begin.
     let started = (code != 0).then(|| {
         let (mut command, other) = program(&told(nowhere(), nowhere(), "", SETTINGS));
@@ -302,7 +409,11 @@
     std::fs::remove_dir_all(folder).unwrap();
     for output in [Some(output), started].into_iter().flatten() {
         let text = String::from_utf8([output.stdout, output.stderr].concat()).unwrap();
-        assert_eq!((output.status.code(), text.lines().count()), (Some(code), 1), "{text}");
+        assert_eq!(
+            (output.status.code(), text.lines().count()),
+            (Some(code), 1),
+            "{text}"
+        );
         assert!(text.contains(said), "{text}");
     }
 }
@@ -311,7 +422,8 @@
 fn commands_stay_at_home_while_it_is_up_and_spill_when_it_drains() {
     let (home, away) = (willing("home"), willing("away"));
     let both = |phase| {
-        let far = member("s-2", away.address, "up").replace("\"locality\":\"a\"", "\"locality\":\"b\"");
+        let far =
+            member("s-2", away.address, "up").replace("\"locality\":\"a\"", "\"locality\":\"b\"");
         format!("{},{far}", member("s-1", home.address, phase))
     };
     let discovery = discovery(&both("up"));
@@ -337,8 +449,10 @@
 #[rstest]
 fn watched_settings_are_counted_and_change_nothing() {
     let endpoint = willing("ok");
-    let list =
-        (0..6).map(|n| member(&format!("s-{n}"), endpoint.address, "up")).collect::<Vec<_>>().join(",");
+    let list = (0..6)
+        .map(|n| member(&format!("s-{n}"), endpoint.address, "up"))
+        .collect::<Vec<_>>()
+        .join(",");
     let address = nowhere();
     let text = told(address, nowhere(), &list, SETTINGS).replacen("\"settings\"", WATCH, 1);
     let (mut command, folder) = program(&text);
@@ -353,17 +467,34 @@
     assert_eq!(endpoint.count(), 40);
     drop(client);
     let kill = format!("kill -TERM {}", child.id());
-    assert!(std::process::Command::new("sh").args(["-c", &kill]).status().unwrap().success());
+    assert!(
+        std::process::Command::new("sh")
+            .args(["-c", &kill])
+            .status()
+            .unwrap()
+            .success()
+    );
     let output = child.wait_with_output().unwrap();
     let said = String::from_utf8(output.stderr).unwrap();
     let _ = std::fs::remove_dir_all(folder);
-    let last = said.lines().rfind(|line| line.contains("watched settings: same ")).expect("a line of counts");
+    let last = said
+        .lines()
+        .rfind(|line| line.contains("watched settings: same "))
+        .expect("a line of counts");
     let number = |name: &str| -> u64 {
         let rest = last.split_once(&format!("{name} ")).expect("the kind").1;
-        rest.split(|c: char| !c.is_ascii_digit()).next().unwrap().parse().unwrap()
+        rest.split(|c: char| !c.is_ascii_digit())
+            .next()
+            .unwrap()
+            .parse()
+            .unwrap()
     };
     // Each of the forty was sent; the other would have sent it, too, and to its key's home in place of any endpoint.
-    assert_eq!(number("same") + number("elsewhere") + number("waited"), 40, "{last}");
+    assert_eq!(
+        number("same") + number("elsewhere") + number("waited"),
+        40,
+        "{last}"
+    );
     assert!(number("elsewhere") > 5 && number("no probe") > 0, "{last}");
 }
 
@@ -372,14 +503,24 @@
     r#"{"settings":{"domain":{"warm_keys":"some"}}}"#,
     "watch: settings: /domain/warm_keys is not true or false"
 )]
-#[case::odd_weights(r#"{"settings":{"weights":"heavy"}}"#, "watch: settings: /weights is 'heavy'")]
-#[case::other_verbs(r#"{"settings":{"verbs":[]}}"#, "watch: settings: /verbs must be as it is")]
+#[case::odd_weights(
+    r#"{"settings":{"weights":"heavy"}}"#,
+    "watch: settings: /weights is 'heavy'"
+)]
+#[case::other_verbs(
+    r#"{"settings":{"verbs":[]}}"#,
+    "watch: settings: /verbs must be as it is"
+)]
 #[case::odd_time(r#"{"settings":{},"every_s":0}"#, "watch: every_s: 0 is not from 0.1")]
 #[case::unknown(r#"{"settings":{},"evry":1}"#, "unknown field `evry`")]
 #[case::no_settings(r#"{"every_s":1}"#, "missing field `settings`")]
 fn a_faulty_watch_ends_the_start_and_names_the_place(#[case] watch: &str, #[case] fault: &str) {
     let text = told(nowhere(), nowhere(), "", SETTINGS);
-    let text = text.replacen("\"settings\"", &format!("\"watch\":{watch},\"settings\""), 1);
+    let text = text.replacen(
+        "\"settings\"",
+        &format!("\"watch\":{watch},\"settings\""),
+        1,
+    );
     let (mut command, folder) = program(&text);
     let output = command.output().unwrap();
     let said = String::from_utf8(output.stderr).unwrap();
@@ -412,7 +553,9 @@
         false
     };
     let endpoints = [stand_in(act), stand_in(act)];
-    let list = endpoints.iter().map(|e| member(&e.address.to_string(), e.address, "up"));
+    let list = endpoints
+        .iter()
+        .map(|e| member(&e.address.to_string(), e.address, "up"));
     let sidecar = sidecar(&list.collect::<Vec<_>>().join(","));
     assert_eq!(sidecar.ask(&book("a")).word(), status);
     sleep(50 * MS);
@@ -453,7 +596,10 @@
 fn what_comes_behind_an_answer_is_never_taken_for_the_next(#[case] later: u64) {
     let endpoint = stand_in(move |command, to| {
         let id = command.header("req-id").unwrap();
-        let text = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{id}", id.len());
+        let text = format!(
+            "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{id}",
+            id.len()
+        );
         if later == 0 {
             let _ = to.write_all(text.repeat(2).as_bytes());
         } else {
@@ -493,7 +639,11 @@
             let _ = to.write_all(b"noise\r\n\r\n");
             return false;
         }
-        own.lock().unwrap().extend(answered.insert(from, Instant::now()).map(|at| command.at - at));
+        own.lock().unwrap().extend(
+            answered
+                .insert(from, Instant::now())
+                .map(|at| command.at - at),
+        );
         answer(to, "200 OK", "", b"booked");
         true
     });
@@ -502,7 +652,10 @@
     assert!(!spoils || ask(&mut client, &book("spoilt")).unwrap().word() == "502");
     assert!((0..20).all(|n| ask(&mut client, &book(&n.to_string())).unwrap().word() == "200"));
     let rests = rests.lock().unwrap();
-    assert!(rests.len() > 5 && rests.iter().all(|rest| *rest >= least), "{rests:?}");
+    assert!(
+        rests.len() > 5 && rests.iter().all(|rest| *rest >= least),
+        "{rests:?}"
+    );
 }
 
 #[rstest]
@@ -527,9 +680,15 @@
     });
     let well = willing("booked");
     for first in [full.address, nowhere()] {
-        let sidecar =
-            sidecar(&format!("{},{}", member("s-1", first, "up"), member("s-2", well.address, "up")));
-        assert!((0..20).all(|n| sidecar.ask(&book(&n.to_string())).body == b"booked"), "{first}");
+        let sidecar = sidecar(&format!(
+            "{},{}",
+            member("s-1", first, "up"),
+            member("s-2", well.address, "up")
+        ));
+        assert!(
+            (0..20).all(|n| sidecar.ask(&book(&n.to_string())).body == b"booked"),
+            "{first}"
+        );
     }
     assert!(full.count() > 0);
     assert_eq!(well.count(), 40);
@@ -542,11 +701,15 @@
 fn an_effectful_command_killed_mid_write_is_terminated_or_runs_elsewhere() {
     let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
     socket.set_recv_buffer_size(2048).unwrap();
-    socket.bind(&std::net::SocketAddr::from(([127, 0, 0, 1], 0)).into()).unwrap();
+    socket
+        .bind(&std::net::SocketAddr::from(([127, 0, 0, 1], 0)).into())
+        .unwrap();
     socket.listen(16).unwrap();
     let listener = std::net::TcpListener::from(socket);
-    let (address, killed) =
-        (listener.local_addr().unwrap(), Arc::new(std::sync::atomic::AtomicUsize::new(0)));
+    let (address, killed) = (
+        listener.local_addr().unwrap(),
+        Arc::new(std::sync::atomic::AtomicUsize::new(0)),
+    );
     let own = Arc::clone(&killed);
     std::thread::spawn(move || {
         for mut stream in listener.incoming().flatten() {
@@ -556,7 +719,9 @@
                     sleep(30 * MS);
                     own.fetch_add(1, SeqCst);
                 }
-                socket2::SockRef::from(&stream).set_linger(Some(std::time::Duration::ZERO)).unwrap();
+                socket2::SockRef::from(&stream)
+                    .set_linger(Some(std::time::Duration::ZERO))
+                    .unwrap();
             });
         }
     });
@@ -564,7 +729,11 @@
         answer(to, "200 OK", "", command.body.len().to_string().as_bytes());
         true
     });
-    let list = format!("{},{}", member("s-1", address, "up"), member("s-2", well.address, "up"));
+    let list = format!(
+        "{},{}",
+        member("s-1", address, "up"),
+        member("s-2", well.address, "up")
+    );
     let settings = patient().replace("\"probes\":true", "\"probes\":false");
     let sidecar = sidecar_with(&list, nowhere(), &settings);
     let (mut asked, mut answered) = (0, 0);
@@ -586,9 +755,15 @@
 fn where_no_connection_comes_up_there_is_time_for_another_endpoint() {
     let (deaf, _listener, _filling) = deaf();
     let well = willing("booked");
-    let list = format!("{},{}", member("s-1", deaf, "up"), member("s-2", well.address, "up"));
+    let list = format!(
+        "{},{}",
+        member("s-1", deaf, "up"),
+        member("s-2", well.address, "up")
+    );
     let sidecar = sidecar(&list);
-    let words: Vec<_> = (0..20).map(|n| sidecar.ask(&book(&n.to_string())).word().to_string()).collect();
+    let words: Vec<_> = (0..20)
+        .map(|n| sidecar.ask(&book(&n.to_string())).word().to_string())
+        .collect();
     assert_eq!((words, well.count()), (vec!["200".to_string(); 20], 20));
 }
 
@@ -599,7 +774,11 @@
         false
     });
     let well = willing("free");
-    let list = format!("{},{}", member("s-1", broken.address, "up"), member("s-2", well.address, "up"));
+    let list = format!(
+        "{},{}",
+        member("s-1", broken.address, "up"),
+        member("s-2", well.address, "up")
+    );
     let sidecar = sidecar(&list);
     // The draw is by chance: ask until it has fallen on the broken one more than once.
     until(|| {
@@ -618,13 +797,23 @@
     let (began, answer) = (Instant::now(), sidecar.ask(&patiently(&book("a"))));
     // It could wait for a quarter of its goal and twice that again; its limit is far off.
     assert_eq!((answer.word(), began.elapsed() < 5000 * MS), ("503", true));
-    assert!(answer.header("retry-after").unwrap().parse::<f64>().unwrap() > 0.0);
+    assert!(
+        answer
+            .header("retry-after")
+            .unwrap()
+            .parse::<f64>()
+            .unwrap()
+            > 0.0
+    );
 }
 
 #[rstest]
 #[case(look("a"), "503")]
 #[case(book("a"), "502")]
-fn an_endpoint_that_says_nothing_costs_no_command_its_answer(#[case] command: String, #[case] status: &str) {
+fn an_endpoint_that_says_nothing_costs_no_command_its_answer(
+    #[case] command: String,
+    #[case] status: &str,
+) {
     let silent = stand_in(|_, _| true);
     let sidecar = sidecar(&member("s-1", silent.address, "up"));
     // The module's own word: past the time limit it would be the guard's, 504.
@@ -684,18 +873,31 @@
         let short = look(&n.to_string()).replace("900", &(200 + 7 * n).to_string());
         client.get_mut().write_all(short.as_bytes()).unwrap();
     }
-    assert!(clients.iter_mut().all(|c| Message::read(c).unwrap().word() == "503"));
+    assert!(
+        clients
+            .iter_mut()
+            .all(|c| Message::read(c).unwrap().word() == "503")
+    );
 }
 
 #[rstest]
 fn connections_kept_to_some_endpoints_leave_others_room() {
     let endpoints: Vec<_> = (0..40).map(|_| willing("ok")).collect();
-    let list = endpoints.iter().map(|e| member(&e.address.to_string(), e.address, "up"));
+    let list = endpoints
+        .iter()
+        .map(|e| member(&e.address.to_string(), e.address, "up"));
     // A wait for a connection would take longer than a command has.
-    let settings = SETTINGS.replace("\"connect_timeout\":250000000", "\"connect_timeout\":9000000000");
+    let settings = SETTINGS.replace(
+        "\"connect_timeout\":250000000",
+        "\"connect_timeout\":9000000000",
+    );
     let sidecar = sidecar_with(&list.collect::<Vec<_>>().join(","), nowhere(), &settings);
     for n in 0..100 {
-        assert_eq!(sidecar.ask(&look(&n.to_string())).word(), "200", "command {n}");
+        assert_eq!(
+            sidecar.ask(&look(&n.to_string())).word(),
+            "200",
+            "command {n}"
+        );
     }
 }
 
@@ -707,7 +909,10 @@
     let sidecar = sidecar_with(&member("s-1", silent.address, "up"), nowhere(), &patient());
     let before = sidecar.descriptors();
     let mut client = sidecar.client();
-    client.get_mut().write_all(patiently(&book("a")).as_bytes()).unwrap();
+    client
+        .get_mut()
+        .write_all(patiently(&book("a")).as_bytes())
+        .unwrap();
     until(|| silent.count() == 1);
     drop(client);
     let left = Instant::now();
@@ -736,7 +941,11 @@
     let began = Instant::now();
     assert_eq!(sidecar.ask(&look("a")).word(), "200");
     // Left to their own, the slow ones would hold their places for longer.
-    assert!(began.elapsed() < 2000 * MS && sidecar.descriptors() <= 64, "{:?}", began.elapsed());
+    assert!(
+        began.elapsed() < 2000 * MS && sidecar.descriptors() <= 64,
+        "{:?}",
+        began.elapsed()
+    );
     drop(slow);
     assert_eq!(sidecar.ask(&look("b")).word(), "200");
 }
@@ -750,7 +959,10 @@
     // Each sends at once: where places run short, whoever connects and says nothing is soon given up.
     let come = |n: i32| {
         let mut client = sidecar.client();
-        client.get_mut().write_all(book(&n.to_string()).as_bytes()).unwrap();
+        client
+            .get_mut()
+            .write_all(book(&n.to_string()).as_bytes())
+            .unwrap();
         client
     };
     let mut clients: Vec<_> = (0..40).map(come).collect();
@@ -758,7 +970,11 @@
         assert!(["502", "503", "504"].contains(&Message::read(client).unwrap().word()));
     }
     // One after the other they would take twice their limit.
-    assert!(began.elapsed() < 1700 * MS && sidecar.descriptors() <= 64, "{:?}", began.elapsed());
+    assert!(
+        began.elapsed() < 1700 * MS && sidecar.descriptors() <= 64,
+        "{:?}",
+        began.elapsed()
+    );
 }
 
 // A stall is no earlier try of the client: the module must not take what is left for a last try's rest.
@@ -770,13 +986,20 @@
     assert!((0..8).all(|n| sidecar.ask(&short(&n.to_string())).word() == "200"));
     let mut client = sidecar.client();
     sidecar.signal("STOP");
-    client.get_mut().write_all(short("late").as_bytes()).unwrap();
+    client
+        .get_mut()
+        .write_all(short("late").as_bytes())
+        .unwrap();
     sleep(150 * MS);
     sidecar.signal("CONT");
     let answer = Message::read(&mut client).unwrap();
     assert_eq!((answer.word(), endpoint.count()), ("200", 9));
     // What is left is told on.
-    let left: u64 = endpoint.seen.lock().unwrap()[8].header("req-deadline-ms").unwrap().parse().unwrap();
+    let left: u64 = endpoint.seen.lock().unwrap()[8]
+        .header("req-deadline-ms")
+        .unwrap()
+        .parse()
+        .unwrap();
     assert!(left < 350, "{left} ms");
 }
 
@@ -788,11 +1011,20 @@
     let mut client = sidecar.client();
     assert_eq!(ask(&mut client, &look("a")).unwrap().word(), "200");
     sidecar.signal("STOP");
-    client.get_mut().write_all(book("b").replace("900", "200").as_bytes()).unwrap();
+    client
+        .get_mut()
+        .write_all(book("b").replace("900", "200").as_bytes())
+        .unwrap();
     sleep(300 * MS);
     sidecar.signal("CONT");
     assert_eq!(Message::read(&mut client).unwrap().word(), "504");
-    assert_eq!((ask(&mut client, &book("c")).unwrap().word(), endpoint.count()), ("200", 2));
+    assert_eq!(
+        (
+            ask(&mut client, &book("c")).unwrap().word(),
+            endpoint.count()
+        ),
+        ("200", 2)
+    );
 }
 
 // ---- discovery ----
@@ -802,8 +1034,13 @@
 #[case("removed")]
 fn nothing_goes_to_an_endpoint_after_the_list_says_so(#[case] phase: &str) {
     let (first, second) = (willing("first"), willing("second"));
-    let both =
-        |phase| format!("{},{}", member("s-1", first.address, phase), member("s-2", second.address, "up"));
+    let both = |phase| {
+        format!(
+            "{},{}",
+            member("s-1", first.address, phase),
+            member("s-2", second.address, "up")
+        )
+    };
     let discovery = discovery(&both("up"));
     let sidecar = sidecar_with(&both("up"), discovery.stand_in.address, SETTINGS);
     until(|| discovery.stand_in.count() > 0);
@@ -833,14 +1070,24 @@
     let list = member("s-1", endpoint.address, "up");
     let discovery = discovery(&list);
     // Where it is not renewed at once it is so after a time that goes by `ask_every`.
-    let settings = SETTINGS.replace("on_request", "pushed").replace("\"ask_every\":4", "\"ask_every\":4000");
+    let settings = SETTINGS
+        .replace("on_request", "pushed")
+        .replace("\"ask_every\":4", "\"ask_every\":4000");
     let _sidecar = sidecar_with(&list, discovery.stand_in.address, &settings);
     until(|| discovery.stand_in.count() == 1);
     discovery.list.lock().unwrap().0 = 7;
     until(|| discovery.stand_in.count() == 2);
     let seen = discovery.stand_in.seen.lock().unwrap();
-    assert!(seen[0].word() == "/v1/servers?from=1&hold_ms=1000", "{}", seen[0].head);
-    assert!(seen[1].word() == "/v1/servers?from=7&hold_ms=2500", "{}", seen[1].head);
+    assert!(
+        seen[0].word() == "/v1/servers?from=1&hold_ms=1000",
+        "{}",
+        seen[0].head
+    );
+    assert!(
+        seen[1].word() == "/v1/servers?from=7&hold_ms=2500",
+        "{}",
+        seen[1].head
+    );
 }
 
 #[rstest]
@@ -857,12 +1104,20 @@
         let _ = to.write_all(back.as_bytes());
         false
     });
-    let sidecar = sidecar_with(&member("s-1", endpoint.address, "up"), trouble.address, SETTINGS);
+    let sidecar = sidecar_with(
+        &member("s-1", endpoint.address, "up"),
+        trouble.address,
+        SETTINGS,
+    );
     until(|| trouble.count() >= 3);
     assert_eq!(sidecar.ask(&look("a")).word(), "200");
     // Asked again later each time, not in a rush.
     let seen = trouble.seen.lock().unwrap();
-    assert!(seen[2].at - seen[0].at > 50 * MS, "{:?}", seen[2].at - seen[0].at);
+    assert!(
+        seen[2].at - seen[0].at > 50 * MS,
+        "{:?}",
+        seen[2].at - seen[0].at
+    );
 }
 
 #[rstest]
@@ -873,14 +1128,28 @@
     let whole = format!(r#"{{"revision":4,"complete":true,"members":[{list}]}}"#);
     let older = format!(r#"{{"revision":0,"complete":false,"members":[{gone}]}}"#);
     let discovery = stand_in(move |message, to| {
-        let body = if message.word().contains("from=1&") { &older } else { &whole };
-        sleep(if message.word().contains("from=4&") { 900 * MS } else { MS });
+        let body = if message.word().contains("from=1&") {
+            &older
+        } else {
+            &whole
+        };
+        sleep(if message.word().contains("from=4&") {
+            900 * MS
+        } else {
+            MS
+        });
         answer(to, "200 OK", "", body.as_bytes());
         true
     });
     let sidecar = sidecar_with(&list, discovery.address, SETTINGS);
     until(|| discovery.count() >= 3);
-    let words: Vec<_> = discovery.seen.lock().unwrap().iter().map(|m| m.word().to_string()).collect();
+    let words: Vec<_> = discovery
+        .seen
+        .lock()
+        .unwrap()
+        .iter()
+        .map(|m| m.word().to_string())
+        .collect();
     assert_eq!(words[1], "/v1/servers");
     assert_eq!(sidecar.ask(&look("a")).word(), "200");
 }
@@ -904,7 +1173,11 @@
         true
     });
     let settings = SETTINGS.replace("\"ask_every\":400000000", "\"ask_every\":4000000000");
-    let sidecar = sidecar_with(&member("s-1", old.address, "up"), discovery.address, &settings);
+    let sidecar = sidecar_with(
+        &member("s-1", old.address, "up"),
+        discovery.address,
+        &settings,
+    );
     until(|| sidecar.ask(&look("a")).body == b"new");
     assert_eq!(discovery.seen.lock().unwrap()[2].word(), "/v1/servers");
 }
@@ -929,12 +1202,16 @@
         !broken
     });
     // The module would call again after a sixteenth of `ask_every` at the soonest.
-    let settings = SETTINGS.replace("on_request", "pushed").replace("\"ask_every\":4", "\"ask_every\":4000");
+    let settings = SETTINGS
+        .replace("on_request", "pushed")
+        .replace("\"ask_every\":4", "\"ask_every\":4000");
     let _sidecar = sidecar_with(&list, discovery.address, &settings);
     until(|| discovery.count() >= 5);
     let seen = discovery.seen.lock().unwrap();
     assert!(
-        seen[..4].iter().all(|m| m.word() == "/v1/servers?from=1&hold_ms=1000"),
+        seen[..4]
+            .iter()
+            .all(|m| m.word() == "/v1/servers?from=1&hold_ms=1000"),
         "{:?}",
         seen[..4].to_vec()
     );
@@ -946,17 +1223,30 @@
     let endpoint = willing("ok");
     let discovery = discovery(&member("s-9", endpoint.address, "up"));
     discovery.list.lock().unwrap().0 = 0;
-    let settings = SETTINGS.replace("on_request", "pushed").replace("\"ask_every\":4", "\"ask_every\":400");
-    let sidecar = sidecar_with(&member("s-1", nowhere(), "up"), discovery.stand_in.address, &settings);
+    let settings = SETTINGS
+        .replace("on_request", "pushed")
+        .replace("\"ask_every\":4", "\"ask_every\":400");
+    let sidecar = sidecar_with(
+        &member("s-1", nowhere(), "up"),
+        discovery.stand_in.address,
+        &settings,
+    );
     until(|| sidecar.ask(&look("a")).word() == "200");
-    assert_eq!(discovery.stand_in.seen.lock().unwrap()[0].word(), "/v1/servers?from=1&hold_ms=1000");
+    assert_eq!(
+        discovery.stand_in.seen.lock().unwrap()[0].word(),
+        "/v1/servers?from=1&hold_ms=1000"
+    );
 }
 
 #[rstest]
 fn a_discovery_that_says_nothing_holds_no_command_up() {
     let endpoint = willing("ok");
     let silent = stand_in(|_, _| true);
-    let sidecar = sidecar_with(&member("s-1", endpoint.address, "up"), silent.address, SETTINGS);
+    let sidecar = sidecar_with(
+        &member("s-1", endpoint.address, "up"),
+        silent.address,
+        SETTINGS,
+    );
     until(|| silent.count() == 1);
     assert_eq!(sidecar.ask(&look("a")).word(), "200");
     // Given up once its wait and the grace are over, then asked again.
@@ -968,7 +1258,11 @@
     let endpoint = willing("ok");
     let discovery = discovery(&member("s-1", nowhere(), "up"));
     *discovery.list.lock().unwrap() = (9, member("s-9", endpoint.address, "up"));
-    let sidecar = sidecar_with(&member("s-1", nowhere(), "up"), discovery.stand_in.address, SETTINGS);
+    let sidecar = sidecar_with(
+        &member("s-1", nowhere(), "up"),
+        discovery.stand_in.address,
+        SETTINGS,
+    );
     until(|| sidecar.ask(&look("a")).word() == "200");
 }
 
@@ -977,10 +1271,14 @@
     let endpoint = willing("ok");
     let discovery = discovery(&member("s-1", endpoint.address, "up"));
     let address = nowhere();
-    let text = told(address, discovery.stand_in.address, "", SETTINGS).replace("\"known\":", "\"unknown\":");
+    let text = told(address, discovery.stand_in.address, "", SETTINGS)
+        .replace("\"known\":", "\"unknown\":");
     let sidecar = Sidecar::start(address, &text);
     until(|| sidecar.ask(&look("a")).word() == "200");
-    assert_eq!(discovery.stand_in.seen.lock().unwrap()[0].word(), "/v1/servers");
+    assert_eq!(
+        discovery.stand_in.seen.lock().unwrap()[0].word(),
+        "/v1/servers"
+    );
 }
 
 #[rstest]
@@ -999,7 +1297,11 @@
 fn an_endpoint_that_a_whole_list_leaves_out_keeps_no_connection() {
     let (old, new) = (willing("old"), willing("new"));
     let discovery = discovery(&member("s-1", old.address, "up"));
-    let sidecar = sidecar_with(&member("s-1", old.address, "up"), discovery.stand_in.address, SETTINGS);
+    let sidecar = sidecar_with(
+        &member("s-1", old.address, "up"),
+        discovery.stand_in.address,
+        SETTINGS,
+    );
     assert_eq!(sidecar.ask(&look("a")).body, b"old");
     *discovery.list.lock().unwrap() = (2, member("s-2", new.address, "up"));
     until(|| old.open.load(SeqCst) == 0);
@@ -1022,14 +1324,19 @@
     });
     let new = willing("new");
     let known = member("s-1", old.address, "up");
-    let [before, after] = [discovery(&known), discovery(&member("s-2", new.address, "up"))];
+    let [before, after] = [
+        discovery(&known),
+        discovery(&member("s-2", new.address, "up")),
+    ];
     after.list.lock().unwrap().0 = revision;
     let address = nowhere();
     let text = |discovery| told(address, discovery, &known, &patient());
     let sidecar = Sidecar::start(address, &text(before.stand_in.address));
     until(|| before.stand_in.count() > 0);
     let mut busy = sidecar.client();
-    busy.get_mut().write_all(patiently(&book("a")).as_bytes()).unwrap();
+    busy.get_mut()
+        .write_all(patiently(&book("a")).as_bytes())
+        .unwrap();
     until(|| old.count() == 1);
     sidecar.reload("{");
     sidecar.reload(&text(after.stand_in.address));
@@ -1047,11 +1354,21 @@
 fn a_faulty_file_at_sighup_leaves_all_as_it_was(#[case] text: &str) {
     let endpoint = willing("ok");
     let discovery = discovery(&member("s-1", endpoint.address, "up"));
-    let sidecar = sidecar_with(&member("s-1", endpoint.address, "up"), discovery.stand_in.address, SETTINGS);
+    let sidecar = sidecar_with(
+        &member("s-1", endpoint.address, "up"),
+        discovery.stand_in.address,
+        SETTINGS,
+    );
     until(|| discovery.stand_in.count() > 0);
     sidecar.reload(text);
     sleep(50 * MS);
-    assert_eq!((sidecar.ask(&look("a")).word(), discovery.stand_in.open.load(SeqCst)), ("200", 1));
+    assert_eq!(
+        (
+            sidecar.ask(&look("a")).word(),
+            discovery.stand_in.open.load(SeqCst)
+        ),
+        ("200", 1)
+    );
 }
 
 // ---- the stop ----
@@ -1073,13 +1390,19 @@
     // An idle connection ends at once, a busy one with its answer.
     assert!(closes(&mut idle));
     let answer = Message::read(&mut busy).unwrap();
-    assert_eq!((answer.word(), answer.header("connection").as_deref()), ("200", Some("close")));
+    assert_eq!(
+        (answer.word(), answer.header("connection").as_deref()),
+        ("200", Some("close"))
+    );
     // New connections come for a while; the command on this one comes as late as it may.
     sleep(150 * MS);
     let mut late = sidecar.client();
     sleep((600 * MS).saturating_sub(signalled.elapsed()));
     let answer = ask(&mut late, &look("c")).unwrap();
-    assert_eq!((answer.word(), answer.header("connection").as_deref()), ("200", Some("close")));
+    assert_eq!(
+        (answer.word(), answer.header("connection").as_deref()),
+        ("200", Some("close"))
+    );
     let status = sidecar.child.wait().unwrap();
     assert_eq!(status.code(), Some(0));
 }
@@ -1093,11 +1416,20 @@
     sidecar.signal("TERM");
     let mut clients: Vec<_> = (0..20).map(|_| sidecar.client()).collect();
     for (n, client) in clients.iter_mut().enumerate() {
-        client.get_mut().write_all(look(&n.to_string()).as_bytes()).unwrap();
+        client
+            .get_mut()
+            .write_all(look(&n.to_string()).as_bytes())
+            .unwrap();
     }
     sidecar.signal("CONT");
-    let words: Vec<_> = clients.iter_mut().map(|c| Message::read(c).unwrap().word().to_string()).collect();
-    assert!(words.iter().all(|w| w == "200" || w == "503") && words.contains(&"200".into()), "{words:?}");
+    let words: Vec<_> = clients
+        .iter_mut()
+        .map(|c| Message::read(c).unwrap().word().to_string())
+        .collect();
+    assert!(
+        words.iter().all(|w| w == "200" || w == "503") && words.contains(&"200".into()),
+        "{words:?}"
+    );
     assert_eq!(sidecar.child.wait().unwrap().code(), Some(0));
 }
 
@@ -1110,8 +1442,15 @@
         drop(holder);
     });
     let endpoint = willing("ok");
-    let sidecar =
-        Sidecar::start(address, &told(address, nowhere(), &member("s-1", endpoint.address, "up"), SETTINGS));
+    let sidecar = Sidecar::start(
+        address,
+        &told(
+            address,
+            nowhere(),
+            &member("s-1", endpoint.address, "up"),
+            SETTINGS,
+        ),
+    );
     release.join().unwrap();
     assert_eq!(sidecar.ask(&look("a")).word(), "200");
 }
--- a/crates/passroad/tests/stand_ins/mod.rs
+++ b/crates/passroad/tests/stand_ins/mod.rs
@@ -28,9 +28,18 @@
                 return None;
             }
         }
-        let mut message = Message { head, body: Vec::new(), at: Instant::now() };
+        let mut message = Message {
+            head,
+            body: Vec::new(),
+            at: Instant::now(),
+        };
         let mut chunked = message.header("transfer-encoding").is_some();
-        message.body.resize(message.header("content-length").map_or(0, |n| n.parse().unwrap()), 0);
+        message.body.resize(
+            message
+                .header("content-length")
+                .map_or(0, |n| n.parse().unwrap()),
+            0,
+        );
         from.read_exact(&mut message.body).ok()?;
         while chunked {
             let mut size = String::new();
@@ -46,8 +55,14 @@
     }
 
     pub fn header(&self, name: &str) -> Option<String> {
-        let mut pairs = self.head.lines().skip(1).filter_map(|line| line.split_once(": "));
-        pairs.find(|(k, _)| k.eq_ignore_ascii_case(name)).map(|(_, v)| v.to_string())
+        let mut pairs = self
+            .head
+            .lines()
+            .skip(1)
+            .filter_map(|line| line.split_once(": "));
+        pairs
+            .find(|(k, _)| k.eq_ignore_ascii_case(name))
+            .map(|(_, v)| v.to_string())
     }
 
     /// The middle word of the first line: a request's target, an answer's status.
@@ -68,17 +83,28 @@
 pub fn stand_in(act: impl Fn(&Message, &mut TcpStream) -> bool + Send + Sync + 'static) -> StandIn {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
-    let stand_in = StandIn { address, seen: Arc::default(), open: Arc::default(), closed: Arc::default() };
+    let stand_in = StandIn {
+        address,
+        seen: Arc::default(),
+        open: Arc::default(),
+        closed: Arc::default(),
+    };
     let (own, act) = (stand_in.clone(), Arc::new(act));
     spawn(move || {
         for stream in listener.incoming().flatten() {
             let (own, act) = (own.clone(), Arc::clone(&act));
             own.open.fetch_add(1, SeqCst);
             spawn(move || {
-                let (mut reader, mut stream) = (BufReader::new(stream.try_clone().unwrap()), stream);
+                let (mut reader, mut stream) =
+                    (BufReader::new(stream.try_clone().unwrap()), stream);
                 while let Some(message) = Message::read(&mut reader) {
                     if message.word() == "/load" {
-                        answer(&mut stream, "200 OK", "", b"TEXT inflight=0, queue=0, util=0.1");
+                        answer(
+                            &mut stream,
+                            "200 OK",
+                            "",
+                            b"TEXT inflight=0, queue=0, util=0.1",
+                        );
                         continue;
                     }
                     own.seen.lock().unwrap().push(message.clone());
@@ -101,7 +127,10 @@
 }
 
 pub fn answer(to: &mut TcpStream, status: &str, headers: &str, body: &[u8]) {
-    let head = format!("HTTP/1.1 {status}\r\n{headers}Content-Length: {}\r\n\r\n", body.len());
+    let head = format!(
+        "HTTP/1.1 {status}\r\n{headers}Content-Length: {}\r\n\r\n",
+        body.len()
+    );
     let _ = to.write_all(&[head.as_bytes(), body].concat());
 }
 
@@ -123,7 +152,10 @@
     let list = Arc::new(Mutex::new((1, members.to_string())));
     let held = Arc::clone(&list);
     let stand_in = stand_in(move |message, to| {
-        let query = message.word().split_once("?from=").map(|(_, q)| q.split_once("&hold_ms=").unwrap());
+        let query = message
+            .word()
+            .split_once("?from=")
+            .map(|(_, q)| q.split_once("&hold_ms=").unwrap());
         if let Some((from, hold)) = query {
             let (from, until) = (from.parse::<u64>().unwrap(), hold.parse::<u64>().unwrap());
             let until = Instant::now() + Duration::from_millis(until);
@@ -152,13 +184,21 @@
 pub fn nowhere() -> SocketAddr {
     static COUNT: AtomicUsize = AtomicUsize::new(1);
     let (n, process) = (COUNT.fetch_add(1, SeqCst), std::process::id());
-    let host = std::net::Ipv4Addr::new(127, (process % 200 + 20) as u8, (n / 250) as u8, (n % 250 + 1) as u8);
+    let host = std::net::Ipv4Addr::new(
+        127,
+        (process % 200 + 20) as u8,
+        (n / 250) as u8,
+        (n % 250 + 1) as u8,
+    );
     TcpListener::bind((host, 0)).unwrap().local_addr().unwrap()
 }
 
 /// An endpoint to which no connection comes up: its backlog is full and nobody accepts.
 pub fn deaf() -> (SocketAddr, TcpListener, Vec<TcpStream>) {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .unwrap();
     let _inside = runtime.enter();
     let socket = tokio::net::TcpSocket::new_v4().unwrap();
     socket.bind("127.0.0.1:0".parse().unwrap()).unwrap();
@@ -232,14 +272,25 @@
 /// The same; none where nobody answers. An address that `nowhere` gave is listened on for a moment more if another test
 /// starts a process just then: until its exec the child has a copy of all sockets, and then resets who has connected.
 fn call(door: SocketAddr, method: &str, path: &str, body: &str) -> Option<String> {
-    let call = format!("{method} {path} HTTP/1.1\r\nHost: b\r\nContent-Length: {}\r\n\r\n{body}", body.len());
+    let call = format!(
+        "{method} {path} HTTP/1.1\r\nHost: b\r\nContent-Length: {}\r\n\r\n{body}",
+        body.len()
+    );
     let mut caller = BufReader::new(TcpStream::connect(door).ok()?);
-    caller.get_mut().set_read_timeout(Some(Duration::from_secs(9))).unwrap();
+    caller
+        .get_mut()
+        .set_read_timeout(Some(Duration::from_secs(9)))
+        .unwrap();
     Some(ask(&mut caller, &call)?.word().to_string())
 }
 
 pub fn cordon(door: SocketAddr, what: &str, id: &str) -> String {
-    operate(door, "POST", &format!("/admin/{what}"), &format!(r#"{{"id":"{id}"}}"#))
+    operate(
+        door,
+        "POST",
+        &format!("/admin/{what}"),
+        &format!(r#"{{"id":"{id}"}}"#),
+    )
 }
 
 /// A folder that goes with its last user.
@@ -247,7 +298,11 @@
 
 pub fn shared() -> Shared {
     static COUNT: AtomicUsize = AtomicUsize::new(0);
-    let name = format!("passroad-shared-{}-{}", std::process::id(), COUNT.fetch_add(1, SeqCst));
+    let name = format!(
+        "passroad-shared-{}-{}",
+        std::process::id(),
+        COUNT.fetch_add(1, SeqCst)
+    );
     let folder = std::env::temp_dir().join(name);
     std::fs::create_dir_all(&folder).unwrap();
     Shared(folder)
@@ -262,13 +317,21 @@
 /// The program with a configuration, in a folder of its own.
 pub fn program(text: &str) -> (Command, std::path::PathBuf) {
     static COUNT: AtomicUsize = AtomicUsize::new(0);
-    let name = format!("passroad-{}-{}", std::process::id(), COUNT.fetch_add(1, SeqCst));
+    let name = format!(
+        "passroad-{}-{}",
+        std::process::id(),
+        COUNT.fetch_add(1, SeqCst)
+    );
     let folder = std::env::temp_dir().join(name);
     std::fs::create_dir_all(&folder).unwrap();
     let file = folder.join("config.json");
     std::fs::write(&file, text).unwrap();
     let mut command = Command::new(env!("CARGO_BIN_EXE_passroad"));
-    command.env_clear().env("LB_CONFIG", file).stdin(Stdio::null()).stderr(Stdio::piped());
+    command
+        .env_clear()
+        .env("LB_CONFIG", file)
+        .stdin(Stdio::null())
+        .stderr(Stdio::piped());
     (command, folder)
 }
 
@@ -295,7 +358,11 @@
     pub fn start(address: SocketAddr, text: &str) -> Sidecar {
         let (mut command, folder) = program(text);
         let child = command.stderr(Stdio::null()).spawn().unwrap();
-        let sidecar = Sidecar { address, child, folder };
+        let sidecar = Sidecar {
+            address,
+            child,
+            folder,
+        };
         until(|| ready(address));
         sidecar
     }
@@ -308,8 +375,16 @@
         shared: &std::path::Path,
     ) -> Sidecar {
         let (mut command, folder) = program(&with_door(text, door));
-        let child = command.env("TMPDIR", shared).stderr(Stdio::null()).spawn().unwrap();
-        let sidecar = Sidecar { address, child, folder };
+        let child = command
+            .env("TMPDIR", shared)
+            .stderr(Stdio::null())
+            .spawn()
+            .unwrap();
+        let sidecar = Sidecar {
+            address,
+            child,
+            folder,
+        };
         until(|| call(door, "GET", "/admin/health", "").as_deref() == Some("200"));
         sidecar
     }
@@ -319,20 +394,36 @@
         let (mut command, folder) = program(text);
         let file = folder.join("routes.toml");
         std::fs::write(&file, routes).unwrap();
-        let child = command.env("LB_ROUTES", file).stderr(Stdio::null()).spawn().unwrap();
-        let sidecar = Sidecar { address, child, folder };
+        let child = command
+            .env("LB_ROUTES", file)
+            .stderr(Stdio::null())
+            .spawn()
+            .unwrap();
+        let sidecar = Sidecar {
+            address,
+            child,
+            folder,
+        };
         until(|| ready(address));
         sidecar
     }
 
     /// The same with a fleet's file; what it says goes into a file of its own.
-    pub fn start_among(address: SocketAddr, text: &str, fleet: &str) -> (Sidecar, std::path::PathBuf) {
+    pub fn start_among(
+        address: SocketAddr,
+        text: &str,
+        fleet: &str,
+    ) -> (Sidecar, std::path::PathBuf) {
         let (mut command, folder) = program(text);
         let (file, log) = (folder.join("fleet.toml"), folder.join("log"));
         std::fs::write(&file, fleet).unwrap();
         let said = std::fs::File::create(&log).unwrap();
         let child = command.env("LB_FLEET", file).stderr(said).spawn().unwrap();
-        let sidecar = Sidecar { address, child, folder };
+        let sidecar = Sidecar {
+            address,
+            child,
+            folder,
+        };
         until(|| ready(address));
         (sidecar, log)
     }
@@ -341,12 +432,18 @@
     pub fn threads(&self) -> Vec<String> {
         let tasks = std::fs::read_dir(format!("/proc/{}/task", self.child.id())).unwrap();
         let name = |task: std::fs::DirEntry| std::fs::read_to_string(task.path().join("comm"));
-        tasks.flatten().flat_map(|task| name(task).ok()).map(|name| name.trim().to_string()).collect()
+        tasks
+            .flatten()
+            .flat_map(|task| name(task).ok())
+            .map(|name| name.trim().to_string())
+            .collect()
     }
 
     pub fn client(&self) -> BufReader<TcpStream> {
         let stream = TcpStream::connect(self.address).unwrap();
-        stream.set_read_timeout(Some(Duration::from_secs(9))).unwrap();
+        stream
+            .set_read_timeout(Some(Duration::from_secs(9)))
+            .unwrap();
         BufReader::new(stream)
     }
 
@@ -357,12 +454,21 @@
 
     pub fn signal(&self, name: &str) {
         let kill = format!("kill -{name} {}", self.child.id());
-        assert!(Command::new("sh").args(["-c", &kill]).status().unwrap().success());
+        assert!(
+            Command::new("sh")
+                .args(["-c", &kill])
+                .status()
+                .unwrap()
+                .success()
+        );
     }
 
     /// Replaces the file of the configuration, then says so.
     pub fn reload(&self, text: &str) {
-        let (new, file) = (self.folder.join("new.json"), self.folder.join("config.json"));
+        let (new, file) = (
+            self.folder.join("new.json"),
+            self.folder.join("config.json"),
+        );
         std::fs::write(&new, text).unwrap();
         std::fs::rename(new, file).unwrap();
         self.signal("HUP");
@@ -371,12 +477,21 @@
     /// The most memory that it has held, in MB.
     pub fn memory(&self) -> usize {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id())).unwrap();
-        let line = status.lines().find_map(|line| line.strip_prefix("VmHWM:")).unwrap();
-        line.trim().trim_end_matches(" kB").parse::<usize>().unwrap() / 1024
+        let line = status
+            .lines()
+            .find_map(|line| line.strip_prefix("VmHWM:"))
+            .unwrap();
+        line.trim()
+            .trim_end_matches(" kB")
+            .parse::<usize>()
+            .unwrap()
+            / 1024
     }
 
     pub fn descriptors(&self) -> usize {
-        std::fs::read_dir(format!("/proc/{}/fd", self.child.id())).unwrap().count()
+        std::fs::read_dir(format!("/proc/{}/fd", self.child.id()))
+            .unwrap()
+            .count()
     }
 }
 
@@ -397,11 +512,14 @@
 pub fn closes(client: &mut BufReader<TcpStream>) -> bool {
     let mut rest = Vec::new();
     let ended = client.read_to_end(&mut rest);
-    rest.is_empty() && ended.map_or_else(|fault| fault.kind() == ErrorKind::ConnectionReset, |_| true)
+    rest.is_empty()
+        && ended.map_or_else(|fault| fault.kind() == ErrorKind::ConnectionReset, |_| true)
 }
 
 pub fn look(id: &str) -> String {
-    format!("GET /look/7?x=%20y HTTP/1.1\r\nHost: b\r\nReq-Id: {id}\r\nReq-Deadline-Ms: 900\r\n\r\n")
+    format!(
+        "GET /look/7?x=%20y HTTP/1.1\r\nHost: b\r\nReq-Id: {id}\r\nReq-Deadline-Ms: 900\r\n\r\n"
+    )
 }
 
 pub fn book(id: &str) -> String {
--- a/crates/passroad/tests/upgrades.rs
+++ b/crates/passroad/tests/upgrades.rs
@@ -33,23 +33,38 @@
         let (address, discovery) = (nowhere(), discovery(&list));
         let text = told(address, discovery.stand_in.address, &list, &patient())
             .replace("\"sockets\":64", "\"sockets\":256");
-        Scene { endpoints, _discovery: discovery, address, text, shared: shared() }
+        Scene {
+            endpoints,
+            _discovery: discovery,
+            address,
+            text,
+            shared: shared(),
+        }
     }
 
     fn start(&self) -> (Sidecar, SocketAddr) {
         let door = nowhere();
-        (Sidecar::start_beside(self.address, door, &self.text, &self.shared.0), door)
+        (
+            Sidecar::start_beside(self.address, door, &self.text, &self.shared.0),
+            door,
+        )
     }
 
     fn place(&self) -> PathBuf {
-        self.shared.0.join(format!("passroad-{}.sock", self.address.to_string().replace(':', "-")))
+        self.shared.0.join(format!(
+            "passroad-{}.sock",
+            self.address.to_string().replace(':', "-")
+        ))
     }
 
     /// How many of some commands the first endpoint gets.
     fn of_first(&self, sidecar: &Sidecar, mark: &str) -> usize {
         let before = self.endpoints[0].count();
         for n in 0..20 {
-            assert_eq!(sidecar.ask(&patiently(&look(&format!("{mark}{n}")))).word(), "200");
+            assert_eq!(
+                sidecar.ask(&patiently(&look(&format!("{mark}{n}")))).word(),
+                "200"
+            );
         }
         self.endpoints[0].count() - before
     }
@@ -79,11 +94,19 @@
     for _ in 0..2 {
         let (new, _) = scene.start();
         old.signal("TERM");
-        until(|| old.child.try_wait().unwrap().is_some_and(|how| how.success()));
+        until(|| {
+            old.child
+                .try_wait()
+                .unwrap()
+                .is_some_and(|how| how.success())
+        });
         old = new;
     }
     stop.store(true, SeqCst);
-    let asked: usize = clients.into_iter().map(|client| client.join().unwrap()).sum();
+    let asked: usize = clients
+        .into_iter()
+        .map(|client| client.join().unwrap())
+        .sum();
     assert!(asked > 20, "{asked}");
 }
 
@@ -112,12 +135,17 @@
     assert_eq!(cordon(new_door, "cordon", "s-1"), "200");
     let before = scene.endpoints[0].count();
     // Its connections end with their next answer.
-    assert!(ask_old("k2").is_some_and(|answer| answer.header("connection").as_deref() == Some("close")));
+    assert!(
+        ask_old("k2").is_some_and(|answer| answer.header("connection").as_deref() == Some("close"))
+    );
     assert_eq!(scene.endpoints[0].count(), before);
     assert_eq!(cordon(old_door, "cordon", "s-2"), "200");
     assert_eq!(new.ask(&patiently(&look("n1"))).word(), "503");
     assert_eq!(
-        (cordon(old_door, "uncordon", "s-1"), cordon(new_door, "uncordon", "s-2")),
+        (
+            cordon(old_door, "uncordon", "s-1"),
+            cordon(new_door, "uncordon", "s-2")
+        ),
         ("200".into(), "200".into())
     );
     assert_eq!(new.ask(&patiently(&look("n2"))).word(), "200");
@@ -170,7 +198,9 @@
 #[case::stale(None)]
 #[case::nonsense(Some(&b"HTTP/1.1 200 OK\r\n\r\n"[..]))]
 #[case::silent(Some(&b""[..]))]
-fn where_nobody_answers_in_the_shared_folder_it_starts_from_nothing(#[case] says: Option<&'static [u8]>) {
+fn where_nobody_answers_in_the_shared_folder_it_starts_from_nothing(
+    #[case] says: Option<&'static [u8]>,
+) {
     let scene = Scene::new();
     let listener = UnixListener::bind(scene.place()).unwrap();
     match says {
@@ -201,11 +231,19 @@
         true
     });
     let (address, shared) = (nowhere(), shared());
-    let text = told(address, nowhere(), &member("s-1", slow.address, "up"), &patient());
+    let text = told(
+        address,
+        nowhere(),
+        &member("s-1", slow.address, "up"),
+        &patient(),
+    );
     let text = text.replace("\"sockets\":64", "\"sockets\":256");
     let old = Sidecar::start_beside(address, nowhere(), &text, &shared.0);
     let mut first = old.client();
-    first.get_mut().write_all(patiently(&book("a")).as_bytes()).unwrap();
+    first
+        .get_mut()
+        .write_all(patiently(&book("a")).as_bytes())
+        .unwrap();
     until(|| slow.count() == 1);
     let new = Sidecar::start_beside(address, nowhere(), &text, &shared.0);
     until(|| new.ask(&patiently(&book("a"))).word() == "409");
@@ -220,19 +258,29 @@
 fn descriptors_of_both_stay_within_the_limit() {
     let scene = Scene::new();
     let (old, _) = scene.start();
-    let crowd =
-        || (0..200).filter_map(|_| std::net::TcpStream::connect(scene.address).ok()).collect::<Vec<_>>();
+    let crowd = || {
+        (0..200)
+            .filter_map(|_| std::net::TcpStream::connect(scene.address).ok())
+            .collect::<Vec<_>>()
+    };
     let first = crowd();
     until(|| old.descriptors() > 70);
     let (new, _) = scene.start();
     let second = crowd();
     until(|| new.descriptors() > 30);
-    assert!(old.descriptors() + new.descriptors() <= 256, "{} and {}", old.descriptors(), new.descriptors());
+    assert!(
+        old.descriptors() + new.descriptors() <= 256,
+        "{} and {}",
+        old.descriptors(),
+        new.descriptors()
+    );
     drop((first, second));
 }
 
 /// Hands on between the two what the old process gives, its socket too, and holds back all lines that it says later.
-fn hold_back_lines(place: &std::path::Path) -> std::thread::JoinHandle<std::os::unix::net::UnixStream> {
+fn hold_back_lines(
+    place: &std::path::Path,
+) -> std::thread::JoinHandle<std::os::unix::net::UnixStream> {
     use rustix::net::*;
     use std::io::{IoSlice, IoSliceMut, Read};
     use std::os::fd::AsFd;
@@ -249,15 +297,27 @@
             line.extend(byte);
         }
         before.write_all(&line).unwrap();
-        let (mut size, mut space) =
-            ([0; 4], [std::mem::MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))]);
+        let (mut size, mut space) = (
+            [0; 4],
+            [std::mem::MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))],
+        );
         let mut beside = RecvAncillaryBuffer::new(&mut space);
-        recvmsg(&before, &mut [IoSliceMut::new(&mut size)], &mut beside, RecvFlags::empty()).unwrap();
+        recvmsg(
+            &before,
+            &mut [IoSliceMut::new(&mut size)],
+            &mut beside,
+            RecvFlags::empty(),
+        )
+        .unwrap();
         let sockets: Vec<_> = beside
             .drain()
-            .filter_map(
-                |m| if let RecvAncillaryMessage::ScmRights(sockets) = m { Some(sockets) } else { None },
-            )
+            .filter_map(|m| {
+                if let RecvAncillaryMessage::ScmRights(sockets) = m {
+                    Some(sockets)
+                } else {
+                    None
+                }
+            })
             .flatten()
             .collect();
         let mut state = vec![0; u32::from_be_bytes(size) as usize];
@@ -266,7 +326,13 @@
         let mut beside = SendAncillaryBuffer::new(&mut space);
         let sockets = [sockets[0].as_fd()];
         assert!(beside.push(SendAncillaryMessage::ScmRights(&sockets)));
-        sendmsg(&next, &[IoSlice::new(&size)], &mut beside, SendFlags::empty()).unwrap();
+        sendmsg(
+            &next,
+            &[IoSlice::new(&size)],
+            &mut beside,
+            SendFlags::empty(),
+        )
+        .unwrap();
         next.write_all(&state).unwrap();
         // Both stay open, and nothing more passes.
         std::mem::forget(before);
@@ -285,13 +351,24 @@
         true
     });
     let (address, shared) = (nowhere(), shared());
-    let text = told(address, nowhere(), &member("s-1", slow.address, "up"), &patient());
+    let text = told(
+        address,
+        nowhere(),
+        &member("s-1", slow.address, "up"),
+        &patient(),
+    );
     let text = text.replace("\"sockets\":64", "\"sockets\":256");
     let old = Sidecar::start_beside(address, nowhere(), &text, &shared.0);
     let mut first = old.client();
-    first.get_mut().write_all(patiently(&book("a")).as_bytes()).unwrap();
+    first
+        .get_mut()
+        .write_all(patiently(&book("a")).as_bytes())
+        .unwrap();
     until(|| slow.count() == 1);
-    let place = shared.0.join(format!("passroad-{}.sock", address.to_string().replace(':', "-")));
+    let place = shared.0.join(format!(
+        "passroad-{}.sock",
+        address.to_string().replace(':', "-")
+    ));
     let proxy = hold_back_lines(&place);
     let new = Sidecar::start_beside(address, nowhere(), &text, &shared.0);
     let _link = proxy.join().unwrap();
