--- a/crates/passroad-choice/src/choice.rs
+++ b/crates/passroad-choice/src/choice.rs
@@ -65,7 +65,7 @@
 }
 
 impl Balancer {
-    pub fn new(orders: StandingOrders) -> Self {
+    pub fn new(orders: BalancerConfig) -> Self {
         let (seed, duty) = (orders.seed | 1, Balancer::duty(orders));
         Balancer {
             limit: FIRST_LIMIT,
@@ -74,33 +74,35 @@
         }
     }
 
-    fn duty(orders: StandingOrders) -> DutySheet {
+    fn duty(orders: BalancerConfig) -> DutySheet {
         let goals = orders
-            .verbs
+            .classes
             .iter()
-            .map(|v| v.goal)
+            .map(|v| v.deadline_target)
             .min()
             .unwrap_or_default();
         let goal = goals.clamp(Duration::from_millis(1), Duration::from_secs(60));
         // Heartbeats may cost most of a hundredth of the service: none where one costs more and alone tells.
         let dear = orders.probe_price > 0.007;
-        let told =
-            orders.reports == ReportsHow::Piggyback || orders.reports == ReportsHow::Pull && !dear;
-        let asks = orders.probes && told;
+        let told = orders.report_mode == ReportMode::Piggyback
+            || orders.report_mode == ReportMode::Pull && !dear;
+        let asks = orders.probes_allowed && told;
         let heartbeats = (0.007 / orders.probe_price.max(1e-4)).clamp(1.0, 4.0) as usize;
-        let verb = |v: &VerbOrder| VerbDuty::of(v, v.goal / 4, orders.max_relays.max(1));
+        let verb = |v: &RequestClassConfig| {
+            VerbDuty::of(v, v.deadline_target / 4, orders.max_relays.max(1))
+        };
         DutySheet {
-            verbs: orders.verbs.iter().map(verb).collect(),
-            goal_whole: orders.goal_whole,
-            goal_verb: orders.goal_worst_verb,
-            portions: orders.companies.iter().map(|c| c.portion).collect(),
+            verbs: orders.classes.iter().map(verb).collect(),
+            goal_whole: orders.objective_total,
+            goal_verb: orders.objective_worst_class,
+            portions: orders.tenants.iter().map(|c| c.share).collect(),
             surplus_utility: orders.surplus_utility,
-            own_zone: orders.zone,
+            own_zone: orders.own_zone,
             return_after: orders.max_retry_after,
-            may_recall: orders.may_cancel,
-            second_copies: orders.second_copies && orders.max_relays > 1,
+            may_recall: orders.cancellation_allowed,
+            second_copies: orders.hedging_allowed && orders.max_relays > 1,
             listen: orders.list_on_request,
-            list_every: orders.ask_every.min(Duration::from_secs(10)),
+            list_every: orders.list_poll_interval.min(Duration::from_secs(10)),
             drain_grace: orders.drain_grace,
             heartbeats: if asks { heartbeats } else { 0 },
             asks: !dear,
@@ -112,18 +114,18 @@
             hold: (goal / 40).max(2 * orders.tick),
             patience: goal / 4,
             tick: orders.tick,
-            live_weights: orders.weights_live,
+            live_weights: orders.live_weights,
             warm_keys: orders.warm_keys,
             near: 0.01 / (0.01 + orders.cross_zone_price.max(0.0)),
             idle_close: orders.idle_close,
-            one_stream: orders.streams <= 1,
+            one_stream: orders.streams_per_connection <= 1,
             // A new connection at a fortieth of the service is as bad as one command ahead.
             new_link: 40.0 * orders.handshake_price.max(0.0),
-            cold_from: orders.cold_from.clamp(0.01, 1.0),
-            warm_within: orders.warm_within.max(Duration::from_millis(1)),
-            tip_after: orders.tip_after,
+            cold_from: orders.cold_capacity.clamp(0.01, 1.0),
+            warm_within: orders.warm_up_time.max(Duration::from_millis(1)),
+            tip_after: orders.overload_window,
             // Some passes lapse; but past its fair share a cold endpoint is late long before it falls over.
-            cold_share: orders.tip_multiple.max(1.0).powf(0.25),
+            cold_share: orders.overload_multiple.max(1.0).powf(0.25),
         }
     }
 
@@ -133,22 +135,28 @@
         if now >= self.next_survey {
             self.survey();
         }
-        let stirs = !matches!(event, Event::Due { token } if token & 3 != ALARM_QUEUE);
+        let stirs = !matches!(event, Event::TimerFired { token } if token & 3 != ALARM_QUEUE);
         match event {
-            Event::Listed { kind, entries } => self.read_list(kind, entries),
-            Event::Steered { weights } => self.steer(weights),
-            Event::Retuned(orders) => self.retune(Balancer::duty(*orders)),
-            Event::Cordoned { endpoint, out } => self.cordon(endpoint, out),
-            Event::Inherited { memory, slots } => self.inherit(*memory, &slots),
-            Event::Arrived(arrival) => self.take(arrival),
-            Event::Whole { cmd } => self.whole(cmd),
-            Event::Spent { cmd } => self.spent(cmd),
-            Event::StreamStarted { cmd, .. } => self.streams(cmd),
-            Event::Finished {
-                cmd,
+            Event::ListUpdated { kind, entries } => self.read_list(kind, entries),
+            Event::RouteWeightsChanged { weights } => self.steer(weights),
+            Event::Reconfigured(orders) => self.retune(Balancer::duty(*orders)),
+            Event::CordonChanged {
+                endpoint,
+                cordoned: out,
+            } => self.cordon(endpoint, out),
+            Event::StateInherited {
+                state: memory,
+                slots,
+            } => self.inherit(*memory, &slots),
+            Event::CommandArrived(arrival) => self.take(arrival),
+            Event::BodyComplete { command: cmd } => self.whole(cmd),
+            Event::BodyNotReplayable { command: cmd } => self.spent(cmd),
+            Event::StreamStarted { command: cmd, .. } => self.streams(cmd),
+            Event::RelayFinished {
+                command: cmd,
                 relay,
                 outcome,
-                spent,
+                elapsed: spent,
                 concluded,
                 report,
             } => {
@@ -161,15 +169,15 @@
                     }
                 }
             }
-            Event::Lapsed { cmd } => self.conclude(cmd, None),
-            Event::Checked {
+            Event::CommandAbandoned { command: cmd } => self.conclude(cmd, None),
+            Event::ProbeFinished {
                 endpoint: at,
                 outcome,
-                spent,
+                elapsed: spent,
                 report,
             } => self.checked(at, outcome, spent, report),
-            Event::PeerSaid { .. } => {}
-            Event::Due { token } => self.due(token),
+            Event::PeerMessageReceived { .. } => {}
+            Event::TimerFired { token } => self.due(token),
         }
         if stirs || !self.out.is_empty() {
             self.pump();
@@ -182,7 +190,7 @@
         match token & 3 {
             ALARM_LIST if !self.listening => {
                 self.listening = true;
-                self.out.push(Action::Listen { active: true });
+                self.out.push(Action::Subscribe { active: true });
             }
             // Guards against a lost command: an alarm that comes a hair early must not stop the queue.
             ALARM_QUEUE if self.wake <= self.now + self.duty.tick / 100 => {
@@ -195,18 +203,18 @@
     }
 
     fn alarm(&mut self, after: Duration, token: u64) {
-        self.out.push(Action::Alarm {
+        self.out.push(Action::SetTimer {
             after: after.max(self.duty.tick),
             token,
         });
     }
 
-    fn read_list(&mut self, kind: ListKind, entries: Vec<Listing>) {
+    fn read_list(&mut self, kind: ListUpdateKind, entries: Vec<ListedEndpoint>) {
         let jitter = self.chance();
         match kind {
             // Guards against a crowd at a list service that is down: later each time, never in step; 1.5 s at
             // most, as news soon counts as told. Where lists are pushed the agent's news counts at once.
-            ListKind::Refused => {
+            ListUpdateKind::Failed => {
                 self.listening = false;
                 self.list_fails += 1;
                 let step = match self.duty.listen {
@@ -220,10 +228,10 @@
                 ));
                 return self.alarm(after, ALARM_LIST);
             }
-            ListKind::Remembered if self.duty.listen => {
+            ListUpdateKind::Cached if self.duty.listen => {
                 self.alarm(self.duty.list_every.mul_f64(jitter / 4.0), ALARM_LIST);
             }
-            ListKind::All | ListKind::Changes if self.list_fails > 0 => {
+            ListUpdateKind::Full | ListUpdateKind::Delta if self.list_fails > 0 => {
                 self.log(format!(
                     "list answers again after {} refusals",
                     self.list_fails
@@ -232,7 +240,7 @@
             }
             _ => {}
         }
-        if kind != ListKind::Changes {
+        if kind != ListUpdateKind::Delta {
             self.endpoints
                 .iter_mut()
                 .for_each(|e| (e.up, e.listed, e.gone) = (false, false, e.known));
@@ -242,19 +250,22 @@
             self.endpoints.resize_with(len, Endpoint::unknown);
             let e = &mut self.endpoints[entry.endpoint];
             (e.mark, e.kind, e.zone, e.cell, e.known) =
-                (entry.mark, entry.kind, entry.zone, entry.cell, true);
-            e.rating = entry.rating.clamp(0.01, 1e6);
+                (entry.id_hash, entry.kind, entry.zone, entry.cell, true);
+            e.rating = entry.weight.clamp(0.01, 1e6);
             // A live weight is the size by one more than what is held: the most seen is the size.
             if self.duty.live_weights {
                 e.nominal = e.nominal.max(e.rating);
                 (e.holds, e.rating) = (e.nominal / e.rating - 1.0, e.nominal);
             }
-            (e.up, e.gone) = (entry.mode == Mode::Running, entry.mode == Mode::Deleted);
+            (e.up, e.gone) = (
+                entry.state == EndpointState::Running,
+                entry.state == EndpointState::Removed,
+            );
             e.listed = e.up && e.banned.is_none();
-            let young = !entry.started.is_zero()
-                && now.saturating_sub(entry.started) < self.duty.warm_within;
-            if young && e.up_since.is_none_or(|at| entry.started > at) {
-                e.start_cold(entry.started);
+            let young = !entry.started_at.is_zero()
+                && now.saturating_sub(entry.started_at) < self.duty.warm_within;
+            if young && e.up_since.is_none_or(|at| entry.started_at > at) {
+                e.start_cold(entry.started_at);
             }
         }
         if self.duty.live_weights {
@@ -269,7 +280,7 @@
 
     /// Out by hand, whatever the list says. Guards against trust in what may be another process when it
     /// is called back: nothing old holds, it is cold unless told of a start meanwhile, and a send is due.
-    fn cordon(&mut self, at: EndpointIx, out: bool) {
+    fn cordon(&mut self, at: EndpointIndex, out: bool) {
         let (now, len) = (self.now, self.endpoints.len().max(at + 1));
         self.endpoints.resize_with(len, Endpoint::unknown);
         let owed = now + self.duty.tip_after.mul_f64(self.chance());
@@ -303,7 +314,7 @@
         let (gone, met): (Vec<_>, _) = self.met.iter().partition(|at| gone(&self.endpoints[**at]));
         self.met = met;
         gone.into_iter()
-            .for_each(|at: EndpointIx| self.endpoints[at].forget());
+            .for_each(|at: EndpointIndex| self.endpoints[at].forget());
         for _ in 0..2 * self.duty.heartbeats.max(2) {
             let mass = self.chance() * self.table.last().copied().unwrap_or_default();
             let at = self.table.partition_point(|m| *m <= mass);
@@ -317,10 +328,10 @@
 
     fn checked(
         &mut self,
-        at: EndpointIx,
+        at: EndpointIndex,
         outcome: Outcome,
         spent: Duration,
-        report: Option<Report>,
+        report: Option<LoadReport>,
     ) {
         let Some(e) = self.endpoints.get_mut(at) else {
             return;
@@ -340,13 +351,13 @@
             } else {
                 0.0
             };
-        } else if matches!(outcome, Outcome::NoConnection | Outcome::TimedOut) {
+        } else if matches!(outcome, Outcome::ConnectFailed | Outcome::TimedOut) {
             self.missed(at);
         }
     }
 
     /// Could not be reached: the next trial comes later each time.
-    fn missed(&mut self, at: EndpointIx) {
+    fn missed(&mut self, at: EndpointIndex) {
         let e = &mut self.endpoints[at];
         e.misses += 1;
         e.try_at = self.now + self.duty.trust * (1 << e.misses.min(5));
@@ -359,7 +370,7 @@
 
     /// Guards against pushing over a process that restarted before the list says so: if it could not be
     /// reached and now can, it counts as cold from here.
-    fn reached(&mut self, at: EndpointIx) {
+    fn reached(&mut self, at: EndpointIndex) {
         let (now, within) = (self.now, self.duty.warm_within);
         let e = &mut self.endpoints[at];
         let misses = std::mem::take(&mut e.misses);
@@ -373,7 +384,7 @@
         }
     }
 
-    fn hear(&mut self, at: EndpointIx, report: Option<Report>) {
+    fn hear(&mut self, at: EndpointIndex, report: Option<LoadReport>) {
         let (Some(e), Some(report)) = (self.endpoints.get_mut(at), report) else {
             return;
         };
@@ -413,7 +424,7 @@
     /// Guards against stuck or lying reports, which draw all to what seems empty: what an endpoint says is
     /// held against own relays known to be there, against refusals as full, and against the times it takes
     /// where a relay went by it. Thin traffic goes by old ones, and the cold are slow: neither is a lie.
-    fn credit(&mut self, at: EndpointIx, step: f64) {
+    fn credit(&mut self, at: EndpointIndex, step: f64) {
         let e = &mut self.endpoints[at];
         e.credit = (e.credit + step).clamp(0.0, 1.0);
         self.faith = (self.faith + 0.2 * step).clamp(0.0, 1.0);
@@ -674,7 +685,7 @@
             .saturating_sub(std::mem::replace(&mut self.pass_at, self.now));
         let since = since.min(self.duty.tip_after).as_secs_f64();
         let (count, nth, luck) = (self.colds.len() as f64, self.chance(), self.chance());
-        let due = |at: &EndpointIx| {
+        let due = |at: &EndpointIndex| {
             self.endpoints[*at]
                 .owed
                 .is_some_and(|from| self.now >= from)
@@ -695,13 +706,13 @@
 
     // ---- commands ----
 
-    fn take(&mut self, a: Arrival) {
-        let v = &self.duty.verbs[a.verb];
+    fn take(&mut self, a: CommandArrival) {
+        let v = &self.duty.verbs[a.class];
         let goal = (v.goal + a.work.unwrap_or_default().mul_f64(v.stretch)).min(v.limit);
         // Guards against answering repeats that are past their goal: first tries of a verb get the same time,
         // a last try what is left of the limit, which tells how much is spent; where marked, only repeats.
         let odd = a.budget.abs_diff(v.budget) > v.budget / 50;
-        let known = odd && v.budget_votes >= 4 && a.again == self.marked;
+        let known = odd && v.budget_votes >= 4 && a.is_retry == self.marked;
         let gone = if known {
             v.limit.saturating_sub(a.budget)
         } else {
@@ -709,8 +720,8 @@
         };
         // A marked repeat has spent some of its goal, no one knows how much.
         let values = self.values();
-        let mut value = values[a.verb] * if a.again && !known { 0.3 } else { 1.0 };
-        if let Some(company) = a.company.filter(|c| *c < self.mix.len()) {
+        let mut value = values[a.class] * if a.is_retry && !known { 0.3 } else { 1.0 };
+        if let Some(company) = a.tenant.filter(|c| *c < self.mix.len()) {
             self.mix[company].add(self.now, 8 * CALM);
             let rate = |m: &Faded| m.rate(self.now, 8 * CALM);
             let share = rate(&self.mix[company]) / self.mix.iter().map(rate).sum::<f64>();
@@ -719,8 +730,8 @@
                 value *= self.duty.surplus_utility.max(0.3);
             }
         }
-        let v = &mut self.duty.verbs[a.verb];
-        if !a.again && !known {
+        let v = &mut self.duty.verbs[a.class];
+        if !a.is_retry && !known {
             v.asked.add(self.now, 8 * CALM);
         }
         match (odd, v.budget_votes) {
@@ -728,9 +739,9 @@
             (true, _) => v.budget_votes -= 1,
             (false, n) => v.budget_votes = (n + 1).min(20),
         }
-        let len = self.commands.len().max(a.cmd + 1);
+        let len = self.commands.len().max(a.command + 1);
         self.commands.resize_with(len, || None);
-        (self.spare, self.marked) = ((self.spare + 0.2).min(5.0), self.marked || a.again);
+        (self.spare, self.marked) = ((self.spare + 0.2).min(5.0), self.marked || a.is_retry);
         self.arrivals.add(self.now, 4 * CALM);
         let key = a.key.filter(|_| self.duty.warm_keys);
         key.into_iter()
@@ -740,18 +751,18 @@
             (self.now + goal).saturating_sub(gone),
             values.into_iter().fold(1e-9, f64::max),
         );
-        self.commands[a.cmd] = Some(Command {
+        self.commands[a.command] = Some(Command {
             value,
             best,
             key,
             ..Command::come(&a, self.now, due)
         });
-        self.enqueue(a.cmd);
-        self.hold(a.cmd);
+        self.enqueue(a.command);
+        self.hold(a.command);
     }
 
     /// Holds a command while a few endpoints are asked how they are; tells whether it waits for them.
-    fn hold(&mut self, cmd: CmdIx) -> bool {
+    fn hold(&mut self, cmd: CommandIndex) -> bool {
         // Guards against holding a command longer than its client stays.
         let Some(c) = self.held(cmd).filter(|c| self.now < c.last_call) else {
             return false;
@@ -809,7 +820,7 @@
         end.saturating_sub(need).min(self.now + v.goal / 4)
     }
 
-    fn enqueue(&mut self, cmd: CmdIx) {
+    fn enqueue(&mut self, cmd: CommandIndex) {
         let Some(last_call) = self.held(cmd).map(|c| self.last_call(c)) else {
             return;
         };
@@ -825,7 +836,7 @@
             return;
         }
         let mut waiting = std::mem::take(&mut self.queue);
-        let rank = |cmd: &CmdIx| {
+        let rank = |cmd: &CommandIndex| {
             self.held(*cmd)
                 .map_or((0.0, Duration::ZERO), |c| (-c.value, c.came))
         };
@@ -921,14 +932,14 @@
     }
 
     /// The design's draw among the endpoints where this command may go.
-    fn pick(&mut self, cmd: CmdIx, copy: bool) -> Option<EndpointIx> {
+    fn pick(&mut self, cmd: CommandIndex, copy: bool) -> Option<EndpointIndex> {
         let c = self.held(cmd)?;
         let v = &self.duty.verbs[c.verb];
         // Guards against an effect twice: what may have run goes on only inside the group that drops repeats.
         let home = match (v.effect, c.relays.iter().find(|r| r.may_have_run())) {
-            (Effect::Pure, _) | (_, None) => None,
-            (Effect::Effectful, Some(_)) => return None,
-            (Effect::Receipted, Some(first)) => {
+            (Effect::Safe, _) | (_, None) => None,
+            (Effect::NonIdempotent, Some(_)) => return None,
+            (Effect::Keyed, Some(first)) => {
                 if v.window_left(first, self.now) <= self.duty.tick {
                     return None;
                 }
@@ -938,9 +949,9 @@
         let group = v.group;
         let drops_repeats = |e: &Endpoint| {
             home.is_none_or(|home| match group {
-                Group::All => true,
-                Group::Zone => e.zone == home.zone,
-                Group::Cell => e.zone == home.zone && e.cell == home.cell,
+                DeduplicationScope::All => true,
+                DeduplicationScope::Zone => e.zone == home.zone,
+                DeduplicationScope::Cell => e.zone == home.zone && e.cell == home.cell,
             })
         };
         let may = |e: &Endpoint| self.open(e) && drops_repeats(e) && v.placed(e);
@@ -960,7 +971,7 @@
             None if !v.bound() => self.met.clone(),
             _ => (0..self.endpoints.len()).collect(),
         };
-        let risk = if v.effect == Effect::Effectful {
+        let risk = if v.effect == Effect::NonIdempotent {
             5.0 * RISK
         } else {
             RISK
@@ -970,7 +981,7 @@
             .iter()
             .zip(&mut weights)
             .for_each(|((_, share), w)| *w *= share);
-        let tried = |at: &EndpointIx| c.relays.iter().any(|r| r.endpoint == *at);
+        let tried = |at: &EndpointIndex| c.relays.iter().any(|r| r.endpoint == *at);
         for (_, w) in ats.iter().zip(&mut weights).filter(|(at, _)| tried(at)) {
             *w *= if copy { 0.0 } else { 0.01 };
         }
@@ -980,7 +991,7 @@
     /// The few that are to remember a key, the same at every sidecar, with shares of their weight: as many as
     /// its part of all commands asks for, and two more. Guards against a key met everywhere, remembered
     /// nowhere. Zones share homes, so the root of the base weight ranks. A pass is for whatever is next.
-    fn homes(&self, c: &Command) -> Vec<(EndpointIx, f64)> {
+    fn homes(&self, c: &Command) -> Vec<(EndpointIndex, f64)> {
         let Some(key) = c.key else { return Vec::new() };
         let rate = |m: &Faded| m.rate(self.now, 4 * CALM);
         let part = rate(&self.keys[key as usize % KEY_SLOTS]) / rate(&self.arrivals).max(1e-9);
@@ -1017,7 +1028,7 @@
             .collect()
     }
 
-    fn send(&mut self, cmd: CmdIx, at: EndpointIx) {
+    fn send(&mut self, cmd: CommandIndex, at: EndpointIndex) {
         let (now, usual) = (self.now, self.usual_load());
         let e = &self.endpoints[at];
         let ahead = self.load(e, usual) / e.size;
@@ -1034,7 +1045,7 @@
         let ran = c
             .relays
             .iter()
-            .find(|r| r.may_have_run() && v.effect == Effect::Receipted);
+            .find(|r| r.may_have_run() && v.effect == Effect::Keyed);
         let window = ran.map(|first| v.window_left(first, now));
         c.waits = false;
         c.relays.push(Relay {
@@ -1048,10 +1059,10 @@
         // Guards against a repeat whose connection comes up when its endpoint would no longer drop it.
         let begin = window.unwrap_or(within).min(within);
         self.out.push(Action::Relay {
-            cmd,
+            command: cmd,
             endpoint: at,
-            within,
-            begin,
+            timeout: within,
+            send_by: begin,
         });
         let e = &mut self.endpoints[at];
         (e.used, e.pass_until, e.owed) = (Some(now), Duration::ZERO, None);
@@ -1061,8 +1072,9 @@
         self.endpoints[at].sends.add(now, 4 * CALM);
         let v = &self.duty.verbs[verb];
         let (until_due, slow) = (due.saturating_sub(now), v.slow());
-        let copies =
-            self.duty.second_copies && v.effect != Effect::Effectful && slow < v.goal.mul_f64(0.8);
+        let copies = self.duty.second_copies
+            && v.effect != Effect::NonIdempotent
+            && slow < v.goal.mul_f64(0.8);
         if first && v.late_utility <= 0.0 && !coming {
             self.alarm(until_due, ALARM_GOAL | (cmd as u64) << 2);
         }
@@ -1073,7 +1085,7 @@
 
     /// A second copy, where one relay takes unusually long. Guards against an endpoint that stands still; the
     /// budget of further relays keeps it from feeding an overload.
-    fn copy(&mut self, cmd: CmdIx) {
+    fn copy(&mut self, cmd: CommandIndex) {
         let Some(c) = self
             .held(cmd)
             .filter(|c| !c.over && !c.streams && !c.waits && !c.once)
@@ -1093,7 +1105,7 @@
     }
 
     /// All of a long body has come; from here on it is as any other command.
-    fn whole(&mut self, cmd: CmdIx) {
+    fn whole(&mut self, cmd: CommandIndex) {
         let Some(c) = self
             .commands
             .get_mut(cmd)
@@ -1116,7 +1128,7 @@
 
     /// Past its goal an answer is worth nothing. Guards against work that keeps others waiting: it is called
     /// off where something waits, here or at its endpoint; else it may end by itself and is not wasted.
-    fn past_goal(&mut self, cmd: CmdIx) {
+    fn past_goal(&mut self, cmd: CommandIndex) {
         let past = |c: &&Command| !c.over && !c.streams && !c.waits && self.now >= c.due;
         let Some(c) = self.held(cmd).filter(past) else {
             return;
@@ -1142,11 +1154,11 @@
     /// Books the outcome of a relay; tells its endpoint.
     fn finish(
         &mut self,
-        cmd: CmdIx,
+        cmd: CommandIndex,
         n: usize,
         outcome: Outcome,
         spent: Duration,
-    ) -> Option<EndpointIx> {
+    ) -> Option<EndpointIndex> {
         let now = self.now;
         let c = self.commands.get_mut(cmd)?.as_mut()?;
         let (verb, in_time, coming) = (c.verb, now <= c.due, c.coming);
@@ -1191,8 +1203,8 @@
                 self.reached(at);
                 self.judge(at, verb, outcome, OUTCOMES);
             }
-            Outcome::Moot | Outcome::Recalled | Outcome::Unfit => {}
-            Outcome::Full => {
+            Outcome::NotSent | Outcome::Cancelled | Outcome::Rejected => {}
+            Outcome::Overloaded => {
                 self.cut(at);
                 self.credit(at, if r.ahead < FIRST_LIMIT { -0.25 } else { 0.0 });
                 if self.duty.heartbeats == 0 {
@@ -1200,8 +1212,8 @@
                 }
             }
             Outcome::TimedOut => self.slow_answer(&r, verb, spent),
-            Outcome::Error | Outcome::Broken => self.judge(at, verb, outcome, OUTCOMES), // it was reached
-            Outcome::NoConnection => {
+            Outcome::Error | Outcome::ConnectionLost => self.judge(at, verb, outcome, OUTCOMES), // it was reached
+            Outcome::ConnectFailed => {
                 self.endpoints[at].used = None;
                 self.judge(at, verb, outcome, OUTCOMES);
                 self.missed(at);
@@ -1212,19 +1224,26 @@
 
     /// The limit on what is out from here in all: steps by worth, up while it binds, down for what is late or
     /// turned away. What fails at an endpoint that fails more than the others says little of the fleet.
-    fn widen(&mut self, at: EndpointIx, verb: usize, outcome: Outcome, in_time: bool, value: f64) {
+    fn widen(
+        &mut self,
+        at: EndpointIndex,
+        verb: usize,
+        outcome: Outcome,
+        in_time: bool,
+        value: f64,
+    ) {
         self.worth += LEAST_GAIN * (value - self.worth);
         let (value, answered) = (value / self.worth, outcome == Outcome::Answered);
         let share = value * (self.endpoints[at].health(self.now, Some(verb)) / self.well).min(1.0);
         self.well = (self.well + LEAST_GAIN * (f64::from(u8::from(answered)) - self.well)).max(0.1);
-        let late = answered || outcome == Outcome::Recalled && !in_time;
+        let late = answered || outcome == Outcome::Cancelled && !in_time;
         if answered && in_time {
             self.window += if self.out_now + 2.0 >= 0.6 * self.window {
                 0.1 * value
             } else {
                 0.0
             };
-        } else if late || matches!(outcome, Outcome::TimedOut | Outcome::Full) {
+        } else if late || matches!(outcome, Outcome::TimedOut | Outcome::Overloaded) {
             self.window = (self.window.min(2.0 * self.out_now + 4.0) - 0.5 * share).max(1.0);
         }
     }
@@ -1248,7 +1267,7 @@
         self.cut(r.endpoint);
     }
 
-    fn cut(&mut self, at: EndpointIx) {
+    fn cut(&mut self, at: EndpointIndex) {
         if self.now.saturating_sub(self.endpoints[at].last_cut) > self.duty.trust {
             self.endpoints[at].last_cut = self.now;
             self.set_limit(at, (self.limit_of(&self.endpoints[at]) * CUT).max(1.0));
@@ -1261,14 +1280,14 @@
         self.limit + (e.limit - self.limit) * fade(self.now, e.tried, 4 * CALM)
     }
 
-    fn set_limit(&mut self, at: EndpointIx, limit: f64) {
+    fn set_limit(&mut self, at: EndpointIndex, limit: f64) {
         self.limit =
             (self.limit + LIMIT_SPREAD * (limit - self.limit_of(&self.endpoints[at]))).max(1.0);
         (self.endpoints[at].limit, self.endpoints[at].tried) = (limit, self.now);
     }
 
     /// What becomes of a command of which a relay ended without an answer.
-    fn go_on(&mut self, cmd: CmdIx, outcome: Outcome) {
+    fn go_on(&mut self, cmd: CommandIndex, outcome: Outcome) {
         let all_ended = |c: &&Command| c.over || c.relays.iter().all(|r| r.outcome.is_some());
         let Some(c) = self.held(cmd).filter(all_ended) else {
             return;
@@ -1281,10 +1300,11 @@
         let unfit = c
             .relays
             .iter()
-            .filter(|r| r.outcome == Some(Outcome::Unfit))
+            .filter(|r| r.outcome == Some(Outcome::Rejected))
             .count();
-        let again =
-            unfit < 2 && !c.once && (!ran || self.duty.verbs[c.verb].effect != Effect::Effectful);
+        let again = unfit < 2
+            && !c.once
+            && (!ran || self.duty.verbs[c.verb].effect != Effect::NonIdempotent);
         // A first relay proven not to have run, or not to fit, costs little to send again, but not nothing.
         let price = if c.relays.len() < 2 && (outcome.never_ran() || unfit > 0) {
             0.2
@@ -1302,23 +1322,26 @@
     }
 
     /// The final answer at once: declined where a repeat is harmless, else terminated.
-    fn give_up(&mut self, cmd: CmdIx) {
+    fn give_up(&mut self, cmd: CommandIndex) {
         let Some(c) = self.held(cmd) else { return };
         let (v, late) = (&self.duty.verbs[c.verb], self.now >= c.due);
         let ran = c.relays.iter().any(Relay::may_have_run);
-        let drops_any = v.effect == Effect::Receipted && v.group == Group::All;
-        let harmless = !ran || v.effect == Effect::Pure || drops_any;
+        let drops_any = v.effect == Effect::Keyed && v.group == DeduplicationScope::All;
+        let harmless = !ran || v.effect == Effect::Safe || drops_any;
         let rest = if late { v.limit } else { v.goal / 5 };
         let not_before = self.duty.return_after.map(|most| most.min(rest));
         let action = if harmless {
-            Action::Decline { cmd, not_before }
+            Action::Refuse {
+                command: cmd,
+                retry_after: not_before,
+            }
         } else {
-            Action::Terminate { cmd }
+            Action::Fail { command: cmd }
         };
         self.conclude(cmd, Some(action));
     }
 
-    fn conclude(&mut self, cmd: CmdIx, answer: Option<Action>) {
+    fn conclude(&mut self, cmd: CommandIndex, answer: Option<Action>) {
         let Some(c) = self.commands.get_mut(cmd).and_then(Option::as_mut) else {
             return;
         };
@@ -1331,7 +1354,10 @@
                 .enumerate()
                 .filter(|(_, r)| r.outcome.is_none())
             {
-                self.out.push(Action::Recall { cmd, relay });
+                self.out.push(Action::CancelRelay {
+                    command: cmd,
+                    relay,
+                });
             }
         }
         self.queue.retain(|q| *q != cmd);
--- a/crates/passroad-choice/src/choice/tests.rs
+++ b/crates/passroad-choice/src/choice/tests.rs
@@ -1,14 +1,14 @@
 //! Each test builds the state that it needs and calls the module once; helpers stand at the end.
 
 use super::*;
-use crate::door::mark;
+use crate::interner::stable_hash;
 use rstest::rstest;
 
 const NOW: Duration = Duration::from_secs(100);
 
 #[rstest]
 fn an_idle_endpoint_is_drawn_before_a_busy_one() {
-    let mut b = sidecar(Effect::Pure, 2);
+    let mut b = sidecar(Effect::Safe, 2);
     b.endpoints[0].holds = 1.0;
     let out = b.decide(NOW, arrival(0));
     assert_eq!(relays(&out), [1]);
@@ -16,13 +16,13 @@
 
 #[rstest]
 fn the_same_seed_gives_the_same_actions() {
-    let run = || sidecar(Effect::Pure, 5).decide(NOW, arrival(0));
+    let run = || sidecar(Effect::Safe, 5).decide(NOW, arrival(0));
     assert_eq!(run(), run());
 }
 
 #[rstest]
 fn weight_is_base_weight_times_score() {
-    let mut b = sidecar(Effect::Pure, 2);
+    let mut b = sidecar(Effect::Safe, 2);
     b.endpoints[1].size = 2.0;
     let w = b.weigh(&b.met, None, None, &|_| true);
     assert!((w[1] / w[0] - 2.0).abs() < 1e-9, "{w:?}");
@@ -30,7 +30,7 @@
 
 #[rstest]
 fn old_reports_drift_to_the_mean() {
-    let mut b = sidecar(Effect::Pure, 2);
+    let mut b = sidecar(Effect::Safe, 2);
     b.endpoints[0].holds = 9.0;
     b.endpoints[0].heard = Some(NOW - Duration::from_secs(60));
     assert!((b.load(&b.endpoints[0], 1.0) - 1.0).abs() < 1e-3);
@@ -39,7 +39,7 @@
 // sfax-trajets at its later size: a third of relays went to endpoints not heard of, beside an idle one.
 #[rstest]
 fn a_crowd_of_unheard_endpoints_does_not_outweigh_an_idle_one() {
-    let mut b = sidecar(Effect::Pure, 60);
+    let mut b = sidecar(Effect::Safe, 60);
     b.endpoints.iter_mut().for_each(|e| e.heard = None);
     b.endpoints[7].heard = Some(NOW);
     let w = b.weigh(&b.met, None, None, &|_| true);
@@ -49,7 +49,7 @@
 // Incidents i69898d and ie1a8dc: where reports lie, all seemed to hold one and own relays told nothing.
 #[rstest]
 fn without_credit_own_relays_decide() {
-    let mut b = sidecar(Effect::Pure, 2);
+    let mut b = sidecar(Effect::Safe, 2);
     (b.faith, b.endpoints[0].out) = (0.0, vec![NOW]);
     let w = b.weigh(&b.met, None, None, &|_| true);
     assert!(w[0] < 0.1 * w[1], "{w:?}");
@@ -58,7 +58,7 @@
 // Incident iaf261e: every command walked 477 endpoints several times; CPU cost a seventh of the service.
 #[rstest]
 fn of_a_large_fleet_a_few_are_in_view() {
-    let mut b = sidecar(Effect::Pure, 500);
+    let mut b = sidecar(Effect::Safe, 500);
     b.endpoints.iter_mut().for_each(|e| e.heard = None);
     b.decide(NOW, arrival(0));
     assert!(!b.met.is_empty() && b.met.len() < 20, "{}", b.met.len());
@@ -67,7 +67,7 @@
 // A first form lost the endpoint of a pass from view before it was asked; deploy days fell by a third.
 #[rstest]
 fn the_endpoint_of_a_pass_stays_in_view() {
-    let mut b = sidecar(Effect::Pure, 500);
+    let mut b = sidecar(Effect::Safe, 500);
     b.endpoints.iter_mut().for_each(|e| e.heard = None);
     b.endpoints[9].start_cold(NOW);
     b.endpoints[9].pass_until = NOW + CALM;
@@ -77,7 +77,7 @@
 
 #[rstest]
 fn own_relays_count_whatever_the_report_says() {
-    let mut b = sidecar(Effect::Pure, 1);
+    let mut b = sidecar(Effect::Safe, 1);
     b.endpoints[0].out = vec![NOW; 3];
     assert_eq!(b.load(&b.endpoints[0], 0.0), 3.0);
 }
@@ -85,13 +85,13 @@
 // Incidents i69898d and ie1a8dc: reports of nothing in work from endpoints that were full.
 #[rstest]
 fn a_report_that_hides_own_relays_loses_credit() {
-    let mut b = sidecar(Effect::Pure, 1);
+    let mut b = sidecar(Effect::Safe, 1);
     b.endpoints[0].out = vec![NOW - Duration::from_secs(1); 2];
     b.hear(
         0,
-        Some(Report {
+        Some(LoadReport {
             outstanding: Some(0.0),
-            ..Report::default()
+            ..LoadReport::default()
         }),
     );
     assert!(b.endpoints[0].credit < 1.0 && b.faith < 1.0);
@@ -99,13 +99,13 @@
 
 #[rstest]
 fn a_report_that_shows_own_relays_keeps_credit() {
-    let mut b = sidecar(Effect::Pure, 1);
+    let mut b = sidecar(Effect::Safe, 1);
     b.endpoints[0].out = vec![NOW - Duration::from_secs(1); 2];
     b.hear(
         0,
-        Some(Report {
+        Some(LoadReport {
             outstanding: Some(2.0),
-            ..Report::default()
+            ..LoadReport::default()
         }),
     );
     assert_eq!((b.endpoints[0].credit, b.faith), (1.0, 1.0));
@@ -122,7 +122,7 @@
     #[case] cold: bool,
     #[case] lost: bool,
 ) {
-    let mut b = sidecar(Effect::Pure, 1);
+    let mut b = sidecar(Effect::Safe, 1);
     b.endpoints[0].heard = Some(NOW - ago);
     if cold {
         b.endpoints[0].start_cold(NOW - Duration::from_secs(1));
@@ -136,7 +136,7 @@
 // A first form counted discredited endpoints as fuller than the mean and shut the whole fleet.
 #[rstest]
 fn a_fleet_without_credit_still_serves() {
-    let mut b = sidecar(Effect::Pure, 3);
+    let mut b = sidecar(Effect::Safe, 3);
     b.faith = 0.0;
     b.endpoints.iter_mut().for_each(|e| e.holds = 9.0);
     let out = b.decide(NOW, arrival(0));
@@ -145,7 +145,7 @@
 
 #[rstest]
 fn a_slow_endpoint_is_told_by_its_pace() {
-    let mut b = sidecar(Effect::Pure, 2);
+    let mut b = sidecar(Effect::Safe, 2);
     b.endpoints[0].pace = Pace {
         mean: 4.0,
         spread: 1.0,
@@ -158,7 +158,7 @@
 
 #[rstest]
 fn a_fast_failure_is_no_fast_answer() {
-    let mut b = with_relay(Effect::Pure, 2);
+    let mut b = with_relay(Effect::Safe, 2);
     b.finish(0, 0, Outcome::Error, Duration::from_millis(1));
     assert_eq!(
         (b.endpoints[0].pace.count, b.endpoints[0].last.seen),
@@ -174,7 +174,7 @@
     #[case] ago: Duration,
     #[case] preferred: bool,
 ) {
-    let mut b = sidecar(Effect::Pure, 2);
+    let mut b = sidecar(Effect::Safe, 2);
     (b.duty.new_link, b.endpoints[0].used) = (0.2, Some(NOW - ago));
     let w = b.weigh(&b.met, None, None, &|_| true);
     assert_eq!(w[0] > 1.3 * w[1], preferred, "{w:?}");
@@ -183,7 +183,7 @@
 // All three deployments at their later size: with few reports the usual load seemed near nought.
 #[rstest]
 fn one_fresh_report_of_many_tells_the_usual_load() {
-    let mut b = sidecar(Effect::Pure, 80);
+    let mut b = sidecar(Effect::Safe, 80);
     b.endpoints.iter_mut().for_each(|e| e.heard = None);
     (b.endpoints[3].heard, b.endpoints[3].holds) = (Some(NOW), 2.0);
     assert!((b.usual_load() - 2.0).abs() < 1e-9);
@@ -191,7 +191,7 @@
 
 #[rstest]
 fn failures_scale_the_weight_down_but_not_to_nothing() {
-    let mut b = sidecar(Effect::Pure, 2);
+    let mut b = sidecar(Effect::Safe, 2);
     b.endpoints[0].last = Few {
         bad: !0,
         seen: OUTCOMES,
@@ -202,70 +202,73 @@
 }
 
 #[rstest]
-#[case(Outcome::Full, true)]
-#[case(Outcome::NoConnection, true)]
+#[case(Outcome::Overloaded, true)]
+#[case(Outcome::ConnectFailed, true)]
 #[case(Outcome::Error, false)]
-#[case(Outcome::Broken, false)]
-#[case(Outcome::Recalled, false)]
+#[case(Outcome::ConnectionLost, false)]
+#[case(Outcome::Cancelled, false)]
 fn an_effectful_command_goes_on_only_when_it_never_ran(#[case] outcome: Outcome, #[case] on: bool) {
-    let mut b = with_relay(Effect::Effectful, 3);
+    let mut b = with_relay(Effect::NonIdempotent, 3);
     let out = b.decide(NOW, finished(0, outcome));
     assert_eq!(relays(&out).len(), usize::from(on));
-    assert_eq!(out.contains(&Action::Terminate { cmd: 0 }), !on);
+    assert_eq!(out.contains(&Action::Fail { command: 0 }), !on);
 }
 
 #[rstest]
-#[case(Group::Zone, Duration::ZERO, Some(1))]
-#[case(Group::Cell, Duration::ZERO, None)]
-#[case(Group::Zone, Duration::from_secs(5), None)]
+#[case(DeduplicationScope::Zone, Duration::ZERO, Some(1))]
+#[case(DeduplicationScope::Cell, Duration::ZERO, None)]
+#[case(DeduplicationScope::Zone, Duration::from_secs(5), None)]
 fn a_receipted_command_stays_in_group_and_window(
-    #[case] group: Group,
+    #[case] group: DeduplicationScope,
     #[case] ago: Duration,
-    #[case] to: Option<EndpointIx>,
+    #[case] to: Option<EndpointIndex>,
 ) {
-    let mut b = with_relay(Effect::Receipted, 3);
+    let mut b = with_relay(Effect::Keyed, 3);
     b.duty.verbs[0].group = group;
     b.endpoints[1].cell = 7;
     (b.endpoints[2].zone, b.endpoints[2].cell) = (9, 7);
     let c = b.commands[0].as_mut().unwrap();
-    (c.relays[0].sent, c.relays[0].outcome) = (NOW - ago, Some(Outcome::Broken));
+    (c.relays[0].sent, c.relays[0].outcome) = (NOW - ago, Some(Outcome::ConnectionLost));
     b.endpoints[0].listed = false;
     assert_eq!(b.pick(0, false), to);
 }
 
 #[rstest]
 fn what_may_have_run_is_not_declined_outside_its_group() {
-    let mut b = with_relay(Effect::Receipted, 1);
-    b.duty.verbs[0].group = Group::Zone;
+    let mut b = with_relay(Effect::Keyed, 1);
+    b.duty.verbs[0].group = DeduplicationScope::Zone;
     b.give_up(0);
-    assert!(b.out.contains(&Action::Terminate { cmd: 0 }));
+    assert!(b.out.contains(&Action::Fail { command: 0 }));
 }
 
 #[rstest]
 fn without_an_endpoint_the_answer_is_given_in_time() {
-    let mut b = sidecar(Effect::Effectful, 1);
+    let mut b = sidecar(Effect::NonIdempotent, 1);
     b.endpoints[0].listed = false;
     b.commands[0] = Some(command());
     b.queue = vec![0];
     let out = b.decide(
         NOW + Duration::from_millis(300),
-        Event::Due { token: ALARM_QUEUE },
+        Event::TimerFired { token: ALARM_QUEUE },
+    );
+    assert!(
+        matches!(out[0], Action::Refuse { command: 0, .. }),
+        "{out:?}"
     );
-    assert!(matches!(out[0], Action::Decline { cmd: 0, .. }), "{out:?}");
 }
 
 // Incidents i76fc45 and icb7ea6: the queue's alarm came 239 ns early, none followed, a command got no answer.
 #[rstest]
 fn an_alarm_that_comes_early_is_followed_by_another() {
-    let mut b = sidecar(Effect::Pure, 1);
+    let mut b = sidecar(Effect::Safe, 1);
     b.endpoints[0].listed = false;
     b.commands[0] = Some(command());
     (b.queue, b.wake) = (vec![0], NOW + Duration::from_nanos(239));
-    let out = b.decide(NOW, Event::Due { token: ALARM_QUEUE });
+    let out = b.decide(NOW, Event::TimerFired { token: ALARM_QUEUE });
     assert!(
         out.iter().any(|a| matches!(
             a,
-            Action::Alarm {
+            Action::SetTimer {
                 token: ALARM_QUEUE,
                 ..
             }
@@ -277,15 +280,15 @@
 // Fresh day of sahel-ambulances: each alarm of the queue set another, 290 thousand in a day.
 #[rstest]
 fn an_alarm_set_for_the_next_tick_is_not_set_again() {
-    let mut b = sidecar(Effect::Pure, 1);
+    let mut b = sidecar(Effect::Safe, 1);
     b.endpoints[0].listed = false;
     b.commands[0] = Some(command());
     (b.queue, b.wake) = (vec![0], NOW + b.duty.tick);
-    let out = b.decide(NOW, Event::Due { token: ALARM_QUEUE });
+    let out = b.decide(NOW, Event::TimerFired { token: ALARM_QUEUE });
     assert!(
         !out.iter().any(|a| matches!(
             a,
-            Action::Alarm {
+            Action::SetTimer {
                 token: ALARM_QUEUE,
                 ..
             }
@@ -296,25 +299,25 @@
 
 #[rstest]
 fn no_return_time_where_none_may_be_given() {
-    let mut b = with_relay(Effect::Pure, 1);
+    let mut b = with_relay(Effect::Safe, 1);
     b.duty.return_after = None;
     b.give_up(0);
-    assert!(b.out.contains(&Action::Decline {
-        cmd: 0,
-        not_before: None
+    assert!(b.out.contains(&Action::Refuse {
+        command: 0,
+        retry_after: None
     }));
 }
 
 #[rstest]
-#[case(Mode::Stopping)]
-#[case(Mode::Deleted)]
-fn a_draining_endpoint_gets_nothing_new(#[case] mode: Mode) {
-    let mut b = sidecar(Effect::Pure, 1);
-    let entry = Listing {
-        mode,
+#[case(EndpointState::Draining)]
+#[case(EndpointState::Removed)]
+fn a_draining_endpoint_gets_nothing_new(#[case] mode: EndpointState) {
+    let mut b = sidecar(Effect::Safe, 1);
+    let entry = ListedEndpoint {
+        state: mode,
         ..listing(0, Duration::ZERO)
     };
-    b.read_list(ListKind::Changes, vec![entry]);
+    b.read_list(ListUpdateKind::Delta, vec![entry]);
     assert_eq!(b.weigh(&[0], None, None, &|_| true), [0.0]);
 }
 
@@ -324,20 +327,20 @@
 #[case(Duration::from_millis(100), 1)]
 #[case(Duration::from_millis(600), 0)]
 fn a_pass_is_for_one_send_and_soon_lost(#[case] age: Duration, #[case] sent: usize) {
-    let mut b = sidecar(Effect::Pure, 1);
+    let mut b = sidecar(Effect::Safe, 1);
     b.endpoints[0].start_cold(NOW);
     b.survey();
     b.endpoints[0].pass_until = NOW - age + b.duty.tip_after / 4;
     b.commands.extend([Some(command()), Some(command())]);
     b.queue = vec![1, 2];
-    let out = b.decide(NOW, Event::Due { token: ALARM_QUEUE });
+    let out = b.decide(NOW, Event::TimerFired { token: ALARM_QUEUE });
     assert_eq!(relays(&out).len(), sent);
 }
 
 // tunis-transport at its later size, big-1: cold endpoints stood idle three quarters of the time.
 #[rstest]
 fn passes_come_at_the_ramp_times_the_rate_to_warm_ones() {
-    let mut b = sidecar(Effect::Pure, 60);
+    let mut b = sidecar(Effect::Safe, 60);
     b.endpoints[30..].iter_mut().for_each(|e| e.start_cold(NOW));
     b.survey();
     let long = |n: u32| NOW - n * Duration::from_millis(266);
@@ -361,7 +364,7 @@
 }
 
 /// Passes a second that are drawn for an endpoint.
-fn passes_a_second(b: &mut Balancer, at: EndpointIx) -> f64 {
+fn passes_a_second(b: &mut Balancer, at: EndpointIndex) -> f64 {
     let (mut drawn, gap, now) = (0, Duration::from_millis(10), b.now);
     for _ in 0..20_000 {
         b.pass_at = now - gap;
@@ -375,7 +378,7 @@
 }
 
 /// What these endpoints answer over the last seconds, each so many a second.
-fn answered(b: &mut Balancer, ats: std::ops::Range<EndpointIx>, each: u32) {
+fn answered(b: &mut Balancer, ats: std::ops::Range<EndpointIndex>, each: u32) {
     for n in 0..8 * each {
         b.now = NOW - 4 * CALM + n * Duration::from_secs(1) / each;
         ats.clone().for_each(|at| b.note_warm(at));
@@ -393,7 +396,7 @@
     #[case] stay: usize,
     #[case] each: f64,
 ) {
-    let mut b = sidecar(Effect::Pure, 13);
+    let mut b = sidecar(Effect::Safe, 13);
     b.endpoints[12].start_cold(NOW);
     b.survey();
     answered(&mut b, 0..12, 20);
@@ -415,7 +418,7 @@
 // With none warm the rate seen last faded to nothing, and cold ones with room were sent next to nothing.
 #[rstest]
 fn with_none_warm_passes_go_by_what_was_answered_last() {
-    let mut b = sidecar(Effect::Pure, 12);
+    let mut b = sidecar(Effect::Safe, 12);
     answered(&mut b, 0..12, 20);
     b.endpoints.iter_mut().for_each(|e| e.listed = false);
     b.survey();
@@ -438,7 +441,7 @@
     #[case] kind: usize,
     #[case] each: f64,
 ) {
-    let mut b = sidecar(Effect::Pure, 9);
+    let mut b = sidecar(Effect::Safe, 9);
     b.endpoints[4..8].iter_mut().for_each(|e| e.kind = 1);
     b.endpoints[8].kind = kind;
     b.endpoints[8].start_cold(NOW);
@@ -452,13 +455,13 @@
 // Incident i4a6661: warm endpoints overfull beside half-idle cold ones, whose ramp is a lower bound.
 #[rstest]
 fn a_cold_endpoint_may_get_more_than_its_ramp_but_not_what_pushes_it_over() {
-    let b = sidecar(Effect::Pure, 1);
+    let b = sidecar(Effect::Safe, 1);
     assert!(b.duty.cold_share > 1.0 && b.duty.cold_share < 3.0);
 }
 
 #[rstest]
 fn an_endpoint_back_from_silence_counts_as_cold() {
-    let mut b = sidecar(Effect::Pure, 1);
+    let mut b = sidecar(Effect::Safe, 1);
     b.endpoints[0].misses = 3;
     b.reached(0);
     assert_eq!(b.endpoints[0].up_since, Some(NOW));
@@ -467,13 +470,13 @@
 // Incidents i6e3b06, ia79e8d and id7bedd: all seemed full, none was asked again, service stayed down.
 #[rstest]
 fn while_commands_wait_full_endpoints_are_asked_again() {
-    let mut b = sidecar(Effect::Pure, 2);
+    let mut b = sidecar(Effect::Safe, 2);
     b.endpoints
         .iter_mut()
         .for_each(|e| (e.holds, e.heard) = (9.0, Some(NOW - b.duty.fresh * 2)));
     b.commands[0] = Some(command());
     b.queue = vec![0];
-    let out = b.decide(NOW, Event::Due { token: ALARM_QUEUE });
+    let out = b.decide(NOW, Event::TimerFired { token: ALARM_QUEUE });
     assert!(
         out.iter().any(|a| matches!(a, Action::Probe { .. })),
         "{out:?}"
@@ -483,7 +486,7 @@
 // Incident i1a0a9a: hundreds of quiet sidecars with two waiting each met at the next idle endpoint.
 #[rstest]
 fn past_the_room_the_least_worth_is_declined_at_once() {
-    let mut b = sidecar(Effect::Pure, 1);
+    let mut b = sidecar(Effect::Safe, 1);
     b.endpoints[0].holds = 9.0;
     b.commands = (0..4)
         .map(|n| {
@@ -494,10 +497,10 @@
         })
         .collect();
     b.queue = vec![0, 1, 2, 3];
-    let out = b.decide(NOW, Event::Due { token: ALARM_QUEUE });
+    let out = b.decide(NOW, Event::TimerFired { token: ALARM_QUEUE });
     let declined = |cmd| {
         out.iter()
-            .any(|a| matches!(a, Action::Decline { cmd: c, .. } if *c == cmd))
+            .any(|a| matches!(a, Action::Refuse { command: c, .. } if *c == cmd))
     };
     assert_eq!([0, 1, 2, 3].map(declined), [true, true, true, false]);
 }
@@ -505,14 +508,14 @@
 // Days in service: each start declined some of its first commands, as a rate over two seconds was still near nothing.
 #[rstest]
 fn right_after_the_start_the_room_follows_the_rate_so_far() {
-    let mut b = sidecar(Effect::Pure, 1);
+    let mut b = sidecar(Effect::Safe, 1);
     b.endpoints[0].holds = 9.0;
     (0..30).for_each(|n| b.sends.add(NOW - Duration::from_millis(90 - 3 * n), CALM));
     b.commands = (0..4).map(|_| Some(command())).collect();
     b.queue = vec![0, 1, 2, 3];
-    let out = b.decide(NOW, Event::Due { token: ALARM_QUEUE });
+    let out = b.decide(NOW, Event::TimerFired { token: ALARM_QUEUE });
     assert!(
-        !out.iter().any(|a| matches!(a, Action::Decline { .. })),
+        !out.iter().any(|a| matches!(a, Action::Refuse { .. })),
         "{out:?}"
     );
 }
@@ -527,19 +530,25 @@
     #[case] again: bool,
     #[case] sent: usize,
 ) {
-    let mut b = sidecar(Effect::Pure, 1);
+    let mut b = sidecar(Effect::Safe, 1);
     (b.marked, b.duty.verbs[0].limit) = (marked, Duration::from_secs(1));
     (b.duty.verbs[0].budget, b.duty.verbs[0].budget_votes) = (Duration::from_millis(800), 20);
-    let Event::Arrived(a) = arrival(0) else {
+    let Event::CommandArrived(a) = arrival(0) else {
         unreachable!()
     };
-    let out = b.decide(NOW, Event::Arrived(Arrival { again, ..a }));
+    let out = b.decide(
+        NOW,
+        Event::CommandArrived(CommandArrival {
+            is_retry: again,
+            ..a
+        }),
+    );
     assert_eq!(relays(&out).len(), sent, "{out:?}");
 }
 
 #[rstest]
 fn a_time_out_cuts_the_limit_once_in_a_while() {
-    let mut b = sidecar(Effect::Pure, 1);
+    let mut b = sidecar(Effect::Safe, 1);
     (b.endpoints[0].limit, b.endpoints[0].tried) = (10.0, NOW);
     b.cut(0);
     b.cut(0);
@@ -549,7 +558,7 @@
 // sahel-ambulances at its later size: limits stayed at two for want of answers from each endpoint.
 #[rstest]
 fn a_limit_learnt_at_one_endpoint_serves_the_others() {
-    let mut b = sidecar(Effect::Pure, 2);
+    let mut b = sidecar(Effect::Safe, 2);
     b.set_limit(0, 6.0);
     assert!(b.limit_of(&b.endpoints[1]) > FIRST_LIMIT);
 }
@@ -558,10 +567,10 @@
 #[case(1.0, 1)]
 #[case(0.0, 0)]
 fn a_second_copy_needs_budget(#[case] spare: f64, #[case] sent: usize) {
-    let mut b = with_relay(Effect::Pure, 2);
+    let mut b = with_relay(Effect::Safe, 2);
     b.spare = spare;
     b.commands[0].as_mut().unwrap().relays[0].sent = NOW - Duration::from_millis(250);
-    let out = b.decide(NOW, Event::Due { token: ALARM_COPY });
+    let out = b.decide(NOW, Event::TimerFired { token: ALARM_COPY });
     assert_eq!(relays(&out).len(), sent);
 }
 
@@ -569,29 +578,38 @@
 #[case(0.0, false)]
 #[case(3.0, true)]
 fn past_its_goal_work_is_called_off_where_others_wait(#[case] holds: f64, #[case] off: bool) {
-    let mut b = with_relay(Effect::Pure, 1);
+    let mut b = with_relay(Effect::Safe, 1);
     b.endpoints[0].holds = holds;
     b.commands[0].as_mut().unwrap().due = NOW;
     b.past_goal(0);
-    assert_eq!(b.out.contains(&Action::Recall { cmd: 0, relay: 0 }), off);
+    assert_eq!(
+        b.out.contains(&Action::CancelRelay {
+            command: 0,
+            relay: 0
+        }),
+        off
+    );
 }
 
 #[rstest]
 fn past_its_goal_work_is_called_off_where_reports_have_no_credit() {
-    let mut b = with_relay(Effect::Pure, 1);
+    let mut b = with_relay(Effect::Safe, 1);
     b.endpoints[0].credit = 0.0;
     b.commands[0].as_mut().unwrap().due = NOW;
     b.past_goal(0);
-    assert!(b.out.contains(&Action::Recall { cmd: 0, relay: 0 }));
+    assert!(b.out.contains(&Action::CancelRelay {
+        command: 0,
+        relay: 0
+    }));
 }
 
 // Before homes kochi-main answered a quarter: each key was met everywhere and remembered nowhere.
 #[rstest]
 fn commands_of_one_key_go_to_its_home_at_every_sidecar() {
     let home = |seed: u64, key: u64| {
-        let mut b = sidecar(Effect::Pure, 20);
+        let mut b = sidecar(Effect::Safe, 20);
         (b.duty.warm_keys, b.keys, b.dice) = (true, vec![Faded::default(); KEY_SLOTS], seed);
-        (0..20).for_each(|at| b.endpoints[at].mark = mark(&format!("endpoint {at}")));
+        (0..20).for_each(|at| b.endpoints[at].mark = stable_hash(&format!("endpoint {at}")));
         b.arrivals = Faded::default();
         (0..40).for_each(|_| b.arrivals.add(NOW, CALM));
         let c = Command {
@@ -606,7 +624,7 @@
     };
     let all = |seed| {
         (0..50)
-            .map(|key| home(seed, mark(&format!("key {key}"))))
+            .map(|key| home(seed, stable_hash(&format!("key {key}"))))
             .collect::<Vec<_>>()
     };
     assert_eq!(all(3), all(5));
@@ -617,17 +635,17 @@
 // Live weights were read as one: size by one more than what is held, they are the only news of most endpoints.
 #[rstest]
 fn a_live_weight_tells_what_is_held() {
-    let mut b = sidecar(Effect::Pure, 2);
+    let mut b = sidecar(Effect::Safe, 2);
     (b.duty.heartbeats, b.duty.live_weights) = (0, true);
     for rating in [1.5, 0.5] {
-        let entries = vec![Listing {
-            rating,
+        let entries = vec![ListedEndpoint {
+            weight: rating,
             ..listing(0, Duration::ZERO)
         }];
         b.decide(
             NOW,
-            Event::Listed {
-                kind: ListKind::Changes,
+            Event::ListUpdated {
+                kind: ListUpdateKind::Delta,
                 entries,
             },
         );
@@ -646,7 +664,7 @@
 #[case(0, 1.5)]
 #[case(1, 1.0)]
 fn without_heartbeats_a_faster_kind_is_larger(#[case] heartbeats: usize, #[case] at_least: f64) {
-    let mut b = sidecar(Effect::Pure, 2);
+    let mut b = sidecar(Effect::Safe, 2);
     (b.duty.heartbeats, b.endpoints[1].kind, b.kinds) = (heartbeats, 1, vec![Pace::default(); 2]);
     (0..50).for_each(|n| b.kinds[n % 2].note(NOW, if n % 2 == 0 { 0.5 } else { 1.5 }, CALM));
     b.survey();
@@ -660,19 +678,19 @@
 // rahti-tampere zone+mass: each probe cost more than it was worth and only probes reported, so next to nothing was heard; limits
 // by reports held nothing back, a lost zone filled all queues, and it stayed so (served 0.368; 0.746 with the limit on all).
 #[rstest]
-#[case::carried_by_answers(ReportsHow::Piggyback, 0.009, 1)]
-#[case::carried_by_probes_alone(ReportsHow::Pull, 0.009, 0)]
-#[case::by_cheap_probes(ReportsHow::Pull, 0.002, 3)]
-#[case::nothing_reported(ReportsHow::Silent, 0.002, 0)]
+#[case::carried_by_answers(ReportMode::Piggyback, 0.009, 1)]
+#[case::carried_by_probes_alone(ReportMode::Pull, 0.009, 0)]
+#[case::by_cheap_probes(ReportMode::Pull, 0.002, 3)]
+#[case::nothing_reported(ReportMode::Silent, 0.002, 0)]
 fn where_dear_probes_alone_report_the_limit_is_on_all(
-    #[case] reports: ReportsHow,
+    #[case] reports: ReportMode,
     #[case] probe_price: f64,
     #[case] heartbeats: usize,
 ) {
-    let duty = Balancer::duty(StandingOrders {
-        reports,
+    let duty = Balancer::duty(BalancerConfig {
+        report_mode: reports,
         probe_price,
-        ..orders(Effect::Pure)
+        ..orders(Effect::Safe)
     });
     assert_eq!(duty.heartbeats, heartbeats);
 }
@@ -685,11 +703,11 @@
     #[case] after_ms: u64,
     #[case] cuts: bool,
 ) {
-    let mut b = with_relay(Effect::Pure, 2);
+    let mut b = with_relay(Effect::Safe, 2);
     (b.window, b.out_now) = (20.0, 19.0);
     b.decide(
         NOW + Duration::from_millis(after_ms),
-        finished(0, Outcome::Recalled),
+        finished(0, Outcome::Cancelled),
     );
     assert_eq!(b.window < 20.0, cuts, "{}", b.window);
 }
@@ -698,7 +716,7 @@
 #[rstest]
 fn late_answers_cut_the_limit_on_all_and_less_so_where_one_fails_alone() {
     let cut = |failing: bool| {
-        let mut b = sidecar(Effect::Pure, 2);
+        let mut b = sidecar(Effect::Safe, 2);
         (b.window, b.out_now) = (20.0, 19.0);
         (0..OUTCOMES).for_each(|_| {
             b.judge(
@@ -715,7 +733,7 @@
         b.widen(0, 0, Outcome::TimedOut, false, 1.0);
         20.0 - b.window
     };
-    let mut b = sidecar(Effect::Pure, 2);
+    let mut b = sidecar(Effect::Safe, 2);
     (b.window, b.out_now) = (20.0, 19.0);
     b.widen(0, 0, Outcome::Answered, true, 1.0);
     assert!(
@@ -729,9 +747,9 @@
 // daepung-auction-web fresh-1 and big-1 with a room cut off: a command whose homes all lie there was declined.
 #[rstest]
 fn what_can_not_be_reached_is_no_home() {
-    let mut b = sidecar(Effect::Pure, 20);
+    let mut b = sidecar(Effect::Safe, 20);
     (b.duty.warm_keys, b.keys) = (true, vec![Faded::default(); KEY_SLOTS]);
-    (0..20).for_each(|at| b.endpoints[at].mark = mark(&format!("endpoint {at}")));
+    (0..20).for_each(|at| b.endpoints[at].mark = stable_hash(&format!("endpoint {at}")));
     let c = Command {
         key: Some(7),
         ..command()
@@ -750,9 +768,9 @@
 // A key that half of all commands name would fill one endpoint: it is remembered by as many as it needs.
 #[rstest]
 fn a_popular_key_has_more_homes() {
-    let mut b = sidecar(Effect::Pure, 20);
+    let mut b = sidecar(Effect::Safe, 20);
     (b.duty.warm_keys, b.keys) = (true, vec![Faded::default(); KEY_SLOTS]);
-    (0..20).for_each(|at| b.endpoints[at].mark = mark(&format!("endpoint {at}")));
+    (0..20).for_each(|at| b.endpoints[at].mark = stable_hash(&format!("endpoint {at}")));
     (0..40).for_each(|_| b.arrivals.add(NOW, 4 * CALM));
     (0..20).for_each(|_| b.keys[7].add(NOW, 4 * CALM));
     let full = |b: &Balancer, key| {
@@ -768,7 +786,7 @@
 // First score of kochi-main and daepung-auction-web: a cold endpoint with a pass was asked where probes are not allowed.
 #[rstest]
 fn where_probes_are_not_allowed_a_pass_asks_nothing() {
-    let mut b = sidecar(Effect::Pure, 2);
+    let mut b = sidecar(Effect::Safe, 2);
     b.duty.heartbeats = 0;
     b.endpoints[1].start_cold(NOW);
     b.endpoints[1].pass_until = NOW + CALM;
@@ -783,7 +801,7 @@
 // Replay of id7bedd without heartbeats: nothing was heard any more, the last mean stayed over every limit.
 #[rstest]
 fn without_news_the_fleet_is_not_taken_for_full() {
-    let mut b = sidecar(Effect::Pure, 2);
+    let mut b = sidecar(Effect::Safe, 2);
     b.duty.heartbeats = 0;
     b.endpoints
         .iter_mut()
@@ -793,18 +811,18 @@
 
 #[rstest]
 fn a_refused_list_is_asked_again_later() {
-    let mut b = sidecar(Effect::Pure, 1);
+    let mut b = sidecar(Effect::Safe, 1);
     b.listening = true;
     let out = b.decide(
         NOW,
-        Event::Listed {
-            kind: ListKind::Refused,
+        Event::ListUpdated {
+            kind: ListUpdateKind::Failed,
             entries: vec![],
         },
     );
     assert!(out.iter().any(|a| matches!(
         a,
-        Action::Alarm {
+        Action::SetTimer {
             token: ALARM_LIST,
             ..
         }
@@ -817,20 +835,20 @@
 #[case::asked(true)]
 #[case::pushed(false)]
 fn an_agent_beside_that_is_down_is_asked_within_the_grace(#[case] listen: bool) {
-    let mut b = sidecar(Effect::Pure, 1);
+    let mut b = sidecar(Effect::Safe, 1);
     (b.duty.listen, b.duty.drain_grace) = (listen, Duration::from_millis(400));
     let mut after = Vec::new();
     for _ in 0..8 {
         b.listening = true;
         let out = b.decide(
             NOW,
-            Event::Listed {
-                kind: ListKind::Refused,
+            Event::ListUpdated {
+                kind: ListUpdateKind::Failed,
                 entries: vec![],
             },
         );
         let alarm = out.iter().find_map(|a| match a {
-            Action::Alarm {
+            Action::SetTimer {
                 after,
                 token: ALARM_LIST,
             } => Some(*after),
@@ -847,16 +865,19 @@
 
 #[rstest]
 fn a_concluded_command_is_forgotten_when_nothing_is_out() {
-    let mut b = with_relay(Effect::Pure, 1);
-    let event = Event::Finished {
-        cmd: 0,
+    let mut b = with_relay(Effect::Safe, 1);
+    let event = Event::RelayFinished {
+        command: 0,
         relay: 0,
         outcome: Outcome::Answered,
-        spent: Duration::from_millis(9),
+        elapsed: Duration::from_millis(9),
         concluded: true,
         report: None,
     };
-    assert!(b.decide(NOW, event).contains(&Action::Forget { cmd: 0 }));
+    assert!(
+        b.decide(NOW, event)
+            .contains(&Action::ReleaseCommand { command: 0 })
+    );
 }
 
 // Day garble+fleet of sfax-trajets: a third of the receipted commands whose answers came spoilt were given up with most
@@ -868,7 +889,7 @@
     #[case] spent: u64,
     #[case] over: bool,
 ) {
-    let mut b = with_relay(Effect::Pure, 2);
+    let mut b = with_relay(Effect::Safe, 2);
     b.commands[0]
         .iter_mut()
         .for_each(|c| c.last_call = NOW + Duration::from_millis(100));
@@ -877,7 +898,7 @@
         finished(0, Outcome::Error),
     );
     assert_eq!(
-        out.iter().any(|a| matches!(a, Action::Decline { .. })),
+        out.iter().any(|a| matches!(a, Action::Refuse { .. })),
         over,
         "{out:?}"
     );
@@ -887,13 +908,16 @@
 // had for further relays.
 #[rstest]
 fn two_endpoints_settle_that_a_command_is_unfit_at_little_cost() {
-    let mut b = with_relay(Effect::Pure, 5);
+    let mut b = with_relay(Effect::Safe, 5);
     b.endpoints.iter_mut().for_each(|e| e.heard = Some(NOW));
     let before = b.spare;
-    assert_eq!(relays(&b.decide(NOW, finished(0, Outcome::Unfit))).len(), 1);
-    let out = b.decide(NOW, finished(1, Outcome::Unfit));
+    assert_eq!(
+        relays(&b.decide(NOW, finished(0, Outcome::Rejected))).len(),
+        1
+    );
+    let out = b.decide(NOW, finished(1, Outcome::Rejected));
     assert!(
-        out.iter().any(|a| matches!(a, Action::Decline { .. })),
+        out.iter().any(|a| matches!(a, Action::Refuse { .. })),
         "{out:?}"
     );
     assert!(before - b.spare < 0.3, "{} of {before}", b.spare);
@@ -902,21 +926,21 @@
 // Replay of i69898d: a client with a millisecond left was held for heartbeats and got no answer.
 #[rstest]
 fn a_command_with_no_time_left_is_declined_at_once() {
-    let mut b = sidecar(Effect::Pure, 2);
+    let mut b = sidecar(Effect::Safe, 2);
     b.endpoints.iter_mut().for_each(|e| e.heard = None);
-    let Event::Arrived(a) = arrival(0) else {
+    let Event::CommandArrived(a) = arrival(0) else {
         unreachable!()
     };
     let out = b.decide(
         NOW,
-        Event::Arrived(Arrival {
+        Event::CommandArrived(CommandArrival {
             budget: Duration::from_millis(1),
             ..a
         }),
     );
     assert!(
         out.iter()
-            .any(|a| matches!(a, Action::Decline { cmd: 0, .. })),
+            .any(|a| matches!(a, Action::Refuse { command: 0, .. })),
         "{out:?}"
     );
 }
@@ -924,7 +948,7 @@
 // Incident i3e941c: endpoints let work hang while their probes were fine.
 #[rstest]
 fn a_relay_past_its_goal_is_no_success() {
-    let mut b = with_relay(Effect::Pure, 1);
+    let mut b = with_relay(Effect::Safe, 1);
     let relay = b.held(0).unwrap().relays[0];
     b.slow_answer(&relay, 0, Duration::from_millis(400));
     assert!(b.endpoints[0].health(NOW, None) < 1.0);
@@ -939,10 +963,10 @@
     #[case] seconds: u64,
     #[case] back: bool,
 ) {
-    let mut b = sidecar(Effect::Pure, 2);
+    let mut b = sidecar(Effect::Safe, 2);
     b.duty
         .verbs
-        .push(VerbDuty::of(&verb(Effect::Pure), CALM, 3));
+        .push(VerbDuty::of(&verb(Effect::Safe), CALM, 3));
     for _ in 0..OUTCOMES {
         b.judge(0, 0, Outcome::TimedOut, OUTCOMES);
         (0..3).for_each(|_| b.judge(0, 1, Outcome::Answered, OUTCOMES));
@@ -966,10 +990,10 @@
 #[case(1.0, true)]
 #[case(0.2, false)]
 fn the_worst_served_verb_goes_first(#[case] served: f64, #[case] richer_first: bool) {
-    let mut b = sidecar(Effect::Pure, 1);
+    let mut b = sidecar(Effect::Safe, 1);
     let mut other = VerbDuty {
         utility: 3.0,
-        ..VerbDuty::of(&verb(Effect::Pure), CALM, 3)
+        ..VerbDuty::of(&verb(Effect::Safe), CALM, 3)
     };
     for n in 0..100 {
         b.duty.verbs[0].asked.add(NOW, CALM);
@@ -989,7 +1013,7 @@
 #[case(OUTCOMES / 2, true)]
 #[case(OUTCOMES - 1, false)]
 fn a_failing_endpoint_is_well_again_at_three_quarters(#[case] good: u32, #[case] ailing: bool) {
-    let mut b = sidecar(Effect::Pure, 1);
+    let mut b = sidecar(Effect::Safe, 1);
     let e = &mut b.endpoints[0];
     e.last = Few {
         bad: !0 << (good - 1),
@@ -1004,7 +1028,7 @@
 // Incidents i3e941c and i4a6661: sixteen outcomes reached back past the start of the trouble.
 #[rstest]
 fn three_failures_in_a_row_take_most_of_the_weight() {
-    let mut b = sidecar(Effect::Pure, 2);
+    let mut b = sidecar(Effect::Safe, 2);
     b.endpoints[0].last = Few {
         bad: 0b111,
         seen: OUTCOMES,
@@ -1019,12 +1043,12 @@
 #[case(500, 400)]
 #[case(900, 300)]
 fn a_last_try_tells_by_its_budget_what_is_spent(#[case] budget: u64, #[case] left: u64) {
-    let mut b = sidecar(Effect::Pure, 1);
+    let mut b = sidecar(Effect::Safe, 1);
     (b.duty.verbs[0].budget, b.duty.verbs[0].budget_votes) = (Duration::from_millis(500), 9);
-    let Event::Arrived(a) = arrival(0) else {
+    let Event::CommandArrived(a) = arrival(0) else {
         unreachable!()
     };
-    b.take(Arrival {
+    b.take(CommandArrival {
         budget: Duration::from_millis(budget),
         ..a
     });
@@ -1034,8 +1058,8 @@
 // Days reload and churn: an endpoint that failed half of what it got, at once, looked idle beside busy ones and drew
 // a twelfth of all commands, effectful ones as well.
 #[rstest]
-#[case::last_word(Effect::Effectful, 0.01)]
-#[case::can_go_on(Effect::Pure, 0.5)]
+#[case::last_word(Effect::NonIdempotent, 0.01)]
+#[case::can_go_on(Effect::Safe, 0.5)]
 fn an_endpoint_that_fails_fast_draws_little(#[case] effect: Effect, #[case] most: f64) {
     let mut b = sidecar(effect, 4);
     b.endpoints
@@ -1056,31 +1080,31 @@
 // What never ran costs an effectful command nothing, and a slow answer is no harm either.
 #[rstest]
 #[case(Outcome::Error, 1)]
-#[case(Outcome::Broken, 1)]
-#[case(Outcome::NoConnection, 0)]
+#[case(Outcome::ConnectionLost, 1)]
+#[case(Outcome::ConnectFailed, 0)]
 #[case(Outcome::TimedOut, 0)]
 #[case(Outcome::Answered, 0)]
 fn only_what_failed_and_may_have_run_is_harm(#[case] outcome: Outcome, #[case] harm: u32) {
-    let mut b = with_relay(Effect::Effectful, 1);
+    let mut b = with_relay(Effect::NonIdempotent, 1);
     b.decide(NOW, finished(0, outcome));
     assert_eq!(b.endpoints[0].harm, harm);
 }
 
 #[rstest]
 fn an_endpoint_that_turns_a_command_itself_away_is_not_judged_by_it() {
-    let mut b = with_relay(Effect::Effectful, 1);
-    let out = b.decide(NOW, finished(0, Outcome::Unfit));
+    let mut b = with_relay(Effect::NonIdempotent, 1);
+    let out = b.decide(NOW, finished(0, Outcome::Rejected));
     assert_eq!((b.endpoints[0].last.seen, b.endpoints[0].misses), (0, 0));
-    assert!(out.contains(&Action::Terminate { cmd: 0 }));
+    assert!(out.contains(&Action::Fail { command: 0 }));
 }
 
 // Day wide+reset+stale: where the way there breaks connections, healthy endpoints were shut out for seconds, and then
 // taken for cold ones after the next answer.
 #[rstest]
-#[case::broken(Outcome::Broken, 0)]
-#[case::not_reached(Outcome::NoConnection, 3)]
+#[case::broken(Outcome::ConnectionLost, 0)]
+#[case::not_reached(Outcome::ConnectFailed, 3)]
 fn an_endpoint_whose_connections_break_was_reached(#[case] outcome: Outcome, #[case] misses: u32) {
-    let mut b = with_relay(Effect::Pure, 1);
+    let mut b = with_relay(Effect::Safe, 1);
     for _ in 0..3 {
         let relay = Relay {
             endpoint: 0,
@@ -1110,24 +1134,24 @@
     #[case] probe: bool,
     #[case] freed: usize,
 ) {
-    let mut b = with_relay(Effect::Effectful, 3);
+    let mut b = with_relay(Effect::NonIdempotent, 3);
     b.commands[0].as_mut().unwrap().relays[0].endpoint = if relay { 1 } else { 0 };
     b.endpoints[1].probing = probe.then_some(NOW);
     (b.endpoints[1].pace.mean, b.endpoints[1].misses) = (9.0, 3);
-    let entries = vec![Listing {
-        mode: Mode::Deleted,
+    let entries = vec![ListedEndpoint {
+        state: EndpointState::Removed,
         ..listing(1, Duration::ZERO)
     }];
     let out = b.decide(
         NOW,
-        Event::Listed {
-            kind: ListKind::Changes,
+        Event::ListUpdated {
+            kind: ListUpdateKind::Delta,
             entries,
         },
     );
     let released = out
         .iter()
-        .filter(|a| matches!(a, Action::Release { endpoint: 1 }))
+        .filter(|a| matches!(a, Action::ReleaseEndpoint { endpoint: 1 }))
         .count();
     let e = &b.endpoints[1];
     assert_eq!(
@@ -1137,27 +1161,30 @@
     // Once: a free slot is not given back again.
     let out = b.decide(
         NOW,
-        Event::Listed {
-            kind: ListKind::Changes,
+        Event::ListUpdated {
+            kind: ListUpdateKind::Delta,
             entries: vec![],
         },
     );
-    assert!(!out.iter().any(|a| matches!(a, Action::Release { .. })));
+    assert!(
+        !out.iter()
+            .any(|a| matches!(a, Action::ReleaseEndpoint { .. }))
+    );
 }
 
 #[rstest]
-#[case::draining(ListKind::Changes, vec![Listing { mode: Mode::Stopping, ..listing(0, Duration::ZERO) }], vec![])]
-#[case::left_out(ListKind::All, vec![listing(1, Duration::ZERO)], vec![0])]
+#[case::draining(ListUpdateKind::Delta, vec![ListedEndpoint { state: EndpointState::Draining, ..listing(0, Duration::ZERO) }], vec![])]
+#[case::left_out(ListUpdateKind::Full, vec![listing(1, Duration::ZERO)], vec![0])]
 fn only_what_is_gone_for_good_gives_its_slot_back(
-    #[case] kind: ListKind,
-    #[case] entries: Vec<Listing>,
+    #[case] kind: ListUpdateKind,
+    #[case] entries: Vec<ListedEndpoint>,
     #[case] freed: Vec<usize>,
 ) {
-    let mut b = sidecar(Effect::Pure, 2);
+    let mut b = sidecar(Effect::Safe, 2);
     b.endpoints.iter_mut().for_each(|e| e.known = true);
-    let out = b.decide(NOW, Event::Listed { kind, entries });
+    let out = b.decide(NOW, Event::ListUpdated { kind, entries });
     let slot = |a: &Action| {
-        if let Action::Release { endpoint } = a {
+        if let Action::ReleaseEndpoint { endpoint } = a {
             Some(*endpoint)
         } else {
             None
@@ -1171,22 +1198,22 @@
 /// Orders for verbs of these names, the first of another effect.
 fn retuned(names: &[&str], first: Effect, max_relays: usize) -> Event {
     let mut orders = orders(first);
-    let effect = |n: usize| if n == 0 { first } else { Effect::Pure };
-    orders.verbs = names
+    let effect = |n: usize| if n == 0 { first } else { Effect::Safe };
+    orders.classes = names
         .iter()
         .enumerate()
-        .map(|(n, name)| VerbOrder {
+        .map(|(n, name)| RequestClassConfig {
             name: (*name).into(),
             ..verb(effect(n))
         })
         .collect();
     orders.max_relays = max_relays;
-    Event::Retuned(Box::new(orders))
+    Event::Reconfigured(Box::new(orders))
 }
 
 fn numbers(out: &[Action]) -> Vec<usize> {
     let told = |a: &Action| {
-        if let Action::Numbered { verbs } = a {
+        if let Action::ClassIndicesAssigned { classes: verbs } = a {
             Some(verbs.clone())
         } else {
             None
@@ -1197,14 +1224,14 @@
 
 #[rstest]
 fn what_did_not_change_keeps_its_slot_and_what_changed_gets_another() {
-    let mut b = sidecar(Effect::Pure, 1);
+    let mut b = sidecar(Effect::Safe, 1);
     b.duty.verbs[0].usual.mean = 0.7;
     assert_eq!(
-        numbers(&b.decide(NOW, retuned(&["v", "w"], Effect::Pure, 3))),
+        numbers(&b.decide(NOW, retuned(&["v", "w"], Effect::Safe, 3))),
         [0, 1]
     );
     assert_eq!(
-        numbers(&b.decide(NOW, retuned(&["v", "w"], Effect::Effectful, 3))),
+        numbers(&b.decide(NOW, retuned(&["v", "w"], Effect::NonIdempotent, 3))),
         [2, 1]
     );
     // What was seen of it holds; another verb begins from nothing.
@@ -1214,19 +1241,19 @@
     );
     // Each slot again once it has long been out of use, and no sooner.
     assert_eq!(
-        numbers(&b.decide(NOW + CALM, retuned(&["x"], Effect::Pure, 3))),
+        numbers(&b.decide(NOW + CALM, retuned(&["x"], Effect::Safe, 3))),
         [3]
     );
     assert_eq!(
-        numbers(&b.decide(NOW + 60 * CALM, retuned(&["x", "y", "z"], Effect::Pure, 3))),
+        numbers(&b.decide(NOW + 60 * CALM, retuned(&["x", "y", "z"], Effect::Safe, 3))),
         [3, 0, 1]
     );
 }
 
 // An effectful command was open when its verb became pure: it is not sent again, and the other way round it may be.
 #[rstest]
-#[case::effectful_before(Effect::Effectful, Effect::Pure, false)]
-#[case::pure_before(Effect::Pure, Effect::Effectful, true)]
+#[case::effectful_before(Effect::NonIdempotent, Effect::Safe, false)]
+#[case::pure_before(Effect::Safe, Effect::NonIdempotent, true)]
 fn an_open_command_keeps_the_effect_it_came_with(
     #[case] before: Effect,
     #[case] now: Effect,
@@ -1234,11 +1261,9 @@
 ) {
     let mut b = with_relay(before, 2);
     b.decide(NOW, retuned(&["v"], now, 3));
-    let out = b.decide(NOW, finished(0, Outcome::Broken));
+    let out = b.decide(NOW, finished(0, Outcome::ConnectionLost));
     assert_eq!(!relays(&out).is_empty(), again, "{out:?}");
-    let terminated = out
-        .iter()
-        .any(|a| matches!(a, Action::Terminate { cmd: 0 }));
+    let terminated = out.iter().any(|a| matches!(a, Action::Fail { command: 0 }));
     assert_eq!(terminated, !again, "{out:?}");
 }
 
@@ -1250,22 +1275,22 @@
     #[case] now: usize,
     #[case] again: bool,
 ) {
-    let mut b = with_relay(Effect::Pure, 2);
+    let mut b = with_relay(Effect::Safe, 2);
     b.duty.verbs[0].most_relays = before;
-    b.decide(NOW, retuned(&["v"], Effect::Pure, now));
-    let out = b.decide(NOW, finished(0, Outcome::Broken));
+    b.decide(NOW, retuned(&["v"], Effect::Safe, now));
+    let out = b.decide(NOW, finished(0, Outcome::ConnectionLost));
     assert_eq!(!relays(&out).is_empty(), again, "{out:?}");
 }
 
 #[rstest]
 fn a_slot_that_a_command_holds_is_not_given_out() {
-    let mut b = with_relay(Effect::Effectful, 2);
+    let mut b = with_relay(Effect::NonIdempotent, 2);
     assert_eq!(
-        numbers(&b.decide(NOW, retuned(&["w"], Effect::Pure, 3))),
+        numbers(&b.decide(NOW, retuned(&["w"], Effect::Safe, 3))),
         [1]
     );
     assert_eq!(
-        numbers(&b.decide(NOW + 60 * CALM, retuned(&["w", "x"], Effect::Pure, 3))),
+        numbers(&b.decide(NOW + 60 * CALM, retuned(&["w", "x"], Effect::Safe, 3))),
         [1, 2]
     );
 }
@@ -1300,10 +1325,10 @@
     #[case] found: f64,
     #[case] expected: std::ops::RangeInclusive<usize>,
 ) {
-    let mut b = sidecar(Effect::Pure, 8);
-    b.duty = Balancer::duty(StandingOrders {
+    let mut b = sidecar(Effect::Safe, 8);
+    b.duty = Balancer::duty(BalancerConfig {
         probe_price: price,
-        ..orders(Effect::Pure)
+        ..orders(Effect::Safe)
     });
     b.found = found;
     let mut probes = 0;
@@ -1331,16 +1356,16 @@
     #[case] waits: bool,
     #[case] found: f64,
 ) {
-    let mut b = sidecar(Effect::Pure, 1);
-    b.duty = Balancer::duty(StandingOrders {
+    let mut b = sidecar(Effect::Safe, 1);
+    b.duty = Balancer::duty(BalancerConfig {
         probe_price,
-        ..orders(Effect::Pure)
+        ..orders(Effect::Safe)
     });
     (b.now, b.found) = (NOW, 0.5);
     b.queue.extend(waits.then_some(0));
-    let report = Some(Report {
+    let report = Some(LoadReport {
         outstanding: Some(holds),
-        ..Report::default()
+        ..LoadReport::default()
     });
     b.checked(0, Outcome::Answered, Duration::from_millis(1), report);
     assert!((b.found - found).abs() < 1e-9, "{}", b.found);
@@ -1349,7 +1374,7 @@
 // join+vast: three in five of what went to endpoints in their first seconds came too late, though they held little.
 #[rstest]
 fn a_cold_endpoint_counts_as_slow_by_its_ramp() {
-    let mut b = sidecar(Effect::Pure, 2);
+    let mut b = sidecar(Effect::Safe, 2);
     (b.now, b.endpoints[1].pass_until) = (NOW, NOW + CALM);
     b.endpoints[1].start_cold(NOW);
     let w = b.weigh(&b.met, None, None, &|_| true);
@@ -1360,11 +1385,17 @@
 
 /// A command whose body still comes, with its relay out.
 fn uploading() -> Balancer {
-    let mut b = sidecar(Effect::Effectful, 1);
-    let Event::Arrived(a) = arrival(0) else {
+    let mut b = sidecar(Effect::NonIdempotent, 1);
+    let Event::CommandArrived(a) = arrival(0) else {
         unreachable!()
     };
-    b.decide(NOW, Event::Arrived(Arrival { uploads: true, ..a }));
+    b.decide(
+        NOW,
+        Event::CommandArrived(CommandArrival {
+            body_pending: true,
+            ..a
+        }),
+    );
     b
 }
 
@@ -1374,7 +1405,7 @@
     let mut b = uploading();
     assert_eq!((b.endpoints[0].out.len(), b.out_now), (0, 0.0));
     let later = NOW + 5 * CALM;
-    b.decide(later, Event::Whole { cmd: 0 });
+    b.decide(later, Event::BodyComplete { command: 0 });
     let c = b.held(0).unwrap();
     assert_eq!(
         (c.due, c.leave),
@@ -1394,12 +1425,12 @@
 fn a_body_that_has_gone_out_is_not_sent_again_and_its_command_declined(#[case] spent: bool) {
     let mut b = uploading();
     if spent {
-        b.decide(NOW, Event::Spent { cmd: 0 });
+        b.decide(NOW, Event::BodyNotReplayable { command: 0 });
     }
-    let out = b.decide(NOW, finished(0, Outcome::NoConnection));
+    let out = b.decide(NOW, finished(0, Outcome::ConnectFailed));
     assert_eq!(
         out.iter()
-            .any(|a| matches!(a, Action::Decline { cmd: 0, .. })),
+            .any(|a| matches!(a, Action::Refuse { command: 0, .. })),
         spent,
         "{out:?}"
     );
@@ -1410,8 +1441,8 @@
 // Slots of endpoints and verbs may be others; what was learnt goes by their names.
 #[rstest]
 fn what_another_instance_learnt_holds_and_what_it_had_out_does_not() {
-    let mut old = sidecar(Effect::Pure, 2);
-    old.decide(NOW, retuned(&["w", "v"], Effect::Pure, 3));
+    let mut old = sidecar(Effect::Safe, 2);
+    old.decide(NOW, retuned(&["w", "v"], Effect::Safe, 3));
     old.endpoints.iter_mut().for_each(|e| e.known = true);
     let e = &mut old.endpoints[1];
     (e.pace.mean, e.limit, e.up_since, e.out) = (3.0, 7.0, Some(NOW - CALM), vec![NOW]);
@@ -1424,14 +1455,14 @@
         },
     ];
     (old.window, old.duty.verbs[0].usual.mean, old.out_now) = (5.0, 0.7, 1.0);
-    let memory = old.memory(|at| Some(format!("s-{at}")));
-    assert_eq!(memory.ids().collect::<Vec<_>>(), ["s-0", "s-1"]);
-    let mut new = sidecar(Effect::Pure, 1);
+    let memory = old.learned_state(|at| Some(format!("s-{at}")));
+    assert_eq!(memory.endpoint_ids().collect::<Vec<_>>(), ["s-0", "s-1"]);
+    let mut new = sidecar(Effect::Safe, 1);
     new.endpoints[0].banned = Some(NOW);
     new.decide(
         NOW,
-        Event::Inherited {
-            memory: Box::new(memory),
+        Event::StateInherited {
+            state: Box::new(memory),
             slots: vec![None, Some(0)],
         },
     );
@@ -1462,7 +1493,7 @@
             })
             .count()
     };
-    let mut old = sidecar(Effect::Pure, 4);
+    let mut old = sidecar(Effect::Safe, 4);
     old.endpoints.iter_mut().for_each(|e| e.known = true);
     old.endpoints[0].start_cold(NOW);
     old.survey();
@@ -1471,13 +1502,13 @@
         old.arrivals.add(at, 4 * CALM);
         old.warm_kinds[0].served.add(at, 4 * CALM);
     });
-    let memory = Box::new(old.memory(|at| Some(at.to_string())));
-    let mut new = sidecar(Effect::Pure, 4);
+    let memory = Box::new(old.learned_state(|at| Some(at.to_string())));
+    let mut new = sidecar(Effect::Safe, 4);
     new.endpoints[0].start_cold(NOW);
     new.decide(
         NOW,
-        Event::Inherited {
-            memory,
+        Event::StateInherited {
+            state: memory,
             slots: (0..4).map(Some).collect(),
         },
     );
@@ -1490,25 +1521,28 @@
 
 // ---- out by hand ----
 
-fn cordoned(endpoint: EndpointIx, out: bool) -> Event {
-    Event::Cordoned { endpoint, out }
+fn cordoned(endpoint: EndpointIndex, out: bool) -> Event {
+    Event::CordonChanged {
+        endpoint,
+        cordoned: out,
+    }
 }
 
 // A list names all as running, also as just started or as gone and back: a ban stays until the call back.
 #[rstest]
-#[case::whole(ListKind::All, vec![listing(0, Duration::ZERO), listing(1, Duration::ZERO)])]
-#[case::started(ListKind::Changes, vec![listing(0, NOW)])]
-#[case::gone(ListKind::Changes, vec![Listing { mode: Mode::Deleted, ..listing(0, Duration::ZERO) }, listing(0, NOW)])]
+#[case::whole(ListUpdateKind::Full, vec![listing(0, Duration::ZERO), listing(1, Duration::ZERO)])]
+#[case::started(ListUpdateKind::Delta, vec![listing(0, NOW)])]
+#[case::gone(ListUpdateKind::Delta, vec![ListedEndpoint { state: EndpointState::Removed, ..listing(0, Duration::ZERO) }, listing(0, NOW)])]
 fn an_endpoint_out_by_hand_gets_nothing_whatever_the_list_says(
-    #[case] kind: ListKind,
-    #[case] entries: Vec<Listing>,
+    #[case] kind: ListUpdateKind,
+    #[case] entries: Vec<ListedEndpoint>,
 ) {
-    let mut b = sidecar(Effect::Pure, 2);
+    let mut b = sidecar(Effect::Safe, 2);
     b.decide(NOW, cordoned(0, true));
     for entry in entries {
         b.decide(
             NOW,
-            Event::Listed {
+            Event::ListUpdated {
                 kind,
                 entries: vec![entry, listing(1, Duration::ZERO)],
             },
@@ -1520,7 +1554,7 @@
     let met = |a: &Action| {
         matches!(
             a,
-            Action::Probe { endpoint: 0 } | Action::Release { endpoint: 0 }
+            Action::Probe { endpoint: 0 } | Action::ReleaseEndpoint { endpoint: 0 }
         )
     };
     assert!(
@@ -1531,7 +1565,7 @@
 
 #[rstest]
 fn one_call_back_ends_a_ban_however_often_it_was_told() {
-    let mut b = sidecar(Effect::Pure, 1);
+    let mut b = sidecar(Effect::Safe, 1);
     b.endpoints[0].up = true;
     (0..3).for_each(|_| drop(b.decide(NOW, cordoned(0, true))));
     assert!(!b.endpoints[0].listed);
@@ -1551,7 +1585,7 @@
     #[case] told: Option<Duration>,
     #[case] cold_from: Duration,
 ) {
-    let mut b = sidecar(Effect::Pure, 2);
+    let mut b = sidecar(Effect::Safe, 2);
     b.endpoints[0].up = true;
     b.endpoints[0].last = Few {
         bad: 0xff,
@@ -1562,8 +1596,8 @@
     if let Some(at) = told {
         b.decide(
             at,
-            Event::Listed {
-                kind: ListKind::Changes,
+            Event::ListUpdated {
+                kind: ListUpdateKind::Delta,
                 entries: vec![listing(0, at)],
             },
         );
@@ -1578,7 +1612,7 @@
 
 #[rstest]
 fn called_back_an_endpoint_is_tried_soon_also_where_little_comes() {
-    let mut b = sidecar(Effect::Pure, 8);
+    let mut b = sidecar(Effect::Safe, 8);
     b.endpoints.iter_mut().for_each(|e| e.up = true);
     b.decide(NOW, cordoned(0, true));
     b.decide(NOW, cordoned(0, false));
@@ -1590,26 +1624,30 @@
             // Probes are answered at once, as of an idle endpoint, and so are relays.
             let (outcome, report) = (
                 Outcome::Answered,
-                Some(Report {
+                Some(LoadReport {
                     outstanding: Some(0.0),
-                    ..Report::default()
+                    ..LoadReport::default()
                 }),
             );
             let event = match out.get(at) {
                 None => break,
-                Some(Action::Probe { endpoint }) => Event::Checked {
+                Some(Action::Probe { endpoint }) => Event::ProbeFinished {
                     endpoint: *endpoint,
                     outcome,
-                    spent,
+                    elapsed: spent,
                     report,
                 },
-                Some(Action::Relay { cmd, endpoint, .. }) => {
+                Some(Action::Relay {
+                    command: cmd,
+                    endpoint,
+                    ..
+                }) => {
                     tried = tried.or((*endpoint == 0).then_some(now - NOW));
-                    Event::Finished {
-                        cmd: *cmd,
+                    Event::RelayFinished {
+                        command: *cmd,
                         relay: 0,
                         outcome,
-                        spent,
+                        elapsed: spent,
                         concluded: true,
                         report,
                     }
@@ -1627,13 +1665,13 @@
 
 #[rstest]
 fn where_all_are_out_by_hand_a_command_is_declined_at_once() {
-    let mut b = sidecar(Effect::Effectful, 2);
+    let mut b = sidecar(Effect::NonIdempotent, 2);
     b.endpoints.iter_mut().for_each(|e| e.up = true);
     (0..2).for_each(|at| drop(b.decide(NOW, cordoned(at, true))));
     let out = b.decide(NOW, arrival(0));
     assert!(
         out.iter()
-            .any(|a| matches!(a, Action::Decline { cmd: 0, .. })),
+            .any(|a| matches!(a, Action::Refuse { command: 0, .. })),
         "{out:?}"
     );
 }
@@ -1641,14 +1679,17 @@
 // Held for heartbeats when the ban came.
 #[rstest]
 fn a_waiting_command_does_not_go_to_what_is_out_by_hand() {
-    let mut b = sidecar(Effect::Pure, 2);
+    let mut b = sidecar(Effect::Safe, 2);
     b.endpoints
         .iter_mut()
         .for_each(|e| (e.up, e.heard) = (true, None));
     assert_eq!(relays(&b.decide(NOW, arrival(0))), []);
     let mut out = b.decide(NOW, cordoned(0, true));
     (1..5).for_each(|n| {
-        out.extend(b.decide(NOW + n * CALM / 200, Event::Due { token: ALARM_QUEUE }))
+        out.extend(b.decide(
+            NOW + n * CALM / 200,
+            Event::TimerFired { token: ALARM_QUEUE },
+        ))
     });
     assert_eq!(relays(&out), [1]);
 }
@@ -1662,7 +1703,7 @@
     #[case] zones: Option<Vec<usize>>,
     #[case] kinds: Option<Vec<usize>>,
 ) {
-    let mut b = sidecar(Effect::Pure, 5);
+    let mut b = sidecar(Effect::Safe, 5);
     b.duty.verbs[0].only = [zones, kinds];
     (
         b.endpoints[3].kind,
@@ -1672,13 +1713,13 @@
     // The first relay, though all others are idle; the second copy and the second relay find nowhere to go.
     let first = b.decide(NOW, arrival(0));
     assert_eq!(relays(&first), [3]);
-    let copy = b.decide(NOW + CALM / 10, Event::Due { token: ALARM_COPY });
+    let copy = b.decide(NOW + CALM / 10, Event::TimerFired { token: ALARM_COPY });
     assert_eq!(relays(&copy), []);
-    let full = Event::Finished {
-        cmd: 0,
+    let full = Event::RelayFinished {
+        command: 0,
         relay: 0,
-        outcome: Outcome::Full,
-        spent: CALM / 10,
+        outcome: Outcome::Overloaded,
+        elapsed: CALM / 10,
         concluded: false,
         report: None,
     };
@@ -1688,13 +1729,13 @@
     (1..20).for_each(|n| {
         then.extend(b.decide(
             NOW + CALM / 10 + n * CALM / 40,
-            Event::Due { token: ALARM_QUEUE },
+            Event::TimerFired { token: ALARM_QUEUE },
         ))
     });
     assert!(relays(&then).iter().all(|to| *to == 3), "{then:?}");
     assert!(
         then.iter()
-            .any(|a| matches!(a, Action::Decline { cmd: 0, .. })),
+            .any(|a| matches!(a, Action::Refuse { command: 0, .. })),
         "{then:?}"
     );
 }
@@ -1702,11 +1743,11 @@
 // One that nothing takes, worth more, says nothing of where the others may go.
 #[rstest]
 fn a_bound_verb_that_waits_keeps_no_other_from_its_place() {
-    let mut b = sidecar(Effect::Pure, 2);
+    let mut b = sidecar(Effect::Safe, 2);
     b.duty.verbs.push(VerbDuty::of(
-        &VerbOrder {
+        &RequestClassConfig {
             utility: 9.0,
-            ..verb(Effect::Pure)
+            ..verb(Effect::Safe)
         },
         CALM / 20,
         3,
@@ -1727,57 +1768,57 @@
 
 // ---- helpers ----
 
-fn verb(effect: Effect) -> VerbOrder {
+fn verb(effect: Effect) -> RequestClassConfig {
     let ms = Duration::from_millis;
-    VerbOrder {
+    RequestClassConfig {
         name: "v".into(),
         effect,
-        group: Group::All,
-        window: Duration::from_secs(5),
-        goal: ms(400),
-        limit: ms(1000),
-        goal_stretch: 0.0,
+        deduplication_scope: DeduplicationScope::All,
+        deduplication_window: Duration::from_secs(5),
+        deadline_target: ms(400),
+        time_limit: ms(1000),
+        target_per_work: 0.0,
         utility: 1.0,
         late_utility: 0.0,
         stream: false,
-        only_zones: None,
-        only_kinds: None,
+        allowed_zones: None,
+        allowed_kinds: None,
     }
 }
 
-fn orders(effect: Effect) -> StandingOrders {
+fn orders(effect: Effect) -> BalancerConfig {
     let ms = Duration::from_millis;
-    StandingOrders {
+    BalancerConfig {
         seed: 7,
-        zone: 0,
+        own_zone: 0,
         zones: vec!["z".into()],
         kinds: vec![],
-        verbs: vec![verb(effect)],
-        companies: vec![],
+        classes: vec![verb(effect)],
+        tenants: vec![],
         surplus_utility: 1.0,
-        goal_whole: 0.6,
-        goal_worst_verb: 0.4,
+        objective_total: 0.6,
+        objective_worst_class: 0.4,
         tick: ms(1),
         max_relays: 3,
         max_retry_after: Some(ms(500)),
-        probes: true,
-        may_cancel: true,
-        second_copies: true,
+        probes_allowed: true,
+        cancellation_allowed: true,
+        hedging_allowed: true,
         list_on_request: true,
-        reports: ReportsHow::Piggyback,
-        weights_live: false,
+        report_mode: ReportMode::Piggyback,
+        live_weights: false,
         warm_keys: false,
         probe_price: 0.002,
         cross_zone_price: 0.0,
         handshake_price: 0.0,
         idle_close: Duration::from_secs(60),
-        streams: 100,
-        ask_every: Duration::from_secs(10),
+        streams_per_connection: 100,
+        list_poll_interval: Duration::from_secs(10),
         drain_grace: Duration::from_millis(500),
-        cold_from: 0.2,
-        warm_within: Duration::from_secs(20),
-        tip_multiple: 3.0,
-        tip_after: Duration::from_secs(2),
+        cold_capacity: 0.2,
+        warm_up_time: Duration::from_secs(20),
+        overload_multiple: 3.0,
+        overload_window: Duration::from_secs(2),
     }
 }
 
@@ -1834,48 +1875,48 @@
     b
 }
 
-fn arrival(cmd: CmdIx) -> Event {
+fn arrival(cmd: CommandIndex) -> Event {
     let budget = Duration::from_millis(500);
-    Event::Arrived(Arrival {
-        cmd,
-        verb: 0,
-        company: None,
+    Event::CommandArrived(CommandArrival {
+        command: cmd,
+        class: 0,
+        tenant: None,
         key: None,
         budget,
         work: None,
-        again: false,
-        write: false,
-        play: 0,
-        uploads: false,
+        is_retry: false,
+        is_write: false,
+        weight_set: 0,
+        body_pending: false,
     })
 }
 
 fn finished(relay: usize, outcome: Outcome) -> Event {
     let spent = Duration::from_millis(5);
-    Event::Finished {
-        cmd: 0,
+    Event::RelayFinished {
+        command: 0,
         relay,
         outcome,
-        spent,
+        elapsed: spent,
         concluded: false,
         report: None,
     }
 }
 
-fn listing(endpoint: EndpointIx, started: Duration) -> Listing {
-    Listing {
+fn listing(endpoint: EndpointIndex, started: Duration) -> ListedEndpoint {
+    ListedEndpoint {
         endpoint,
-        mark: endpoint as u64,
+        id_hash: endpoint as u64,
         zone: 0,
         cell: 0,
         kind: 0,
-        rating: 1.0,
-        started,
-        mode: Mode::Running,
+        weight: 1.0,
+        started_at: started,
+        state: EndpointState::Running,
     }
 }
 
-fn relays(out: &[Action]) -> Vec<EndpointIx> {
+fn relays(out: &[Action]) -> Vec<EndpointIndex> {
     let to = |a: &Action| {
         if let Action::Relay { endpoint, .. } = a {
             Some(*endpoint)
@@ -1893,12 +1934,12 @@
 #[case::unknown_play(7, vec![])]
 fn a_steered_command_goes_where_its_play_has_weight(
     #[case] play: usize,
-    #[case] to: Vec<EndpointIx>,
+    #[case] to: Vec<EndpointIndex>,
 ) {
-    let mut b = sidecar(Effect::Pure, 3);
+    let mut b = sidecar(Effect::Safe, 3);
     b.decide(
         NOW,
-        Event::Steered {
+        Event::RouteWeightsChanged {
             weights: vec![(0, 1, 1.0), (1, 0, 1.0), (1, 2, 0.5), (1, 1, 0.0)],
         },
     );
@@ -1912,10 +1953,10 @@
 // A play in which nothing is open must not hold up commands of another.
 #[rstest]
 fn a_play_that_is_shut_leaves_the_others_open() {
-    let mut b = sidecar(Effect::Pure, 2);
+    let mut b = sidecar(Effect::Safe, 2);
     b.decide(
         NOW,
-        Event::Steered {
+        Event::RouteWeightsChanged {
             weights: vec![(0, 0, 1.0), (1, 1, 1.0)],
         },
     );
--- a/crates/passroad-choice/src/door.rs
+++ b/crates/passroad-choice/src/interner.rs
@@ -4,7 +4,7 @@
 use std::hash::Hash;
 
 /// A number made of a text (FNV-1a): the same at every sidecar, in every build.
-pub fn mark(text: &str) -> u64 {
+pub fn stable_hash(text: &str) -> u64 {
     text.bytes().fold(0xcbf2_9ce4_8422_2325, |sum, byte| {
         (sum ^ u64::from(byte)).wrapping_mul(0x100_0000_01b3)
     })
@@ -12,15 +12,15 @@
 
 /// Gives each id the lowest free index. Iteration order never shows.
 #[derive(Debug, Default)]
-pub struct Door<K> {
+pub struct Interner<K> {
     inside: FxHashMap<K, usize>,
     outside: Vec<Option<K>>,
     free: Vec<usize>,
 }
 
-impl<K: Eq + Hash + Clone> Door<K> {
+impl<K: Eq + Hash + Clone> Interner<K> {
     pub fn new() -> Self {
-        Door {
+        Interner {
             inside: FxHashMap::default(),
             outside: Vec::new(),
             free: Vec::new(),
@@ -28,7 +28,7 @@
     }
 
     /// The index of an id, new if it is a stranger.
-    pub fn admit(&mut self, id: &K) -> usize {
+    pub fn intern(&mut self, id: &K) -> usize {
         if let Some(&ix) = self.inside.get(id) {
             return ix;
         }
@@ -42,7 +42,7 @@
         ix
     }
 
-    pub fn find<Q>(&self, id: &Q) -> Option<usize>
+    pub fn get<Q>(&self, id: &Q) -> Option<usize>
     where
         K: std::borrow::Borrow<Q>,
         Q: Eq + Hash + ?Sized,
--- a/crates/passroad-choice/src/lib.rs
+++ b/crates/passroad-choice/src/lib.rs
@@ -1,105 +1,109 @@
 //! The decisions of passroad and the types they speak in.
 //!
 //! [`choice::Balancer`] is handed events and returns actions. Ids are small indices given out by a
-//! [`door::Door`]; times are spans since the start of the clock that drives it.
+//! [`interner::Interner`]; times are spans since the start of the clock that drives it.
 
 pub mod choice;
-pub mod door;
+pub mod interner;
+pub mod shadow;
 mod state;
-pub mod watch;
 
-pub use state::Memory;
+pub use state::LearnedState;
 
 use std::time::Duration;
 
 /// Slot of an endpoint; may be given out anew after [`Action::Release`].
-pub type EndpointIx = usize;
+pub type EndpointIndex = usize;
 /// Slot of a command; may be given out anew after [`Action::Forget`].
-pub type CmdIx = usize;
+pub type CommandIndex = usize;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Effect {
-    Pure,
-    Receipted,
-    Effectful,
+    Safe,
+    Keyed,
+    NonIdempotent,
 }
 
 /// The endpoints that drop a repeat of a receipted command.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Group {
+pub enum DeduplicationScope {
     All,
     Zone,
     Cell,
 }
 
 #[derive(Debug, Clone)]
-pub struct VerbOrder {
+pub struct RequestClassConfig {
     pub name: String,
     pub effect: Effect,
-    pub group: Group,
-    pub window: Duration,
-    pub goal: Duration,
-    pub limit: Duration,
-    pub goal_stretch: f64,
+    pub deduplication_scope: DeduplicationScope,
+    pub deduplication_window: Duration,
+    pub deadline_target: Duration,
+    pub time_limit: Duration,
+    pub target_per_work: f64,
     pub utility: f64,
     pub late_utility: f64,
     pub stream: bool,
     /// The zones and the kinds where it may run, if not all.
-    pub only_zones: Option<Vec<usize>>,
-    pub only_kinds: Option<Vec<usize>>,
+    pub allowed_zones: Option<Vec<usize>>,
+    pub allowed_kinds: Option<Vec<usize>>,
 }
 
 #[derive(Debug, Clone)]
-pub struct CompanyOrder {
+pub struct TenantConfig {
     pub name: String,
-    pub portion: f64,
+    pub share: f64,
 }
 
 /// What an instance is handed at its start.
 #[derive(Debug, Clone)]
-pub struct StandingOrders {
+pub struct BalancerConfig {
     pub seed: u64,
-    pub zone: usize,
+    pub own_zone: usize,
     pub zones: Vec<String>,
     pub kinds: Vec<String>, // those that verbs are bound to
-    pub verbs: Vec<VerbOrder>,
-    pub companies: Vec<CompanyOrder>,
+    pub classes: Vec<RequestClassConfig>,
+    pub tenants: Vec<TenantConfig>,
     pub surplus_utility: f64,
-    pub goal_whole: f64,
-    pub goal_worst_verb: f64,
+    pub objective_total: f64,
+    pub objective_worst_class: f64,
     pub tick: Duration,
     pub max_relays: usize,
     pub max_retry_after: Option<Duration>,
-    pub probes: bool,
-    pub may_cancel: bool,
-    pub second_copies: bool,
+    pub probes_allowed: bool,
+    pub cancellation_allowed: bool,
+    pub hedging_allowed: bool,
     pub list_on_request: bool,
-    pub reports: ReportsHow,
-    pub weights_live: bool,
+    pub report_mode: ReportMode,
+    pub live_weights: bool,
     pub warm_keys: bool, // an endpoint does less work for a key that it met lately
     pub probe_price: f64,
     pub cross_zone_price: f64,
     pub handshake_price: f64,
     pub idle_close: Duration,
-    pub streams: usize, // that one connection carries
-    pub ask_every: Duration,
+    pub streams_per_connection: usize, // that one connection carries
+    pub list_poll_interval: Duration,
     pub drain_grace: Duration,
-    pub cold_from: f64,
-    pub warm_within: Duration,
-    pub tip_multiple: f64,
-    pub tip_after: Duration,
+    pub cold_capacity: f64,
+    pub warm_up_time: Duration,
+    pub overload_multiple: f64,
+    pub overload_window: Duration,
 }
 
-impl StandingOrders {
+impl BalancerConfig {
     /// Has zones and kinds named by the indices that the doors give them, in place of their order here.
-    pub fn through(&mut self, zones: &mut door::Door<String>, kinds: &mut door::Door<String>) {
-        let zone_at: Vec<usize> = self.zones.iter().map(|zone| zones.admit(zone)).collect();
-        let kind_at: Vec<usize> = self.kinds.iter().map(|kind| kinds.admit(kind)).collect();
-        self.zone = zone_at.get(self.zone).copied().unwrap_or(usize::MAX);
-        for verb in &mut self.verbs {
+    pub fn intern_names(
+        &mut self,
+        zones: &mut interner::Interner<String>,
+        kinds: &mut interner::Interner<String>,
+    ) {
+        let zone_at: Vec<usize> = self.zones.iter().map(|zone| zones.intern(zone)).collect();
+        let kind_at: Vec<usize> = self.kinds.iter().map(|kind| kinds.intern(kind)).collect();
+        self.own_zone = zone_at.get(self.own_zone).copied().unwrap_or(usize::MAX);
+        for verb in &mut self.classes {
             for (only, at) in [
-                (&mut verb.only_zones, &zone_at),
-                (&mut verb.only_kinds, &kind_at),
+                (&mut verb.allowed_zones, &zone_at),
+                (&mut verb.allowed_kinds, &kind_at),
             ] {
                 only.iter_mut()
                     .flatten()
@@ -110,7 +114,7 @@
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum ReportsHow {
+pub enum ReportMode {
     Piggyback,
     Pull,
     Silent,
@@ -118,7 +122,7 @@
 
 /// What an endpoint says of its load; absent values were not named.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub struct Report {
+pub struct LoadReport {
     pub outstanding: Option<f64>,
     pub backlog: Option<f64>,
     pub utilization: Option<f64>,
@@ -131,125 +135,128 @@
 pub enum Outcome {
     Answered,
     Error,
-    Full,
+    Overloaded,
     TimedOut,
-    NoConnection,
-    Broken,
-    Recalled,
-    Moot,
+    ConnectFailed,
+    ConnectionLost,
+    Cancelled,
+    NotSent,
     /// The endpoint turns the command itself away; that says nothing of how it is.
-    Unfit,
+    Rejected,
 }
 
 impl Outcome {
     /// Whether this outcome proves that the relay had no effect.
     pub fn never_ran(self) -> bool {
-        matches!(self, Outcome::Full | Outcome::NoConnection | Outcome::Moot)
+        matches!(
+            self,
+            Outcome::Overloaded | Outcome::ConnectFailed | Outcome::NotSent
+        )
     }
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Mode {
+pub enum EndpointState {
     Running,
-    Stopping,
-    Deleted,
+    Draining,
+    Removed,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum ListKind {
-    Changes,
-    All,
-    Remembered,
-    Refused,
+pub enum ListUpdateKind {
+    Delta,
+    Full,
+    Cached,
+    Failed,
 }
 
 #[derive(Debug, Clone)]
-pub struct Listing {
-    pub endpoint: EndpointIx,
-    /// Made of its id by [`door::mark`], so the same at every sidecar.
-    pub mark: u64,
+pub struct ListedEndpoint {
+    pub endpoint: EndpointIndex,
+    /// Made of its id by [`interner::stable_hash`], so the same at every sidecar.
+    pub id_hash: u64,
     pub zone: usize,
     pub cell: usize,
     pub kind: usize,
-    pub rating: f64,
-    pub started: Duration,
-    pub mode: Mode,
+    pub weight: f64,
+    pub started_at: Duration,
+    pub state: EndpointState,
 }
 
 #[derive(Debug, Clone)]
-pub struct Arrival {
-    pub cmd: CmdIx,
-    pub verb: usize,
-    pub company: Option<usize>,
+pub struct CommandArrival {
+    pub command: CommandIndex,
+    pub class: usize,
+    pub tenant: Option<usize>,
     pub key: Option<u64>,
     pub budget: Duration,
     pub work: Option<Duration>,
-    pub again: bool,
-    pub write: bool,
+    pub is_retry: bool,
+    pub is_write: bool,
     /// Which of the weights told by [`Event::Steered`] hold for it; without routes there is one play, nought.
-    pub play: usize,
+    pub weight_set: usize,
     /// Its body still comes: its time begins with [`Event::Whole`].
-    pub uploads: bool,
+    pub body_pending: bool,
 }
 
 #[derive(Debug, Clone)]
 pub enum Event {
-    Listed {
-        kind: ListKind,
-        entries: Vec<Listing>,
+    ListUpdated {
+        kind: ListUpdateKind,
+        entries: Vec<ListedEndpoint>,
     },
     /// Routes say which endpoints are in play, and with which base weight: from here on an endpoint's weight in a play
     /// takes the place of the zone's part of its base weight, and is nothing where none was told.
-    Steered {
-        weights: Vec<(usize, EndpointIx, f64)>,
+    RouteWeightsChanged {
+        weights: Vec<(usize, EndpointIndex, f64)>,
     },
     /// Other orders from here on. Commands that are open keep those that they came with.
-    Retuned(Box<StandingOrders>),
+    Reconfigured(Box<BalancerConfig>),
     /// Operators take an endpoint out, or call it back; whatever the list says meanwhile.
-    Cordoned {
-        endpoint: EndpointIx,
-        out: bool,
+    CordonChanged {
+        endpoint: EndpointIndex,
+        cordoned: bool,
     },
     /// What another instance learnt that was here before; its endpoints by the slots that they have now, if any.
-    Inherited {
-        memory: Box<Memory>,
-        slots: Vec<Option<EndpointIx>>,
+    StateInherited {
+        state: Box<LearnedState>,
+        slots: Vec<Option<EndpointIndex>>,
     },
-    Arrived(Arrival),
+    CommandArrived(CommandArrival),
     /// Part of a body that is not kept has gone out: no other relay can be given it.
-    Spent {
-        cmd: CmdIx,
+    BodyNotReplayable {
+        command: CommandIndex,
     },
     /// All of a body that still came is there.
-    Whole {
-        cmd: CmdIx,
+    BodyComplete {
+        command: CommandIndex,
     },
     StreamStarted {
-        cmd: CmdIx,
+        command: CommandIndex,
         relay: usize,
     },
-    Finished {
-        cmd: CmdIx,
+    RelayFinished {
+        command: CommandIndex,
         relay: usize,
         outcome: Outcome,
-        spent: Duration,
+        elapsed: Duration,
         concluded: bool,
-        report: Option<Report>,
+        report: Option<LoadReport>,
     },
-    Lapsed {
-        cmd: CmdIx,
+    CommandAbandoned {
+        command: CommandIndex,
     },
-    Checked {
-        endpoint: EndpointIx,
+    ProbeFinished {
+        endpoint: EndpointIndex,
         outcome: Outcome,
-        spent: Duration,
-        report: Option<Report>,
+        elapsed: Duration,
+        report: Option<LoadReport>,
     },
-    PeerSaid {
+    PeerMessageReceived {
         from: usize,
         bytes: Vec<u8>,
     },
-    Due {
+    TimerFired {
         token: u64,
     },
 }
@@ -257,52 +264,52 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
     Relay {
-        cmd: CmdIx,
-        endpoint: EndpointIx,
-        within: Duration,
+        command: CommandIndex,
+        endpoint: EndpointIndex,
+        timeout: Duration,
         /// Later than this its first byte must not go out any more.
-        begin: Duration,
+        send_by: Duration,
     },
-    Recall {
-        cmd: CmdIx,
+    CancelRelay {
+        command: CommandIndex,
         relay: usize,
     },
-    Decline {
-        cmd: CmdIx,
-        not_before: Option<Duration>,
+    Refuse {
+        command: CommandIndex,
+        retry_after: Option<Duration>,
     },
-    Terminate {
-        cmd: CmdIx,
+    Fail {
+        command: CommandIndex,
     },
     /// The module holds nothing more on this command; its slot may be given out anew.
-    Forget {
-        cmd: CmdIx,
+    ReleaseCommand {
+        command: CommandIndex,
     },
     /// The endpoint has left, and the module holds nothing more on it; its slot may be given out anew.
-    Release {
-        endpoint: EndpointIx,
+    ReleaseEndpoint {
+        endpoint: EndpointIndex,
     },
     Probe {
-        endpoint: EndpointIx,
+        endpoint: EndpointIndex,
     },
     Disconnect {
-        endpoint: EndpointIx,
+        endpoint: EndpointIndex,
     },
-    Listen {
+    Subscribe {
         active: bool,
     },
-    AskList,
-    Tell {
+    PollList,
+    SendToPeer {
         to: Option<usize>,
         bytes: Vec<u8>,
     },
-    Alarm {
+    SetTimer {
         after: Duration,
         token: u64,
     },
     /// The answer to other orders: the verb of each, as commands are to name it from here on.
-    Numbered {
-        verbs: Vec<usize>,
+    ClassIndicesAssigned {
+        classes: Vec<usize>,
     },
     Log(String),
 }
--- a/crates/passroad-choice/src/state.rs
+++ b/crates/passroad-choice/src/state.rs
@@ -2,7 +2,10 @@
 //! Only shapes and sums stand here; what follows from them is decided in `choice.rs`.
 
 use crate::choice::{KEY_SLOTS, LEAST_GAIN};
-use crate::{Action, Arrival, CmdIx, Effect, EndpointIx, Group, Outcome, VerbOrder};
+use crate::{
+    Action, CommandArrival, CommandIndex, DeduplicationScope, Effect, EndpointIndex, Outcome,
+    RequestClassConfig,
+};
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
@@ -159,7 +162,7 @@
 pub struct VerbDuty {
     pub name: String,
     pub effect: Effect,
-    pub group: Group,
+    pub group: DeduplicationScope,
     pub window: Duration,
     pub goal: Duration,
     pub limit: Duration,
@@ -177,15 +180,15 @@
 }
 
 impl VerbDuty {
-    pub fn of(v: &VerbOrder, usual: Duration, most_relays: usize) -> Self {
+    pub fn of(v: &RequestClassConfig, usual: Duration, most_relays: usize) -> Self {
         VerbDuty {
             name: v.name.clone(),
             effect: v.effect,
-            group: v.group,
-            window: v.window,
-            goal: v.goal,
-            limit: v.limit,
-            stretch: v.goal_stretch,
+            group: v.deduplication_scope,
+            window: v.deduplication_window,
+            goal: v.deadline_target,
+            limit: v.time_limit,
+            stretch: v.target_per_work,
             utility: v.utility,
             late_utility: v.late_utility,
             budget: Duration::ZERO,
@@ -197,7 +200,7 @@
                 ..Pace::default()
             },
             most_relays,
-            only: [v.only_zones.clone(), v.only_kinds.clone()],
+            only: [v.allowed_zones.clone(), v.allowed_kinds.clone()],
             retired: None,
         }
     }
@@ -259,7 +262,7 @@
 /// For one relay.
 #[derive(Clone, Copy)]
 pub struct Relay {
-    pub endpoint: EndpointIx,
+    pub endpoint: EndpointIndex,
     pub sent: Duration,
     pub ahead: f64, // what the endpoint was thought to hold
     pub told: f64,  // of that, the weight of what it had reported itself
@@ -295,14 +298,25 @@
 }
 
 impl Command {
-    pub fn come(a: &Arrival, now: Duration, due: Duration) -> Self {
+    pub fn come(a: &CommandArrival, now: Duration, due: Duration) -> Self {
         Command {
-            verb: a.verb,
-            play: a.play,
+            verb: a.class,
+            play: a.weight_set,
             key: None,
             came: now,
-            due: due + if a.uploads { LATER } else { Duration::ZERO },
-            leave: now + a.budget + if a.uploads { LATER } else { Duration::ZERO },
+            due: due
+                + if a.body_pending {
+                    LATER
+                } else {
+                    Duration::ZERO
+                },
+            leave: now
+                + a.budget
+                + if a.body_pending {
+                    LATER
+                } else {
+                    Duration::ZERO
+                },
             value: 0.0,
             best: 1.0,
             hold_until: now,
@@ -310,7 +324,7 @@
             waits: true,
             over: false,
             streams: false,
-            coming: a.uploads,
+            coming: a.body_pending,
             once: false,
             rounds: 0,
             relays: Vec::new(),
@@ -318,7 +332,7 @@
     }
 
     /// Its body is there: its time runs from here, and that of its relays; where these are.
-    pub fn begin(&mut self, now: Duration) -> Vec<EndpointIx> {
+    pub fn begin(&mut self, now: Duration) -> Vec<EndpointIndex> {
         let late = now.saturating_sub(self.came);
         (self.due, self.leave) = (self.due + late - LATER, self.leave + late - LATER);
         self.coming = false;
@@ -424,7 +438,7 @@
 impl Endpoint {
     /// One more outcome among the last few.
     pub fn note(&mut self, now: Duration, verb: usize, outcome: Outcome, few: u32) {
-        let harm = matches!(outcome, Outcome::Error | Outcome::Broken);
+        let harm = matches!(outcome, Outcome::Error | Outcome::ConnectionLost);
         self.by_verb
             .resize(self.by_verb.len().max(verb + 1), Few::default());
         for last in [&mut self.last, &mut self.by_verb[verb]] {
@@ -458,7 +472,7 @@
 
 /// What one instance has learnt, for the one that takes its place. Times are by a clock that both share.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct Memory {
+pub struct LearnedState {
     endpoints: Vec<(String, Endpoint)>,
     verbs: Vec<(String, usize, Habit)>, // each with its slot
     mix: Vec<Faded>,
@@ -481,9 +495,9 @@
     usual: Pace,
 }
 
-impl Memory {
+impl LearnedState {
     /// The endpoints that it speaks of.
-    pub fn ids(&self) -> impl Iterator<Item = &str> {
+    pub fn endpoint_ids(&self) -> impl Iterator<Item = &str> {
         self.endpoints.iter().map(|(id, _)| id.as_str())
     }
 }
@@ -499,14 +513,14 @@
     pub(crate) duty: DutySheet,
     pub(crate) dice: u64,
     pub(crate) endpoints: Vec<Endpoint>,
-    pub(crate) listed: f64,          // how many of them are, one at least
-    pub(crate) warm: f64,            // size of those that are warm
-    pub(crate) met: Vec<EndpointIx>, // those in view
-    pub(crate) colds: Vec<EndpointIx>,
+    pub(crate) listed: f64,             // how many of them are, one at least
+    pub(crate) warm: f64,               // size of those that are warm
+    pub(crate) met: Vec<EndpointIndex>, // those in view
+    pub(crate) colds: Vec<EndpointIndex>,
     pub(crate) table: Vec<f64>, // running sum of the base weights of warm ones
     pub(crate) next_survey: Duration,
     pub(crate) commands: Vec<Option<Command>>,
-    pub(crate) queue: Vec<CmdIx>,
+    pub(crate) queue: Vec<CommandIndex>,
     pub(crate) mix: Vec<Faded>,  // arrivals by company
     pub(crate) kinds: Vec<Pace>, // the same by kind
     pub(crate) usual: Pace,      // pace of all endpoints, against each verb's usual
@@ -600,7 +614,7 @@
     }
 
     /// Which endpoints are in play, and with which base weight, is decided before; the draw is here.
-    pub(crate) fn steer(&mut self, weights: Vec<(usize, EndpointIx, f64)>) {
+    pub(crate) fn steer(&mut self, weights: Vec<(usize, EndpointIndex, f64)>) {
         self.steered = true;
         for (play, endpoint, weight) in weights {
             let Some(e) = self.endpoints.get_mut(endpoint) else {
@@ -685,13 +699,14 @@
             .collect();
         let line = format!("other orders: verbs {}", names.join(", "));
         self.log(line);
-        self.out.push(Action::Numbered { verbs });
+        self.out
+            .push(Action::ClassIndicesAssigned { classes: verbs });
         self.survey();
     }
 
     /// How an endpoint seems from here, for whoever is to take machines out: the share of what it may hold that it holds,
     /// where it has said so lately, and whether it fails or can't be reached.
-    pub fn seems(&self, at: EndpointIx) -> (Option<f64>, bool) {
+    pub fn endpoint_load(&self, at: EndpointIndex) -> (Option<f64>, bool) {
         let Some(e) = self.endpoints.get(at) else {
             return (None, true);
         };
@@ -703,7 +718,7 @@
     }
 
     /// What was learnt here; `name` tells what an endpoint is called outside.
-    pub fn memory(&self, name: impl Fn(EndpointIx) -> Option<String>) -> Memory {
+    pub fn learned_state(&self, name: impl Fn(EndpointIndex) -> Option<String>) -> LearnedState {
         let known = self.endpoints.iter().enumerate().filter(|(_, e)| e.known);
         let habit = |v: &VerbDuty| Habit {
             budget: v.budget,
@@ -718,7 +733,7 @@
             .iter()
             .enumerate()
             .filter(|(_, v)| v.retired.is_none());
-        Memory {
+        LearnedState {
             endpoints: known
                 .filter_map(|(at, e)| Some((name(at)?, e.clone())))
                 .collect(),
@@ -747,7 +762,7 @@
     }
 
     /// Takes over what another instance learnt. What it had out is its own, and what the list says is newer here.
-    pub(crate) fn inherit(&mut self, memory: Memory, slots: &[Option<EndpointIx>]) {
+    pub(crate) fn inherit(&mut self, memory: LearnedState, slots: &[Option<EndpointIndex>]) {
         let (now, count) = (self.now, memory.endpoints.len());
         let mut from = vec![None; self.duty.verbs.len()];
         for (name, slot, habit) in memory.verbs {
@@ -816,7 +831,7 @@
     }
 
     /// An answer of a warm endpoint.
-    pub(crate) fn note_warm(&mut self, at: EndpointIx) {
+    pub(crate) fn note_warm(&mut self, at: EndpointIndex) {
         let kind = self.endpoints[at].kind;
         self.warm_kinds
             .resize(self.warm_kinds.len().max(kind + 1), WarmKind::default());
@@ -833,7 +848,7 @@
         self.out.push(Action::Log(line));
     }
 
-    pub(crate) fn streams(&mut self, cmd: CmdIx) {
+    pub(crate) fn streams(&mut self, cmd: CommandIndex) {
         self.commands
             .get_mut(cmd)
             .into_iter()
@@ -841,7 +856,7 @@
             .for_each(|c| c.streams = true);
     }
 
-    pub(crate) fn spent(&mut self, cmd: CmdIx) {
+    pub(crate) fn spent(&mut self, cmd: CommandIndex) {
         self.commands
             .get_mut(cmd)
             .into_iter()
@@ -850,7 +865,7 @@
     }
 
     /// One more relay is at work there, unless its body still comes.
-    pub(crate) fn book(&mut self, at: EndpointIx, sent: Duration, coming: bool) {
+    pub(crate) fn book(&mut self, at: EndpointIndex, sent: Duration, coming: bool) {
         if coming {
             return;
         }
@@ -860,7 +875,7 @@
         self.out_now += 1.0;
     }
 
-    pub(crate) fn unbook(&mut self, at: EndpointIx, sent: Duration, coming: bool) {
+    pub(crate) fn unbook(&mut self, at: EndpointIndex, sent: Duration, coming: bool) {
         if coming {
             return;
         }
@@ -875,7 +890,7 @@
 
     /// Notes an outcome among the last few. One line when most of them are bad, and one when most are good again, of
     /// all verbs and of this one.
-    pub(crate) fn judge(&mut self, at: EndpointIx, verb: usize, outcome: Outcome, few: u32) {
+    pub(crate) fn judge(&mut self, at: EndpointIndex, verb: usize, outcome: Outcome, few: u32) {
         let (name, e) = (&self.duty.verbs[verb].name, &mut self.endpoints[at]);
         e.note(self.now, verb, outcome, few);
         for (last, what) in [(&mut e.last, "all verbs"), (&mut e.by_verb[verb], name)] {
@@ -892,11 +907,11 @@
         }
     }
 
-    pub(crate) fn held(&self, cmd: CmdIx) -> Option<&Command> {
+    pub(crate) fn held(&self, cmd: CommandIndex) -> Option<&Command> {
         self.commands.get(cmd).and_then(Option::as_ref)
     }
 
-    pub(crate) fn meet(&mut self, at: EndpointIx) {
+    pub(crate) fn meet(&mut self, at: EndpointIndex) {
         if !std::mem::replace(&mut self.endpoints[at].met, true) {
             self.met.push(at);
         }
@@ -906,11 +921,11 @@
         self.met.iter().map(|at| &self.endpoints[*at])
     }
 
-    pub(crate) fn tidy(&mut self, cmd: CmdIx) {
+    pub(crate) fn tidy(&mut self, cmd: CommandIndex) {
         let done = |c: &Command| c.over && c.relays.iter().all(|r| r.outcome.is_some());
         if self.held(cmd).is_some_and(done) {
             self.commands[cmd] = None;
-            self.out.push(Action::Forget { cmd });
+            self.out.push(Action::ReleaseCommand { command: cmd });
         }
     }
 
@@ -981,7 +996,7 @@
             {
                 self.endpoints[at] = Endpoint::unknown();
                 self.met.retain(|met| *met != at);
-                self.out.push(Action::Release { endpoint: at });
+                self.out.push(Action::ReleaseEndpoint { endpoint: at });
             } else {
                 wait = true;
             }
--- a/crates/passroad-orders/src/lib.rs
+++ b/crates/passroad-orders/src/lib.rs
@@ -1,6 +1,8 @@
 //! Reads the settings object into standing orders, for the adapter and the sidecar. Unknown keys are passed over.
 
-use passroad_choice::{CompanyOrder, Effect, Group, ReportsHow, StandingOrders, VerbOrder};
+use passroad_choice::{
+    BalancerConfig, DeduplicationScope, Effect, ReportMode, RequestClassConfig, TenantConfig,
+};
 use serde_json::Value;
 use std::time::Duration;
 
@@ -79,13 +81,13 @@
     own: &str,
     kinds: &mut Vec<String>,
     known_kinds: &[String],
-) -> Result<VerbOrder, String> {
+) -> Result<RequestClassConfig, String> {
     let at = At(v);
     let name = at.word("/name", "")?;
     let effect = match at.word("/effect", "")?.as_str() {
-        "read_like" => Effect::Pure,
-        "idempotency_key" => Effect::Receipted,
-        "non_idempotent" => Effect::Effectful,
+        "read_like" => Effect::Safe,
+        "idempotency_key" => Effect::Keyed,
+        "non_idempotent" => Effect::NonIdempotent,
         other => {
             return Err(format!(
                 "settings: verb {name} has the unknown effect '{other}'"
@@ -93,9 +95,9 @@
         }
     };
     let group = match at.word("/key_scope", "all")?.as_str() {
-        "all" => Group::All,
-        "zone" => Group::Zone,
-        "cell" => Group::Cell,
+        "all" => DeduplicationScope::All,
+        "zone" => DeduplicationScope::Zone,
+        "cell" => DeduplicationScope::Cell,
         other => {
             return Err(format!(
                 "settings: verb {name} has the unknown scope '{other}'"
@@ -168,24 +170,24 @@
         .transpose()?
         .map(|bound| bound.iter().map(&mut kind).collect());
     let limit = at.span("/time_limit", Duration::from_secs(1))?;
-    Ok(VerbOrder {
+    Ok(RequestClassConfig {
         effect,
-        group,
-        window: at.span("/window", Duration::ZERO)?,
-        goal: at.span("/response_goal", limit)?,
-        limit,
-        goal_stretch: at.number("/aim_stretch", 0.0)?,
+        deduplication_scope: group,
+        deduplication_window: at.span("/window", Duration::ZERO)?,
+        deadline_target: at.span("/response_goal", limit)?,
+        time_limit: limit,
+        target_per_work: at.number("/aim_stretch", 0.0)?,
         utility: at.number("/utility", 1.0)?,
         late_utility: at.number("/late_utility", 0.0)?,
         stream: at.flag("/stream", false)?,
-        only_zones,
-        only_kinds,
+        allowed_zones: only_zones,
+        allowed_kinds: only_kinds,
         name,
     })
 }
 
 /// The orders in a settings text.
-pub fn read(seed: u64, text: &str) -> Result<StandingOrders, String> {
+pub fn read(seed: u64, text: &str) -> Result<BalancerConfig, String> {
     from_value(
         seed,
         &serde_json::from_str(text).map_err(|e| format!("settings: {e}"))?,
@@ -198,7 +200,7 @@
 }
 
 /// The orders in a settings object.
-pub fn from_value(seed: u64, value: &Value) -> Result<StandingOrders, String> {
+pub fn from_value(seed: u64, value: &Value) -> Result<BalancerConfig, String> {
     if !value.is_object() {
         return Err("settings: not an object".into());
     }
@@ -216,7 +218,7 @@
     let twice = |n: usize| {
         verbs[..n]
             .iter()
-            .any(|v: &VerbOrder| v.name == verbs[n].name)
+            .any(|v: &RequestClassConfig| v.name == verbs[n].name)
     };
     if let Some(n) = (0..verbs.len()).find(|n| twice(*n)) {
         return Err(format!("settings: /verbs names '{}' twice", verbs[n].name));
@@ -224,9 +226,9 @@
     at.above_zero("/allowed/max_relays", 1.0)?;
     let companies = at.items("/tenants")?.iter().map(|t| {
         let at = At(t);
-        Ok(CompanyOrder {
+        Ok(TenantConfig {
             name: at.word("/name", "")?,
-            portion: at.number("/portion", 0.0)?,
+            share: at.number("/portion", 0.0)?,
         })
     });
     let weights = at.word("/weights", "silent")?;
@@ -235,44 +237,44 @@
             "settings: /weights is '{weights}', not silent, nominal, rough or live"
         ));
     }
-    Ok(StandingOrders {
+    Ok(BalancerConfig {
         seed,
-        zone: zones.iter().position(|z| *z == own).unwrap_or(usize::MAX),
+        own_zone: zones.iter().position(|z| *z == own).unwrap_or(usize::MAX),
         zones,
         kinds,
-        verbs,
-        companies: companies.collect::<Result<Vec<_>, String>>()?,
+        classes: verbs,
+        tenants: companies.collect::<Result<Vec<_>, String>>()?,
         surplus_utility: at.number("/surplus_utility", 1.0)?,
-        goal_whole: at.number("/goal/whole", 1.0)?,
-        goal_worst_verb: at.number("/goal/worst_class", 0.0)?,
+        objective_total: at.number("/goal/whole", 1.0)?,
+        objective_worst_class: at.number("/goal/worst_class", 0.0)?,
         tick: at.span("/tick", Duration::from_millis(1))?,
         max_relays: at.number("/allowed/max_relays", 1.0)? as usize,
         max_retry_after: match at.flag("/allowed/retry_after", false)? {
             true => Some(at.span("/allowed/max_retry_after", Duration::ZERO)?),
             false => None,
         },
-        probes: at.flag("/allowed/probes", false)?,
-        may_cancel: at.flag("/allowed/may_cancel", false)?,
-        second_copies: at.flag("/allowed/second_copies", false)?,
+        probes_allowed: at.flag("/allowed/probes", false)?,
+        cancellation_allowed: at.flag("/allowed/may_cancel", false)?,
+        hedging_allowed: at.flag("/allowed/second_copies", false)?,
         list_on_request: at.word("/discovery", "pushed")? == "on_request",
-        reports: match at.word("/report/how", "silent")?.as_str() {
-            "piggyback" => ReportsHow::Piggyback,
-            "pull" => ReportsHow::Pull,
-            _ => ReportsHow::Silent,
+        report_mode: match at.word("/report/how", "silent")?.as_str() {
+            "piggyback" => ReportMode::Piggyback,
+            "pull" => ReportMode::Pull,
+            _ => ReportMode::Silent,
         },
-        weights_live: weights == "live",
+        live_weights: weights == "live",
         warm_keys: at.flag("/domain/warm_keys", false)?,
         probe_price: at.number("/prices/probe", 0.0)?,
         cross_zone_price: at.number("/prices/cross_zone", 0.0)?,
         handshake_price: at.number("/prices/handshake", 0.0)?,
         idle_close: at.span("/allowed/idle_close", Duration::from_secs(60))?,
-        streams: at.number("/allowed/streams_per_conn", 1.0)? as usize,
-        ask_every: at.span("/rules/ask_every", Duration::from_secs(10))?,
+        streams_per_connection: at.number("/allowed/streams_per_conn", 1.0)? as usize,
+        list_poll_interval: at.span("/rules/ask_every", Duration::from_secs(10))?,
         drain_grace: at.span("/rules/drain_grace", Duration::from_millis(500))?,
-        cold_from: at.number("/rules/cold_from", 1.0)?,
-        warm_within: at.span("/rules/warm_within", Duration::ZERO)?,
-        tip_after: at.span("/rules/tip_after", Duration::from_secs(1))?,
-        tip_multiple: at.number("/rules/tip_multiple", 1.0)?,
+        cold_capacity: at.number("/rules/cold_from", 1.0)?,
+        warm_up_time: at.span("/rules/warm_within", Duration::ZERO)?,
+        overload_window: at.span("/rules/tip_after", Duration::from_secs(1))?,
+        overload_multiple: at.number("/rules/tip_multiple", 1.0)?,
     })
 }
 
@@ -281,7 +283,7 @@
     use super::*;
     use rstest::rstest;
 
-    fn orders(more: &str) -> Result<StandingOrders, String> {
+    fn orders(more: &str) -> Result<BalancerConfig, String> {
         read(
             7,
             &format!(
@@ -301,12 +303,15 @@
         #[case] zones: Option<Vec<usize>>,
         #[case] kinds: Option<Vec<usize>>,
     ) {
-        let verbs = orders(more).unwrap().verbs;
+        let verbs = orders(more).unwrap().classes;
         assert_eq!(
-            (&verbs[1].only_zones, &verbs[1].only_kinds),
+            (&verbs[1].allowed_zones, &verbs[1].allowed_kinds),
             (&zones, &kinds)
         );
-        assert_eq!((&verbs[0].only_zones, &verbs[0].only_kinds), (&None, &None));
+        assert_eq!(
+            (&verbs[0].allowed_zones, &verbs[0].allowed_kinds),
+            (&None, &None)
+        );
     }
 
     #[rstest]
@@ -329,20 +334,20 @@
     #[rstest]
     fn doors_have_their_own_numbers() {
         let (mut zones, mut kinds) = (
-            passroad_choice::door::Door::new(),
-            passroad_choice::door::Door::new(),
+            passroad_choice::interner::Interner::new(),
+            passroad_choice::interner::Interner::new(),
         );
         ["b", "x"].iter().for_each(|name| {
-            zones.admit(&name.to_string());
+            zones.intern(&name.to_string());
         });
         ["k", "n"].iter().for_each(|name| {
-            kinds.admit(&name.to_string());
+            kinds.intern(&name.to_string());
         });
         let mut orders = orders(r#","dcs_open":["a","b"],"bound_to":["m","n"]"#).unwrap();
-        orders.through(&mut zones, &mut kinds);
-        let verb = &orders.verbs[1];
+        orders.intern_names(&mut zones, &mut kinds);
+        let verb = &orders.classes[1];
         assert_eq!(
-            (orders.zone, &verb.only_zones, &verb.only_kinds),
+            (orders.own_zone, &verb.allowed_zones, &verb.allowed_kinds),
             (0, &Some(vec![2, 0]), &Some(vec![2, 1]))
         );
     }
--- a/crates/passroad-rig/src/baseline.rs
+++ b/crates/passroad-rig/src/baseline.rs
@@ -3,7 +3,10 @@
 
 use crate::chance::Chance;
 use crate::experiment::{Effect, Plan, VerbPlan};
-use passroad_choice::{Action, Arrival, CmdIx, Event, ListKind, Listing, Mode, Outcome};
+use passroad_choice::{
+    Action, CommandArrival, CommandIndex, EndpointState, Event, ListUpdateKind, ListedEndpoint,
+    Outcome,
+};
 use passroad_routes::Steered;
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -12,7 +15,8 @@
 pub trait Sight {
     /// Seconds that a command would wait at an endpoint if it were sent now, and until it would be answered; none if it
     /// would not.
-    fn would_take(&self, instance: usize, endpoint: usize, cmd: CmdIx) -> Option<(f64, f64)>;
+    fn would_take(&self, instance: usize, endpoint: usize, cmd: CommandIndex)
+    -> Option<(f64, f64)>;
 }
 
 pub trait Policy {
@@ -121,33 +125,38 @@
     listed: BTreeMap<usize, bool>, // those that are up
     out: BTreeMap<usize, usize>,   // own relays out
     turn: usize,
-    commands: BTreeMap<CmdIx, Held>,
+    commands: BTreeMap<CommandIndex, Held>,
     asked: bool,
 }
 
 impl Plain {
-    fn read_list(&mut self, kind: ListKind, entries: Vec<Listing>, out: &mut Vec<Action>) {
+    fn read_list(
+        &mut self,
+        kind: ListUpdateKind,
+        entries: Vec<ListedEndpoint>,
+        out: &mut Vec<Action>,
+    ) {
         match kind {
-            ListKind::Refused => {
-                out.push(Action::Alarm {
+            ListUpdateKind::Failed => {
+                out.push(Action::SetTimer {
                     after: Duration::from_secs(1),
                     token: 1,
                 });
                 return;
             }
-            ListKind::Changes => {}
-            ListKind::All | ListKind::Remembered => self.listed.clear(),
+            ListUpdateKind::Delta => {}
+            ListUpdateKind::Full | ListUpdateKind::Cached => self.listed.clear(),
         }
         for entry in entries {
             self.listed
-                .insert(entry.endpoint, entry.mode == Mode::Running);
+                .insert(entry.endpoint, entry.state == EndpointState::Running);
         }
         if !std::mem::replace(&mut self.asked, true) {
-            out.push(Action::Listen { active: true });
+            out.push(Action::Subscribe { active: true });
         }
     }
 
-    fn pick(&mut self, cmd: CmdIx, sight: &dyn Sight) -> Option<usize> {
+    fn pick(&mut self, cmd: CommandIndex, sight: &dyn Sight) -> Option<usize> {
         let tried: Vec<usize> = self
             .commands
             .get(&cmd)?
@@ -196,7 +205,7 @@
         }
     }
 
-    fn send(&mut self, now: Duration, cmd: CmdIx, sight: &dyn Sight, out: &mut Vec<Action>) {
+    fn send(&mut self, now: Duration, cmd: CommandIndex, sight: &dyn Sight, out: &mut Vec<Action>) {
         let endpoint = self.pick(cmd, sight);
         let Some(held) = self.commands.get_mut(&cmd) else {
             return;
@@ -207,10 +216,10 @@
                 *self.out.entry(endpoint).or_default() += 1;
                 let within = held.leave - now;
                 out.push(Action::Relay {
-                    cmd,
+                    command: cmd,
                     endpoint,
-                    within,
-                    begin: within,
+                    timeout: within,
+                    send_by: within,
                 });
             }
             _ => {
@@ -221,22 +230,22 @@
                     .all(|(_, o)| o.is_some_and(Outcome::never_ran));
                 let harmless = never || self.effects[held.verb] == Effect::Pure;
                 out.push(match harmless {
-                    true => Action::Decline {
-                        cmd,
-                        not_before: None,
+                    true => Action::Refuse {
+                        command: cmd,
+                        retry_after: None,
                     },
-                    false => Action::Terminate { cmd },
+                    false => Action::Fail { command: cmd },
                 });
             }
         }
         self.tidy(cmd, out);
     }
 
-    fn tidy(&mut self, cmd: CmdIx, out: &mut Vec<Action>) {
+    fn tidy(&mut self, cmd: CommandIndex, out: &mut Vec<Action>) {
         let done = |held: &Held| held.over && held.relays.iter().all(|(_, o)| o.is_some());
         if self.commands.get(&cmd).is_some_and(done) {
             self.commands.remove(&cmd);
-            out.push(Action::Forget { cmd });
+            out.push(Action::ReleaseCommand { command: cmd });
         }
     }
 }
@@ -245,10 +254,13 @@
     fn decide(&mut self, now: Duration, event: Event, sight: &dyn Sight) -> Vec<Action> {
         let mut out = Vec::new();
         match event {
-            Event::Listed { kind, entries } => self.read_list(kind, entries, &mut out),
-            Event::Due { .. } => out.push(Action::Listen { active: true }),
-            Event::Arrived(Arrival {
-                cmd, verb, budget, ..
+            Event::ListUpdated { kind, entries } => self.read_list(kind, entries, &mut out),
+            Event::TimerFired { .. } => out.push(Action::Subscribe { active: true }),
+            Event::CommandArrived(CommandArrival {
+                command: cmd,
+                class: verb,
+                budget,
+                ..
             }) => {
                 let held = Held {
                     verb,
@@ -259,8 +271,8 @@
                 self.commands.insert(cmd, held);
                 self.send(now, cmd, sight, &mut out);
             }
-            Event::Finished {
-                cmd,
+            Event::RelayFinished {
+                command: cmd,
                 relay,
                 outcome,
                 concluded,
@@ -288,17 +300,17 @@
                 } else if !held.over {
                     held.over = true;
                     out.push(if again {
-                        Action::Decline {
-                            cmd,
-                            not_before: None,
+                        Action::Refuse {
+                            command: cmd,
+                            retry_after: None,
                         }
                     } else {
-                        Action::Terminate { cmd }
+                        Action::Fail { command: cmd }
                     });
                 }
                 self.tidy(cmd, &mut out);
             }
-            Event::Lapsed { cmd } => {
+            Event::CommandAbandoned { command: cmd } => {
                 let Some(held) = self.commands.get_mut(&cmd) else {
                     return out;
                 };
@@ -308,7 +320,10 @@
                     .iter()
                     .enumerate()
                     .filter(|(_, (_, o))| o.is_none());
-                out.extend(open.map(|(relay, _)| Action::Recall { cmd, relay }));
+                out.extend(open.map(|(relay, _)| Action::CancelRelay {
+                    command: cmd,
+                    relay,
+                }));
                 self.tidy(cmd, &mut out);
             }
             _ => {}
--- a/crates/passroad-rig/src/experiment.rs
+++ b/crates/passroad-rig/src/experiment.rs
@@ -1668,9 +1668,9 @@
         let orders =
             passroad_orders::from_value(1, &plan.settings(1)).expect("settings that can be used");
         assert_eq!(
-            (orders.zone, orders.verbs.len(), orders.max_relays),
+            (orders.own_zone, orders.classes.len(), orders.max_relays),
             (1, 2, 4)
         );
-        assert_eq!(orders.warm_within, Duration::from_secs(4));
+        assert_eq!(orders.warm_up_time, Duration::from_secs(4));
     }
 }
--- a/crates/passroad-rig/src/fleet/mod.rs
+++ b/crates/passroad-rig/src/fleet/mod.rs
@@ -107,7 +107,7 @@
     pub fn find(&self, plan: &FleetPlan, instances: usize, owner: Option<usize>) -> Vec<usize> {
         let mark = match plan.duties.first() {
             Some(duty) => duty.mark(),
-            None => passroad_choice::door::mark("upkeep"),
+            None => passroad_choice::interner::stable_hash("upkeep"),
         };
         let voters: Vec<usize> = council(mark, instances, plan.voters)
             .into_iter()
@@ -136,7 +136,7 @@
 
 impl DutyPlan {
     pub fn mark(&self) -> u64 {
-        passroad_choice::door::mark(&self.name)
+        passroad_choice::interner::stable_hash(&self.name)
     }
 
     pub fn orders(&self) -> DutyOrder {
--- a/crates/passroad-rig/src/scale/discovery.rs
+++ b/crates/passroad-rig/src/scale/discovery.rs
@@ -4,7 +4,7 @@
 use super::wires::{LIST, Wires};
 use super::{held, place};
 use crate::sockets::http::{Message, Talk, answer};
-use passroad_choice::Mode;
+use passroad_choice::EndpointState;
 use serde_json::json;
 use std::collections::{BTreeMap, BTreeSet};
 use std::io;
@@ -46,7 +46,7 @@
 }
 
 struct List {
-    entries: Vec<(Mode, u64)>, // and the revision that it has been so since
+    entries: Vec<(EndpointState, u64)>, // and the revision that it has been so since
     revision: u64,
     set: BTreeMap<u64, Instant>, // when a revision came to be
     knows: Vec<u64>,             // by sidecar, the newest revision that it has asked from
@@ -85,7 +85,7 @@
                 .collect::<io::Result<_>>()?,
             resource: resource.local_addr()?,
             list: Mutex::new(List {
-                entries: vec![(Mode::Running, 1); endpoints.len()],
+                entries: vec![(EndpointState::Running, 1); endpoints.len()],
                 revision: 1,
                 set: BTreeMap::from([(1, Instant::now())]),
                 knows: vec![0; sidecars],
@@ -144,7 +144,7 @@
     }
 
     /// The revision from which the list says so of them; the newest if nothing changes by it.
-    pub fn tell(&self, these: &[usize], mode: Mode) -> u64 {
+    pub fn tell(&self, these: &[usize], mode: EndpointState) -> u64 {
         let mut list = held(&self.list);
         let changed: Vec<usize> = these
             .iter()
@@ -218,15 +218,15 @@
         }
         let newer = |n: &usize| match from {
             Some(from) => list.entries[*n].1 > from,
-            None => list.entries[*n].0 != Mode::Deleted,
+            None => list.entries[*n].0 != EndpointState::Removed,
         };
         let members: Vec<_> = (0..list.entries.len())
             .filter(newer)
             .map(|n| {
                 let phase = match list.entries[n].0 {
-                    Mode::Running => "up",
-                    Mode::Stopping => "draining",
-                    Mode::Deleted => "removed",
+                    EndpointState::Running => "up",
+                    EndpointState::Draining => "draining",
+                    EndpointState::Removed => "removed",
                 };
                 json!({
                     "id": format!("s{}-e{n}", self.plan.service(n)), "host_port": self.endpoints[n].to_string(),
--- a/crates/passroad-rig/src/scale/mod.rs
+++ b/crates/passroad-rig/src/scale/mod.rs
@@ -19,8 +19,8 @@
 use discovery::Discovery;
 use load::Load;
 use measure::{Look, Roles};
-use passroad_choice::Mode;
-use passroad_choice::door::mark;
+use passroad_choice::EndpointState;
+use passroad_choice::interner::stable_hash;
 use passroad_peers::Standing;
 use plan::{Event, Kind};
 use processes::{Processes, Turn};
@@ -311,11 +311,11 @@
                 return;
             }
             match drained.take() {
-                Some(n) => self.discovery.tell(&[n], Mode::Running),
+                Some(n) => self.discovery.tell(&[n], EndpointState::Running),
                 None => {
                     let n = dice.below(count);
                     drained = Some(n);
-                    self.discovery.tell(&[n], Mode::Stopping)
+                    self.discovery.tell(&[n], EndpointState::Draining)
                 }
             };
         }
@@ -349,7 +349,7 @@
                     self.processes.kill(*n)?;
                 }
                 sleep_until((Instant::now() + event.noticed).min(ends).into()).await;
-                self.discovery.tell(&these, Mode::Deleted);
+                self.discovery.tell(&these, EndpointState::Removed);
                 sleep_until(ends.into()).await;
                 for n in &these {
                     self.discovery.forget(*n);
@@ -357,7 +357,7 @@
                     self.processes.begin(*n)?;
                 }
                 self.processes.up(&these).await?;
-                self.discovery.tell(&these, Mode::Running);
+                self.discovery.tell(&these, EndpointState::Running);
                 while self.discovery.listed(&these) < 1.0 && ends.elapsed() < AFTERMATH {
                     sleep(BETWEEN_LOOKS).await;
                 }
@@ -371,15 +371,15 @@
                     let (own, at) = (Arc::clone(self), Instant::now() + apart * k as u32);
                     turns.spawn(async move {
                         sleep_until(at.into()).await;
-                        own.discovery.tell(&[n], Mode::Stopping);
+                        own.discovery.tell(&[n], EndpointState::Draining);
                         own.trouble(n);
                         own.processes.stop(n).await?;
-                        own.discovery.tell(&[n], Mode::Deleted);
+                        own.discovery.tell(&[n], EndpointState::Removed);
                         own.discovery.forget(n);
                         own.processes.begin(n)?;
                         own.processes.up(&[n]).await?;
                         own.well(n);
-                        own.discovery.tell(&[n], Mode::Running);
+                        own.discovery.tell(&[n], EndpointState::Running);
                         Ok::<_, std::io::Error>(())
                     });
                 }
@@ -504,7 +504,7 @@
         let count = hollow.len() + real.len();
         let mut turns = held(&self.processes.heard).turns.clone();
         turns.sort_by_key(|turn| turn.at);
-        let voters: BTreeSet<usize> = [mark("sweep"), mark("upkeep")]
+        let voters: BTreeSet<usize> = [stable_hash("sweep"), stable_hash("upkeep")]
             .into_iter()
             .flat_map(|duty| passroad_lease::council(duty, count, plan.fleet.voters))
             .map(usize::from)
--- a/crates/passroad-rig/src/sockets/discovery.rs
+++ b/crates/passroad-rig/src/sockets/discovery.rs
@@ -5,7 +5,7 @@
 use super::scene::{Scene, address, held};
 use crate::experiment::Change;
 use crate::ledger::Entry;
-use passroad_choice::Mode;
+use passroad_choice::EndpointState;
 use serde_json::{Value, json};
 use std::io;
 use std::net::SocketAddr;
@@ -26,7 +26,7 @@
 }
 
 struct List {
-    entries: Vec<(Mode, u64)>, // and the revision that it has been so since
+    entries: Vec<(EndpointState, u64)>, // and the revision that it has been so since
     revision: u64,
     by: Duration,
     turns: Duration,
@@ -48,7 +48,7 @@
             scene: Arc::clone(scene),
             stands: stands.to_vec(),
             list: Mutex::new(List {
-                entries: vec![(Mode::Running, 1); stands.len()],
+                entries: vec![(EndpointState::Running, 1); stands.len()],
                 revision: 1,
                 by: Duration::ZERO,
                 turns: Duration::ZERO,
@@ -90,26 +90,26 @@
                 // Watches wake and see it.
                 self.news.send_modify(|_| {});
             }
-            Change::Drain(n) => self.tell(*n, Mode::Stopping),
-            Change::Leave(n) => self.tell(*n, Mode::Deleted),
-            Change::Die(n) => self.later(*n, self.scene.plan.noticed, Mode::Deleted),
-            Change::Start(n) => self.later(*n, Duration::from_millis(50), Mode::Running),
+            Change::Drain(n) => self.tell(*n, EndpointState::Draining),
+            Change::Leave(n) => self.tell(*n, EndpointState::Removed),
+            Change::Die(n) => self.later(*n, self.scene.plan.noticed, EndpointState::Removed),
+            Change::Start(n) => self.later(*n, Duration::from_millis(50), EndpointState::Running),
             _ => {}
         }
     }
 
     /// Looked at once more when the time has come: what died may be back, and the other way round.
-    pub fn later(self: &Arc<Self>, n: usize, after: Duration, mode: Mode) {
+    pub fn later(self: &Arc<Self>, n: usize, after: Duration, mode: EndpointState) {
         let discovery = Arc::clone(self);
         tokio::spawn(async move {
             sleep(after).await;
-            if (mode == Mode::Running) == discovery.stands[n].is_up() {
+            if (mode == EndpointState::Running) == discovery.stands[n].is_up() {
                 discovery.tell(n, mode);
             }
         });
     }
 
-    fn tell(&self, n: usize, mode: Mode) {
+    fn tell(&self, n: usize, mode: EndpointState) {
         let mut list = held(&self.list);
         if list.entries[n].0 != mode {
             list.revision += 1;
@@ -118,13 +118,13 @@
         }
     }
 
-    fn member(&self, instance: usize, n: usize, mode: Mode) -> Value {
+    fn member(&self, instance: usize, n: usize, mode: EndpointState) -> Value {
         let (plan, stand) = (&self.scene.plan, &self.stands[n]);
         let endpoint = &plan.endpoints[n];
         let phase = match mode {
-            Mode::Running => "up",
-            Mode::Stopping => "draining",
-            Mode::Deleted => "removed",
+            EndpointState::Running => "up",
+            EndpointState::Draining => "draining",
+            EndpointState::Removed => "removed",
         };
         json!({
             "id": format!("e{n}"), "host_port": stand.address(instance).to_string(),
@@ -138,7 +138,7 @@
     fn text(&self, instance: usize, list: &List, from: Option<u64>) -> Value {
         let newer = |n: &usize| match from {
             Some(from) => list.entries[*n].1 > from,
-            None => list.entries[*n].0 != Mode::Deleted,
+            None => list.entries[*n].0 != EndpointState::Removed,
         };
         let members: Vec<Value> = (0..list.entries.len())
             .filter(newer)
@@ -196,8 +196,10 @@
             }
             for (endpoint, mode) in told {
                 self.scene.note(match mode {
-                    Mode::Running => Entry::ToldUp { instance, endpoint },
-                    Mode::Stopping | Mode::Deleted => Entry::ToldAway { instance, endpoint },
+                    EndpointState::Running => Entry::ToldUp { instance, endpoint },
+                    EndpointState::Draining | EndpointState::Removed => {
+                        Entry::ToldAway { instance, endpoint }
+                    }
                 });
             }
         }
--- a/crates/passroad-rig/src/virtual_time.rs
+++ b/crates/passroad-rig/src/virtual_time.rs
@@ -7,8 +7,11 @@
 use crate::ledger::{Answer, CmdNo, Entry, Ledger, RelayNo};
 use crate::load::{Ask, Asks};
 use crate::model::{Endpoint, Job, Load, Offer, Shown, Verdict};
-use passroad_choice::door::Door;
-use passroad_choice::{Action, Arrival, CmdIx, Event, ListKind, Listing, Mode, Outcome, Report};
+use passroad_choice::interner::Interner;
+use passroad_choice::{
+    Action, CommandArrival, CommandIndex, EndpointState, Event, ListUpdateKind, ListedEndpoint,
+    LoadReport, Outcome,
+};
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, VecDeque};
 use std::time::Duration;
@@ -89,13 +92,13 @@
     },
     Listed {
         instance: usize,
-        kind: ListKind,
+        kind: ListUpdateKind,
         of: Vec<usize>,
         watch: u64,
     },
     ListChange {
         endpoint: usize,
-        mode: Mode,
+        mode: EndpointState,
     },
     Look,
 }
@@ -125,7 +128,7 @@
 
 struct Instance {
     policy: Box<dyn Policy>,
-    commands: Door<CmdNo>,
+    commands: Interner<CmdNo>,
     idle: Vec<Vec<Duration>>, // connections, by endpoint, since when
     watch: Option<u64>,       // which one is open
     life: u32,                // how often the process was killed
@@ -136,7 +139,7 @@
     sent: Duration,
     answered: bool,
     gone: bool,
-    slot: Option<CmdIx>,
+    slot: Option<CommandIndex>,
     relays: Vec<RelayNo>,
 }
 
@@ -168,7 +171,12 @@
 }
 
 impl Sight for Fleet {
-    fn would_take(&self, instance: usize, endpoint: usize, cmd: CmdIx) -> Option<(f64, f64)> {
+    fn would_take(
+        &self,
+        instance: usize,
+        endpoint: usize,
+        cmd: CommandIndex,
+    ) -> Option<(f64, f64)> {
         let (work, verb) = self.work[instance].get(cmd).copied().unwrap_or_default();
         if self.cuts[endpoint].get(instance).is_some_and(|n| *n > 0) {
             return None;
@@ -193,7 +201,7 @@
     fleet: Fleet,
     versions: Vec<u64>,
     started: Vec<Option<Duration>>,
-    modes: Vec<Mode>, // as the list has them
+    modes: Vec<EndpointState>, // as the list has them
     instances: Vec<Instance>,
     commands: Vec<Command>,
     relays: Vec<Relay>,
@@ -236,7 +244,7 @@
         let policy = decider(plan, seed, policy, n, 0)?;
         instances.push(Instance {
             policy,
-            commands: Door::new(),
+            commands: Interner::new(),
             idle: vec![Vec::new(); count],
             watch: None,
             life: 0,
@@ -259,7 +267,7 @@
         },
         versions: vec![0; count],
         started: vec![None; count],
-        modes: vec![Mode::Running; count],
+        modes: vec![EndpointState::Running; count],
         instances,
         commands: Vec::new(),
         relays: Vec::new(),
@@ -361,7 +369,7 @@
                 token,
                 life,
             } if self.instances[instance].life == life => {
-                self.tell(instance, Event::Due { token });
+                self.tell(instance, Event::TimerFired { token });
             }
             Ev::Due { .. } => {}
             Ev::Wake { endpoint, version } => {
@@ -375,7 +383,10 @@
                 if !self.commands[cmd].answered && !self.commands[cmd].gone {
                     self.answer(cmd, Answer::Terminated, None);
                     if let Some(slot) = self.commands[cmd].slot {
-                        self.tell(self.commands[cmd].ask.instance, Event::Lapsed { cmd: slot });
+                        self.tell(
+                            self.commands[cmd].ask.instance,
+                            Event::CommandAbandoned { command: slot },
+                        );
                     }
                 }
             }
@@ -384,19 +395,25 @@
                 let open = !self.commands[cmd].answered
                     && !std::mem::replace(&mut self.commands[cmd].gone, true);
                 if open && let Some(slot) = self.commands[cmd].slot {
-                    self.tell(self.commands[cmd].ask.instance, Event::Lapsed { cmd: slot });
+                    self.tell(
+                        self.commands[cmd].ask.instance,
+                        Event::CommandAbandoned { command: slot },
+                    );
                 }
             }
             Ev::Start { instance } => {
                 // What a process remembers at its own start says nothing of theirs.
-                let remembered = |e| Listing {
-                    started: Duration::ZERO,
+                let remembered = |e| ListedEndpoint {
+                    started_at: Duration::ZERO,
                     ..self.listing(e)
                 };
-                let entries: Vec<Listing> = (0..self.modes.len()).map(remembered).collect();
+                let entries: Vec<ListedEndpoint> = (0..self.modes.len()).map(remembered).collect();
                 // Another process has not heard what the one before it was told.
                 let again = self.instances[instance].life > 0;
-                for up in entries.iter().filter(|e| again && e.mode == Mode::Running) {
+                for up in entries
+                    .iter()
+                    .filter(|e| again && e.state == EndpointState::Running)
+                {
                     self.note(Entry::ToldUp {
                         instance,
                         endpoint: up.endpoint,
@@ -404,8 +421,8 @@
                 }
                 self.tell(
                     instance,
-                    Event::Listed {
-                        kind: ListKind::Remembered,
+                    Event::ListUpdated {
+                        kind: ListUpdateKind::Cached,
                         entries,
                     },
                 );
@@ -451,36 +468,43 @@
     }
 
     fn act(&mut self, instance: usize, action: Action) {
-        let name = |day: &Self, slot: CmdIx| day.instances[instance].commands.name(slot).copied();
+        let name =
+            |day: &Self, slot: CommandIndex| day.instances[instance].commands.name(slot).copied();
         match action {
             Action::Relay {
-                cmd,
+                command: cmd,
                 endpoint,
-                within,
+                timeout: within,
                 ..
             } => {
                 if let Some(cmd) = name(self, cmd) {
                     self.send(instance, cmd, endpoint, within);
                 }
             }
-            Action::Recall { cmd, relay } => {
+            Action::CancelRelay {
+                command: cmd,
+                relay,
+            } => {
                 let relay =
                     name(self, cmd).and_then(|cmd| self.commands[cmd].relays.get(relay).copied());
                 if let Some(relay) = relay {
-                    self.ended(relay, Outcome::Recalled, None, false);
+                    self.ended(relay, Outcome::Cancelled, None, false);
                 }
             }
-            Action::Decline { cmd, not_before } => {
+            Action::Refuse {
+                command: cmd,
+                retry_after: not_before,
+            } => {
                 if let Some(cmd) = name(self, cmd) {
                     self.answer(cmd, Answer::Declined, not_before);
                 }
             }
-            Action::Terminate { cmd } => {
+            Action::Fail { command: cmd } => {
                 if let Some(cmd) = name(self, cmd) {
                     self.answer(cmd, Answer::Terminated, None);
                 }
             }
-            Action::Forget { cmd: slot } => {
+            Action::ReleaseCommand { command: slot } => {
                 if let Some(cmd) = name(self, slot) {
                     self.commands[cmd].slot = None;
                 }
@@ -492,9 +516,9 @@
                 idle.iter()
                     .for_each(|_| self.fleet.endpoints[endpoint].disconnect());
             }
-            Action::Listen { active } => self.listen(instance, active),
-            Action::AskList => self.listen(instance, true),
-            Action::Alarm { after, token } => {
+            Action::Subscribe { active } => self.listen(instance, active),
+            Action::PollList => self.listen(instance, true),
+            Action::SetTimer { after, token } => {
                 let life = self.instances[instance].life;
                 self.at(
                     self.now + after,
@@ -509,9 +533,9 @@
                 self.played.lines.push((self.now, instance, line));
             }
             Action::Log(_)
-            | Action::Release { .. }
-            | Action::Tell { .. }
-            | Action::Numbered { .. } => {}
+            | Action::ReleaseEndpoint { .. }
+            | Action::SendToPeer { .. }
+            | Action::ClassIndicesAssigned { .. } => {}
         }
     }
 
@@ -530,21 +554,21 @@
             instance,
             limit,
         });
-        let slot = self.instances[instance].commands.admit(&cmd);
+        let slot = self.instances[instance].commands.intern(&cmd);
         let costs = &mut self.fleet.work[instance];
         costs.resize(costs.len().max(slot + 1), (0.0, 0));
         costs[slot] = (ask.work, ask.verb);
-        let arrival = Arrival {
-            cmd: slot,
-            verb: ask.verb,
-            company: ask.company,
+        let arrival = CommandArrival {
+            command: slot,
+            class: ask.verb,
+            tenant: ask.company,
             key: None,
             budget: limit - margin,
             work: None,
-            again: ask.again && self.plan.marked,
-            write: false,
-            play: 0,
-            uploads: false,
+            is_retry: ask.again && self.plan.marked,
+            is_write: false,
+            weight_set: 0,
+            body_pending: false,
         };
         self.at(self.now + limit - margin / 2, Ev::Guard { cmd });
         self.at(self.now + limit, Ev::Away { cmd });
@@ -561,7 +585,7 @@
             relays: Vec::new(),
         };
         self.commands.push(command);
-        self.tell(instance, Event::Arrived(arrival));
+        self.tell(instance, Event::CommandArrived(arrival));
     }
 
     fn answer(&mut self, cmd: CmdNo, answer: Answer, not_before: Option<Duration>) {
@@ -635,7 +659,7 @@
                 self.now + self.plan.connect / 4,
                 Ev::GiveUp {
                     relay,
-                    outcome: Outcome::NoConnection,
+                    outcome: Outcome::ConnectFailed,
                 },
             );
         } else {
@@ -666,7 +690,7 @@
         let home = self.now + self.plan.half_way(instance, endpoint);
         if self.cut(instance, endpoint) {
             if new {
-                let outcome = Outcome::NoConnection;
+                let outcome = Outcome::ConnectFailed;
                 self.at(
                     self.now + self.plan.connect / 4,
                     Ev::GiveUp { relay, outcome },
@@ -677,15 +701,15 @@
         if !self.fleet.endpoints[endpoint].is_up() {
             // Written to a connection that is no more, it may have run for all that the sidecar knows.
             let outcome = if new {
-                Outcome::NoConnection
+                Outcome::ConnectFailed
             } else {
-                Outcome::Broken
+                Outcome::ConnectionLost
             };
             return self.at(home, back(outcome, false));
         }
         if new {
             if !self.fleet.endpoints[endpoint].connect() {
-                return self.at(home, back(Outcome::Full, false));
+                return self.at(home, back(Outcome::Overloaded, false));
             }
             self.played.connections += 1;
             self.relays[relay].linked = true;
@@ -706,13 +730,13 @@
                     home,
                     Ev::Back {
                         relay,
-                        outcome: Outcome::Full,
+                        outcome: Outcome::Overloaded,
                         load,
                         keeps: true,
                     },
                 );
             }
-            Offer::Down => self.at(home, back(Outcome::Broken, false)),
+            Offer::Down => self.at(home, back(Outcome::ConnectionLost, false)),
         }
         self.collect(endpoint);
     }
@@ -735,7 +759,8 @@
         } else if linked {
             self.fleet.endpoints[endpoint].disconnect();
         }
-        if matches!(outcome, Outcome::TimedOut | Outcome::Recalled) && !self.cut(instance, endpoint)
+        if matches!(outcome, Outcome::TimedOut | Outcome::Cancelled)
+            && !self.cut(instance, endpoint)
         {
             let half = self.plan.half_way(instance, endpoint);
             self.at(self.now + half, Ev::Recalled { relay });
@@ -753,11 +778,11 @@
             .map(report);
         self.tell(
             instance,
-            Event::Finished {
-                cmd: slot,
+            Event::RelayFinished {
+                command: slot,
                 relay: n,
                 outcome,
-                spent,
+                elapsed: spent,
                 concluded,
                 report,
             },
@@ -785,7 +810,7 @@
                         Verdict::Done => (Outcome::Answered, true),
                         Verdict::Error => (Outcome::Error, true),
                         Verdict::Spoilt => (Outcome::Error, false),
-                        Verdict::Reset => (Outcome::Broken, false),
+                        Verdict::Reset => (Outcome::ConnectionLost, false),
                     };
                     if !self.cut(instance, endpoint) {
                         let load = Some(self.fleet.endpoints[endpoint].report());
@@ -834,7 +859,7 @@
                 home,
                 Ev::Back {
                     relay,
-                    outcome: Outcome::Broken,
+                    outcome: Outcome::ConnectionLost,
                     load: None,
                     keeps: false,
                 },
@@ -845,7 +870,7 @@
             self.now + self.plan.noticed,
             Ev::ListChange {
                 endpoint,
-                mode: Mode::Deleted,
+                mode: EndpointState::Removed,
             },
         );
     }
@@ -863,7 +888,7 @@
             self.now + LOOK / 2,
             Ev::ListChange {
                 endpoint,
-                mode: Mode::Running,
+                mode: EndpointState::Running,
             },
         );
     }
@@ -897,11 +922,17 @@
             Change::Start(endpoint) => self.start(endpoint),
             Change::Drain(endpoint) => {
                 self.fleet.endpoints[endpoint].drain();
-                self.list_change(endpoint, Mode::Stopping);
+                self.list_change(endpoint, EndpointState::Draining);
             }
             Change::Cordon(endpoint, out) => {
                 for instance in 0..self.instances.len() {
-                    self.tell(instance, Event::Cordoned { endpoint, out });
+                    self.tell(
+                        instance,
+                        Event::CordonChanged {
+                            endpoint,
+                            cordoned: out,
+                        },
+                    );
                     self.note(Entry::Cordoned {
                         instance,
                         endpoint,
@@ -911,7 +942,7 @@
             }
             Change::Leave(endpoint) => {
                 self.die(endpoint);
-                self.list_change(endpoint, Mode::Deleted);
+                self.list_change(endpoint, EndpointState::Removed);
             }
             Change::DiscoveryBy(by) => self.discovery_by = by,
             Change::DiscoveryTurns(spread) => self.discovery_turns = spread,
@@ -925,7 +956,7 @@
                             at,
                             Ev::Listed {
                                 instance,
-                                kind: ListKind::Refused,
+                                kind: ListUpdateKind::Failed,
                                 of: Vec::new(),
                                 watch,
                             },
@@ -976,31 +1007,31 @@
         (
             self.instances[instance].commands,
             self.instances[instance].watch,
-        ) = (Door::new(), None);
+        ) = (Interner::new(), None);
         self.instances[instance].life = life;
         self.at(self.now, Ev::Start { instance });
     }
 
     // ---- the list ----
 
-    fn listing(&self, endpoint: usize) -> Listing {
+    fn listing(&self, endpoint: usize) -> ListedEndpoint {
         let plan = &self.plan.endpoints[endpoint];
-        Listing {
+        ListedEndpoint {
             endpoint,
-            mark: endpoint as u64,
+            id_hash: endpoint as u64,
             zone: plan.zone,
             cell: plan.cell,
             kind: plan.kind,
-            rating: plan.weight,
-            started: self.started[endpoint].map_or(Duration::ZERO, |at| EPOCH + at),
-            mode: self.modes[endpoint],
+            weight: plan.weight,
+            started_at: self.started[endpoint].map_or(Duration::ZERO, |at| EPOCH + at),
+            state: self.modes[endpoint],
         }
     }
 
-    fn list_change(&mut self, endpoint: usize, mode: Mode) {
+    fn list_change(&mut self, endpoint: usize, mode: EndpointState) {
         // What has come back meanwhile, or has left already, has not died.
         let up = self.fleet.endpoints[endpoint].is_up();
-        if (mode == Mode::Deleted) == up || self.modes[endpoint] == mode {
+        if (mode == EndpointState::Removed) == up || self.modes[endpoint] == mode {
             return;
         }
         self.modes[endpoint] = mode;
@@ -1011,7 +1042,7 @@
                     at,
                     Ev::Listed {
                         instance,
-                        kind: ListKind::Changes,
+                        kind: ListUpdateKind::Delta,
                         of: vec![endpoint],
                         watch,
                     },
@@ -1034,9 +1065,9 @@
         self.instances[instance].watch = active.then_some(watch);
         if active {
             let kind = if self.discovery_down {
-                ListKind::Refused
+                ListUpdateKind::Failed
             } else {
-                ListKind::All
+                ListUpdateKind::Full
             };
             let at = self.now + self.news(instance);
             self.at(
@@ -1052,21 +1083,21 @@
     }
 
     /// A list reaches an instance; what it says is as of now, so that no old word overtakes a new one.
-    fn listed(&mut self, instance: usize, kind: ListKind, of: &[usize], watch: u64) {
+    fn listed(&mut self, instance: usize, kind: ListUpdateKind, of: &[usize], watch: u64) {
         if self.instances[instance].watch != Some(watch) {
             return;
         }
-        if kind == ListKind::Refused || self.malformed {
+        if kind == ListUpdateKind::Failed || self.malformed {
             self.instances[instance].watch = None;
             return self.tell(
                 instance,
-                Event::Listed {
-                    kind: ListKind::Refused,
+                Event::ListUpdated {
+                    kind: ListUpdateKind::Failed,
                     entries: Vec::new(),
                 },
             );
         }
-        let whole = kind == ListKind::All;
+        let whole = kind == ListUpdateKind::Full;
         let named: Vec<usize> = if whole {
             (0..self.modes.len()).collect()
         } else {
@@ -1076,14 +1107,16 @@
         for endpoint in named {
             let mode = self.modes[endpoint];
             self.note(match mode {
-                Mode::Running => Entry::ToldUp { instance, endpoint },
-                Mode::Stopping | Mode::Deleted => Entry::ToldAway { instance, endpoint },
+                EndpointState::Running => Entry::ToldUp { instance, endpoint },
+                EndpointState::Draining | EndpointState::Removed => {
+                    Entry::ToldAway { instance, endpoint }
+                }
             });
-            if !whole || mode != Mode::Deleted {
+            if !whole || mode != EndpointState::Removed {
                 entries.push(self.listing(endpoint));
             }
         }
-        self.tell(instance, Event::Listed { kind, entries });
+        self.tell(instance, Event::ListUpdated { kind, entries });
     }
 
     // ---- probes ----
@@ -1134,10 +1167,10 @@
             return;
         }
         if !e.is_up() {
-            return self.at(home, back(Outcome::NoConnection, None, false));
+            return self.at(home, back(Outcome::ConnectFailed, None, false));
         }
         if new && !e.connect() {
-            return self.at(home, back(Outcome::Full, None, false));
+            return self.at(home, back(Outcome::Overloaded, None, false));
         }
         self.played.connections += usize::from(new);
         let load = Some(e.report());
@@ -1166,22 +1199,22 @@
             .map(report);
         self.tell(
             instance,
-            Event::Checked {
+            Event::ProbeFinished {
                 endpoint,
                 outcome,
-                spent: self.now - sent,
+                elapsed: self.now - sent,
                 report,
             },
         );
     }
 }
 
-fn report(load: Load) -> Report {
-    Report {
+fn report(load: Load) -> LoadReport {
+    LoadReport {
         outstanding: Some(load.outstanding as f64),
         backlog: Some(load.waiting as f64),
         utilization: Some(load.utilization),
-        ..Report::default()
+        ..LoadReport::default()
     }
 }
 
--- a/crates/passroad-routes/src/lib.rs
+++ b/crates/passroad-routes/src/lib.rs
@@ -11,19 +11,21 @@
 pub use text::{Place, PoolOrder, RouteOrder, RouteOrders, read};
 pub use zone::Health;
 
-use passroad_choice::watch::{Counts, Watched};
-use passroad_choice::{Action, CmdIx, EndpointIx, Event, ListKind, Memory, StandingOrders};
+use passroad_choice::shadow::{ShadowCounts, ShadowedBalancer};
+use passroad_choice::{
+    Action, BalancerConfig, CommandIndex, EndpointIndex, Event, LearnedState, ListUpdateKind,
+};
 use std::time::Duration;
 
 /// What a relay's end says of its command.
 struct Out {
     verb: usize,
-    relays: Vec<EndpointIx>,
+    relays: Vec<EndpointIndex>,
 }
 
 /// The decision module, with routes before it where there are any.
 pub struct Steered {
-    balancer: Watched,
+    balancer: ShadowedBalancer,
     router: Option<Router>,
     goals: Vec<Duration>,        // by verb, as the module numbers them
     verbs: Vec<(String, usize)>, // their names and places in the orders, likewise
@@ -34,27 +36,27 @@
 impl Steered {
     /// With `watch`, a second module with those orders is asked beside the one that decides.
     pub fn new(
-        orders: StandingOrders,
-        watch: Option<StandingOrders>,
+        orders: BalancerConfig,
+        watch: Option<BalancerConfig>,
         routes: Option<RouteOrders>,
     ) -> Self {
         Steered {
             router: routes.map(|routes| Router::new(routes, &orders)),
-            goals: orders.verbs.iter().map(|v| v.goal).collect(),
+            goals: orders.classes.iter().map(|v| v.deadline_target).collect(),
             verbs: orders
-                .verbs
+                .classes
                 .iter()
                 .enumerate()
                 .map(|(at, v)| (v.name.clone(), at))
                 .collect(),
             return_after: orders.max_retry_after,
             out: Vec::new(),
-            balancer: Watched::new(orders, watch),
+            balancer: ShadowedBalancer::new(orders, watch),
         }
     }
 
     /// Other orders, and routes that were read against them; true if these can take the place of those in force.
-    pub fn may_retune(&self, orders: &StandingOrders, routes: Option<&RouteOrders>) -> bool {
+    pub fn may_retune(&self, orders: &BalancerConfig, routes: Option<&RouteOrders>) -> bool {
         match (&self.router, routes) {
             (None, None) => true,
             (Some(router), Some(routes)) => router.may_retune(orders, routes),
@@ -66,7 +68,7 @@
     pub fn retune(
         &mut self,
         now: Duration,
-        orders: StandingOrders,
+        orders: BalancerConfig,
         routes: Option<RouteOrders>,
     ) -> (Vec<Action>, Vec<usize>) {
         if let (Some(router), Some(routes)) = (&mut self.router, routes) {
@@ -74,15 +76,18 @@
         }
         self.return_after = orders.max_retry_after;
         let told: Vec<_> = orders
-            .verbs
+            .classes
             .iter()
-            .map(|v| (v.name.clone(), v.goal))
+            .map(|v| (v.name.clone(), v.deadline_target))
             .collect();
-        let mut actions = self.balancer.decide(now, Event::Retuned(Box::new(orders)));
+        let mut actions = self
+            .balancer
+            .decide(now, Event::Reconfigured(Box::new(orders)));
         let at = actions
             .iter()
-            .position(|action| matches!(action, Action::Numbered { .. }));
-        let Some(Action::Numbered { verbs }) = at.map(|at| actions.remove(at)) else {
+            .position(|action| matches!(action, Action::ClassIndicesAssigned { .. }));
+        let Some(Action::ClassIndicesAssigned { classes: verbs }) = at.map(|at| actions.remove(at))
+        else {
             return (actions, Vec::new());
         };
         // A verb that has gone is routed as the first one, for what is open of it.
@@ -103,21 +108,21 @@
     }
 
     /// What the module has learnt; `name` tells what an endpoint is called outside.
-    pub fn seems(&self, at: EndpointIx) -> (Option<f64>, bool) {
-        self.balancer.seems(at)
+    pub fn seems(&self, at: EndpointIndex) -> (Option<f64>, bool) {
+        self.balancer.endpoint_load(at)
     }
 
-    pub fn memory(&self, name: impl Fn(EndpointIx) -> Option<String>) -> Memory {
-        self.balancer.memory(name)
+    pub fn memory(&self, name: impl Fn(EndpointIndex) -> Option<String>) -> LearnedState {
+        self.balancer.learned_state(name)
     }
 
     /// What the watched orders would have made of the decisions so far, where there are any.
-    pub fn counts(&self) -> Option<Counts> {
+    pub fn counts(&self) -> Option<ShadowCounts> {
         self.balancer.counts()
     }
 
     /// What the slot of an endpoint is called outside; told before a list speaks of it.
-    pub fn name(&mut self, endpoint: EndpointIx, id: &str, kind: &str) {
+    pub fn name(&mut self, endpoint: EndpointIndex, id: &str, kind: &str) {
         if let Some(router) = &mut self.router {
             router.name(endpoint, id, kind);
         }
@@ -130,49 +135,57 @@
         };
         let mut actions = Vec::new();
         let event = match event {
-            Event::Listed { kind, entries } => {
-                let whole = kind != ListKind::Changes;
-                if kind != ListKind::Refused {
+            Event::ListUpdated { kind, entries } => {
+                let whole = kind != ListUpdateKind::Delta;
+                if kind != ListUpdateKind::Failed {
                     router.listed(whole, &entries);
                 }
                 // The module knows the endpoints before it is told of their weights.
-                actions = self.balancer.decide(now, Event::Listed { kind, entries });
+                actions = self
+                    .balancer
+                    .decide(now, Event::ListUpdated { kind, entries });
                 None
             }
-            Event::Arrived(mut arrival) => {
+            Event::CommandArrived(mut arrival) => {
                 let weights = router.look(now);
                 steer(&mut self.balancer, now, weights, &mut actions);
-                let cmd = arrival.cmd;
-                let place = self.verbs.get(arrival.verb).map_or(0, |(_, place)| *place);
-                match router.rule(now, place, arrival.company) {
+                let cmd = arrival.command;
+                let place = self.verbs.get(arrival.class).map_or(0, |(_, place)| *place);
+                match router.rule(now, place, arrival.tenant) {
                     Ruling::Go { play } => {
-                        arrival.play = play;
+                        arrival.weight_set = play;
                         let len = self.out.len().max(cmd + 1);
                         self.out.resize_with(len, || None);
                         self.out[cmd] = Some(Out {
-                            verb: arrival.verb,
+                            verb: arrival.class,
                             relays: Vec::new(),
                         });
-                        Some(Event::Arrived(arrival))
+                        Some(Event::CommandArrived(arrival))
                     }
                     Ruling::Decline { after } => {
                         // Nothing of it was out, and nothing is held: the module need not hear of it.
                         let not_before = self.return_after.map(|most| most.min(after));
-                        actions.push(Action::Decline { cmd, not_before });
-                        actions.push(Action::Forget { cmd });
+                        actions.push(Action::Refuse {
+                            command: cmd,
+                            retry_after: not_before,
+                        });
+                        actions.push(Action::ReleaseCommand { command: cmd });
                         None
                     }
                 }
             }
-            Event::Cordoned { endpoint, out } => {
+            Event::CordonChanged {
+                endpoint,
+                cordoned: out,
+            } => {
                 router.cordoned(endpoint, out);
                 Some(event)
             }
-            Event::Finished {
-                cmd,
+            Event::RelayFinished {
+                command: cmd,
                 relay,
                 outcome,
-                spent,
+                elapsed: spent,
                 concluded,
                 report,
             } => {
@@ -182,26 +195,26 @@
                     let late = spent.as_secs_f64() / self.goals[held.verb].as_secs_f64().max(1e-6);
                     router.ended(now, endpoint, outcome, Some(late), report.as_ref());
                 }
-                Some(Event::Finished {
-                    cmd,
+                Some(Event::RelayFinished {
+                    command: cmd,
                     relay,
                     outcome,
-                    spent,
+                    elapsed: spent,
                     concluded,
                     report,
                 })
             }
-            Event::Checked {
+            Event::ProbeFinished {
                 endpoint,
                 outcome,
-                spent,
+                elapsed: spent,
                 report,
             } => {
                 router.ended(now, endpoint, outcome, None, report.as_ref());
-                Some(Event::Checked {
+                Some(Event::ProbeFinished {
                     endpoint,
                     outcome,
-                    spent,
+                    elapsed: spent,
                     report,
                 })
             }
@@ -214,12 +227,16 @@
         }
         for action in &actions {
             match action {
-                Action::Relay { cmd, endpoint, .. } => {
+                Action::Relay {
+                    command: cmd,
+                    endpoint,
+                    ..
+                } => {
                     let held = self.out.get_mut(*cmd).and_then(Option::as_mut);
                     held.into_iter().for_each(|h| h.relays.push(*endpoint));
                 }
-                Action::Forget { cmd } => forget(&mut self.out, *cmd),
-                Action::Release { endpoint } => router.release(*endpoint),
+                Action::ReleaseCommand { command: cmd } => forget(&mut self.out, *cmd),
+                Action::ReleaseEndpoint { endpoint } => router.release(*endpoint),
                 _ => {}
             }
         }
@@ -228,27 +245,29 @@
     }
 }
 
-fn forget(out: &mut [Option<Out>], cmd: CmdIx) {
+fn forget(out: &mut [Option<Out>], cmd: CommandIndex) {
     if let Some(held) = out.get_mut(cmd) {
         *held = None;
     }
 }
 
 fn steer(
-    balancer: &mut Watched,
+    balancer: &mut ShadowedBalancer,
     now: Duration,
-    weights: Vec<(usize, EndpointIx, f64)>,
+    weights: Vec<(usize, EndpointIndex, f64)>,
     out: &mut Vec<Action>,
 ) {
     if !weights.is_empty() {
-        out.extend(balancer.decide(now, Event::Steered { weights }));
+        out.extend(balancer.decide(now, Event::RouteWeightsChanged { weights }));
     }
 }
 
 #[cfg(test)]
 mod tests {
     use super::*;
-    use passroad_choice::{Arrival, Listing, Mode, Outcome, Report, VerbOrder};
+    use passroad_choice::{
+        CommandArrival, EndpointState, ListedEndpoint, LoadReport, Outcome, RequestClassConfig,
+    };
     use rstest::rstest;
 
     const ROUTES: &str = "[[pool]]\nname = \"all\"\ntiers = [[\"own\"], [\"b\"], [\"*\"]]\nreturn = { over = \"20s\" }\n\
@@ -259,30 +278,30 @@
     }
 
     /// Four endpoints in each of the zones a, b and c, in turn.
-    fn listing(endpoint: EndpointIx, mode: Mode) -> Listing {
+    fn listing(endpoint: EndpointIndex, mode: EndpointState) -> ListedEndpoint {
         let started = Duration::ZERO;
-        Listing {
+        ListedEndpoint {
             endpoint,
-            mark: 0,
+            id_hash: 0,
             zone: endpoint / 4,
             cell: 0,
             kind: 0,
-            rating: 1.0,
-            started,
-            mode,
+            weight: 1.0,
+            started_at: started,
+            state: mode,
         }
     }
 
     struct Rig {
         steered: Steered,
-        next: CmdIx,
+        next: CommandIndex,
         now: u64,
     }
 
     /// What became of a command at once: sent to an endpoint, declined, or kept waiting.
     #[derive(Debug, PartialEq)]
     enum Fate {
-        Sent(EndpointIx),
+        Sent(EndpointIndex),
         Declined(Option<Duration>),
         Waits,
     }
@@ -297,20 +316,22 @@
                 now: 0,
             };
             rig.list(
-                ListKind::All,
-                (0..12).map(|e| listing(e, Mode::Running)).collect(),
+                ListUpdateKind::Full,
+                (0..12)
+                    .map(|e| listing(e, EndpointState::Running))
+                    .collect(),
             );
             rig
         }
 
-        fn list(&mut self, kind: ListKind, entries: Vec<Listing>) -> Vec<Action> {
+        fn list(&mut self, kind: ListUpdateKind, entries: Vec<ListedEndpoint>) -> Vec<Action> {
             self.steered
-                .decide(ms(self.now), Event::Listed { kind, entries })
+                .decide(ms(self.now), Event::ListUpdated { kind, entries })
         }
 
-        fn all_of(&mut self, zone: usize, mode: Mode) -> Vec<Action> {
+        fn all_of(&mut self, zone: usize, mode: EndpointState) -> Vec<Action> {
             self.list(
-                ListKind::Changes,
+                ListUpdateKind::Delta,
                 (4 * zone..4 * zone + 4).map(|e| listing(e, mode)).collect(),
             )
         }
@@ -321,32 +342,34 @@
             self.next += 1;
             self.now += 10;
             let budget = Duration::from_millis(990);
-            let arrival = Arrival {
-                cmd,
-                verb: cmd % 2,
-                company: None,
+            let arrival = CommandArrival {
+                command: cmd,
+                class: cmd % 2,
+                tenant: None,
                 key: None,
                 budget,
                 work: None,
-                again: false,
-                write: false,
-                play: 0,
-                uploads: false,
+                is_retry: false,
+                is_write: false,
+                weight_set: 0,
+                body_pending: false,
             };
-            let report = Report {
+            let report = LoadReport {
                 outstanding: Some(0.0),
                 utilization: Some(busy),
-                ..Report::default()
+                ..LoadReport::default()
             };
-            let mut actions = self.steered.decide(ms(self.now), Event::Arrived(arrival));
+            let mut actions = self
+                .steered
+                .decide(ms(self.now), Event::CommandArrived(arrival));
             let mut n = 0;
             while n < actions.len() {
                 if let Action::Probe { endpoint } = actions[n] {
                     let (outcome, spent) = (Outcome::Answered, Duration::from_millis(1));
-                    let event = Event::Checked {
+                    let event = Event::ProbeFinished {
                         endpoint,
                         outcome,
-                        spent,
+                        elapsed: spent,
                         report: Some(report),
                     };
                     actions.extend(self.steered.decide(ms(self.now), event));
@@ -355,18 +378,23 @@
             }
             for action in &actions {
                 match action {
-                    Action::Decline { cmd: c, not_before } if *c == cmd => {
+                    Action::Refuse {
+                        command: c,
+                        retry_after: not_before,
+                    } if *c == cmd => {
                         return Fate::Declined(*not_before);
                     }
                     Action::Relay {
-                        cmd: c, endpoint, ..
+                        command: c,
+                        endpoint,
+                        ..
                     } if *c == cmd => {
                         let (outcome, spent) = (Outcome::Answered, Duration::from_millis(50));
-                        let event = Event::Finished {
-                            cmd,
+                        let event = Event::RelayFinished {
+                            command: cmd,
                             relay: 0,
                             outcome,
-                            spent,
+                            elapsed: spent,
                             concluded: true,
                             report: Some(report),
                         };
@@ -413,9 +441,9 @@
     }
 
     #[rstest]
-    #[case::drains(Mode::Stopping)]
-    #[case::gone(Mode::Deleted)]
-    fn a_dark_zones_traffic_goes_to_the_next_tier_at_once(#[case] mode: Mode) {
+    #[case::drains(EndpointState::Draining)]
+    #[case::gone(EndpointState::Removed)]
+    fn a_dark_zones_traffic_goes_to_the_next_tier_at_once(#[case] mode: EndpointState) {
         let mut rig = Rig::new(ROUTES);
         rig.spread(200, 0.3);
         let said = rig.all_of(0, mode);
@@ -439,7 +467,7 @@
     fn where_the_next_tier_is_full_what_may_not_spill_is_declined_with_a_time() {
         let mut rig = Rig::new(ROUTES);
         rig.spread(200, 0.97);
-        rig.all_of(0, Mode::Deleted);
+        rig.all_of(0, EndpointState::Removed);
         rig.spread(200, 0.97);
         let (zones, declined) = rig.spread(400, 0.97);
         // A trickle, no more, and no command is kept waiting.
@@ -459,10 +487,10 @@
     fn a_returning_zone_gets_its_share_little_by_little() {
         let mut rig = Rig::new(ROUTES);
         rig.spread(200, 0.3);
-        rig.all_of(0, Mode::Deleted);
+        rig.all_of(0, EndpointState::Removed);
         rig.spread(300, 0.3);
         // Warm ones: what ramps here is the zone.
-        rig.all_of(0, Mode::Running);
+        rig.all_of(0, EndpointState::Running);
         let shares: Vec<usize> = (0..6).map(|_| rig.spread(500, 0.3).0[0]).collect();
         // Five seconds each, over twenty and a quarter.
         assert!(
@@ -474,11 +502,11 @@
             "{shares:?}"
         );
         // It goes again in the middle of the next return: all is away at once.
-        rig.all_of(0, Mode::Deleted);
+        rig.all_of(0, EndpointState::Removed);
         rig.spread(100, 0.3);
-        rig.all_of(0, Mode::Running);
+        rig.all_of(0, EndpointState::Running);
         rig.spread(500, 0.3);
-        rig.all_of(0, Mode::Deleted);
+        rig.all_of(0, EndpointState::Removed);
         assert_eq!(rig.spread(100, 0.3).0[0], 0);
     }
 
@@ -487,8 +515,8 @@
         let mut rig = Rig::new(ROUTES);
         rig.spread(200, 0.3);
         rig.list(
-            ListKind::Changes,
-            (0..2).map(|e| listing(e, Mode::Deleted)).collect(),
+            ListUpdateKind::Delta,
+            (0..2).map(|e| listing(e, EndpointState::Removed)).collect(),
         );
         rig.spread(100, 0.3);
         let (zones, _) = rig.spread(1000, 0.3);
@@ -504,7 +532,7 @@
     fn zones_of_one_tier_make_up_for_each_other() {
         let mut rig = Rig::new(&ROUTES.replace("[\"own\"], [\"b\"]", "[\"own\", \"b\"]"));
         rig.spread(200, 0.3);
-        rig.all_of(0, Mode::Deleted);
+        rig.all_of(0, EndpointState::Removed);
         rig.spread(200, 0.3);
         let (zones, _) = rig.spread(1000, 0.3);
         assert!(
@@ -529,11 +557,13 @@
         };
         (0..12).for_each(|e| rig.steered.name(e, if e % 2 == 0 { "x" } else { "y" }, ""));
         rig.list(
-            ListKind::All,
-            (0..12).map(|e| listing(e, Mode::Running)).collect(),
+            ListUpdateKind::Full,
+            (0..12)
+                .map(|e| listing(e, EndpointState::Running))
+                .collect(),
         );
         rig.spread(200, 0.3);
-        rig.all_of(0, Mode::Deleted);
+        rig.all_of(0, EndpointState::Removed);
         let (mut x, mut y) = (0, 0);
         for n in 0..600 {
             // The first pool's receivers are idle, the second's are full.
@@ -558,10 +588,10 @@
             let (outcome, spent) = (Outcome::TimedOut, Duration::from_millis(50));
             said.extend(rig.steered.decide(
                 ms(rig.now),
-                Event::Checked {
+                Event::ProbeFinished {
                     endpoint,
                     outcome,
-                    spent,
+                    elapsed: spent,
                     report: None,
                 },
             ));
@@ -581,19 +611,21 @@
         rig.spread(50, 0.3);
         rig.now += 10;
         let (cmd, budget) = (rig.next + 1 - rig.next % 2, Duration::from_millis(990));
-        let arrival = Arrival {
-            cmd,
-            verb: 1,
-            company: None,
+        let arrival = CommandArrival {
+            command: cmd,
+            class: 1,
+            tenant: None,
             key: None,
             budget,
             work: None,
-            again: false,
-            write: false,
-            play: 0,
-            uploads: false,
+            is_retry: false,
+            is_write: false,
+            weight_set: 0,
+            body_pending: false,
         };
-        let mut actions = rig.steered.decide(ms(rig.now), Event::Arrived(arrival));
+        let mut actions = rig
+            .steered
+            .decide(ms(rig.now), Event::CommandArrived(arrival));
         let probed: Vec<_> = actions
             .iter()
             .filter_map(|a| {
@@ -606,16 +638,16 @@
             .collect();
         for endpoint in probed {
             let (outcome, spent) = (Outcome::Answered, Duration::from_millis(1));
-            let report = Some(Report {
+            let report = Some(LoadReport {
                 outstanding: Some(0.0),
-                ..Report::default()
+                ..LoadReport::default()
             });
             actions.extend(rig.steered.decide(
                 ms(rig.now),
-                Event::Checked {
+                Event::ProbeFinished {
                     endpoint,
                     outcome,
-                    spent,
+                    elapsed: spent,
                     report,
                 },
             ));
@@ -623,22 +655,25 @@
         assert!(
             actions
                 .iter()
-                .any(|a| matches!(a, Action::Relay { cmd: c, .. } if *c == cmd)),
+                .any(|a| matches!(a, Action::Relay { command: c, .. } if *c == cmd)),
             "{actions:?}"
         );
         rig.now += 20;
-        rig.all_of(0, Mode::Deleted);
-        let (outcome, spent) = (Outcome::Broken, Duration::from_millis(20));
-        let event = Event::Finished {
-            cmd,
+        rig.all_of(0, EndpointState::Removed);
+        let (outcome, spent) = (Outcome::ConnectionLost, Duration::from_millis(20));
+        let event = Event::RelayFinished {
+            command: cmd,
             relay: 0,
             outcome,
-            spent,
+            elapsed: spent,
             concluded: false,
             report: None,
         };
         let actions = rig.steered.decide(ms(rig.now), event);
-        assert!(actions.contains(&Action::Terminate { cmd }), "{actions:?}");
+        assert!(
+            actions.contains(&Action::Fail { command: cmd }),
+            "{actions:?}"
+        );
         assert!(
             !actions.iter().any(|a| matches!(a, Action::Relay { .. })),
             "{actions:?}"
@@ -670,8 +705,8 @@
             rig.steered.name(endpoint, id, kind);
         }
         rig.list(
-            ListKind::All,
-            (0..4).map(|e| listing(e, Mode::Running)).collect(),
+            ListUpdateKind::Full,
+            (0..4).map(|e| listing(e, EndpointState::Running)).collect(),
         );
         let fates: Vec<_> = (0..100).map(|_| rig.ask(0.3)).collect();
         assert!(
@@ -707,25 +742,25 @@
         );
         (0..2).for_each(|at| steered.name(at, ["left-1", "right-1"][at], ""));
         let entries = (0..2)
-            .map(|at| Listing {
+            .map(|at| ListedEndpoint {
                 zone: 0,
-                ..listing(at, Mode::Running)
+                ..listing(at, EndpointState::Running)
             })
             .collect();
         steered.decide(
             ms(0),
-            Event::Listed {
-                kind: ListKind::All,
+            Event::ListUpdated {
+                kind: ListUpdateKind::Full,
                 entries,
             },
         );
         // The other way round, with a verb more, and the first one changed.
         let mut after = before.clone();
-        after.verbs.reverse();
-        after.verbs[1].goal *= 2;
-        after.verbs.push(VerbOrder {
+        after.classes.reverse();
+        after.classes[1].deadline_target *= 2;
+        after.classes.push(RequestClassConfig {
             name: "seek".into(),
-            ..before.verbs[0].clone()
+            ..before.classes[0].clone()
         });
         let other = read(&routes("book"), &after).unwrap();
         assert!(steered.may_retune(&after, Some(&other)));
@@ -734,21 +769,21 @@
         let mut to = |cmd: usize, verb: usize| {
             let (budget, work) = (Duration::from_millis(990), None);
             let (company, key, again, write, play, uploads) = (None, None, false, false, 0, false);
-            let a = Arrival {
-                cmd,
-                verb,
-                company,
+            let a = CommandArrival {
+                command: cmd,
+                class: verb,
+                tenant: company,
                 key,
                 budget,
                 work,
-                again,
-                write,
-                play,
-                uploads,
+                is_retry: again,
+                is_write: write,
+                weight_set: play,
+                body_pending: uploads,
             };
             let at = 1000 * (1 + cmd as u64);
-            let mut out = steered.decide(ms(at), Event::Arrived(a));
-            out.extend(steered.decide(ms(at + 40), Event::Due { token: 1 }));
+            let mut out = steered.decide(ms(at), Event::CommandArrived(a));
+            out.extend(steered.decide(ms(at + 40), Event::TimerFired { token: 1 }));
             let to = |a: &Action| {
                 if let Action::Relay { endpoint, .. } = a {
                     Some(*endpoint)
@@ -760,11 +795,11 @@
             let (outcome, concluded, report) = (Outcome::Answered, true, None);
             steered.decide(
                 ms(at + 50),
-                Event::Finished {
-                    cmd,
+                Event::RelayFinished {
+                    command: cmd,
                     relay: 0,
                     outcome,
-                    spent,
+                    elapsed: spent,
                     concluded,
                     report,
                 },
