--- a/crates/passroad-routes/src/router.rs
+++ b/crates/passroad-routes/src/router.rs
@@ -5,7 +5,9 @@
 use crate::spill::Spill;
 use crate::text::{Place, PoolOrder, RouteOrders};
 use crate::zone::{Health, Sum, Zone};
-use passroad_choice::{EndpointIx, Listing, Mode, Outcome, Report, StandingOrders};
+use passroad_choice::{
+    BalancerConfig, EndpointIndex, EndpointState, ListedEndpoint, LoadReport, Outcome,
+};
 use std::time::Duration;
 
 /// Plays of a pool: three each, in this order.
@@ -105,8 +107,12 @@
 }
 
 impl Router {
-    pub fn new(routes: RouteOrders, orders: &StandingOrders) -> Self {
-        let best = orders.verbs.iter().map(|v| v.utility).fold(1e-9, f64::max);
+    pub fn new(routes: RouteOrders, orders: &BalancerConfig) -> Self {
+        let best = orders
+            .classes
+            .iter()
+            .map(|v| v.utility)
+            .fold(1e-9, f64::max);
         let pool = |order: &PoolOrder| Pool {
             tiers: Vec::new(),
             zones: Vec::new(),
@@ -124,11 +130,11 @@
             members: Vec::new(),
             out: Vec::new(),
             names: Vec::new(),
-            own_zone: orders.zone,
+            own_zone: orders.own_zone,
             zone_names: orders.zones.clone(),
-            worth: orders.verbs.iter().map(|v| v.utility / best).collect(),
-            cold_from: orders.cold_from.clamp(0.01, 1.0),
-            warm_within: orders.warm_within,
+            worth: orders.classes.iter().map(|v| v.utility / best).collect(),
+            cold_from: orders.cold_capacity.clamp(0.01, 1.0),
+            warm_within: orders.warm_up_time,
             dice: orders.seed.rotate_left(17) | 1,
             looked: None,
             dirty: true,
@@ -137,13 +143,17 @@
     }
 
     /// Whether the pools and zones are those in force; only which commands go where may change.
-    pub fn may_retune(&self, orders: &StandingOrders, routes: &RouteOrders) -> bool {
+    pub fn may_retune(&self, orders: &BalancerConfig, routes: &RouteOrders) -> bool {
         routes.pools == self.orders.pools && orders.zones == self.zone_names
     }
 
-    pub fn retune(&mut self, orders: &StandingOrders, routes: RouteOrders) {
-        let best = orders.verbs.iter().map(|v| v.utility).fold(1e-9, f64::max);
-        self.worth = orders.verbs.iter().map(|v| v.utility / best).collect();
+    pub fn retune(&mut self, orders: &BalancerConfig, routes: RouteOrders) {
+        let best = orders
+            .classes
+            .iter()
+            .map(|v| v.utility)
+            .fold(1e-9, f64::max);
+        self.worth = orders.classes.iter().map(|v| v.utility / best).collect();
         self.orders = routes;
     }
 
@@ -154,13 +164,13 @@
     }
 
     /// What the slot of an endpoint is called outside, before a list speaks of it.
-    pub fn name(&mut self, endpoint: EndpointIx, id: &str, kind: &str) {
+    pub fn name(&mut self, endpoint: EndpointIndex, id: &str, kind: &str) {
         self.names.resize(self.names.len().max(endpoint + 1), None);
         self.names[endpoint] = Some((id.into(), kind.into()));
     }
 
     /// The slot is another's from here on.
-    pub fn release(&mut self, endpoint: EndpointIx) {
+    pub fn release(&mut self, endpoint: EndpointIndex) {
         if let Some(member) = self.members.get_mut(endpoint) {
             *member = None;
             self.dirty = true;
@@ -168,14 +178,14 @@
     }
 
     /// Operators take an endpoint out or call it back.
-    pub fn cordoned(&mut self, endpoint: EndpointIx, out: bool) {
+    pub fn cordoned(&mut self, endpoint: EndpointIndex, out: bool) {
         self.out.resize(self.out.len().max(endpoint + 1), false);
         self.out[endpoint] = out;
         self.dirty = true;
     }
 
     /// Takes in a list; a whole one leaves out what is gone.
-    pub fn listed(&mut self, whole: bool, entries: &[Listing]) {
+    pub fn listed(&mut self, whole: bool, entries: &[ListedEndpoint]) {
         if whole {
             self.members.iter_mut().flatten().for_each(|m| m.up = false);
         }
@@ -193,12 +203,12 @@
             };
             let factors = self.orders.pools.iter().map(factor).collect();
             let before = self.members[entry.endpoint].take();
-            let anew = before.as_ref().is_none_or(|m| entry.started > m.started);
+            let anew = before.as_ref().is_none_or(|m| entry.started_at > m.started);
             self.members[entry.endpoint] = Some(Member {
                 zone: entry.zone,
-                weight: entry.rating.clamp(0.01, 1e6),
-                up: entry.mode == Mode::Running,
-                started: entry.started.max(
+                weight: entry.weight.clamp(0.01, 1e6),
+                up: entry.state == EndpointState::Running,
+                started: entry.started_at.max(
                     before
                         .as_ref()
                         .filter(|_| !anew)
@@ -217,17 +227,17 @@
     pub fn ended(
         &mut self,
         now: Duration,
-        endpoint: EndpointIx,
+        endpoint: EndpointIndex,
         outcome: Outcome,
         lateness: Option<f64>,
-        report: Option<&Report>,
+        report: Option<&LoadReport>,
     ) {
         let Some(member) = self.members.get_mut(endpoint).and_then(Option::as_mut) else {
             return;
         };
         let before = member.misses >= MISSES;
         match outcome {
-            Outcome::NoConnection => member.away += 1,
+            Outcome::ConnectFailed => member.away += 1,
             Outcome::TimedOut if lateness.is_none() => member.away += 1,
             // As the module does: it may be another process than before, and gets its share by passes only.
             Outcome::Answered
@@ -240,13 +250,13 @@
             _ => {}
         }
         match outcome {
-            Outcome::Answered | Outcome::Error | Outcome::Full | Outcome::Unfit => {
+            Outcome::Answered | Outcome::Error | Outcome::Overloaded | Outcome::Rejected => {
                 member.misses = 0
             }
-            Outcome::NoConnection | Outcome::TimedOut => {
+            Outcome::ConnectFailed | Outcome::TimedOut => {
                 member.misses = member.misses.saturating_add(1)
             }
-            Outcome::Broken | Outcome::Recalled | Outcome::Moot => {}
+            Outcome::ConnectionLost | Outcome::Cancelled | Outcome::NotSent => {}
         }
         self.dirty |= before != (member.misses >= MISSES);
         for (pool, factor) in self.pools.iter_mut().zip(&member.factors) {
@@ -265,12 +275,12 @@
                     Outcome::Answered => late > LATE,
                     Outcome::TimedOut => true,
                     // Short of connections is not short of time: what is heard of the load says which it was.
-                    Outcome::Full => pool
+                    Outcome::Overloaded => pool
                         .spill
                         .load(now)
                         .is_none_or(|load| load > pool.order.ceiling),
-                    Outcome::NoConnection | Outcome::Recalled | Outcome::Moot => continue,
-                    Outcome::Error | Outcome::Broken | Outcome::Unfit => false,
+                    Outcome::ConnectFailed | Outcome::Cancelled | Outcome::NotSent => continue,
+                    Outcome::Error | Outcome::ConnectionLost | Outcome::Rejected => false,
                 };
                 pool.spill.ended(now, bad);
             }
@@ -310,7 +320,7 @@
     }
 
     /// Looks at the zones and gives the weights that have changed: for each play, endpoints and theirs.
-    pub fn look(&mut self, now: Duration) -> Vec<(usize, EndpointIx, f64)> {
+    pub fn look(&mut self, now: Duration) -> Vec<(usize, EndpointIndex, f64)> {
         let due = self.looked.is_none_or(|at| now.saturating_sub(at) >= LOOK);
         if !self.dirty && !due {
             return Vec::new();
@@ -374,7 +384,7 @@
         self.weights(now)
     }
 
-    fn weights(&mut self, now: Duration) -> Vec<(usize, EndpointIx, f64)> {
+    fn weights(&mut self, now: Duration) -> Vec<(usize, EndpointIndex, f64)> {
         let mut changed = Vec::new();
         for endpoint in 0..self.members.len() {
             let Some(member) = &self.members[endpoint] else {
--- a/crates/passroad-routes/src/text.rs
+++ b/crates/passroad-routes/src/text.rs
@@ -1,7 +1,7 @@
 //! The file of routes as it is written, checked against the settings, and what it comes to. Nothing is guessed: what is
 //! unknown, can't be reached or leaves a command without a route is an error that names its line.
 
-use passroad_choice::StandingOrders;
+use passroad_choice::BalancerConfig;
 use passroad_units::{Share, Time, Wrong, line_of};
 use serde::Deserialize;
 use std::collections::BTreeMap;
@@ -136,7 +136,7 @@
 }
 
 /// Reads a file of routes against the settings it is to work with.
-pub fn read(text: &str, orders: &StandingOrders) -> Result<RouteOrders, Wrong> {
+pub fn read(text: &str, orders: &BalancerConfig) -> Result<RouteOrders, Wrong> {
     let told: Text = toml::from_str(text)
         .map_err(|e| Wrong::of(text, e.span().map(|s| s.start), e.message()))?;
     let mut pools: Vec<PoolOrder> = Vec::new();
@@ -225,12 +225,12 @@
         };
         let verbs = find(
             &r.verbs,
-            orders.verbs.iter().map(|v| v.name.as_str()).collect(),
+            orders.classes.iter().map(|v| v.name.as_str()).collect(),
             "verbs",
         );
         let companies = find(
             &r.companies,
-            orders.companies.iter().map(|c| c.name.as_str()).collect(),
+            orders.tenants.iter().map(|c| c.name.as_str()).collect(),
             "companies",
         );
         let (verbs, companies) = match (verbs, companies) {
@@ -256,7 +256,7 @@
         });
     }
     // A command of no company, or of one that no route names, needs one that names none.
-    for (n, verb) in orders.verbs.iter().enumerate() {
+    for (n, verb) in orders.classes.iter().enumerate() {
         let takes =
             |r: &RouteOrder| r.companies.is_empty() && (r.verbs.is_empty() || r.verbs.contains(&n));
         if !routes.iter().any(takes) {
@@ -280,7 +280,7 @@
     Ok(RouteOrders { pools, routes })
 }
 
-fn tiers(pool: &PoolText, orders: &StandingOrders) -> Result<Vec<Vec<Place>>, String> {
+fn tiers(pool: &PoolText, orders: &BalancerConfig) -> Result<Vec<Vec<Place>>, String> {
     let mut seen: Vec<Place> = Vec::new();
     let mut tiers = Vec::new();
     if pool.tiers.is_empty() {
@@ -327,7 +327,7 @@
     use rstest::rstest;
 
     /// Two verbs, two companies, zones a to c; the sidecar stands in `a`.
-    pub fn orders() -> StandingOrders {
+    pub fn orders() -> BalancerConfig {
         let text = r#"{"verbs":[
             {"name":"look","effect":"read_like","response_goal":400000000,"time_limit":1000000000,"utility":1},
             {"name":"book","effect":"non_idempotent","response_goal":400000000,"time_limit":1000000000,"utility":4}],
--- a/crates/passroad-wirehost/src/host.rs
+++ b/crates/passroad-wirehost/src/host.rs
@@ -3,8 +3,10 @@
 use crate::line::Line;
 use base64::{Engine, prelude::BASE64_STANDARD};
 use passroad_choice::choice::Balancer;
-use passroad_choice::door::{Door, mark};
-use passroad_choice::{Action, Arrival, Event, ListKind, Listing, Mode, StandingOrders};
+use passroad_choice::interner::{Interner, stable_hash};
+use passroad_choice::{
+    Action, BalancerConfig, CommandArrival, EndpointState, Event, ListUpdateKind, ListedEndpoint,
+};
 use rustc_hash::FxHashMap;
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -20,44 +22,44 @@
     cell: usize,
     rating: f64,
     started: Duration,
-    mode: Mode,
+    mode: EndpointState,
 }
 
 pub struct Instance {
     balancer: Balancer,
-    pub endpoints: Door<String>,
-    commands: Door<String>,
-    zones: Door<String>,
-    kinds: Door<String>,
+    pub endpoints: Interner<String>,
+    commands: Interner<String>,
+    zones: Interner<String>,
+    kinds: Interner<String>,
     verbs: Vec<String>,
     companies: Vec<String>,
 }
 
 impl Instance {
-    pub fn new(mut orders: StandingOrders) -> Self {
-        let (mut zones, mut kinds) = (Door::new(), Door::new());
-        orders.through(&mut zones, &mut kinds);
+    pub fn new(mut orders: BalancerConfig) -> Self {
+        let (mut zones, mut kinds) = (Interner::new(), Interner::new());
+        orders.intern_names(&mut zones, &mut kinds);
         Instance {
-            verbs: orders.verbs.iter().map(|v| v.name.clone()).collect(),
-            companies: orders.companies.iter().map(|c| c.name.clone()).collect(),
+            verbs: orders.classes.iter().map(|v| v.name.clone()).collect(),
+            companies: orders.tenants.iter().map(|c| c.name.clone()).collect(),
             balancer: Balancer::new(orders),
-            endpoints: Door::new(),
-            commands: Door::new(),
+            endpoints: Interner::new(),
+            commands: Interner::new(),
             kinds,
             zones,
         }
     }
 
-    fn listings(&mut self, entries: &[Entry]) -> Vec<Listing> {
-        let listing = |e: &Entry| Listing {
-            endpoint: self.endpoints.admit(&e.endpoint),
-            mark: mark(&e.endpoint),
-            zone: self.zones.admit(&e.zone),
+    fn listings(&mut self, entries: &[Entry]) -> Vec<ListedEndpoint> {
+        let listing = |e: &Entry| ListedEndpoint {
+            endpoint: self.endpoints.intern(&e.endpoint),
+            id_hash: stable_hash(&e.endpoint),
+            zone: self.zones.intern(&e.zone),
             cell: e.cell,
-            kind: self.kinds.admit(&e.kind),
-            rating: e.rating,
-            started: e.started,
-            mode: e.mode,
+            kind: self.kinds.intern(&e.kind),
+            weight: e.rating,
+            started_at: e.started,
+            state: e.mode,
         };
         entries.iter().map(listing).collect()
     }
@@ -65,19 +67,19 @@
     fn arrival(&mut self, line: &Line) -> Result<Event, String> {
         let verb = line.need("profile")?;
         let position = self.verbs.iter().position(|v| v == verb);
-        Ok(Event::Arrived(Arrival {
-            verb: position.ok_or_else(|| format!("INGRESS: unknown verb {verb}"))?,
-            company: line
+        Ok(Event::CommandArrived(CommandArrival {
+            class: position.ok_or_else(|| format!("INGRESS: unknown verb {verb}"))?,
+            tenant: line
                 .get("tenant")
                 .and_then(|t| self.companies.iter().position(|c| c == t)),
-            key: line.get("name_key").filter(|k| *k != "-").map(mark),
+            key: line.get("name_key").filter(|k| *k != "-").map(stable_hash),
             budget: line.span("budget")?,
             work: line.get("hint").map(|_| line.span("hint")).transpose()?,
-            again: line.flag("again_by_client")?,
-            write: line.flag("write")?,
-            play: 0,
-            uploads: false,
-            cmd: self.commands.admit(&line.need("op_id")?.to_string()),
+            is_retry: line.flag("again_by_client")?,
+            is_write: line.flag("write")?,
+            weight_set: 0,
+            body_pending: false,
+            command: self.commands.intern(&line.need("op_id")?.to_string()),
         }))
     }
 
@@ -87,43 +89,46 @@
             "INGRESS" => self.arrival(line)?,
             "STARTED" => {
                 let relay = line.whole("trial")? as usize;
-                let Some(cmd) = self.commands.find(line.need("op_id")?) else {
+                let Some(cmd) = self.commands.get(line.need("op_id")?) else {
                     return Ok(None);
                 };
-                Event::StreamStarted { cmd, relay }
+                Event::StreamStarted {
+                    command: cmd,
+                    relay,
+                }
             }
             "FINISHED" => {
                 let (outcome, spent, report) =
                     (line.outcome()?, line.span("spent")?, line.report()?);
                 let (relay, concluded) = (line.whole("trial")? as usize, line.flag("no_more")?);
-                let Some(cmd) = self.commands.find(line.need("op_id")?) else {
+                let Some(cmd) = self.commands.get(line.need("op_id")?) else {
                     return Ok(None);
                 };
-                Event::Finished {
-                    cmd,
+                Event::RelayFinished {
+                    command: cmd,
                     relay,
                     outcome,
-                    spent,
+                    elapsed: spent,
                     concluded,
                     report,
                 }
             }
             "LAPSED" => {
-                let Some(cmd) = self.commands.find(line.need("op_id")?) else {
+                let Some(cmd) = self.commands.get(line.need("op_id")?) else {
                     return Ok(None);
                 };
-                Event::Lapsed { cmd }
+                Event::CommandAbandoned { command: cmd }
             }
             "CHECKED" => {
                 let (outcome, spent, report) =
                     (line.outcome()?, line.span("spent")?, line.report()?);
-                let Some(endpoint) = self.endpoints.find(line.need("endpoint")?) else {
+                let Some(endpoint) = self.endpoints.get(line.need("endpoint")?) else {
                     return Ok(None);
                 };
-                Event::Checked {
+                Event::ProbeFinished {
                     endpoint,
                     outcome,
-                    spent,
+                    elapsed: spent,
                     report,
                 }
             }
@@ -135,12 +140,12 @@
                         .decode(text)
                         .map_err(|e| format!("PEER: bytes: {e}"))?,
                 };
-                Event::PeerSaid {
+                Event::PeerMessageReceived {
                     from: line.whole("neighbour")? as usize,
                     bytes,
                 }
             }
-            "DUE" => Event::Due {
+            "DUE" => Event::TimerFired {
                 token: line.whole("cookie")?,
             },
             other => return Err(format!("unknown message {other}")),
@@ -179,9 +184,9 @@
         let points = &self.endpoints;
         let _ = match action {
             Action::Relay {
-                cmd,
+                command: cmd,
                 endpoint,
-                within,
+                timeout: within,
                 ..
             } => writeln!(
                 reply,
@@ -190,14 +195,20 @@
                 points.name(*endpoint)?,
                 within.as_nanos()
             ),
-            Action::Recall { cmd, relay } => {
+            Action::CancelRelay {
+                command: cmd,
+                relay,
+            } => {
                 writeln!(
                     reply,
                     "RECALL i={i} op_id={} trial={relay}",
                     cmds.name(*cmd)?
                 )
             }
-            Action::Decline { cmd, not_before } => {
+            Action::Refuse {
+                command: cmd,
+                retry_after: not_before,
+            } => {
                 let name = cmds.name(*cmd)?;
                 match not_before {
                     Some(wait) => {
@@ -210,12 +221,14 @@
                     None => writeln!(reply, "PUSH_BACK i={i} op_id={name}"),
                 }
             }
-            Action::Terminate { cmd } => writeln!(reply, "FAIL i={i} op_id={}", cmds.name(*cmd)?),
-            Action::Forget { cmd } => {
+            Action::Fail { command: cmd } => {
+                writeln!(reply, "FAIL i={i} op_id={}", cmds.name(*cmd)?)
+            }
+            Action::ReleaseCommand { command: cmd } => {
                 cmds.release(*cmd);
                 Ok(())
             }
-            Action::Release { endpoint } => {
+            Action::ReleaseEndpoint { endpoint } => {
                 self.endpoints.release(*endpoint);
                 Ok(())
             }
@@ -233,11 +246,11 @@
                     points.name(*endpoint)?
                 )
             }
-            Action::Listen { active } => {
+            Action::Subscribe { active } => {
                 writeln!(reply, "LISTEN i={i} active={}", u8::from(*active))
             }
-            Action::AskList => writeln!(reply, "LIST_ALL i={i}"),
-            Action::Tell { to, bytes } => {
+            Action::PollList => writeln!(reply, "LIST_ALL i={i}"),
+            Action::SendToPeer { to, bytes } => {
                 let to = to.map_or("-1".to_string(), |n| n.to_string());
                 let bytes = if bytes.is_empty() {
                     "-".to_string()
@@ -246,7 +259,7 @@
                 };
                 writeln!(reply, "TELL i={i} dst={to} bytes={bytes}")
             }
-            Action::Alarm { after, token } => {
+            Action::SetTimer { after, token } => {
                 writeln!(
                     reply,
                     "SET_ALARM i={i} sleep_for={} cookie={token}",
@@ -254,7 +267,7 @@
                 )
             }
             // Settings hold for an instance's life here.
-            Action::Numbered { .. } => Ok(()),
+            Action::ClassIndicesAssigned { .. } => Ok(()),
             Action::Log(text) => writeln!(reply, "LOG i={i} message={text}"),
         };
         Some(())
@@ -339,10 +352,10 @@
     fn peers_known(&mut self, now: Duration, line: &Line) -> Result<(), String> {
         let i = line.whole("i")?;
         let kind = match line.need("kind")? {
-            "changes" => ListKind::Changes,
-            "all" => ListKind::All,
-            "remembered" => ListKind::Remembered,
-            "refused" => ListKind::Refused,
+            "changes" => ListUpdateKind::Delta,
+            "all" => ListUpdateKind::Full,
+            "remembered" => ListUpdateKind::Cached,
+            "refused" => ListUpdateKind::Failed,
             other => return Err(format!("PEERS_KNOWN: unknown kind {other}")),
         };
         let Some(instance) = self.instances.get_mut(&i) else {
@@ -351,7 +364,7 @@
             ));
         };
         let entries = match kind {
-            ListKind::Refused => Vec::new(),
+            ListUpdateKind::Failed => Vec::new(),
             _ => {
                 let list = line.whole("list")?;
                 let known = self
@@ -361,7 +374,12 @@
                 instance.listings(known)
             }
         };
-        instance.decide(i, now, Event::Listed { kind, entries }, &mut self.reply);
+        instance.decide(
+            i,
+            now,
+            Event::ListUpdated { kind, entries },
+            &mut self.reply,
+        );
         Ok(())
     }
 
@@ -380,9 +398,9 @@
         rating: line.number_or("rating", 1.0)?,
         started: line.span_or("start_time", Duration::ZERO)?,
         mode: match line.need("mode")? {
-            "Running" => Mode::Running,
-            "Stopping" => Mode::Stopping,
-            "Deleted" => Mode::Deleted,
+            "Running" => EndpointState::Running,
+            "Stopping" => EndpointState::Draining,
+            "Deleted" => EndpointState::Removed,
             other => return Err(format!("M: unknown mode {other}")),
         },
     })
--- a/crates/passroad-wirehost/src/line.rs
+++ b/crates/passroad-wirehost/src/line.rs
@@ -1,6 +1,6 @@
 //! One line of the wire: a message name and name=value pairs.
 
-use passroad_choice::{Outcome, Report};
+use passroad_choice::{LoadReport, Outcome};
 use std::time::Duration;
 
 /// Fields whose value runs to the end of the line.
@@ -91,21 +91,21 @@
         Ok(match self.need("disposition")? {
             "0" => Outcome::Answered,
             "1" => Outcome::Error,
-            "2" => Outcome::Full,
+            "2" => Outcome::Overloaded,
             "3" => Outcome::TimedOut,
-            "4" => Outcome::NoConnection,
-            "5" => Outcome::Broken,
-            "6" => Outcome::Recalled,
-            "7" => Outcome::Moot,
+            "4" => Outcome::ConnectFailed,
+            "5" => Outcome::ConnectionLost,
+            "6" => Outcome::Cancelled,
+            "7" => Outcome::NotSent,
             other => return Err(format!("{}: unknown outcome {other}", self.name)),
         })
     }
 
-    pub fn report(&self) -> Result<Option<Report>, String> {
+    pub fn report(&self) -> Result<Option<LoadReport>, String> {
         let Some(text) = self.get("telemetry").filter(|t| !t.is_empty() && *t != "-") else {
             return Ok(None);
         };
-        let mut report = Report::default();
+        let mut report = LoadReport::default();
         for pair in text.split(',') {
             let bad = || format!("{}: '{pair}' in telemetry is no name:number", self.name);
             let (key, value) = pair.split_once(':').ok_or_else(bad)?;
--- a/crates/passroad-wirehost/src/tests.rs
+++ b/crates/passroad-wirehost/src/tests.rs
@@ -110,15 +110,15 @@
 }
 
 #[rstest]
-#[case(Action::Tell { to: None, bytes: b"hi 7".to_vec() }, "TELL i=3 dst=-1 bytes=aGkgNw==")]
-#[case(Action::Tell { to: Some(2), bytes: vec![] }, "TELL i=3 dst=2 bytes=-")]
-#[case(Action::AskList, "LIST_ALL i=3")]
-#[case(Action::Listen { active: false }, "LISTEN i=3 active=0")]
+#[case(Action::SendToPeer { to: None, bytes: b"hi 7".to_vec() }, "TELL i=3 dst=-1 bytes=aGkgNw==")]
+#[case(Action::SendToPeer { to: Some(2), bytes: vec![] }, "TELL i=3 dst=2 bytes=-")]
+#[case(Action::PollList, "LIST_ALL i=3")]
+#[case(Action::Subscribe { active: false }, "LISTEN i=3 active=0")]
 #[case(Action::Disconnect { endpoint: 0 }, "DISCONNECT i=3 endpoint=10.0.0.1:9")]
 fn actions_that_few_sites_use_are_written(#[case] action: Action, #[case] line: &str) {
     let settings = r#"{"verbs":[{"name":"v","effect":"read_like"}]}"#;
     let mut instance = Instance::new(passroad_orders::read(1, settings).unwrap());
-    instance.endpoints.admit(&"10.0.0.1:9".to_string());
+    instance.endpoints.intern(&"10.0.0.1:9".to_string());
     let mut reply = String::new();
     instance.write(3, &action, &mut reply).unwrap();
     assert_eq!(reply.trim_end(), line);
--- a/crates/passroad/src/command.rs
+++ b/crates/passroad/src/command.rs
@@ -7,7 +7,7 @@
 use crate::relay::{self, Cargo, Ended};
 use futures_util::stream::{FuturesUnordered, StreamExt};
 use hyper::Response;
-use passroad_choice::{Arrival, Outcome};
+use passroad_choice::{CommandArrival, Outcome};
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::sync::oneshot;
@@ -39,17 +39,17 @@
     // Of a long body the time runs from when all of it has come.
     let mut coming = cargo.coming().cloned();
     let mut limit = std::pin::pin!(sleep(if coming.is_some() { LATER } else { need.last }));
-    let mut seat = desk.admit(|cmd| Arrival {
-        cmd,
-        verb: need.verb,
-        company: need.company,
+    let mut seat = desk.admit(|cmd| CommandArrival {
+        command: cmd,
+        class: need.verb,
+        tenant: need.company,
         key: need.key,
         budget: need.budget,
         work: None,
-        again: need.again,
-        write: false,
-        play: 0,
-        uploads: coming.is_some(),
+        is_retry: need.again,
+        is_write: false,
+        weight_set: 0,
+        body_pending: coming.is_some(),
     });
     let (mut relays, mut recalls) = (FuturesUnordered::new(), Vec::new());
     loop {
--- a/crates/passroad/src/desk.rs
+++ b/crates/passroad/src/desk.rs
@@ -4,10 +4,10 @@
 use crate::members::{Call, Known, List, Member};
 use crate::relay::{Dialer, Link};
 use crate::{probe, relay};
-use passroad_choice::door::{Door, mark};
+use passroad_choice::interner::{Interner, stable_hash};
 use passroad_choice::{
-    Action, Arrival, CmdIx, EndpointIx, Event, ListKind, Listing, Memory, Mode, ReportsHow,
-    StandingOrders,
+    Action, BalancerConfig, CommandArrival, CommandIndex, EndpointIndex, EndpointState, Event,
+    LearnedState, ListUpdateKind, ListedEndpoint, ReportMode,
 };
 use passroad_routes::{RouteOrders, Steered};
 use std::collections::{BTreeSet, HashSet, VecDeque};
@@ -68,35 +68,35 @@
 
 struct Held {
     balancer: Steered,
-    reports: ReportsHow,
-    commands: Door<u64>,
+    reports: ReportMode,
+    commands: Interner<u64>,
     admitted: u64,
     seats: Vec<Option<(UnboundedSender<Order>, CancellationToken)>>,
-    endpoints: Door<String>,
+    endpoints: Interner<String>,
     revision: Option<u64>,
     members: Vec<Option<Member>>, // as listed last, by slot
     left: Left,
     banned: BTreeSet<String>,
     links: Vec<Option<Link>>,
     told_used_up: Option<Instant>,
-    zones: Door<String>,
-    kinds: Door<String>,
+    zones: Interner<String>,
+    kinds: Interner<String>,
 }
 
 impl Desk {
     pub fn new(
-        mut orders: StandingOrders,
-        mut watch: Option<StandingOrders>,
+        mut orders: BalancerConfig,
+        mut watch: Option<BalancerConfig>,
         routes: Option<RouteOrders>,
         dialer: Dialer,
         probe_within: Duration,
         calls: UnboundedSender<Call>,
     ) -> Arc<Self> {
-        let (mut zones, mut kinds) = (Door::new(), Door::new());
-        orders.through(&mut zones, &mut kinds);
+        let (mut zones, mut kinds) = (Interner::new(), Interner::new());
+        orders.intern_names(&mut zones, &mut kinds);
         watch
             .iter_mut()
-            .for_each(|watch| watch.through(&mut zones, &mut kinds));
+            .for_each(|watch| watch.intern_names(&mut zones, &mut kinds));
         Arc::new(Desk {
             serving: Handle::current(),
             began: Instant::now(),
@@ -112,12 +112,12 @@
                 since: Instant::now(),
             }),
             held: Mutex::new(Held {
-                reports: orders.reports,
+                reports: orders.report_mode,
                 balancer: Steered::new(orders, watch, routes),
-                commands: Door::new(),
+                commands: Interner::new(),
                 admitted: 0,
                 seats: Vec::new(),
-                endpoints: Door::new(),
+                endpoints: Interner::new(),
                 revision: None,
                 members: Vec::new(),
                 left: Left::default(),
@@ -171,8 +171,8 @@
     pub fn say_watch(&self) {
         if let Some(counts) = self.held().balancer.counts() {
             log::info!(
-                same = counts.same, elsewhere = counts.elsewhere, turned_away = counts.turned_away,
-                waited = counts.waited, no_copy = counts.copies, taken = counts.taken, sooner = counts.sooner,
+                same = counts.same, elsewhere = counts.elsewhere, turned_away = counts.refused,
+                waited = counts.queued, no_copy = counts.hedges, taken = counts.admitted, sooner = counts.earlier,
                 no_probe = counts.probes;
                 "watched settings: {counts}"
             );
@@ -205,16 +205,16 @@
     }
 
     /// Takes a command in. Orders about it come until the module has forgotten it; then they end.
-    pub fn admit(self: &Arc<Self>, arrival: impl FnOnce(CmdIx) -> Arrival) -> Seat {
+    pub fn admit(self: &Arc<Self>, arrival: impl FnOnce(CommandIndex) -> CommandArrival) -> Seat {
         let ((tell, orders), over) = (unbounded_channel(), CancellationToken::new());
         let mut held = self.held();
         held.admitted += 1;
         let serial = held.admitted;
-        let cmd = held.commands.admit(&serial);
+        let cmd = held.commands.intern(&serial);
         let len = held.seats.len().max(cmd + 1);
         held.seats.resize_with(len, || None);
         held.seats[cmd] = Some((tell, over.clone()));
-        self.decide(&mut held, Event::Arrived(arrival(cmd)));
+        self.decide(&mut held, Event::CommandArrived(arrival(cmd)));
         Seat {
             desk: Arc::clone(self),
             cmd,
@@ -224,7 +224,7 @@
         }
     }
 
-    pub fn listed(self: &Arc<Self>, kind: ListKind, list: &List) {
+    pub fn listed(self: &Arc<Self>, kind: ListUpdateKind, list: &List) {
         let mut held = self.held();
         if list.complete {
             held.leave_out(list);
@@ -232,30 +232,33 @@
         held.revision = Some(list.revision);
         let mut entries = Vec::with_capacity(list.members.len());
         let strange = |held: &Held, m: &Member| {
-            m.mode() == Mode::Deleted && held.endpoints.find(&m.id).is_none()
+            m.mode() == EndpointState::Removed && held.endpoints.get(&m.id).is_none()
         };
         for member in &list.members {
             if strange(&held, member) {
                 continue;
             }
-            let endpoint = held.endpoints.admit(&member.id);
+            let endpoint = held.endpoints.intern(&member.id);
             held.balancer.name(endpoint, &member.id, &member.flavor);
             let len = held.members.len().max(endpoint + 1);
             held.members.resize(len, None);
             let anew = held.members[endpoint]
                 .as_ref()
                 .is_some_and(|m| m.up_since_ms < member.up_since_ms);
-            held.members[endpoint] = Some(member.clone()).filter(|m| m.mode() != Mode::Deleted);
+            held.members[endpoint] =
+                Some(member.clone()).filter(|m| m.mode() != EndpointState::Removed);
             let len = held.links.len().max(endpoint + 1);
             held.links.resize_with(len, || None);
             let link = &mut held.links[endpoint];
             if let Some(link) = link
                 .as_mut()
-                .filter(|_| anew || member.mode() != Mode::Running)
+                .filter(|_| anew || member.mode() != EndpointState::Running)
             {
                 link.call_off();
             }
-            let address = member.host_port.filter(|_| member.mode() != Mode::Deleted);
+            let address = member
+                .host_port
+                .filter(|_| member.mode() != EndpointState::Removed);
             if link.as_ref().map(|l| l.address) != address {
                 *link = address.map(|address| match link.take() {
                     Some(mut link) => link.anew(address),
@@ -269,18 +272,18 @@
                     None => log::info!("endpoint {endpoint} ({}) has left the list", member.id),
                 }
             }
-            entries.push(Listing {
+            entries.push(ListedEndpoint {
                 endpoint,
-                mark: mark(&member.id),
-                zone: held.zones.admit(&member.locality),
+                id_hash: stable_hash(&member.id),
+                zone: held.zones.intern(&member.locality),
                 cell: member.cell,
-                kind: held.kinds.admit(&member.flavor),
-                rating: member.size,
-                started: Duration::from_millis(member.up_since_ms),
-                mode: member.mode(),
+                kind: held.kinds.intern(&member.flavor),
+                weight: member.size,
+                started_at: Duration::from_millis(member.up_since_ms),
+                state: member.mode(),
             });
         }
-        self.decide(&mut held, Event::Listed { kind, entries });
+        self.decide(&mut held, Event::ListUpdated { kind, entries });
     }
 
     /// What the next process is to know.
@@ -309,7 +312,7 @@
             complete: true,
             members: known.members,
         };
-        self.listed(ListKind::Remembered, &list);
+        self.listed(ListUpdateKind::Cached, &list);
         known
             .left
             .into_iter()
@@ -317,14 +320,17 @@
         for id in &known.bans {
             self.turn(id, true);
         }
-        match serde_json::from_value::<Memory>(known.learnt) {
+        match serde_json::from_value::<LearnedState>(known.learnt) {
             Ok(memory) => {
                 let mut held = self.held();
-                let slots = memory.ids().map(|id| held.endpoints.find(id)).collect();
+                let slots = memory
+                    .endpoint_ids()
+                    .map(|id| held.endpoints.get(id))
+                    .collect();
                 self.decide(
                     &mut held,
-                    Event::Inherited {
-                        memory: Box::new(memory),
+                    Event::StateInherited {
+                        state: Box::new(memory),
                         slots,
                     },
                 );
@@ -339,7 +345,7 @@
     /// Takes an endpoint out of use, or calls it back; in effect on return. False for an id that was never listed.
     pub fn cordon(self: &Arc<Self>, id: &str, out: bool) -> bool {
         let held = self.held();
-        let known = held.endpoints.find(id).is_some() || held.left.has(id);
+        let known = held.endpoints.get(id).is_some() || held.left.has(id);
         drop(held);
         if known {
             self.turn(id, out);
@@ -359,7 +365,7 @@
     /// Whether something of this sidecar's is out on an endpoint now.
     pub fn uses(&self, id: &str) -> bool {
         let held = self.held();
-        let at = held.endpoints.find(id);
+        let at = held.endpoints.get(id);
         let link = at
             .and_then(|at| held.links.get(at))
             .and_then(Option::as_ref);
@@ -375,16 +381,22 @@
             held.banned.remove(id)
         };
         if turned {
-            let endpoint = held.endpoints.admit(&id.to_string());
+            let endpoint = held.endpoints.intern(&id.to_string());
             log::info!(endpoint = endpoint, id = id; "endpoint {endpoint} ({id}) is {} by hand", if out { "out" } else { "back" });
-            self.decide(&mut held, Event::Cordoned { endpoint, out });
+            self.decide(
+                &mut held,
+                Event::CordonChanged {
+                    endpoint,
+                    cordoned: out,
+                },
+            );
         }
     }
 
     /// Takes other orders whole, or not at all: the verb of each, as commands are to name it from here on.
     pub fn retune(
         self: &Arc<Self>,
-        mut orders: StandingOrders,
+        mut orders: BalancerConfig,
         routes: Option<RouteOrders>,
     ) -> Result<Vec<usize>, String> {
         let mut held = self.held();
@@ -396,10 +408,10 @@
         }
         // Zones and kinds keep the numbers that they have.
         let Held { zones, kinds, .. } = &mut *held;
-        orders.through(zones, kinds);
+        orders.intern_names(zones, kinds);
         // Connections are kept as at the start.
         orders.idle_close = self.dialer.idle();
-        held.reports = orders.reports;
+        held.reports = orders.report_mode;
         let (actions, verbs) = held.balancer.retune(self.now(), orders, routes);
         self.carry_out(&mut held, actions);
         Ok(verbs)
@@ -414,10 +426,10 @@
         for action in actions {
             match action {
                 Action::Relay {
-                    cmd,
+                    command: cmd,
                     endpoint,
-                    within,
-                    begin,
+                    timeout: within,
+                    send_by: begin,
                 } => match held.link(endpoint, &self.dialer) {
                     Some(link) => held.order(
                         cmd,
@@ -430,18 +442,22 @@
                     None => log::error!("a relay to endpoint {endpoint}, which has no address"),
                 },
                 // The module recalls only what is concluded.
-                Action::Recall { cmd, relay } => held.last_order(cmd, Order::Recall { relay }),
-                Action::Decline { cmd, not_before } => {
-                    held.last_order(cmd, Order::Decline { not_before })
-                }
-                Action::Terminate { cmd } => held.last_order(cmd, Order::Terminate),
-                Action::Forget { cmd } => {
+                Action::CancelRelay {
+                    command: cmd,
+                    relay,
+                } => held.last_order(cmd, Order::Recall { relay }),
+                Action::Refuse {
+                    command: cmd,
+                    retry_after: not_before,
+                } => held.last_order(cmd, Order::Decline { not_before }),
+                Action::Fail { command: cmd } => held.last_order(cmd, Order::Terminate),
+                Action::ReleaseCommand { command: cmd } => {
                     held.commands.release(cmd);
                     held.seats[cmd] = None;
                 }
-                Action::Release { endpoint } => {
+                Action::ReleaseEndpoint { endpoint } => {
                     if let Some(id) = held.endpoints.name(endpoint).cloned() {
-                        held.left.note(mark(&id));
+                        held.left.note(stable_hash(&id));
                     }
                     held.endpoints.release(endpoint);
                     held.members.get_mut(endpoint).map(Option::take);
@@ -456,17 +472,17 @@
                         *link = link.anew(link.address);
                     }
                 }
-                Action::Listen { active } => drop(self.calls.send(Call::Watch(active))),
-                Action::AskList => drop(self.calls.send(Call::Whole)),
-                Action::Numbered { .. } => log::error!("verbs numbered anew, unasked"),
-                Action::Tell { .. } => {
+                Action::Subscribe { active } => drop(self.calls.send(Call::Watch(active))),
+                Action::PollList => drop(self.calls.send(Call::Whole)),
+                Action::ClassIndicesAssigned { .. } => log::error!("verbs numbered anew, unasked"),
+                Action::SendToPeer { .. } => {
                     log::error!("the module has a message for peers; it can't be sent")
                 }
-                Action::Alarm { after, token } => {
+                Action::SetTimer { after, token } => {
                     let desk = Arc::clone(self);
                     self.serving.spawn(async move {
                         tokio::time::sleep(after).await;
-                        desk.tell(Event::Due { token });
+                        desk.tell(Event::TimerFired { token });
                     });
                 }
                 Action::Log(line) => log::info!("{line}"),
@@ -474,11 +490,11 @@
         }
     }
 
-    async fn probe(self: Arc<Self>, endpoint: EndpointIx, link: Option<Link>) {
+    async fn probe(self: Arc<Self>, endpoint: EndpointIndex, link: Option<Link>) {
         let (began, reports) = (Instant::now(), self.held().reports);
         let ended = match link {
             Some(link) => probe::run(link, reports, self.probe_within).await,
-            None => relay::Ended::from(passroad_choice::Outcome::NoConnection),
+            None => relay::Ended::from(passroad_choice::Outcome::ConnectFailed),
         };
         let spent = began.elapsed();
         log::debug!(
@@ -486,10 +502,10 @@
             ended.outcome,
             ended.report
         );
-        self.tell(Event::Checked {
+        self.tell(Event::ProbeFinished {
             endpoint,
             outcome: ended.outcome,
-            spent,
+            elapsed: spent,
             report: ended.report,
         });
     }
@@ -504,7 +520,7 @@
 
 impl Left {
     fn has(&self, id: &str) -> bool {
-        self.marks.contains(&mark(id))
+        self.marks.contains(&stable_hash(id))
     }
 
     fn note(&mut self, mark: u64) {
@@ -518,7 +534,7 @@
 }
 
 impl Held {
-    fn link(&mut self, endpoint: EndpointIx, dialer: &Dialer) -> Option<Link> {
+    fn link(&mut self, endpoint: EndpointIndex, dialer: &Dialer) -> Option<Link> {
         // Guards against connections kept to some endpoints that leave none for others: where the last is
         // taken, those to endpoints with nothing out are given up.
         if dialer.used_up() {
@@ -549,7 +565,7 @@
         let stay: Vec<_> = list
             .members
             .iter()
-            .filter_map(|m| self.endpoints.find(&m.id))
+            .filter_map(|m| self.endpoints.get(&m.id))
             .collect();
         for (at, link) in self
             .links
@@ -566,14 +582,14 @@
         }
     }
 
-    fn order(&self, cmd: CmdIx, order: Order) {
+    fn order(&self, cmd: CommandIndex, order: Order) {
         if let Some((seat, _)) = self.seats.get(cmd).and_then(Option::as_ref) {
             let _ = seat.send(order);
         }
     }
 
     /// An order with which the command is over: no relay of it may begin any more.
-    fn last_order(&self, cmd: CmdIx, order: Order) {
+    fn last_order(&self, cmd: CommandIndex, order: Order) {
         if let Some((_, over)) = self.seats.get(cmd).and_then(Option::as_ref) {
             over.cancel();
         }
@@ -584,7 +600,7 @@
 /// A command's place at the desk. Dropped early, it lapses and its relays count as recalled.
 pub struct Seat {
     desk: Arc<Desk>,
-    cmd: CmdIx,
+    cmd: CommandIndex,
     orders: UnboundedReceiver<Order>,
     /// Turns with the command's end, at once and for good.
     pub over: CancellationToken,
@@ -608,15 +624,17 @@
 
     pub fn lapsed(&self) {
         self.over.cancel();
-        self.desk.tell(Event::Lapsed { cmd: self.cmd });
+        self.desk
+            .tell(Event::CommandAbandoned { command: self.cmd });
     }
 
     pub fn spent(&self) {
-        self.desk.tell(Event::Spent { cmd: self.cmd });
+        self.desk
+            .tell(Event::BodyNotReplayable { command: self.cmd });
     }
 
     pub fn whole(&self) {
-        self.desk.tell(Event::Whole { cmd: self.cmd });
+        self.desk.tell(Event::BodyComplete { command: self.cmd });
     }
 
     pub fn finished(
@@ -631,11 +649,11 @@
             self.over.cancel();
         }
         let (outcome, report) = (ended.outcome, ended.report);
-        self.desk.tell(Event::Finished {
-            cmd: self.cmd,
+        self.desk.tell(Event::RelayFinished {
+            command: self.cmd,
             relay,
             outcome,
-            spent,
+            elapsed: spent,
             concluded,
             report,
         });
@@ -652,7 +670,7 @@
             self.out
                 .extend(matches!(order, Order::Relay { .. }).then_some(true));
         }
-        let recalled = relay::Ended::from(passroad_choice::Outcome::Recalled);
+        let recalled = relay::Ended::from(passroad_choice::Outcome::Cancelled);
         for relay in 0..self.out.len() {
             if self.out[relay] {
                 self.finished(relay, &recalled, Duration::ZERO, true);
--- a/crates/passroad/src/fleet/orders.rs
+++ b/crates/passroad/src/fleet/orders.rs
@@ -262,7 +262,7 @@
             }
             Some(told) => told.get_ref().0,
         };
-        let mark = passroad_choice::door::mark(&name);
+        let mark = passroad_choice::interner::stable_hash(&name);
         duties.push(DutyOrder {
             name,
             mark,
@@ -285,7 +285,7 @@
                 );
             }
             let (within, every) = (Duration::MAX, Duration::MAX);
-            let mark = passroad_choice::door::mark(UPKEEP);
+            let mark = passroad_choice::interner::stable_hash(UPKEEP);
             duties.push(DutyOrder {
                 name: UPKEEP.into(),
                 mark,
--- a/crates/passroad/src/fleet/part.rs
+++ b/crates/passroad/src/fleet/part.rs
@@ -168,7 +168,7 @@
     /// Has this part take its share in the order of work on machines.
     pub fn with_upkeep(mut self, order: &UpkeepOrder) -> Part {
         let members = self.peers.known().len();
-        let mark = passroad_choice::door::mark(UPKEEP);
+        let mark = passroad_choice::interner::stable_hash(UPKEEP);
         let limits = upkeep::Limits {
             at_once: order.at_once,
             at_once_in_a_zone: order.at_once_in_a_zone,
@@ -207,7 +207,7 @@
         let Some(mut work) = self.work.take() else {
             return todo;
         };
-        let mark = passroad_choice::door::mark(UPKEEP);
+        let mark = passroad_choice::interner::stable_hash(UPKEEP);
         let owned = self.lease.owned(times, mark).map(|(epoch, _)| epoch);
         let note = self.peers.note_of(mark).and_then(|note| note.holder);
         let incarnations: Vec<u64> = self
--- a/crates/passroad/src/fleet/work.rs
+++ b/crates/passroad/src/fleet/work.rs
@@ -3,7 +3,7 @@
 use super::orders::UpkeepOrder;
 use crate::desk::Desk;
 use crate::members::Member;
-use passroad_choice::Mode;
+use passroad_choice::EndpointState;
 use passroad_upkeep::{Line, Machine, Order, Refusal, Seen, State};
 use serde::Deserialize;
 use serde_json::{Value, json};
@@ -50,14 +50,14 @@
                 })
         };
         for (member, busy, fails) in self.desk.machines() {
-            let machine = passroad_choice::door::mark(&member.id);
+            let machine = passroad_choice::interner::stable_hash(&member.id);
             let warm_at = Duration::from_millis(member.up_since_ms) + self.warm;
             self.seen.push(Seen {
                 machine,
                 zone: number(&mut zones, &member.locality),
                 kind: number(&mut kinds, &member.flavor),
                 size: member.size,
-                sound: member.mode() == Mode::Running
+                sound: member.mode() == EndpointState::Running
                     && !fails
                     && (member.up_since_ms == 0 || wall >= warm_at),
                 cell: member.cell,
@@ -77,7 +77,7 @@
                 && is(&of.kind, &m.flavor)
                 && of.cell.is_none_or(|cell| cell == m.cell)
         };
-        all.filter(|m| fits(m) && m.mode() != Mode::Deleted)
+        all.filter(|m| fits(m) && m.mode() != EndpointState::Removed)
             .map(|m| m.id)
             .collect()
     }
--- a/crates/passroad/src/hollow.rs
+++ b/crates/passroad/src/hollow.rs
@@ -7,7 +7,7 @@
 use crate::start::{self, Kept, Pace, Start};
 use crate::stop::Stage;
 use crate::{Files, list, members};
-use passroad_choice::ListKind;
+use passroad_choice::ListUpdateKind;
 use std::io;
 use std::path::PathBuf;
 use std::sync::Arc;
@@ -128,7 +128,7 @@
         let within = start.connect_within / 5;
         let desk = Desk::new(start.orders, None, start.routes, dialer, within, calls);
         let revision = start.known.as_ref().map(|list| list.revision);
-        desk.listed(ListKind::Remembered, &start.known.unwrap_or_default());
+        desk.listed(ListUpdateKind::Cached, &start.known.unwrap_or_default());
         tokio::spawn(Arc::clone(&desk).beat());
         tokio::spawn(list::follow(Arc::clone(&desk), at, paces, revision, called));
         let own = Arc::clone(&desk);
--- a/crates/passroad/src/intake.rs
+++ b/crates/passroad/src/intake.rs
@@ -12,8 +12,8 @@
 use axum::http::{HeaderMap, HeaderValue, Method, StatusCode, header};
 use axum::response::{IntoResponse, Response};
 use bytes::{Bytes, BytesMut};
-use passroad_choice::door::mark;
-use passroad_choice::{Effect, StandingOrders, VerbOrder};
+use passroad_choice::interner::stable_hash;
+use passroad_choice::{BalancerConfig, Effect, RequestClassConfig};
 use std::sync::atomic::{AtomicUsize, Ordering::Relaxed};
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant};
@@ -38,24 +38,28 @@
 
 /// What commands may name, and under which number the module knows it.
 struct Table {
-    verbs: Vec<(VerbOrder, usize)>,
-    before: Vec<(VerbOrder, usize)>, // of the orders before
+    verbs: Vec<(RequestClassConfig, usize)>,
+    before: Vec<(RequestClassConfig, usize)>, // of the orders before
     since: Instant,
     companies: Vec<String>,
 }
 
 impl Table {
-    fn of(orders: &StandingOrders, numbers: &[usize], before: Vec<(VerbOrder, usize)>) -> Self {
+    fn of(
+        orders: &BalancerConfig,
+        numbers: &[usize],
+        before: Vec<(RequestClassConfig, usize)>,
+    ) -> Self {
         Table {
             verbs: orders
-                .verbs
+                .classes
                 .iter()
                 .cloned()
                 .zip(numbers.iter().copied())
                 .collect(),
             before,
             since: Instant::now(),
-            companies: orders.companies.iter().map(|c| c.name.clone()).collect(),
+            companies: orders.tenants.iter().map(|c| c.name.clone()).collect(),
         }
     }
 
@@ -64,8 +68,8 @@
     fn verb(
         &self,
         name: &str,
-        fits: impl Fn(&VerbOrder) -> bool,
-    ) -> Option<Result<&(VerbOrder, usize), ()>> {
+        fits: impl Fn(&RequestClassConfig) -> bool,
+    ) -> Option<Result<&(RequestClassConfig, usize), ()>> {
         let age = self.since.elapsed();
         let before = self
             .before
@@ -143,13 +147,13 @@
     /// `memory` in bytes, of which a share may hold bodies.
     pub fn new(
         desk: Arc<Desk>,
-        orders: &StandingOrders,
+        orders: &BalancerConfig,
         memory: usize,
         claims: Arc<Claims>,
         stages: Stages,
     ) -> Self {
         // At the start the module numbers verbs as the orders do.
-        let numbers: Vec<_> = (0..orders.verbs.len()).collect();
+        let numbers: Vec<_> = (0..orders.classes.len()).collect();
         let table = Mutex::new(Arc::new(Table::of(orders, &numbers, Vec::new())));
         let steps = memory / ROOM_SHARE / ROOM;
         let (room, half) = (Arc::new(Semaphore::new(steps)), steps / 2);
@@ -170,7 +174,7 @@
     }
 
     /// Takes other orders, whose verbs the module has numbered.
-    pub fn retune(&self, orders: &StandingOrders, numbers: &[usize]) {
+    pub fn retune(&self, orders: &BalancerConfig, numbers: &[usize]) {
         let mut table = self.table.lock().unwrap_or_else(PoisonError::into_inner);
         let before = table.verbs.clone();
         *table = Arc::new(Table::of(orders, numbers, before));
@@ -207,21 +211,19 @@
         let framing = [header::CONTENT_LENGTH, header::TRANSFER_ENCODING];
         let told = framing.iter().any(|name| parts.headers.contains_key(name));
         let keyed = parts.headers.contains_key(KEY);
-        let carries = |verb: &VerbOrder| match verb.effect {
-            Effect::Pure => {
+        let carries = |verb: &RequestClassConfig| match verb.effect {
+            Effect::Safe => {
                 parts.method == Method::GET && length.exact().is_none_or(|length| length == 0)
             }
-            Effect::Effectful => parts.method == Method::POST && told,
-            Effect::Receipted => {
-                [Method::POST, Method::PUT].contains(&parts.method) && told && keyed
-            }
+            Effect::NonIdempotent => parts.method == Method::POST && told,
+            Effect::Keyed => [Method::POST, Method::PUT].contains(&parts.method) && told && keyed,
         };
         let verb = table.verb(name, carries).ok_or(StatusCode::NOT_FOUND)?;
         let verb = verb.map_err(|()| StatusCode::BAD_REQUEST)?;
         let need = need(verb, &table.companies, &parts.headers, talk)
             .filter(|_| !talk.frame.two_lengths());
         let mut need = need.ok_or(StatusCode::BAD_REQUEST)?;
-        let pure = verb.0.effect == Effect::Pure;
+        let pure = verb.0.effect == Effect::Safe;
         let mut patience = Patience::new(talk.patience());
         let (body, room) = match length.exact() {
             Some(0) => (Read::Whole(Bytes::new()), None),
@@ -304,7 +306,7 @@
 
 /// The fields that decisions need; none if one is malformed.
 fn need(
-    (order, verb): &(VerbOrder, usize),
+    (order, verb): &(RequestClassConfig, usize),
     companies: &[String],
     headers: &HeaderMap,
     client: &Arc<Talk>,
@@ -313,11 +315,11 @@
     let limit = single(headers, "req-deadline-ms")??;
     let digits = limit.len() <= MOST_DIGITS && limit.bytes().all(|b| b.is_ascii_digit());
     // A longer one than the settings know holds no place for longer.
-    let limit = Duration::from_millis(limit.parse().ok().filter(|_| digits)?).min(order.limit);
+    let limit = Duration::from_millis(limit.parse().ok().filter(|_| digits)?).min(order.time_limit);
     let company = single(headers, "req-owner")?;
     // Without a key nobody could drop a repeat, which for a receipted command is counted on.
     let key = single(headers, KEY.as_str())?.map(str::len);
-    let marked = key.map_or(order.effect != Effect::Receipted, |len| len > 0);
+    let marked = key.map_or(order.effect != Effect::Keyed, |len| len > 0);
     let again = match single(headers, "req-retry")? {
         None | Some("0") => false,
         Some("1") => true,
@@ -337,7 +339,7 @@
         again,
         key: about
             .filter(|about| !about.is_empty() && *about != "-")
-            .map(mark),
+            .map(stable_hash),
         client: Arc::clone(client),
     })
 }
--- a/crates/passroad/src/lib.rs
+++ b/crates/passroad/src/lib.rs
@@ -363,7 +363,7 @@
         // An empty one, too: the module calls discovery from there on.
         None => {
             desk.listed(
-                passroad_choice::ListKind::Remembered,
+                passroad_choice::ListUpdateKind::Cached,
                 &start.known.unwrap_or_default(),
             );
             revision
--- a/crates/passroad/src/list.rs
+++ b/crates/passroad/src/list.rs
@@ -9,7 +9,7 @@
 use http_body_util::{BodyExt, Limited};
 use hyper::{Request, StatusCode};
 use hyper_util::client::legacy;
-use passroad_choice::{Event, ListKind};
+use passroad_choice::{Event, ListUpdateKind};
 use std::hash::{BuildHasher, RandomState};
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -282,9 +282,9 @@
 
 fn take(desk: &Arc<Desk>, list: &List) {
     let kind = if list.complete {
-        ListKind::All
+        ListUpdateKind::Full
     } else {
-        ListKind::Changes
+        ListUpdateKind::Delta
     };
     log::debug!(
         "list {}: {} entries, {kind:?}",
@@ -297,8 +297,8 @@
 /// The module says when to call again.
 fn refused(desk: &Arc<Desk>, fault: &str) {
     log::warn!("discovery: {fault}; the list before stays in force");
-    desk.tell(Event::Listed {
-        kind: ListKind::Refused,
+    desk.tell(Event::ListUpdated {
+        kind: ListUpdateKind::Failed,
         entries: Vec::new(),
     });
 }
--- a/crates/passroad/src/management.rs
+++ b/crates/passroad/src/management.rs
@@ -12,7 +12,7 @@
 use hyper::server::conn::http1;
 use hyper_util::rt::{TokioIo, TokioTimer};
 use hyper_util::service::TowerToHyperService;
-use passroad_choice::door::mark;
+use passroad_choice::interner::stable_hash;
 use serde::Deserialize;
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -248,10 +248,10 @@
         .name
         .unwrap_or_else(|| format!("{:?}", std::time::SystemTime::now()));
     let word = passroad_upkeep::Word::Want {
-        request: mark(&name),
+        request: stable_hash(&name),
         lasts: request.for_s,
         back: request.back,
-        machines: request.machines.iter().map(|id| mark(id)).collect(),
+        machines: request.machines.iter().map(|id| stable_hash(id)).collect(),
     };
     told(fleet.operator(word).await, "taken into the order")
 }
@@ -273,7 +273,7 @@
             );
         }
     };
-    let request = mark(&format!(
+    let request = stable_hash(&format!(
         "{word} {} {:?}",
         of.machine,
         std::time::SystemTime::now()
@@ -283,7 +283,7 @@
     }
     let word = passroad_upkeep::Word::Order {
         request,
-        machine: mark(&of.machine),
+        machine: stable_hash(&of.machine),
         what,
     };
     told(fleet.operator(word).await, "done")
--- a/crates/passroad/src/members.rs
+++ b/crates/passroad/src/members.rs
@@ -1,7 +1,7 @@
 //! What list, desk, upgrade and start share: a member of the list, a list, what is asked of discovery, and what one process
 //! hands over to the next.
 
-use passroad_choice::Mode;
+use passroad_choice::EndpointState;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
@@ -42,11 +42,11 @@
 }
 
 impl Member {
-    pub fn mode(&self) -> Mode {
+    pub fn mode(&self) -> EndpointState {
         match self.phase {
-            Phase::Up => Mode::Running,
-            Phase::Draining => Mode::Stopping,
-            Phase::Removed => Mode::Deleted,
+            Phase::Up => EndpointState::Running,
+            Phase::Draining => EndpointState::Draining,
+            Phase::Removed => EndpointState::Removed,
         }
     }
 }
--- a/crates/passroad/src/probe.rs
+++ b/crates/passroad/src/probe.rs
@@ -4,7 +4,7 @@
 use crate::relay::{Client, Ended, Link, exchange, read_load};
 use bytes::Bytes;
 use hyper::{Request, Response};
-use passroad_choice::{Outcome, ReportsHow};
+use passroad_choice::{Outcome, ReportMode};
 use std::time::Duration;
 use tokio::sync::oneshot;
 use tokio::time::timeout;
@@ -15,7 +15,7 @@
 const AFTER_STALL: Duration = Duration::from_millis(5);
 
 /// Asks an endpoint how it is; where it has reports, the answer is one.
-pub async fn run(link: Link, reports: ReportsHow, within: Duration) -> Ended {
+pub async fn run(link: Link, reports: ReportMode, within: Duration) -> Ended {
     let (tell, mut told) = oneshot::channel();
     tokio::spawn(async move {
         let ended = timeout(LINGER, ask(&link.client, link.address, reports)).await;
@@ -32,14 +32,14 @@
         .unwrap_or(Outcome::TimedOut.into())
 }
 
-async fn ask(client: &Client, at: std::net::SocketAddr, reports: ReportsHow) -> Ended {
-    let path = if reports == ReportsHow::Silent {
+async fn ask(client: &Client, at: std::net::SocketAddr, reports: ReportMode) -> Ended {
+    let path = if reports == ReportMode::Silent {
         "/healthz"
     } else {
         "/load"
     };
     let Ok(request) = Request::get(format!("http://{at}{path}")).body(Load::default()) else {
-        return Outcome::Moot.into();
+        return Outcome::NotSent.into();
     };
     let mut ended = exchange(client, request, &|| Some(path.len()), None).await;
     let body = ended
@@ -52,7 +52,7 @@
     ended
 }
 
-fn body_load(body: &Bytes) -> Option<passroad_choice::Report> {
+fn body_load(body: &Bytes) -> Option<passroad_choice::LoadReport> {
     std::str::from_utf8(body).ok().and_then(read_load)
 }
 
--- a/crates/passroad/src/probe/tests.rs
+++ b/crates/passroad/src/probe/tests.rs
@@ -98,7 +98,7 @@
         }
     };
     let first = if probed {
-        in_no_time(run(link.clone(), ReportsHow::Silent, second))
+        in_no_time(run(link.clone(), ReportMode::Silent, second))
             .await
             .map(|ended| ended.outcome)
     } else {
--- a/crates/passroad/src/relay.rs
+++ b/crates/passroad/src/relay.rs
@@ -14,7 +14,7 @@
 };
 use hyper_util::client::legacy::{self, connect::capture_connection};
 use hyper_util::rt::{TokioExecutor, TokioIo, TokioTimer};
-use passroad_choice::{Outcome, Report};
+use passroad_choice::{LoadReport, Outcome};
 use std::convert::Infallible;
 use std::error::Error;
 use std::future::Future;
@@ -104,15 +104,15 @@
 /// What a relay or a probe came to.
 pub struct Ended {
     pub outcome: Outcome,
-    pub report: Option<Report>,
+    pub report: Option<LoadReport>,
     pub answer: Option<Response<Load>>,
 }
 
 impl From<Barred> for Ended {
     fn from(barred: Barred) -> Self {
         Ended::from(match barred {
-            Barred::Over | Barred::Left => Outcome::Recalled,
-            Barred::Out | Barred::Late => Outcome::Moot,
+            Barred::Over | Barred::Left => Outcome::Cancelled,
+            Barred::Out | Barred::Late => Outcome::NotSent,
         })
     }
 }
@@ -253,7 +253,7 @@
                 return barred.into();
             }
             let Some(request) = cargo.request(link.address, within) else {
-                return Outcome::Moot.into();
+                return Outcome::NotSent.into();
             };
             let mut ended = exchange(&client, request, &|| cargo.least(), Some(&look)).await;
             // An answer that can't be read, as against one that says it is an error.
@@ -267,9 +267,9 @@
                 .coming()
                 .is_some_and(|coming| coming.is_ill().is_some())
             {
-                return Outcome::Moot.into();
+                return Outcome::NotSent.into();
             }
-            if ended.outcome != Outcome::Moot {
+            if ended.outcome != Outcome::NotSent {
                 return ended;
             }
         }
@@ -277,15 +277,15 @@
     tokio::select! {
         // Guards against a connection that comes up while the process stands still: past the time nothing goes out.
         biased;
-        _ = recall => Outcome::Recalled.into(),
+        _ = recall => Outcome::Cancelled.into(),
         // Guards against a wait for a connection that nobody needs any more, where relays must not be recalled.
         barred = look.called_off() => barred.into(),
         () = over(&cargo, within) => match look.begun() {
             true => Outcome::TimedOut.into(),
-            false => Outcome::NoConnection.into(),
+            false => Outcome::ConnectFailed.into(),
         },
         // Not all of it was taken: it never ran.
-        () = stuck(&cargo) => Outcome::NoConnection.into(),
+        () = stuck(&cargo) => Outcome::ConnectFailed.into(),
         ended = exchanged => ended,
     }
 }
@@ -417,7 +417,7 @@
             return (
                 Ended {
                     report,
-                    ..Outcome::Broken.into()
+                    ..Outcome::ConnectionLost.into()
                 },
                 None,
             );
@@ -442,8 +442,10 @@
         .is_some_and(|v| v.as_bytes() == b"1");
     let outcome = match parts.status {
         StatusCode::OK => Outcome::Answered,
-        StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if declined => Outcome::Full,
-        status if status.is_client_error() => Outcome::Unfit,
+        StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if declined => {
+            Outcome::Overloaded
+        }
+        status if status.is_client_error() => Outcome::Rejected,
         _ => Outcome::Error,
     };
     // Only what serves a command is passed on as it comes.
@@ -512,21 +514,21 @@
         .and_then(|s| s.downcast_ref::<hyper::Error>());
     let (meter, unstarted) = (meter(way), below.is_some_and(hyper::Error::is_canceled));
     if meter.as_ref().is_some_and(|meter| meter.worn.load(Relaxed)) {
-        return Outcome::Moot.into();
+        return Outcome::NotSent.into();
     }
     // No connection came up, the library gave the request back unstarted, or the system took fewer bytes than it has.
     if fault.is_connect()
         || unstarted
         || meter.as_ref().is_some_and(|meter| meter.fewer_than(least))
     {
-        return Outcome::NoConnection.into();
+        return Outcome::ConnectFailed.into();
     }
     let endless = meter.is_some_and(|meter| meter.heard.load(Relaxed) > LONGEST_AHEAD);
     if endless || below.is_some_and(hyper::Error::is_parse) {
         return spoilt(fault);
     }
     log::debug!("relay broke: {fault:?}");
-    Outcome::Broken.into()
+    Outcome::ConnectionLost.into()
 }
 
 /// Shows a connection what to look at before the request, as soon as the request has it. Until then it writes nothing.
@@ -559,8 +561,8 @@
 }
 
 /// A load report, `TEXT name=value, name=value`; none if any of it is malformed.
-pub fn read_load(text: &str) -> Option<Report> {
-    let mut report = Report::default();
+pub fn read_load(text: &str) -> Option<LoadReport> {
+    let mut report = LoadReport::default();
     for pair in text.trim().strip_prefix("TEXT ")?.split(',') {
         let (name, value) = pair.trim().split_once('=')?;
         let value = Some(
--- a/crates/passroad/src/relay/tests.rs
+++ b/crates/passroad/src/relay/tests.rs
@@ -36,11 +36,11 @@
     #[case] text: &str,
     #[case] read: Option<(f64, f64, f64)>,
 ) {
-    let read = read.map(|(outstanding, backlog, utilization)| Report {
+    let read = read.map(|(outstanding, backlog, utilization)| LoadReport {
         outstanding: Some(outstanding),
         backlog: Some(backlog),
         utilization: Some(utilization),
-        ..Report::default()
+        ..LoadReport::default()
     });
     assert_eq!(read_load(text), read);
 }
--- a/crates/passroad/src/start.rs
+++ b/crates/passroad/src/start.rs
@@ -3,7 +3,7 @@
 use crate::Files;
 use crate::fleet;
 use crate::members::List;
-use passroad_choice::StandingOrders;
+use passroad_choice::BalancerConfig;
 use passroad_routes::RouteOrders;
 use serde::Deserialize;
 use std::net::SocketAddr;
@@ -23,7 +23,7 @@
     pub sockets: usize,
     pub memory: usize, // bytes
     pub known: Option<List>,
-    pub orders: StandingOrders,
+    pub orders: BalancerConfig,
     /// Orders that are only watched: what they would have decided otherwise is counted.
     pub watch: Option<Watch>,
     pub connect_within: Duration,
@@ -49,16 +49,16 @@
 }
 
 impl Pace {
-    pub fn of(orders: &StandingOrders) -> Self {
+    pub fn of(orders: &BalancerConfig) -> Self {
         let longest = orders
-            .verbs
+            .classes
             .iter()
-            .map(|v| v.limit)
+            .map(|v| v.time_limit)
             .max()
             .unwrap_or_default();
         let agent = (!orders.list_on_request).then_some(orders.drain_grace / 2);
         Pace {
-            hold: orders.ask_every / 4,
+            hold: orders.list_poll_interval / 4,
             longest,
             agent,
         }
@@ -75,7 +75,7 @@
 
 /// Settings of another shape, and how often the log says what they would have decided otherwise.
 pub struct Watch {
-    pub orders: StandingOrders,
+    pub orders: BalancerConfig,
     pub every: Duration,
 }
 
@@ -143,7 +143,7 @@
         let mut orders =
             fleet::read(&text).map_err(|wrong| format!("{}: {wrong}", path.display()))?;
         // As long as the settings say, where the file does not.
-        let warm = start.orders.warm_within;
+        let warm = start.orders.warm_up_time;
         orders
             .upkeep
             .iter_mut()
@@ -162,7 +162,7 @@
     } else {
         ""
     };
-    let (verbs, zones) = (start.orders.verbs.len(), start.orders.zones.len());
+    let (verbs, zones) = (start.orders.classes.len(), start.orders.zones.len());
     let routes = match &start.routes {
         Some(routes) => format!(
             "{} routes to {} pools",
@@ -192,7 +192,7 @@
 }
 
 /// Reads the file of routes that `LB_ROUTES` names, against the settings that it is to work with.
-fn read_routes(path: &Path, orders: &StandingOrders) -> Result<RouteOrders, String> {
+fn read_routes(path: &Path, orders: &BalancerConfig) -> Result<RouteOrders, String> {
     let text = std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))?;
     passroad_routes::read(&text, orders).map_err(|wrong| format!("{}: {wrong}", path.display()))
 }
--- a/crates/passroad/tests/discovery.rs
+++ b/crates/passroad/tests/discovery.rs
@@ -4,7 +4,7 @@
 mod stand_ins;
 
 use passroad_choice::choice::Balancer;
-use passroad_choice::{Action, Event, ListKind};
+use passroad_choice::{Action, Event, ListUpdateKind};
 use rstest::rstest;
 use stand_ins::*;
 use std::collections::VecDeque;
@@ -315,18 +315,18 @@
 
 /// What the module says to a call that was refused: the wait until the next.
 fn wait_after_refusal(module: &mut Balancer, now: Duration) -> Duration {
-    let refused = Event::Listed {
-        kind: ListKind::Refused,
+    let refused = Event::ListUpdated {
+        kind: ListUpdateKind::Failed,
         entries: Vec::new(),
     };
     let out = module.decide(now, refused);
     let wait = out.iter().find_map(|action| match action {
-        Action::Alarm { after, token } => Some((*after, *token)),
+        Action::SetTimer { after, token } => Some((*after, *token)),
         _ => None,
     });
     let (wait, token) = wait.expect("an alarm");
-    let out = module.decide(now + wait, Event::Due { token });
-    assert!(out.contains(&Action::Listen { active: true }), "{out:?}");
+    let out = module.decide(now + wait, Event::TimerFired { token });
+    assert!(out.contains(&Action::Subscribe { active: true }), "{out:?}");
     wait
 }
 
