--- a/crates/passroad-choice/src/choice/tests.rs
+++ b/crates/passroad-choice/src/choice/tests.rs
@@ -9,7 +9,7 @@
 #[rstest]
 fn an_idle_endpoint_is_drawn_before_a_busy_one() {
     let mut b = sidecar(Effect::Safe, 2);
-    b.endpoints[0].holds = 1.0;
+    b.endpoints[0].load = 1.0;
     let out = b.decide(NOW, arrival(0));
     assert_eq!(relays(&out), [1]);
 }
@@ -23,26 +23,26 @@
 #[rstest]
 fn weight_is_base_weight_times_score() {
     let mut b = sidecar(Effect::Safe, 2);
-    b.endpoints[1].size = 2.0;
-    let w = b.weigh(&b.met, None, None, &|_| true);
+    b.endpoints[1].capacity = 2.0;
+    let w = b.weights(&b.in_view, None, None, &|_| true);
     assert!((w[1] / w[0] - 2.0).abs() < 1e-9, "{w:?}");
 }
 
 #[rstest]
 fn old_reports_drift_to_the_mean() {
     let mut b = sidecar(Effect::Safe, 2);
-    b.endpoints[0].holds = 9.0;
-    b.endpoints[0].heard = Some(NOW - Duration::from_secs(60));
-    assert!((b.load(&b.endpoints[0], 1.0) - 1.0).abs() < 1e-3);
+    b.endpoints[0].load = 9.0;
+    b.endpoints[0].reported_at = Some(NOW - Duration::from_secs(60));
+    assert!((b.estimated_load(&b.endpoints[0], 1.0) - 1.0).abs() < 1e-3);
 }
 
 // sfax-trajets at its later size: a third of relays went to endpoints not heard of, beside an idle one.
 #[rstest]
 fn a_crowd_of_unheard_endpoints_does_not_outweigh_an_idle_one() {
     let mut b = sidecar(Effect::Safe, 60);
-    b.endpoints.iter_mut().for_each(|e| e.heard = None);
-    b.endpoints[7].heard = Some(NOW);
-    let w = b.weigh(&b.met, None, None, &|_| true);
+    b.endpoints.iter_mut().for_each(|e| e.reported_at = None);
+    b.endpoints[7].reported_at = Some(NOW);
+    let w = b.weights(&b.in_view, None, None, &|_| true);
     assert!(w[7] > 0.8 * w.iter().sum::<f64>());
 }
 
@@ -50,8 +50,8 @@
 #[rstest]
 fn without_credit_own_relays_decide() {
     let mut b = sidecar(Effect::Safe, 2);
-    (b.faith, b.endpoints[0].out) = (0.0, vec![NOW]);
-    let w = b.weigh(&b.met, None, None, &|_| true);
+    (b.report_credit, b.endpoints[0].in_flight) = (0.0, vec![NOW]);
+    let w = b.weights(&b.in_view, None, None, &|_| true);
     assert!(w[0] < 0.1 * w[1], "{w:?}");
 }
 
@@ -59,56 +59,60 @@
 #[rstest]
 fn of_a_large_fleet_a_few_are_in_view() {
     let mut b = sidecar(Effect::Safe, 500);
-    b.endpoints.iter_mut().for_each(|e| e.heard = None);
+    b.endpoints.iter_mut().for_each(|e| e.reported_at = None);
     b.decide(NOW, arrival(0));
-    assert!(!b.met.is_empty() && b.met.len() < 20, "{}", b.met.len());
+    assert!(
+        !b.in_view.is_empty() && b.in_view.len() < 20,
+        "{}",
+        b.in_view.len()
+    );
 }
 
 // A first form lost the endpoint of a pass from view before it was asked; deploy days fell by a third.
 #[rstest]
 fn the_endpoint_of_a_pass_stays_in_view() {
     let mut b = sidecar(Effect::Safe, 500);
-    b.endpoints.iter_mut().for_each(|e| e.heard = None);
-    b.endpoints[9].start_cold(NOW);
-    b.endpoints[9].pass_until = NOW + CALM;
-    b.look_around();
-    assert!(b.met.contains(&9));
+    b.endpoints.iter_mut().for_each(|e| e.reported_at = None);
+    b.endpoints[9].restart_cold(NOW);
+    b.endpoints[9].permit_until = NOW + SMOOTHING;
+    b.refresh_view();
+    assert!(b.in_view.contains(&9));
 }
 
 #[rstest]
 fn own_relays_count_whatever_the_report_says() {
     let mut b = sidecar(Effect::Safe, 1);
-    b.endpoints[0].out = vec![NOW; 3];
-    assert_eq!(b.load(&b.endpoints[0], 0.0), 3.0);
+    b.endpoints[0].in_flight = vec![NOW; 3];
+    assert_eq!(b.estimated_load(&b.endpoints[0], 0.0), 3.0);
 }
 
 // Incidents i69898d and ie1a8dc: reports of nothing in work from endpoints that were full.
 #[rstest]
 fn a_report_that_hides_own_relays_loses_credit() {
     let mut b = sidecar(Effect::Safe, 1);
-    b.endpoints[0].out = vec![NOW - Duration::from_secs(1); 2];
-    b.hear(
+    b.endpoints[0].in_flight = vec![NOW - Duration::from_secs(1); 2];
+    b.record_report(
         0,
         Some(LoadReport {
             outstanding: Some(0.0),
             ..LoadReport::default()
         }),
     );
-    assert!(b.endpoints[0].credit < 1.0 && b.faith < 1.0);
+    assert!(b.endpoints[0].report_credit < 1.0 && b.report_credit < 1.0);
 }
 
 #[rstest]
 fn a_report_that_shows_own_relays_keeps_credit() {
     let mut b = sidecar(Effect::Safe, 1);
-    b.endpoints[0].out = vec![NOW - Duration::from_secs(1); 2];
-    b.hear(
+    b.endpoints[0].in_flight = vec![NOW - Duration::from_secs(1); 2];
+    b.record_report(
         0,
         Some(LoadReport {
             outstanding: Some(2.0),
             ..LoadReport::default()
         }),
     );
-    assert_eq!((b.endpoints[0].credit, b.faith), (1.0, 1.0));
+    assert_eq!((b.endpoints[0].report_credit, b.report_credit), (1.0, 1.0));
 }
 
 // join+vast: a hundred sidecars with fifteen commands a second each went by reports of a quarter of a second ago; what was
@@ -123,22 +127,22 @@
     #[case] lost: bool,
 ) {
     let mut b = sidecar(Effect::Safe, 1);
-    b.endpoints[0].heard = Some(NOW - ago);
+    b.endpoints[0].reported_at = Some(NOW - ago);
     if cold {
-        b.endpoints[0].start_cold(NOW - Duration::from_secs(1));
+        b.endpoints[0].restart_cold(NOW - Duration::from_secs(1));
     }
     b.commands = vec![Some(command())];
-    b.send(0, 0);
-    b.finish(0, 0, Outcome::TimedOut, Duration::from_millis(400));
-    assert_eq!(b.faith < 0.99, lost, "{}", b.faith);
+    b.send_relay(0, 0);
+    b.on_relay_finished(0, 0, Outcome::TimedOut, Duration::from_millis(400));
+    assert_eq!(b.report_credit < 0.99, lost, "{}", b.report_credit);
 }
 
 // A first form counted discredited endpoints as fuller than the mean and shut the whole fleet.
 #[rstest]
 fn a_fleet_without_credit_still_serves() {
     let mut b = sidecar(Effect::Safe, 3);
-    b.faith = 0.0;
-    b.endpoints.iter_mut().for_each(|e| e.holds = 9.0);
+    b.report_credit = 0.0;
+    b.endpoints.iter_mut().for_each(|e| e.load = 9.0);
     let out = b.decide(NOW, arrival(0));
     assert_eq!(relays(&out).len(), 1);
 }
@@ -146,22 +150,22 @@
 #[rstest]
 fn a_slow_endpoint_is_told_by_its_pace() {
     let mut b = sidecar(Effect::Safe, 2);
-    b.endpoints[0].pace = Pace {
+    b.endpoints[0].latency = DecayingMean {
         mean: 4.0,
         spread: 1.0,
         count: 8.0,
-        at: NOW,
+        updated_at: NOW,
     };
-    let w = b.weigh(&b.met, None, None, &|_| true);
+    let w = b.weights(&b.in_view, None, None, &|_| true);
     assert!(w[0] < 0.1 * w[1], "{w:?}");
 }
 
 #[rstest]
 fn a_fast_failure_is_no_fast_answer() {
     let mut b = with_relay(Effect::Safe, 2);
-    b.finish(0, 0, Outcome::Error, Duration::from_millis(1));
+    b.on_relay_finished(0, 0, Outcome::Error, Duration::from_millis(1));
     assert_eq!(
-        (b.endpoints[0].pace.count, b.endpoints[0].last.seen),
+        (b.endpoints[0].latency.count, b.endpoints[0].outcomes.count),
         (0.0, 1)
     );
 }
@@ -175,8 +179,8 @@
     #[case] preferred: bool,
 ) {
     let mut b = sidecar(Effect::Safe, 2);
-    (b.duty.new_link, b.endpoints[0].used) = (0.2, Some(NOW - ago));
-    let w = b.weigh(&b.met, None, None, &|_| true);
+    (b.parameters.new_connection_load, b.endpoints[0].last_used) = (0.2, Some(NOW - ago));
+    let w = b.weights(&b.in_view, None, None, &|_| true);
     assert_eq!(w[0] > 1.3 * w[1], preferred, "{w:?}");
 }
 
@@ -184,20 +188,20 @@
 #[rstest]
 fn one_fresh_report_of_many_tells_the_usual_load() {
     let mut b = sidecar(Effect::Safe, 80);
-    b.endpoints.iter_mut().for_each(|e| e.heard = None);
-    (b.endpoints[3].heard, b.endpoints[3].holds) = (Some(NOW), 2.0);
-    assert!((b.usual_load() - 2.0).abs() < 1e-9);
+    b.endpoints.iter_mut().for_each(|e| e.reported_at = None);
+    (b.endpoints[3].reported_at, b.endpoints[3].load) = (Some(NOW), 2.0);
+    assert!((b.mean_load() - 2.0).abs() < 1e-9);
 }
 
 #[rstest]
 fn failures_scale_the_weight_down_but_not_to_nothing() {
     let mut b = sidecar(Effect::Safe, 2);
-    b.endpoints[0].last = Few {
-        bad: !0,
-        seen: OUTCOMES,
-        ..Few::default()
+    b.endpoints[0].outcomes = RecentOutcomes {
+        failure_bits: !0,
+        count: RECENT_OUTCOMES,
+        ..RecentOutcomes::default()
     };
-    let w = b.weigh(&b.met, None, None, &|_| true);
+    let w = b.weights(&b.in_view, None, None, &|_| true);
     assert!(w[0] > 0.0 && w[0] < 0.01 * w[1], "{w:?}");
 }
 
@@ -224,32 +228,32 @@
     #[case] to: Option<EndpointIndex>,
 ) {
     let mut b = with_relay(Effect::Keyed, 3);
-    b.duty.verbs[0].group = group;
+    b.parameters.classes[0].deduplication_scope = group;
     b.endpoints[1].cell = 7;
     (b.endpoints[2].zone, b.endpoints[2].cell) = (9, 7);
     let c = b.commands[0].as_mut().unwrap();
-    (c.relays[0].sent, c.relays[0].outcome) = (NOW - ago, Some(Outcome::ConnectionLost));
-    b.endpoints[0].listed = false;
-    assert_eq!(b.pick(0, false), to);
+    (c.relays[0].sent_at, c.relays[0].outcome) = (NOW - ago, Some(Outcome::ConnectionLost));
+    b.endpoints[0].available = false;
+    assert_eq!(b.pick_endpoint(0, false), to);
 }
 
 #[rstest]
 fn what_may_have_run_is_not_declined_outside_its_group() {
     let mut b = with_relay(Effect::Keyed, 1);
-    b.duty.verbs[0].group = DeduplicationScope::Zone;
+    b.parameters.classes[0].deduplication_scope = DeduplicationScope::Zone;
     b.give_up(0);
-    assert!(b.out.contains(&Action::Fail { command: 0 }));
+    assert!(b.actions.contains(&Action::Fail { command: 0 }));
 }
 
 #[rstest]
 fn without_an_endpoint_the_answer_is_given_in_time() {
     let mut b = sidecar(Effect::NonIdempotent, 1);
-    b.endpoints[0].listed = false;
+    b.endpoints[0].available = false;
     b.commands[0] = Some(command());
     b.queue = vec![0];
     let out = b.decide(
         NOW + Duration::from_millis(300),
-        Event::TimerFired { token: ALARM_QUEUE },
+        Event::TimerFired { token: TIMER_QUEUE },
     );
     assert!(
         matches!(out[0], Action::Refuse { command: 0, .. }),
@@ -261,15 +265,15 @@
 #[rstest]
 fn an_alarm_that_comes_early_is_followed_by_another() {
     let mut b = sidecar(Effect::Safe, 1);
-    b.endpoints[0].listed = false;
+    b.endpoints[0].available = false;
     b.commands[0] = Some(command());
-    (b.queue, b.wake) = (vec![0], NOW + Duration::from_nanos(239));
-    let out = b.decide(NOW, Event::TimerFired { token: ALARM_QUEUE });
+    (b.queue, b.queue_timer_at) = (vec![0], NOW + Duration::from_nanos(239));
+    let out = b.decide(NOW, Event::TimerFired { token: TIMER_QUEUE });
     assert!(
         out.iter().any(|a| matches!(
             a,
             Action::SetTimer {
-                token: ALARM_QUEUE,
+                token: TIMER_QUEUE,
                 ..
             }
         )),
@@ -281,15 +285,15 @@
 #[rstest]
 fn an_alarm_set_for_the_next_tick_is_not_set_again() {
     let mut b = sidecar(Effect::Safe, 1);
-    b.endpoints[0].listed = false;
+    b.endpoints[0].available = false;
     b.commands[0] = Some(command());
-    (b.queue, b.wake) = (vec![0], NOW + b.duty.tick);
-    let out = b.decide(NOW, Event::TimerFired { token: ALARM_QUEUE });
+    (b.queue, b.queue_timer_at) = (vec![0], NOW + b.parameters.tick);
+    let out = b.decide(NOW, Event::TimerFired { token: TIMER_QUEUE });
     assert!(
         !out.iter().any(|a| matches!(
             a,
             Action::SetTimer {
-                token: ALARM_QUEUE,
+                token: TIMER_QUEUE,
                 ..
             }
         )),
@@ -300,9 +304,9 @@
 #[rstest]
 fn no_return_time_where_none_may_be_given() {
     let mut b = with_relay(Effect::Safe, 1);
-    b.duty.return_after = None;
+    b.parameters.max_retry_after = None;
     b.give_up(0);
-    assert!(b.out.contains(&Action::Refuse {
+    assert!(b.actions.contains(&Action::Refuse {
         command: 0,
         retry_after: None
     }));
@@ -317,8 +321,8 @@
         state: mode,
         ..listing(0, Duration::ZERO)
     };
-    b.read_list(ListUpdateKind::Delta, vec![entry]);
-    assert_eq!(b.weigh(&[0], None, None, &|_| true), [0.0]);
+    b.update_list(ListUpdateKind::Delta, vec![entry]);
+    assert_eq!(b.weights(&[0], None, None, &|_| true), [0.0]);
 }
 
 // An overloaded day of tunis-transport at its later size: unused allowances of 150 sidecars went to one cold
@@ -328,12 +332,12 @@
 #[case(Duration::from_millis(600), 0)]
 fn a_pass_is_for_one_send_and_soon_lost(#[case] age: Duration, #[case] sent: usize) {
     let mut b = sidecar(Effect::Safe, 1);
-    b.endpoints[0].start_cold(NOW);
-    b.survey();
-    b.endpoints[0].pass_until = NOW - age + b.duty.tip_after / 4;
+    b.endpoints[0].restart_cold(NOW);
+    b.refresh_fleet();
+    b.endpoints[0].permit_until = NOW - age + b.parameters.overload_window / 4;
     b.commands.extend([Some(command()), Some(command())]);
     b.queue = vec![1, 2];
-    let out = b.decide(NOW, Event::TimerFired { token: ALARM_QUEUE });
+    let out = b.decide(NOW, Event::TimerFired { token: TIMER_QUEUE });
     assert_eq!(relays(&out).len(), sent);
 }
 
@@ -341,23 +345,26 @@
 #[rstest]
 fn passes_come_at_the_ramp_times_the_rate_to_warm_ones() {
     let mut b = sidecar(Effect::Safe, 60);
-    b.endpoints[30..].iter_mut().for_each(|e| e.start_cold(NOW));
-    b.survey();
+    b.endpoints[30..]
+        .iter_mut()
+        .for_each(|e| e.restart_cold(NOW));
+    b.refresh_fleet();
     let long = |n: u32| NOW - n * Duration::from_millis(266);
     (0..300)
         .rev()
-        .for_each(|n| b.warm_kinds[0].served.add(long(n), 4 * CALM));
+        .for_each(|n| b.warm_kinds[0].answers.increment(long(n), 4 * SMOOTHING));
     let (mut drawn, each) = (
         0.0,
-        b.duty.cold_share * b.warm_kinds[0].served.rate(NOW, 4 * CALM) / 30.0 * 0.2,
+        b.parameters.cold_send_share * b.warm_kinds[0].answers.rate(NOW, 4 * SMOOTHING) / 30.0
+            * 0.2,
     );
     for _ in 0..2000 {
-        b.pass_at = NOW - Duration::from_millis(100);
-        b.draw_pass();
-        drawn += b.endpoints.iter().filter(|e| e.pass_until > NOW).count() as f64;
+        b.permit_drawn_at = NOW - Duration::from_millis(100);
+        b.draw_slow_start_permit();
+        drawn += b.endpoints.iter().filter(|e| e.permit_until > NOW).count() as f64;
         b.endpoints
             .iter_mut()
-            .for_each(|e| e.pass_until = Duration::ZERO);
+            .for_each(|e| e.permit_until = Duration::ZERO);
     }
     let due = 2000.0 * 0.1 * 30.0 * each;
     assert!((drawn / due - 1.0).abs() < 0.2, "{drawn} {due}");
@@ -367,12 +374,12 @@
 fn passes_a_second(b: &mut Balancer, at: EndpointIndex) -> f64 {
     let (mut drawn, gap, now) = (0, Duration::from_millis(10), b.now);
     for _ in 0..20_000 {
-        b.pass_at = now - gap;
-        b.draw_pass();
-        drawn += u32::from(b.endpoints[at].pass_until > now);
+        b.permit_drawn_at = now - gap;
+        b.draw_slow_start_permit();
+        drawn += u32::from(b.endpoints[at].permit_until > now);
         b.endpoints
             .iter_mut()
-            .for_each(|e| e.pass_until = Duration::ZERO);
+            .for_each(|e| e.permit_until = Duration::ZERO);
     }
     f64::from(drawn) / 20_000.0 / gap.as_secs_f64()
 }
@@ -380,8 +387,8 @@
 /// What these endpoints answer over the last seconds, each so many a second.
 fn answered(b: &mut Balancer, ats: std::ops::Range<EndpointIndex>, each: u32) {
     for n in 0..8 * each {
-        b.now = NOW - 4 * CALM + n * Duration::from_secs(1) / each;
-        ats.clone().for_each(|at| b.note_warm(at));
+        b.now = NOW - 4 * SMOOTHING + n * Duration::from_secs(1) / each;
+        ats.clone().for_each(|at| b.record_warm_answer(at));
     }
     b.now = NOW;
 }
@@ -397,21 +404,21 @@
     #[case] each: f64,
 ) {
     let mut b = sidecar(Effect::Safe, 13);
-    b.endpoints[12].start_cold(NOW);
-    b.survey();
+    b.endpoints[12].restart_cold(NOW);
+    b.refresh_fleet();
     answered(&mut b, 0..12, 20);
     b.endpoints[stay..12]
         .iter_mut()
-        .for_each(|e| e.listed = false);
-    b.survey();
-    let passes = passes_a_second(&mut b, 12) / b.duty.cold_share / 0.2;
+        .for_each(|e| e.available = false);
+    b.refresh_fleet();
+    let passes = passes_a_second(&mut b, 12) / b.parameters.cold_send_share / 0.2;
     assert!((passes / each - 1.0).abs() < 0.25, "{passes}");
     // Back cold, they are no rate either.
     b.endpoints[stay..12]
         .iter_mut()
-        .for_each(|e| (e.listed, e.up_since) = (true, Some(NOW)));
-    b.survey();
-    let passes = passes_a_second(&mut b, 12) / b.duty.cold_share / 0.2;
+        .for_each(|e| (e.available, e.started_at) = (true, Some(NOW)));
+    b.refresh_fleet();
+    let passes = passes_a_second(&mut b, 12) / b.parameters.cold_send_share / 0.2;
     assert!((passes / each - 1.0).abs() < 0.25, "{passes}");
 }
 
@@ -420,14 +427,14 @@
 fn with_none_warm_passes_go_by_what_was_answered_last() {
     let mut b = sidecar(Effect::Safe, 12);
     answered(&mut b, 0..12, 20);
-    b.endpoints.iter_mut().for_each(|e| e.listed = false);
-    b.survey();
-    b.now = NOW + 10 * CALM;
+    b.endpoints.iter_mut().for_each(|e| e.available = false);
+    b.refresh_fleet();
+    b.now = NOW + 10 * SMOOTHING;
     b.endpoints
         .iter_mut()
-        .for_each(|e| (e.listed, e.up_since) = (true, Some(NOW + 10 * CALM)));
-    b.survey();
-    let passes = passes_a_second(&mut b, 3) / b.duty.cold_share / 0.2;
+        .for_each(|e| (e.available, e.started_at) = (true, Some(NOW + 10 * SMOOTHING)));
+    b.refresh_fleet();
+    let passes = passes_a_second(&mut b, 3) / b.parameters.cold_send_share / 0.2;
     assert!((passes / 20.0 - 1.0).abs() < 0.25, "{passes}");
 }
 
@@ -444,11 +451,11 @@
     let mut b = sidecar(Effect::Safe, 9);
     b.endpoints[4..8].iter_mut().for_each(|e| e.kind = 1);
     b.endpoints[8].kind = kind;
-    b.endpoints[8].start_cold(NOW);
-    b.survey();
+    b.endpoints[8].restart_cold(NOW);
+    b.refresh_fleet();
     answered(&mut b, 0..4, 20);
     answered(&mut b, 4..8, 80);
-    let passes = passes_a_second(&mut b, 8) / b.duty.cold_share / 0.2;
+    let passes = passes_a_second(&mut b, 8) / b.parameters.cold_send_share / 0.2;
     assert!((passes / each - 1.0).abs() < 0.25, "{passes}");
 }
 
@@ -456,27 +463,27 @@
 #[rstest]
 fn a_cold_endpoint_may_get_more_than_its_ramp_but_not_what_pushes_it_over() {
     let b = sidecar(Effect::Safe, 1);
-    assert!(b.duty.cold_share > 1.0 && b.duty.cold_share < 3.0);
+    assert!(b.parameters.cold_send_share > 1.0 && b.parameters.cold_send_share < 3.0);
 }
 
 #[rstest]
 fn an_endpoint_back_from_silence_counts_as_cold() {
     let mut b = sidecar(Effect::Safe, 1);
-    b.endpoints[0].misses = 3;
-    b.reached(0);
-    assert_eq!(b.endpoints[0].up_since, Some(NOW));
+    b.endpoints[0].times_unreachable = 3;
+    b.record_reached(0);
+    assert_eq!(b.endpoints[0].started_at, Some(NOW));
 }
 
 // Incidents i6e3b06, ia79e8d and id7bedd: all seemed full, none was asked again, service stayed down.
 #[rstest]
 fn while_commands_wait_full_endpoints_are_asked_again() {
     let mut b = sidecar(Effect::Safe, 2);
-    b.endpoints
-        .iter_mut()
-        .for_each(|e| (e.holds, e.heard) = (9.0, Some(NOW - b.duty.fresh * 2)));
+    b.endpoints.iter_mut().for_each(|e| {
+        (e.load, e.reported_at) = (9.0, Some(NOW - b.parameters.report_fresh_for * 2))
+    });
     b.commands[0] = Some(command());
     b.queue = vec![0];
-    let out = b.decide(NOW, Event::TimerFired { token: ALARM_QUEUE });
+    let out = b.decide(NOW, Event::TimerFired { token: TIMER_QUEUE });
     assert!(
         out.iter().any(|a| matches!(a, Action::Probe { .. })),
         "{out:?}"
@@ -487,7 +494,7 @@
 #[rstest]
 fn past_the_room_the_least_worth_is_declined_at_once() {
     let mut b = sidecar(Effect::Safe, 1);
-    b.endpoints[0].holds = 9.0;
+    b.endpoints[0].load = 9.0;
     b.commands = (0..4)
         .map(|n| {
             Some(Command {
@@ -497,7 +504,7 @@
         })
         .collect();
     b.queue = vec![0, 1, 2, 3];
-    let out = b.decide(NOW, Event::TimerFired { token: ALARM_QUEUE });
+    let out = b.decide(NOW, Event::TimerFired { token: TIMER_QUEUE });
     let declined = |cmd| {
         out.iter()
             .any(|a| matches!(a, Action::Refuse { command: c, .. } if *c == cmd))
@@ -509,11 +516,14 @@
 #[rstest]
 fn right_after_the_start_the_room_follows_the_rate_so_far() {
     let mut b = sidecar(Effect::Safe, 1);
-    b.endpoints[0].holds = 9.0;
-    (0..30).for_each(|n| b.sends.add(NOW - Duration::from_millis(90 - 3 * n), CALM));
+    b.endpoints[0].load = 9.0;
+    (0..30).for_each(|n| {
+        b.sends_short
+            .increment(NOW - Duration::from_millis(90 - 3 * n), SMOOTHING)
+    });
     b.commands = (0..4).map(|_| Some(command())).collect();
     b.queue = vec![0, 1, 2, 3];
-    let out = b.decide(NOW, Event::TimerFired { token: ALARM_QUEUE });
+    let out = b.decide(NOW, Event::TimerFired { token: TIMER_QUEUE });
     assert!(
         !out.iter().any(|a| matches!(a, Action::Refuse { .. })),
         "{out:?}"
@@ -531,8 +541,11 @@
     #[case] sent: usize,
 ) {
     let mut b = sidecar(Effect::Safe, 1);
-    (b.marked, b.duty.verbs[0].limit) = (marked, Duration::from_secs(1));
-    (b.duty.verbs[0].budget, b.duty.verbs[0].budget_votes) = (Duration::from_millis(800), 20);
+    (b.retries_marked, b.parameters.classes[0].time_limit) = (marked, Duration::from_secs(1));
+    (
+        b.parameters.classes[0].usual_budget,
+        b.parameters.classes[0].budget_confidence,
+    ) = (Duration::from_millis(800), 20);
     let Event::CommandArrived(a) = arrival(0) else {
         unreachable!()
     };
@@ -549,10 +562,13 @@
 #[rstest]
 fn a_time_out_cuts_the_limit_once_in_a_while() {
     let mut b = sidecar(Effect::Safe, 1);
-    (b.endpoints[0].limit, b.endpoints[0].tried) = (10.0, NOW);
-    b.cut(0);
-    b.cut(0);
-    assert_eq!(b.endpoints[0].limit, 7.0);
+    (
+        b.endpoints[0].concurrency_limit,
+        b.endpoints[0].limit_changed_at,
+    ) = (10.0, NOW);
+    b.cut_limit(0);
+    b.cut_limit(0);
+    assert_eq!(b.endpoints[0].concurrency_limit, 7.0);
 }
 
 // sahel-ambulances at its later size: limits stayed at two for want of answers from each endpoint.
@@ -560,7 +576,7 @@
 fn a_limit_learnt_at_one_endpoint_serves_the_others() {
     let mut b = sidecar(Effect::Safe, 2);
     b.set_limit(0, 6.0);
-    assert!(b.limit_of(&b.endpoints[1]) > FIRST_LIMIT);
+    assert!(b.current_limit(&b.endpoints[1]) > INITIAL_LIMIT);
 }
 
 #[rstest]
@@ -568,9 +584,9 @@
 #[case(0.0, 0)]
 fn a_second_copy_needs_budget(#[case] spare: f64, #[case] sent: usize) {
     let mut b = with_relay(Effect::Safe, 2);
-    b.spare = spare;
-    b.commands[0].as_mut().unwrap().relays[0].sent = NOW - Duration::from_millis(250);
-    let out = b.decide(NOW, Event::TimerFired { token: ALARM_COPY });
+    b.retry_budget = spare;
+    b.commands[0].as_mut().unwrap().relays[0].sent_at = NOW - Duration::from_millis(250);
+    let out = b.decide(NOW, Event::TimerFired { token: TIMER_HEDGE });
     assert_eq!(relays(&out).len(), sent);
 }
 
@@ -579,11 +595,11 @@
 #[case(3.0, true)]
 fn past_its_goal_work_is_called_off_where_others_wait(#[case] holds: f64, #[case] off: bool) {
     let mut b = with_relay(Effect::Safe, 1);
-    b.endpoints[0].holds = holds;
-    b.commands[0].as_mut().unwrap().due = NOW;
-    b.past_goal(0);
+    b.endpoints[0].load = holds;
+    b.commands[0].as_mut().unwrap().target_deadline = NOW;
+    b.on_target_passed(0);
     assert_eq!(
-        b.out.contains(&Action::CancelRelay {
+        b.actions.contains(&Action::CancelRelay {
             command: 0,
             relay: 0
         }),
@@ -594,10 +610,10 @@
 #[rstest]
 fn past_its_goal_work_is_called_off_where_reports_have_no_credit() {
     let mut b = with_relay(Effect::Safe, 1);
-    b.endpoints[0].credit = 0.0;
-    b.commands[0].as_mut().unwrap().due = NOW;
-    b.past_goal(0);
-    assert!(b.out.contains(&Action::CancelRelay {
+    b.endpoints[0].report_credit = 0.0;
+    b.commands[0].as_mut().unwrap().target_deadline = NOW;
+    b.on_target_passed(0);
+    assert!(b.actions.contains(&Action::CancelRelay {
         command: 0,
         relay: 0
     }));
@@ -608,15 +624,16 @@
 fn commands_of_one_key_go_to_its_home_at_every_sidecar() {
     let home = |seed: u64, key: u64| {
         let mut b = sidecar(Effect::Safe, 20);
-        (b.duty.warm_keys, b.keys, b.dice) = (true, vec![Faded::default(); KEY_SLOTS], seed);
-        (0..20).for_each(|at| b.endpoints[at].mark = stable_hash(&format!("endpoint {at}")));
-        b.arrivals = Faded::default();
-        (0..40).for_each(|_| b.arrivals.add(NOW, CALM));
+        (b.parameters.warm_keys, b.key_arrivals, b.random_state) =
+            (true, vec![DecayingCount::default(); KEY_SLOTS], seed);
+        (0..20).for_each(|at| b.endpoints[at].id_hash = stable_hash(&format!("endpoint {at}")));
+        b.arrivals = DecayingCount::default();
+        (0..40).for_each(|_| b.arrivals.increment(NOW, SMOOTHING));
         let c = Command {
             key: Some(key),
             ..command()
         };
-        let homes = b.homes(&c);
+        let homes = b.key_homes(&c);
         homes
             .into_iter()
             .max_by(|a, b| a.1.total_cmp(&b.1))
@@ -636,7 +653,7 @@
 #[rstest]
 fn a_live_weight_tells_what_is_held() {
     let mut b = sidecar(Effect::Safe, 2);
-    (b.duty.heartbeats, b.duty.live_weights) = (0, true);
+    (b.parameters.probes_per_command, b.parameters.live_weights) = (0, true);
     for rating in [1.5, 0.5] {
         let entries = vec![ListedEndpoint {
             weight: rating,
@@ -652,10 +669,10 @@
     }
     let e = &b.endpoints[0];
     assert!(
-        (e.holds - 2.0).abs() < 1e-9 && e.rating == 1.5,
+        (e.load - 2.0).abs() < 1e-9 && e.weight == 1.5,
         "{} {}",
-        e.holds,
-        e.rating
+        e.load,
+        e.weight
     );
 }
 
@@ -665,10 +682,16 @@
 #[case(1, 1.0)]
 fn without_heartbeats_a_faster_kind_is_larger(#[case] heartbeats: usize, #[case] at_least: f64) {
     let mut b = sidecar(Effect::Safe, 2);
-    (b.duty.heartbeats, b.endpoints[1].kind, b.kinds) = (heartbeats, 1, vec![Pace::default(); 2]);
-    (0..50).for_each(|n| b.kinds[n % 2].note(NOW, if n % 2 == 0 { 0.5 } else { 1.5 }, CALM));
-    b.survey();
-    let ratio = b.endpoints[0].size / b.endpoints[1].size;
+    (
+        b.parameters.probes_per_command,
+        b.endpoints[1].kind,
+        b.latency_by_kind,
+    ) = (heartbeats, 1, vec![DecayingMean::default(); 2]);
+    (0..50).for_each(|n| {
+        b.latency_by_kind[n % 2].record(NOW, if n % 2 == 0 { 0.5 } else { 1.5 }, SMOOTHING)
+    });
+    b.refresh_fleet();
+    let ratio = b.endpoints[0].capacity / b.endpoints[1].capacity;
     assert!(
         ratio >= at_least && (heartbeats == 0 || ratio == 1.0),
         "{ratio}"
@@ -687,12 +710,12 @@
     #[case] probe_price: f64,
     #[case] heartbeats: usize,
 ) {
-    let duty = Balancer::duty(BalancerConfig {
+    let duty = Balancer::derive_parameters(BalancerConfig {
         report_mode: reports,
         probe_price,
         ..orders(Effect::Safe)
     });
-    assert_eq!(duty.heartbeats, heartbeats);
+    assert_eq!(duty.probes_per_command, heartbeats);
 }
 
 // The same day: seven in ten of what was late was called off at its goal, and the limit never heard of it.
@@ -704,12 +727,12 @@
     #[case] cuts: bool,
 ) {
     let mut b = with_relay(Effect::Safe, 2);
-    (b.window, b.out_now) = (20.0, 19.0);
+    (b.in_flight_limit, b.in_flight) = (20.0, 19.0);
     b.decide(
         NOW + Duration::from_millis(after_ms),
         finished(0, Outcome::Cancelled),
     );
-    assert_eq!(b.window < 20.0, cuts, "{}", b.window);
+    assert_eq!(b.in_flight_limit < 20.0, cuts, "{}", b.in_flight_limit);
 }
 
 // daepung-auction-web big-2: ten of fifty boxes failed, and the limit on all turned away what the others could do.
@@ -717,9 +740,9 @@
 fn late_answers_cut_the_limit_on_all_and_less_so_where_one_fails_alone() {
     let cut = |failing: bool| {
         let mut b = sidecar(Effect::Safe, 2);
-        (b.window, b.out_now) = (20.0, 19.0);
-        (0..OUTCOMES).for_each(|_| {
-            b.judge(
+        (b.in_flight_limit, b.in_flight) = (20.0, 19.0);
+        (0..RECENT_OUTCOMES).for_each(|_| {
+            b.record_health(
                 0,
                 0,
                 if failing {
@@ -727,17 +750,17 @@
                 } else {
                     Outcome::Answered
                 },
-                OUTCOMES,
+                RECENT_OUTCOMES,
             )
         });
-        b.widen(0, 0, Outcome::TimedOut, false, 1.0);
-        20.0 - b.window
+        b.adjust_in_flight_limit(0, 0, Outcome::TimedOut, false, 1.0);
+        20.0 - b.in_flight_limit
     };
     let mut b = sidecar(Effect::Safe, 2);
-    (b.window, b.out_now) = (20.0, 19.0);
-    b.widen(0, 0, Outcome::Answered, true, 1.0);
+    (b.in_flight_limit, b.in_flight) = (20.0, 19.0);
+    b.adjust_in_flight_limit(0, 0, Outcome::Answered, true, 1.0);
     assert!(
-        b.window > 20.0 && cut(false) > 0.5 && cut(true) < 0.2 * cut(false),
+        b.in_flight_limit > 20.0 && cut(false) > 0.5 && cut(true) < 0.2 * cut(false),
         "{} {}",
         cut(false),
         cut(true)
@@ -748,17 +771,17 @@
 #[rstest]
 fn what_can_not_be_reached_is_no_home() {
     let mut b = sidecar(Effect::Safe, 20);
-    (b.duty.warm_keys, b.keys) = (true, vec![Faded::default(); KEY_SLOTS]);
-    (0..20).for_each(|at| b.endpoints[at].mark = stable_hash(&format!("endpoint {at}")));
+    (b.parameters.warm_keys, b.key_arrivals) = (true, vec![DecayingCount::default(); KEY_SLOTS]);
+    (0..20).for_each(|at| b.endpoints[at].id_hash = stable_hash(&format!("endpoint {at}")));
     let c = Command {
         key: Some(7),
         ..command()
     };
-    let before: Vec<_> = b.homes(&c).into_iter().map(|(at, _)| at).collect();
+    let before: Vec<_> = b.key_homes(&c).into_iter().map(|(at, _)| at).collect();
     before
         .iter()
-        .for_each(|at| b.endpoints[*at].try_at = NOW + CALM);
-    let after = b.homes(&c);
+        .for_each(|at| b.endpoints[*at].retry_at = NOW + SMOOTHING);
+    let after = b.key_homes(&c);
     assert!(
         after.len() == before.len() && after.iter().all(|(at, _)| !before.contains(at)),
         "{after:?}"
@@ -769,28 +792,31 @@
 #[rstest]
 fn a_popular_key_has_more_homes() {
     let mut b = sidecar(Effect::Safe, 20);
-    (b.duty.warm_keys, b.keys) = (true, vec![Faded::default(); KEY_SLOTS]);
-    (0..20).for_each(|at| b.endpoints[at].mark = stable_hash(&format!("endpoint {at}")));
-    (0..40).for_each(|_| b.arrivals.add(NOW, 4 * CALM));
-    (0..20).for_each(|_| b.keys[7].add(NOW, 4 * CALM));
+    (b.parameters.warm_keys, b.key_arrivals) = (true, vec![DecayingCount::default(); KEY_SLOTS]);
+    (0..20).for_each(|at| b.endpoints[at].id_hash = stable_hash(&format!("endpoint {at}")));
+    (0..40).for_each(|_| b.arrivals.increment(NOW, 4 * SMOOTHING));
+    (0..20).for_each(|_| b.key_arrivals[7].increment(NOW, 4 * SMOOTHING));
     let full = |b: &Balancer, key| {
-        let homes = b.homes(&Command {
+        let homes = b.key_homes(&Command {
             key: Some(key),
             ..command()
         });
         homes.iter().filter(|(_, share)| *share == 1.0).count()
     };
-    assert_eq!((full(&b, 8), full(&b, 7)), (1, (HOMES * 10.0) as usize));
+    assert_eq!(
+        (full(&b, 8), full(&b, 7)),
+        (1, (HOMES_FACTOR * 10.0) as usize)
+    );
 }
 
 // First score of kochi-main and daepung-auction-web: a cold endpoint with a pass was asked where probes are not allowed.
 #[rstest]
 fn where_probes_are_not_allowed_a_pass_asks_nothing() {
     let mut b = sidecar(Effect::Safe, 2);
-    b.duty.heartbeats = 0;
-    b.endpoints[1].start_cold(NOW);
-    b.endpoints[1].pass_until = NOW + CALM;
-    b.endpoints[1].heard = None;
+    b.parameters.probes_per_command = 0;
+    b.endpoints[1].restart_cold(NOW);
+    b.endpoints[1].permit_until = NOW + SMOOTHING;
+    b.endpoints[1].reported_at = None;
     let out = b.decide(NOW, arrival(0));
     assert!(
         !out.iter().any(|a| matches!(a, Action::Probe { .. })),
@@ -802,17 +828,17 @@
 #[rstest]
 fn without_news_the_fleet_is_not_taken_for_full() {
     let mut b = sidecar(Effect::Safe, 2);
-    b.duty.heartbeats = 0;
+    b.parameters.probes_per_command = 0;
     b.endpoints
         .iter_mut()
-        .for_each(|e| (e.holds, e.heard) = (9.0, Some(NOW - Duration::from_secs(9))));
+        .for_each(|e| (e.load, e.reported_at) = (9.0, Some(NOW - Duration::from_secs(9))));
     assert_eq!(relays(&b.decide(NOW, arrival(0))).len(), 1);
 }
 
 #[rstest]
 fn a_refused_list_is_asked_again_later() {
     let mut b = sidecar(Effect::Safe, 1);
-    b.listening = true;
+    b.subscribed = true;
     let out = b.decide(
         NOW,
         Event::ListUpdated {
@@ -823,11 +849,11 @@
     assert!(out.iter().any(|a| matches!(
         a,
         Action::SetTimer {
-            token: ALARM_LIST,
+            token: TIMER_LIST,
             ..
         }
     )));
-    assert!(b.endpoints[0].listed);
+    assert!(b.endpoints[0].available);
 }
 
 // galway-tills herd+mass: what the agent has when it is back counts as told, and a call seconds later broke the rule.
@@ -836,10 +862,10 @@
 #[case::pushed(false)]
 fn an_agent_beside_that_is_down_is_asked_within_the_grace(#[case] listen: bool) {
     let mut b = sidecar(Effect::Safe, 1);
-    (b.duty.listen, b.duty.drain_grace) = (listen, Duration::from_millis(400));
+    (b.parameters.list_on_request, b.parameters.drain_grace) = (listen, Duration::from_millis(400));
     let mut after = Vec::new();
     for _ in 0..8 {
-        b.listening = true;
+        b.subscribed = true;
         let out = b.decide(
             NOW,
             Event::ListUpdated {
@@ -850,7 +876,7 @@
         let alarm = out.iter().find_map(|a| match a {
             Action::SetTimer {
                 after,
-                token: ALARM_LIST,
+                token: TIMER_LIST,
             } => Some(*after),
             _ => None,
         });
@@ -892,7 +918,7 @@
     let mut b = with_relay(Effect::Safe, 2);
     b.commands[0]
         .iter_mut()
-        .for_each(|c| c.last_call = NOW + Duration::from_millis(100));
+        .for_each(|c| c.queue_deadline = NOW + Duration::from_millis(100));
     let out = b.decide(
         NOW + Duration::from_millis(spent),
         finished(0, Outcome::Error),
@@ -909,8 +935,10 @@
 #[rstest]
 fn two_endpoints_settle_that_a_command_is_unfit_at_little_cost() {
     let mut b = with_relay(Effect::Safe, 5);
-    b.endpoints.iter_mut().for_each(|e| e.heard = Some(NOW));
-    let before = b.spare;
+    b.endpoints
+        .iter_mut()
+        .for_each(|e| e.reported_at = Some(NOW));
+    let before = b.retry_budget;
     assert_eq!(
         relays(&b.decide(NOW, finished(0, Outcome::Rejected))).len(),
         1
@@ -920,14 +948,18 @@
         out.iter().any(|a| matches!(a, Action::Refuse { .. })),
         "{out:?}"
     );
-    assert!(before - b.spare < 0.3, "{} of {before}", b.spare);
+    assert!(
+        before - b.retry_budget < 0.3,
+        "{} of {before}",
+        b.retry_budget
+    );
 }
 
 // Replay of i69898d: a client with a millisecond left was held for heartbeats and got no answer.
 #[rstest]
 fn a_command_with_no_time_left_is_declined_at_once() {
     let mut b = sidecar(Effect::Safe, 2);
-    b.endpoints.iter_mut().for_each(|e| e.heard = None);
+    b.endpoints.iter_mut().for_each(|e| e.reported_at = None);
     let Event::CommandArrived(a) = arrival(0) else {
         unreachable!()
     };
@@ -949,8 +981,8 @@
 #[rstest]
 fn a_relay_past_its_goal_is_no_success() {
     let mut b = with_relay(Effect::Safe, 1);
-    let relay = b.held(0).unwrap().relays[0];
-    b.slow_answer(&relay, 0, Duration::from_millis(400));
+    let relay = b.open_command(0).unwrap().relays[0];
+    b.record_slow_answer(&relay, 0, Duration::from_millis(400));
     assert!(b.endpoints[0].health(NOW, None) < 1.0);
 }
 
@@ -964,16 +996,16 @@
     #[case] back: bool,
 ) {
     let mut b = sidecar(Effect::Safe, 2);
-    b.duty
-        .verbs
-        .push(VerbDuty::of(&verb(Effect::Safe), CALM, 3));
-    for _ in 0..OUTCOMES {
-        b.judge(0, 0, Outcome::TimedOut, OUTCOMES);
-        (0..3).for_each(|_| b.judge(0, 1, Outcome::Answered, OUTCOMES));
+    b.parameters
+        .classes
+        .push(RequestClass::from_config(&verb(Effect::Safe), SMOOTHING, 3));
+    for _ in 0..RECENT_OUTCOMES {
+        b.record_health(0, 0, Outcome::TimedOut, RECENT_OUTCOMES);
+        (0..3).for_each(|_| b.record_health(0, 1, Outcome::Answered, RECENT_OUTCOMES));
     }
     b.now += Duration::from_secs(seconds);
     let share = |verb| {
-        let w = b.weigh(&b.met, Some((verb, 0)), None, &|_| true);
+        let w = b.weights(&b.in_view, Some((verb, 0)), None, &|_| true);
         w[0] / w[1]
     };
     assert_eq!(
@@ -991,50 +1023,52 @@
 #[case(0.2, false)]
 fn the_worst_served_verb_goes_first(#[case] served: f64, #[case] richer_first: bool) {
     let mut b = sidecar(Effect::Safe, 1);
-    let mut other = VerbDuty {
+    let mut other = RequestClass {
         utility: 3.0,
-        ..VerbDuty::of(&verb(Effect::Safe), CALM, 3)
+        ..RequestClass::from_config(&verb(Effect::Safe), SMOOTHING, 3)
     };
     for n in 0..100 {
-        b.duty.verbs[0].asked.add(NOW, CALM);
-        other.asked.add(NOW, CALM);
-        other.served.add(NOW, CALM);
+        b.parameters.classes[0].arrivals.increment(NOW, SMOOTHING);
+        other.arrivals.increment(NOW, SMOOTHING);
+        other.served_in_time.increment(NOW, SMOOTHING);
         if f64::from(n) < served * 100.0 {
-            b.duty.verbs[0].served.add(NOW, CALM);
+            b.parameters.classes[0]
+                .served_in_time
+                .increment(NOW, SMOOTHING);
         }
     }
-    b.duty.verbs.push(other);
-    let values = b.values();
+    b.parameters.classes.push(other);
+    let values = b.class_values();
     assert_eq!(values[1] > values[0], richer_first, "{values:?}");
 }
 
 // Incident i0fad20: 130 lines of endpoints failing and well again within seconds.
 #[rstest]
-#[case(OUTCOMES / 2, true)]
-#[case(OUTCOMES - 1, false)]
+#[case(RECENT_OUTCOMES / 2, true)]
+#[case(RECENT_OUTCOMES - 1, false)]
 fn a_failing_endpoint_is_well_again_at_three_quarters(#[case] good: u32, #[case] ailing: bool) {
     let mut b = sidecar(Effect::Safe, 1);
     let e = &mut b.endpoints[0];
-    e.last = Few {
-        bad: !0 << (good - 1),
-        seen: OUTCOMES,
-        ailing: true,
-        ..Few::default()
+    e.outcomes = RecentOutcomes {
+        failure_bits: !0 << (good - 1),
+        count: RECENT_OUTCOMES,
+        failing: true,
+        ..RecentOutcomes::default()
     };
-    b.judge(0, 0, Outcome::Answered, OUTCOMES);
-    assert_eq!(b.endpoints[0].last.ailing, ailing);
+    b.record_health(0, 0, Outcome::Answered, RECENT_OUTCOMES);
+    assert_eq!(b.endpoints[0].outcomes.failing, ailing);
 }
 
 // Incidents i3e941c and i4a6661: sixteen outcomes reached back past the start of the trouble.
 #[rstest]
 fn three_failures_in_a_row_take_most_of_the_weight() {
     let mut b = sidecar(Effect::Safe, 2);
-    b.endpoints[0].last = Few {
-        bad: 0b111,
-        seen: OUTCOMES,
-        ..Few::default()
+    b.endpoints[0].outcomes = RecentOutcomes {
+        failure_bits: 0b111,
+        count: RECENT_OUTCOMES,
+        ..RecentOutcomes::default()
     };
-    let w = b.weigh(&b.met, None, None, &|_| true);
+    let w = b.weights(&b.in_view, None, None, &|_| true);
     assert!(w[0] < 0.3 * w[1], "{w:?}");
 }
 
@@ -1044,15 +1078,21 @@
 #[case(900, 300)]
 fn a_last_try_tells_by_its_budget_what_is_spent(#[case] budget: u64, #[case] left: u64) {
     let mut b = sidecar(Effect::Safe, 1);
-    (b.duty.verbs[0].budget, b.duty.verbs[0].budget_votes) = (Duration::from_millis(500), 9);
+    (
+        b.parameters.classes[0].usual_budget,
+        b.parameters.classes[0].budget_confidence,
+    ) = (Duration::from_millis(500), 9);
     let Event::CommandArrived(a) = arrival(0) else {
         unreachable!()
     };
-    b.take(CommandArrival {
+    b.on_command_arrived(CommandArrival {
         budget: Duration::from_millis(budget),
         ..a
     });
-    assert_eq!(b.held(0).unwrap().due, NOW + Duration::from_millis(left));
+    assert_eq!(
+        b.open_command(0).unwrap().target_deadline,
+        NOW + Duration::from_millis(left)
+    );
 }
 
 // Days reload and churn: an endpoint that failed half of what it got, at once, looked idle beside busy ones and drew
@@ -1064,15 +1104,15 @@
     let mut b = sidecar(effect, 4);
     b.endpoints
         .iter_mut()
-        .for_each(|e| (e.holds, e.last.seen) = (1.0, OUTCOMES));
+        .for_each(|e| (e.load, e.outcomes.count) = (1.0, RECENT_OUTCOMES));
     (
-        b.endpoints[0].holds,
-        b.endpoints[0].harm,
-        b.endpoints[0].harmed,
+        b.endpoints[0].load,
+        b.endpoints[0].harmful_failures,
+        b.endpoints[0].last_harmful_failure,
     ) = (0.0, 0b0101_0101_0101_0101, NOW);
     b.commands = (0..400).map(|_| Some(command())).collect();
     let drawn = (0..400)
-        .filter(|cmd| b.pick(*cmd, false) == Some(0))
+        .filter(|cmd| b.pick_endpoint(*cmd, false) == Some(0))
         .count();
     assert!(drawn as f64 <= 400.0 * most, "{drawn}");
 }
@@ -1087,14 +1127,20 @@
 fn only_what_failed_and_may_have_run_is_harm(#[case] outcome: Outcome, #[case] harm: u32) {
     let mut b = with_relay(Effect::NonIdempotent, 1);
     b.decide(NOW, finished(0, outcome));
-    assert_eq!(b.endpoints[0].harm, harm);
+    assert_eq!(b.endpoints[0].harmful_failures, harm);
 }
 
 #[rstest]
 fn an_endpoint_that_turns_a_command_itself_away_is_not_judged_by_it() {
     let mut b = with_relay(Effect::NonIdempotent, 1);
     let out = b.decide(NOW, finished(0, Outcome::Rejected));
-    assert_eq!((b.endpoints[0].last.seen, b.endpoints[0].misses), (0, 0));
+    assert_eq!(
+        (
+            b.endpoints[0].outcomes.count,
+            b.endpoints[0].times_unreachable
+        ),
+        (0, 0)
+    );
     assert!(out.contains(&Action::Fail { command: 0 }));
 }
 
@@ -1108,20 +1154,20 @@
     for _ in 0..3 {
         let relay = Relay {
             endpoint: 0,
-            sent: NOW,
-            ahead: 0.0,
-            told: 0.0,
+            sent_at: NOW,
+            load_ahead: 0.0,
+            report_weight: 0.0,
             outcome: None,
         };
         b.commands[0] = Some(Command {
-            waits: false,
+            queued: false,
             relays: vec![relay],
             ..command()
         });
-        b.finish(0, 0, outcome, Duration::from_millis(5));
-        b.checked(0, outcome, Duration::from_millis(5), None);
+        b.on_relay_finished(0, 0, outcome, Duration::from_millis(5));
+        b.on_probe_finished(0, outcome, Duration::from_millis(5), None);
     }
-    assert_eq!(b.endpoints[0].misses, 2 * misses);
+    assert_eq!(b.endpoints[0].times_unreachable, 2 * misses);
 }
 
 // Day churn+long: the list changes all day; slots, and with them memory and walks, grew with every id there ever was.
@@ -1136,8 +1182,11 @@
 ) {
     let mut b = with_relay(Effect::NonIdempotent, 3);
     b.commands[0].as_mut().unwrap().relays[0].endpoint = if relay { 1 } else { 0 };
-    b.endpoints[1].probing = probe.then_some(NOW);
-    (b.endpoints[1].pace.mean, b.endpoints[1].misses) = (9.0, 3);
+    b.endpoints[1].probe_sent_at = probe.then_some(NOW);
+    (
+        b.endpoints[1].latency.mean,
+        b.endpoints[1].times_unreachable,
+    ) = (9.0, 3);
     let entries = vec![ListedEndpoint {
         state: EndpointState::Removed,
         ..listing(1, Duration::ZERO)
@@ -1155,7 +1204,7 @@
         .count();
     let e = &b.endpoints[1];
     assert_eq!(
-        (released, e.known, e.misses, b.met.len()),
+        (released, e.in_use, e.times_unreachable, b.in_view.len()),
         (freed, freed == 0, 3 * (1 - freed as u32), 3 - freed)
     );
     // Once: a free slot is not given back again.
@@ -1181,7 +1230,7 @@
     #[case] freed: Vec<usize>,
 ) {
     let mut b = sidecar(Effect::Safe, 2);
-    b.endpoints.iter_mut().for_each(|e| e.known = true);
+    b.endpoints.iter_mut().for_each(|e| e.in_use = true);
     let out = b.decide(NOW, Event::ListUpdated { kind, entries });
     let slot = |a: &Action| {
         if let Action::ReleaseEndpoint { endpoint } = a {
@@ -1225,7 +1274,7 @@
 #[rstest]
 fn what_did_not_change_keeps_its_slot_and_what_changed_gets_another() {
     let mut b = sidecar(Effect::Safe, 1);
-    b.duty.verbs[0].usual.mean = 0.7;
+    b.parameters.classes[0].answer_time.mean = 0.7;
     assert_eq!(
         numbers(&b.decide(NOW, retuned(&["v", "w"], Effect::Safe, 3))),
         [0, 1]
@@ -1236,16 +1285,22 @@
     );
     // What was seen of it holds; another verb begins from nothing.
     assert_eq!(
-        (b.duty.verbs[2].usual.mean, b.duty.verbs[1].usual.mean),
+        (
+            b.parameters.classes[2].answer_time.mean,
+            b.parameters.classes[1].answer_time.mean
+        ),
         (0.7, 0.1)
     );
     // Each slot again once it has long been out of use, and no sooner.
     assert_eq!(
-        numbers(&b.decide(NOW + CALM, retuned(&["x"], Effect::Safe, 3))),
+        numbers(&b.decide(NOW + SMOOTHING, retuned(&["x"], Effect::Safe, 3))),
         [3]
     );
     assert_eq!(
-        numbers(&b.decide(NOW + 60 * CALM, retuned(&["x", "y", "z"], Effect::Safe, 3))),
+        numbers(&b.decide(
+            NOW + 60 * SMOOTHING,
+            retuned(&["x", "y", "z"], Effect::Safe, 3)
+        )),
         [3, 0, 1]
     );
 }
@@ -1276,7 +1331,7 @@
     #[case] again: bool,
 ) {
     let mut b = with_relay(Effect::Safe, 2);
-    b.duty.verbs[0].most_relays = before;
+    b.parameters.classes[0].max_relays = before;
     b.decide(NOW, retuned(&["v"], Effect::Safe, now));
     let out = b.decide(NOW, finished(0, Outcome::ConnectionLost));
     assert_eq!(!relays(&out).is_empty(), again, "{out:?}");
@@ -1290,7 +1345,7 @@
         [1]
     );
     assert_eq!(
-        numbers(&b.decide(NOW + 60 * CALM, retuned(&["w", "x"], Effect::Safe, 3))),
+        numbers(&b.decide(NOW + 60 * SMOOTHING, retuned(&["w", "x"], Effect::Safe, 3))),
         [1, 2]
     );
 }
@@ -1305,9 +1360,17 @@
     #[case] least: f64,
     #[case] most: f64,
 ) {
-    let mut count = Faded::default();
-    (0..=100).for_each(|n| count.add(NOW + Duration::from_millis(n * apart * 2 / 5), 4 * CALM));
-    let rate = count.fair_rate(NOW + Duration::from_millis(100 * apart * 2 / 5), 4 * CALM);
+    let mut count = DecayingCount::default();
+    (0..=100).for_each(|n| {
+        count.increment(
+            NOW + Duration::from_millis(n * apart * 2 / 5),
+            4 * SMOOTHING,
+        )
+    });
+    let rate = count.unbiased_rate(
+        NOW + Duration::from_millis(100 * apart * 2 / 5),
+        4 * SMOOTHING,
+    );
     assert!((least..=most).contains(&rate), "{rate}");
 }
 
@@ -1326,21 +1389,21 @@
     #[case] expected: std::ops::RangeInclusive<usize>,
 ) {
     let mut b = sidecar(Effect::Safe, 8);
-    b.duty = Balancer::duty(BalancerConfig {
+    b.parameters = Balancer::derive_parameters(BalancerConfig {
         probe_price: price,
         ..orders(Effect::Safe)
     });
-    b.found = found;
+    b.probe_yield = found;
     let mut probes = 0;
     for n in 0..1000 {
-        b.now = NOW + CALM * n;
-        b.heartbeat(Some((0, 0)).filter(|_| !waits));
+        b.now = NOW + SMOOTHING * n;
+        b.send_probes(Some((0, 0)).filter(|_| !waits));
         probes += b
-            .out
+            .actions
             .drain(..)
             .filter(|a| matches!(a, Action::Probe { .. }))
             .count();
-        b.endpoints.iter_mut().for_each(|e| e.probing = None);
+        b.endpoints.iter_mut().for_each(|e| e.probe_sent_at = None);
     }
     assert!(expected.contains(&probes), "{probes}");
 }
@@ -1357,27 +1420,27 @@
     #[case] found: f64,
 ) {
     let mut b = sidecar(Effect::Safe, 1);
-    b.duty = Balancer::duty(BalancerConfig {
+    b.parameters = Balancer::derive_parameters(BalancerConfig {
         probe_price,
         ..orders(Effect::Safe)
     });
-    (b.now, b.found) = (NOW, 0.5);
+    (b.now, b.probe_yield) = (NOW, 0.5);
     b.queue.extend(waits.then_some(0));
     let report = Some(LoadReport {
         outstanding: Some(holds),
         ..LoadReport::default()
     });
-    b.checked(0, Outcome::Answered, Duration::from_millis(1), report);
-    assert!((b.found - found).abs() < 1e-9, "{}", b.found);
+    b.on_probe_finished(0, Outcome::Answered, Duration::from_millis(1), report);
+    assert!((b.probe_yield - found).abs() < 1e-9, "{}", b.probe_yield);
 }
 
 // join+vast: three in five of what went to endpoints in their first seconds came too late, though they held little.
 #[rstest]
 fn a_cold_endpoint_counts_as_slow_by_its_ramp() {
     let mut b = sidecar(Effect::Safe, 2);
-    (b.now, b.endpoints[1].pass_until) = (NOW, NOW + CALM);
-    b.endpoints[1].start_cold(NOW);
-    let w = b.weigh(&b.met, None, None, &|_| true);
+    (b.now, b.endpoints[1].permit_until) = (NOW, NOW + SMOOTHING);
+    b.endpoints[1].restart_cold(NOW);
+    let w = b.weights(&b.in_view, None, None, &|_| true);
     assert!(w[1] < 0.2 * w[0], "{w:?}");
 }
 
@@ -1403,20 +1466,20 @@
 #[rstest]
 fn a_body_that_comes_is_no_work_yet_and_its_time_begins_when_it_is_whole() {
     let mut b = uploading();
-    assert_eq!((b.endpoints[0].out.len(), b.out_now), (0, 0.0));
-    let later = NOW + 5 * CALM;
+    assert_eq!((b.endpoints[0].in_flight.len(), b.in_flight), (0, 0.0));
+    let later = NOW + 5 * SMOOTHING;
     b.decide(later, Event::BodyComplete { command: 0 });
-    let c = b.held(0).unwrap();
+    let c = b.open_command(0).unwrap();
     assert_eq!(
-        (c.due, c.leave),
+        (c.target_deadline, c.client_deadline),
         (
             later + Duration::from_millis(400),
             later + Duration::from_millis(500)
         )
     );
-    assert_eq!((b.endpoints[0].out.len(), b.out_now), (1, 1.0));
+    assert_eq!((b.endpoints[0].in_flight.len(), b.in_flight), (1, 1.0));
     b.decide(later, finished(0, Outcome::Answered));
-    assert_eq!((b.endpoints[0].out.len(), b.out_now), (0, 0.0));
+    assert_eq!((b.endpoints[0].in_flight.len(), b.in_flight), (0, 0.0));
 }
 
 #[rstest]
@@ -1443,22 +1506,31 @@
 fn what_another_instance_learnt_holds_and_what_it_had_out_does_not() {
     let mut old = sidecar(Effect::Safe, 2);
     old.decide(NOW, retuned(&["w", "v"], Effect::Safe, 3));
-    old.endpoints.iter_mut().for_each(|e| e.known = true);
+    old.endpoints.iter_mut().for_each(|e| e.in_use = true);
     let e = &mut old.endpoints[1];
-    (e.pace.mean, e.limit, e.up_since, e.out) = (3.0, 7.0, Some(NOW - CALM), vec![NOW]);
-    e.by_verb = vec![
-        Few::default(),
-        Few {
-            bad: 1,
-            seen: 4,
-            ..Few::default()
+    (
+        e.latency.mean,
+        e.concurrency_limit,
+        e.started_at,
+        e.in_flight,
+    ) = (3.0, 7.0, Some(NOW - SMOOTHING), vec![NOW]);
+    e.outcomes_by_class = vec![
+        RecentOutcomes::default(),
+        RecentOutcomes {
+            failure_bits: 1,
+            count: 4,
+            ..RecentOutcomes::default()
         },
     ];
-    (old.window, old.duty.verbs[0].usual.mean, old.out_now) = (5.0, 0.7, 1.0);
+    (
+        old.in_flight_limit,
+        old.parameters.classes[0].answer_time.mean,
+        old.in_flight,
+    ) = (5.0, 0.7, 1.0);
     let memory = old.learned_state(|at| Some(format!("s-{at}")));
     assert_eq!(memory.endpoint_ids().collect::<Vec<_>>(), ["s-0", "s-1"]);
     let mut new = sidecar(Effect::Safe, 1);
-    new.endpoints[0].banned = Some(NOW);
+    new.endpoints[0].cordoned_since = Some(NOW);
     new.decide(
         NOW,
         Event::StateInherited {
@@ -1468,13 +1540,25 @@
     );
     let e = &new.endpoints[0];
     assert_eq!(
-        (e.pace.mean, e.limit, e.up_since),
-        (3.0, 7.0, Some(NOW - CALM))
+        (e.latency.mean, e.concurrency_limit, e.started_at),
+        (3.0, 7.0, Some(NOW - SMOOTHING))
+    );
+    assert_eq!(
+        (e.in_flight.len(), e.cordoned_since, new.in_flight),
+        (0, Some(NOW), 0.0)
     );
-    assert_eq!((e.out.len(), e.banned, new.out_now), (0, Some(NOW), 0.0));
-    assert_eq!((new.window, new.duty.verbs[0].usual.mean), (5.0, 0.7));
     assert_eq!(
-        e.by_verb.iter().map(|few| few.seen).collect::<Vec<_>>(),
+        (
+            new.in_flight_limit,
+            new.parameters.classes[0].answer_time.mean
+        ),
+        (5.0, 0.7)
+    );
+    assert_eq!(
+        e.outcomes_by_class
+            .iter()
+            .map(|few| few.count)
+            .collect::<Vec<_>>(),
         [0]
     );
 }
@@ -1486,25 +1570,25 @@
         (0..400)
             .filter(|n| {
                 b.now = NOW + *n * Duration::from_millis(5);
-                b.arrivals.add(b.now, 4 * CALM);
-                b.endpoints[0].pass_until = Duration::ZERO;
-                b.draw_pass();
-                b.endpoints[0].pass_until > b.now
+                b.arrivals.increment(b.now, 4 * SMOOTHING);
+                b.endpoints[0].permit_until = Duration::ZERO;
+                b.draw_slow_start_permit();
+                b.endpoints[0].permit_until > b.now
             })
             .count()
     };
     let mut old = sidecar(Effect::Safe, 4);
-    old.endpoints.iter_mut().for_each(|e| e.known = true);
-    old.endpoints[0].start_cold(NOW);
-    old.survey();
+    old.endpoints.iter_mut().for_each(|e| e.in_use = true);
+    old.endpoints[0].restart_cold(NOW);
+    old.refresh_fleet();
     (0..1600).for_each(|n| {
         let at = NOW - Duration::from_millis(5) * (1600 - n);
-        old.arrivals.add(at, 4 * CALM);
-        old.warm_kinds[0].served.add(at, 4 * CALM);
+        old.arrivals.increment(at, 4 * SMOOTHING);
+        old.warm_kinds[0].answers.increment(at, 4 * SMOOTHING);
     });
     let memory = Box::new(old.learned_state(|at| Some(at.to_string())));
     let mut new = sidecar(Effect::Safe, 4);
-    new.endpoints[0].start_cold(NOW);
+    new.endpoints[0].restart_cold(NOW);
     new.decide(
         NOW,
         Event::StateInherited {
@@ -1548,9 +1632,9 @@
             },
         );
     }
-    b.endpoints[1].holds = 9.0;
+    b.endpoints[1].load = 9.0;
     let mut out = b.decide(NOW, arrival(0));
-    (1..50).for_each(|cmd| out.extend(b.decide(NOW + CALM, arrival(cmd))));
+    (1..50).for_each(|cmd| out.extend(b.decide(NOW + SMOOTHING, arrival(cmd))));
     let met = |a: &Action| {
         matches!(
             a,
@@ -1566,31 +1650,31 @@
 #[rstest]
 fn one_call_back_ends_a_ban_however_often_it_was_told() {
     let mut b = sidecar(Effect::Safe, 1);
-    b.endpoints[0].up = true;
+    b.endpoints[0].running = true;
     (0..3).for_each(|_| drop(b.decide(NOW, cordoned(0, true))));
-    assert!(!b.endpoints[0].listed);
+    assert!(!b.endpoints[0].available);
     b.decide(NOW, cordoned(0, false));
-    assert!(b.endpoints[0].listed);
+    assert!(b.endpoints[0].available);
     // It never was out: nothing is forgotten.
-    b.endpoints[0].pace.count = 7.0;
+    b.endpoints[0].latency.count = 7.0;
     b.decide(NOW, cordoned(0, false));
-    assert_eq!(b.endpoints[0].pace.count, 7.0);
+    assert_eq!(b.endpoints[0].latency.count, 7.0);
 }
 
 // Restarted while it was out, and the list is late: what was seen before is another process's.
 #[rstest]
-#[case::list_is_late(None, NOW + CALM)]
-#[case::list_told(Some(NOW + CALM / 2), NOW + CALM / 2)]
+#[case::list_is_late(None, NOW + SMOOTHING)]
+#[case::list_told(Some(NOW + SMOOTHING / 2), NOW + SMOOTHING / 2)]
 fn called_back_an_endpoint_is_cold_and_nothing_old_of_it_holds(
     #[case] told: Option<Duration>,
     #[case] cold_from: Duration,
 ) {
     let mut b = sidecar(Effect::Safe, 2);
-    b.endpoints[0].up = true;
-    b.endpoints[0].last = Few {
-        bad: 0xff,
-        seen: 8,
-        ..Few::default()
+    b.endpoints[0].running = true;
+    b.endpoints[0].outcomes = RecentOutcomes {
+        failure_bits: 0xff,
+        count: 8,
+        ..RecentOutcomes::default()
     };
     b.decide(NOW, cordoned(0, true));
     if let Some(at) = told {
@@ -1602,10 +1686,10 @@
             },
         );
     }
-    b.decide(NOW + CALM, cordoned(0, false));
+    b.decide(NOW + SMOOTHING, cordoned(0, false));
     let e = &b.endpoints[0];
     assert_eq!(
-        (e.up_since, e.health(NOW + CALM, None), e.heard),
+        (e.started_at, e.health(NOW + SMOOTHING, None), e.reported_at),
         (Some(cold_from), 1.0, None)
     );
 }
@@ -1613,7 +1697,7 @@
 #[rstest]
 fn called_back_an_endpoint_is_tried_soon_also_where_little_comes() {
     let mut b = sidecar(Effect::Safe, 8);
-    b.endpoints.iter_mut().for_each(|e| e.up = true);
+    b.endpoints.iter_mut().for_each(|e| e.running = true);
     b.decide(NOW, cordoned(0, true));
     b.decide(NOW, cordoned(0, false));
     let (mut tried, spent) = (None, Duration::from_millis(1));
@@ -1666,7 +1750,7 @@
 #[rstest]
 fn where_all_are_out_by_hand_a_command_is_declined_at_once() {
     let mut b = sidecar(Effect::NonIdempotent, 2);
-    b.endpoints.iter_mut().for_each(|e| e.up = true);
+    b.endpoints.iter_mut().for_each(|e| e.running = true);
     (0..2).for_each(|at| drop(b.decide(NOW, cordoned(at, true))));
     let out = b.decide(NOW, arrival(0));
     assert!(
@@ -1682,13 +1766,13 @@
     let mut b = sidecar(Effect::Safe, 2);
     b.endpoints
         .iter_mut()
-        .for_each(|e| (e.up, e.heard) = (true, None));
+        .for_each(|e| (e.running, e.reported_at) = (true, None));
     assert_eq!(relays(&b.decide(NOW, arrival(0))), []);
     let mut out = b.decide(NOW, cordoned(0, true));
     (1..5).for_each(|n| {
         out.extend(b.decide(
-            NOW + n * CALM / 200,
-            Event::TimerFired { token: ALARM_QUEUE },
+            NOW + n * SMOOTHING / 200,
+            Event::TimerFired { token: TIMER_QUEUE },
         ))
     });
     assert_eq!(relays(&out), [1]);
@@ -1704,32 +1788,35 @@
     #[case] kinds: Option<Vec<usize>>,
 ) {
     let mut b = sidecar(Effect::Safe, 5);
-    b.duty.verbs[0].only = [zones, kinds];
+    b.parameters.classes[0].allowed = [zones, kinds];
     (
         b.endpoints[3].kind,
         b.endpoints[3].zone,
-        b.endpoints[3].holds,
+        b.endpoints[3].load,
     ) = (1, 1, 1.0);
     // The first relay, though all others are idle; the second copy and the second relay find nowhere to go.
     let first = b.decide(NOW, arrival(0));
     assert_eq!(relays(&first), [3]);
-    let copy = b.decide(NOW + CALM / 10, Event::TimerFired { token: ALARM_COPY });
+    let copy = b.decide(
+        NOW + SMOOTHING / 10,
+        Event::TimerFired { token: TIMER_HEDGE },
+    );
     assert_eq!(relays(&copy), []);
     let full = Event::RelayFinished {
         command: 0,
         relay: 0,
         outcome: Outcome::Overloaded,
-        elapsed: CALM / 10,
+        elapsed: SMOOTHING / 10,
         concluded: false,
         report: None,
     };
-    let mut then = b.decide(NOW + CALM / 10, full);
+    let mut then = b.decide(NOW + SMOOTHING / 10, full);
     // It waits, and is declined; a verb that is not bound finds the others meanwhile.
-    b.endpoints[3].listed = false;
+    b.endpoints[3].available = false;
     (1..20).for_each(|n| {
         then.extend(b.decide(
-            NOW + CALM / 10 + n * CALM / 40,
-            Event::TimerFired { token: ALARM_QUEUE },
+            NOW + SMOOTHING / 10 + n * SMOOTHING / 40,
+            Event::TimerFired { token: TIMER_QUEUE },
         ))
     });
     assert!(relays(&then).iter().all(|to| *to == 3), "{then:?}");
@@ -1744,20 +1831,20 @@
 #[rstest]
 fn a_bound_verb_that_waits_keeps_no_other_from_its_place() {
     let mut b = sidecar(Effect::Safe, 2);
-    b.duty.verbs.push(VerbDuty::of(
+    b.parameters.classes.push(RequestClass::from_config(
         &RequestClassConfig {
             utility: 9.0,
             ..verb(Effect::Safe)
         },
-        CALM / 20,
+        SMOOTHING / 20,
         3,
     ));
-    b.duty.verbs[1].only = [None, Some(vec![1])];
+    b.parameters.classes[1].allowed = [None, Some(vec![1])];
     b.commands = vec![
         Some(Command {
-            verb: 1,
+            class: 1,
             value: 9.0,
-            best: 9.0,
+            best_value: 9.0,
             ..command()
         }),
         None,
@@ -1825,34 +1912,34 @@
 fn sidecar(effect: Effect, endpoints: usize) -> Balancer {
     let mut b = Balancer::new(orders(effect));
     b.now = NOW;
-    b.endpoints = (0..endpoints).map(|_| Endpoint::unknown()).collect();
+    b.endpoints = (0..endpoints).map(|_| Endpoint::unused()).collect();
     b.endpoints
         .iter_mut()
-        .for_each(|e| (e.listed, e.heard) = (true, Some(NOW)));
+        .for_each(|e| (e.available, e.reported_at) = (true, Some(NOW)));
     b.commands = vec![None];
-    b.survey();
-    (0..endpoints).for_each(|at| b.meet(at));
+    b.refresh_fleet();
+    (0..endpoints).for_each(|at| b.bring_into_view(at));
     b
 }
 
 fn command() -> Command {
     Command {
-        verb: 0,
-        play: 0,
+        class: 0,
+        weight_set: 0,
         key: None,
-        came: NOW,
-        due: NOW + Duration::from_millis(400),
-        leave: NOW + Duration::from_millis(500),
+        arrived_at: NOW,
+        target_deadline: NOW + Duration::from_millis(400),
+        client_deadline: NOW + Duration::from_millis(500),
         value: 1.0,
-        best: 1.0,
-        hold_until: NOW,
-        last_call: NOW + Duration::from_millis(200),
-        waits: true,
-        over: false,
-        streams: false,
-        coming: false,
-        once: false,
-        rounds: 0,
+        best_value: 1.0,
+        probe_wait_until: NOW,
+        queue_deadline: NOW + Duration::from_millis(200),
+        queued: true,
+        concluded: false,
+        streaming: false,
+        body_pending: false,
+        body_not_replayable: false,
+        probe_rounds: 0,
         relays: vec![],
     }
 }
@@ -1862,13 +1949,13 @@
     let mut b = sidecar(effect, endpoints);
     let relay = Relay {
         endpoint: 0,
-        sent: NOW,
-        ahead: 0.0,
-        told: 0.0,
+        sent_at: NOW,
+        load_ahead: 0.0,
+        report_weight: 0.0,
         outcome: None,
     };
     b.commands[0] = Some(Command {
-        waits: false,
+        queued: false,
         relays: vec![relay],
         ..command()
     });
@@ -1943,8 +2030,11 @@
             weights: vec![(0, 1, 1.0), (1, 0, 1.0), (1, 2, 0.5), (1, 1, 0.0)],
         },
     );
-    b.commands[0] = Some(Command { play, ..command() });
-    let mut seen: Vec<_> = (0..200).filter_map(|_| b.pick(0, false)).collect();
+    b.commands[0] = Some(Command {
+        weight_set: play,
+        ..command()
+    });
+    let mut seen: Vec<_> = (0..200).filter_map(|_| b.pick_endpoint(0, false)).collect();
     seen.sort_unstable();
     seen.dedup();
     assert_eq!(seen, to);
@@ -1960,17 +2050,17 @@
             weights: vec![(0, 0, 1.0), (1, 1, 1.0)],
         },
     );
-    b.endpoints[0].listed = false;
+    b.endpoints[0].available = false;
     for cmd in 0..2 {
         b.commands.resize_with(2, || None);
         b.commands[cmd] = Some(Command {
-            play: cmd,
+            weight_set: cmd,
             value: 2.0 - cmd as f64,
             ..command()
         });
         b.queue.push(cmd);
     }
-    b.pump();
-    assert_eq!(relays(&b.out).len(), 1, "{:?}", b.out);
+    b.run_queue();
+    assert_eq!(relays(&b.actions).len(), 1, "{:?}", b.actions);
     assert_eq!(b.queue, [0]);
 }
--- a/crates/passroad-choice/src/shadow.rs
+++ b/crates/passroad-choice/src/shadow.rs
@@ -80,7 +80,7 @@
         let Some((other, counts)) = self.beside.as_deref_mut() else {
             return self.lead.decide(now, event);
         };
-        other.dice = self.lead.dice; // the same draws as far as they are as many
+        other.random_state = self.lead.random_state; // the same draws as far as they are as many
         // Under other orders the two would no longer speak of the same verbs.
         if matches!(event, Event::Reconfigured(_)) {
             self.beside = None;
@@ -91,7 +91,7 @@
         let beside = catch_unwind(AssertUnwindSafe(|| {
             let would = other.decide(now, heard);
             counts.add(lead, &done, &would);
-            other.follow(now, lead, &done, &would);
+            other.align_with(now, lead, &done, &would);
         }));
         // Guards against a fault in what is only watched that takes a command with it: the watch ends.
         if beside.is_err() {
@@ -120,7 +120,8 @@
     fn add(&mut self, lead: &Balancer, done: &[Action], would: &[Action]) {
         let ended = |cmd: &CommandIndex| {
             let cmd = *cmd;
-            matches!(fate(done, cmd), Some(None)) || lead.held(cmd).is_none_or(|c| c.over)
+            matches!(fate(done, cmd), Some(None))
+                || lead.open_command(cmd).is_none_or(|c| c.concluded)
         };
         let mut seen = Vec::new();
         for action in done.iter().chain(would) {
@@ -135,7 +136,7 @@
             }
             seen.push(*cmd);
             let copy = lead
-                .held(*cmd)
+                .open_command(*cmd)
                 .is_some_and(|c| c.relays.iter().filter(|r| r.outcome.is_none()).count() > 1);
             let kind = match (fate(done, *cmd), fate(would, *cmd)) {
                 (Some(a), Some(b)) if a == b => &mut self.same,
--- a/crates/passroad-choice/src/state.rs
+++ b/crates/passroad-choice/src/state.rs
@@ -1,7 +1,7 @@
 //! What the decisions remember, by how long it lives: for one relay, one command, one endpoint, one verb.
 //! Only shapes and sums stand here; what follows from them is decided in `choice.rs`.
 
-use crate::choice::{KEY_SLOTS, LEAST_GAIN};
+use crate::choice::{KEY_SLOTS, MIN_GAIN};
 use crate::{
     Action, CommandArrival, CommandIndex, DeduplicationScope, Effect, EndpointIndex, Outcome,
     RequestClassConfig,
@@ -9,29 +9,30 @@
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-const LATER: Duration = Duration::from_secs(86_400); // the time of a command whose body still comes
-const LONGEST_PAUSE: Duration = Duration::from_secs(60); // of an endpoint that can't be reached
-const OVER_WARM: Duration = Duration::from_secs(8); // answers of warm endpoints fade over this
-const SLOT_RESTS: Duration = Duration::from_secs(60); // a verb's, before another has it
-pub const ALARM_LIST: u64 = 0; // in an alarm's low bits; the command stands above them
-pub const ALARM_QUEUE: u64 = 1;
-pub const ALARM_COPY: u64 = 2;
-pub const ALARM_GOAL: u64 = 3;
+const BODY_PENDING_EXTENSION: Duration = Duration::from_secs(86_400); // the time of a command whose body still comes
+const MAX_RETRY_PAUSE: Duration = Duration::from_secs(60); // of an endpoint that can't be reached
+const WARM_RATE_DECAY: Duration = Duration::from_secs(8); // answers of warm endpoints fade over this
+const CLASS_SLOT_REUSE_DELAY: Duration = Duration::from_secs(60); // a verb's, before another has it
+pub const TIMER_LIST: u64 = 0; // in an alarm's low bits; the command stands above them
+pub const TIMER_QUEUE: u64 = 1;
+pub const TIMER_HEDGE: u64 = 2;
+pub const TIMER_TARGET: u64 = 3;
 
 /// A mean and a spread over the last few seconds.
 #[derive(Debug, Clone, Copy, Default, Serialize, Deserialize)]
-pub struct Pace {
+pub struct DecayingMean {
     pub mean: f64,
     pub spread: f64,
     pub count: f64,
-    pub at: Duration,
+    #[serde(rename = "at")]
+    pub updated_at: Duration,
 }
 
-impl Pace {
-    pub fn note(&mut self, now: Duration, value: f64, calm: Duration) {
-        self.count = self.count * fade(now, self.at, calm) + 1.0;
-        self.at = now;
-        let gain = (1.0 / self.count).max(LEAST_GAIN);
+impl DecayingMean {
+    pub fn record(&mut self, now: Duration, value: f64, calm: Duration) {
+        self.count = self.count * decay(now, self.updated_at, calm) + 1.0;
+        self.updated_at = now;
+        let gain = (1.0 / self.count).max(MIN_GAIN);
         let off = value - self.mean;
         self.mean += gain * off;
         self.spread += gain * (off.abs() - self.spread);
@@ -39,13 +40,13 @@
 }
 
 /// To a third in `over`, to nothing in 32 of it: an exponential but for its far end, at less CPU.
-pub fn fade(now: Duration, since: Duration, over: Duration) -> f64 {
+pub fn decay(now: Duration, since: Duration, over: Duration) -> f64 {
     let spans = now.saturating_sub(since).as_secs_f64() / over.as_secs_f64();
     (1.0 - spans / 32.0).max(0.0).powi(32)
 }
 
 /// What is left to chance of an endpoint's place for a key, the same wherever it is asked: exponential.
-pub fn luck(mark: u64, key: u64) -> f64 {
+pub fn key_rank(mark: u64, key: u64) -> f64 {
     let mixed = (mark ^ key).wrapping_mul(0x9e37_79b9_7f4a_7c15);
     let mixed = (mixed ^ mixed >> 32).wrapping_mul(0xd6e8_feb8_6659_fd93);
     -(((mixed ^ mixed >> 32) & 0xffff_ffff) as f64 / 4_294_967_296.0)
@@ -55,103 +56,105 @@
 
 /// A count that fades.
 #[derive(Debug, Clone, Copy, Default, Serialize, Deserialize)]
-pub struct Faded {
+pub struct DecayingCount {
     sum: f64,
-    at: Duration,
-    from: Duration,
+    #[serde(rename = "at")]
+    updated_at: Duration,
+    #[serde(rename = "from")]
+    started_at: Duration,
 }
 
-impl Faded {
-    pub fn add(&mut self, now: Duration, over: Duration) {
-        let from = if self.sum > 0.0 { self.from } else { now };
-        *self = Faded {
-            sum: self.sum * fade(now, self.at, over) + 1.0,
-            at: now,
-            from,
+impl DecayingCount {
+    pub fn increment(&mut self, now: Duration, over: Duration) {
+        let from = if self.sum > 0.0 { self.started_at } else { now };
+        *self = DecayingCount {
+            sum: self.sum * decay(now, self.updated_at, over) + 1.0,
+            updated_at: now,
+            started_at: from,
         };
     }
 
     /// Both counts in one.
-    fn with(&self, other: &Faded) -> Faded {
+    fn merged(&self, other: &DecayingCount) -> DecayingCount {
         if self.sum <= 0.0 || other.sum <= 0.0 {
             return if self.sum > 0.0 { *self } else { *other };
         }
-        let at = self.at.max(other.at);
-        let faded = |f: &Faded| f.sum * fade(at, f.at, OVER_WARM);
-        Faded {
+        let at = self.updated_at.max(other.updated_at);
+        let faded = |f: &DecayingCount| f.sum * decay(at, f.updated_at, WARM_RATE_DECAY);
+        DecayingCount {
             sum: faded(self) + faded(other),
-            at,
-            from: self.from.min(other.from),
+            updated_at: at,
+            started_at: self.started_at.min(other.started_at),
         }
     }
 
-    fn part(&self, share: f64) -> Faded {
-        Faded {
+    fn scaled(&self, share: f64) -> DecayingCount {
+        DecayingCount {
             sum: self.sum * share,
             ..*self
         }
     }
 
     /// One less, of those just added.
-    pub fn take_back(&mut self) {
+    pub fn undo_increment(&mut self) {
         self.sum = (self.sum - 1.0).max(0.0);
     }
 
     /// Counts a second, also while there are counts of a shorter time only.
-    pub fn young_rate(&self, now: Duration, over: Duration) -> f64 {
+    pub fn rate_over_age(&self, now: Duration, over: Duration) -> f64 {
         let young = now
-            .saturating_sub(self.from)
+            .saturating_sub(self.started_at)
             .clamp(over / 32, over)
             .as_secs_f64();
         self.rate(now, over) * over.as_secs_f64() / young
     }
 
     /// Counts a second of the time that there was to count in; the first only starts the clock.
-    pub fn fair_rate(&self, now: Duration, over: Duration) -> f64 {
-        let before = fade(now, self.from, over);
-        (self.sum * fade(now, self.at, over) - before).max(0.0)
+    pub fn unbiased_rate(&self, now: Duration, over: Duration) -> f64 {
+        let before = decay(now, self.started_at, over);
+        (self.sum * decay(now, self.updated_at, over) - before).max(0.0)
             / over.as_secs_f64()
             / (1.0 - before).max(0.12)
     }
 
     /// Counts a second.
     pub fn rate(&self, now: Duration, over: Duration) -> f64 {
-        self.sum * fade(now, self.at, over) / over.as_secs_f64()
+        self.sum * decay(now, self.updated_at, over) / over.as_secs_f64()
     }
 }
 
 /// What the warm endpoints of one kind answer, in place of what each of them could do.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct WarmKind {
-    pub served: Faded,
-    size: f64, // by the list, of those that are warm, or were last
-    pub some: bool,
-    pub last: f64, // a second, for one of size 1, when the last of them left
+    pub answers: DecayingCount,
+    weight: f64, // by the list, of those that are warm, or were last
+    pub any_warm: bool,
+    pub last_rate: f64, // a second, for one of size 1, when the last of them left
 }
 
 impl WarmKind {
     /// Other endpoints of it are warm now; what one of them answers stays as it was.
-    fn turn(&mut self, now: Duration, size: f64) {
-        self.last = if self.some && size <= 0.0 {
+    fn set_weight(&mut self, now: Duration, size: f64) {
+        self.last_rate = if self.any_warm && size <= 0.0 {
             self.rate(now)
         } else {
-            self.last
+            self.last_rate
         };
-        self.some = size > 0.0;
-        if self.some {
-            self.served.sum *= if self.size > 0.0 {
-                size / self.size
+        self.any_warm = size > 0.0;
+        if self.any_warm {
+            self.answers.sum *= if self.weight > 0.0 {
+                size / self.weight
             } else {
                 1.0
             };
-            self.size = size;
+            self.weight = size;
         }
     }
 
     /// Answers a second, for one of size 1.
     pub fn rate(&self, now: Duration) -> f64 {
-        if self.size > 0.0 {
-            self.served.fair_rate(now, OVER_WARM) / self.size
+        if self.weight > 0.0 {
+            self.answers.unbiased_rate(now, WARM_RATE_DECAY) / self.weight
         } else {
             0.0
         }
@@ -159,103 +162,110 @@
 }
 
 /// For one verb: what was ordered, and what was seen of it.
-pub struct VerbDuty {
+pub struct RequestClass {
     pub name: String,
     pub effect: Effect,
-    pub group: DeduplicationScope,
-    pub window: Duration,
-    pub goal: Duration,
-    pub limit: Duration,
-    pub stretch: f64,
+    pub deduplication_scope: DeduplicationScope,
+    pub deduplication_window: Duration,
+    pub deadline_target: Duration,
+    pub time_limit: Duration,
+    pub target_per_work: f64,
     pub utility: f64,
     pub late_utility: f64,
-    pub budget: Duration, // what most clients give, and how sure that is
-    pub budget_votes: u32,
-    pub asked: Faded,
-    pub served: Faded, // in time
-    pub usual: Pace,   // seconds that an answer takes
-    pub most_relays: usize,
-    pub only: [Option<Vec<usize>>; 2], // zones and kinds where it may run, if not all
-    pub retired: Option<Duration>,     // no command comes with it since then
+    pub usual_budget: Duration, // what most clients give, and how sure that is
+    pub budget_confidence: u32,
+    pub arrivals: DecayingCount,
+    pub served_in_time: DecayingCount, // in time
+    pub answer_time: DecayingMean,     // seconds that an answer takes
+    pub max_relays: usize,
+    pub allowed: [Option<Vec<usize>>; 2], // zones and kinds where it may run, if not all
+    pub retired_at: Option<Duration>,     // no command comes with it since then
 }
 
-impl VerbDuty {
-    pub fn of(v: &RequestClassConfig, usual: Duration, most_relays: usize) -> Self {
-        VerbDuty {
+impl RequestClass {
+    pub fn from_config(v: &RequestClassConfig, usual: Duration, most_relays: usize) -> Self {
+        RequestClass {
             name: v.name.clone(),
             effect: v.effect,
-            group: v.deduplication_scope,
-            window: v.deduplication_window,
-            goal: v.deadline_target,
-            limit: v.time_limit,
-            stretch: v.target_per_work,
+            deduplication_scope: v.deduplication_scope,
+            deduplication_window: v.deduplication_window,
+            deadline_target: v.deadline_target,
+            time_limit: v.time_limit,
+            target_per_work: v.target_per_work,
             utility: v.utility,
             late_utility: v.late_utility,
-            budget: Duration::ZERO,
-            budget_votes: 0,
-            asked: Faded::default(),
-            served: Faded::default(),
-            usual: Pace {
+            usual_budget: Duration::ZERO,
+            budget_confidence: 0,
+            arrivals: DecayingCount::default(),
+            served_in_time: DecayingCount::default(),
+            answer_time: DecayingMean {
                 mean: usual.as_secs_f64(),
-                ..Pace::default()
+                ..DecayingMean::default()
             },
-            most_relays,
-            only: [v.allowed_zones.clone(), v.allowed_kinds.clone()],
-            retired: None,
+            max_relays: most_relays,
+            allowed: [v.allowed_zones.clone(), v.allowed_kinds.clone()],
+            retired_at: None,
         }
     }
 
     /// Whether the orders are the same.
-    fn same(&self, other: &VerbDuty) -> bool {
-        let times = |v: &VerbDuty| [v.window, v.goal, v.limit];
-        let numbers = |v: &VerbDuty| [v.stretch, v.utility, v.late_utility];
+    fn same_config(&self, other: &RequestClass) -> bool {
+        let times = |v: &RequestClass| [v.deduplication_window, v.deadline_target, v.time_limit];
+        let numbers = |v: &RequestClass| [v.target_per_work, v.utility, v.late_utility];
         self.name == other.name
-            && (self.effect, self.group, self.most_relays)
-                == (other.effect, other.group, other.most_relays)
-            && (times(self), numbers(self), &self.only)
-                == (times(other), numbers(other), &other.only)
+            && (self.effect, self.deduplication_scope, self.max_relays)
+                == (other.effect, other.deduplication_scope, other.max_relays)
+            && (times(self), numbers(self), &self.allowed)
+                == (times(other), numbers(other), &other.allowed)
     }
 
-    pub fn bound(&self) -> bool {
-        self.only.iter().any(Option::is_some)
+    pub fn is_restricted(&self) -> bool {
+        self.allowed.iter().any(Option::is_some)
     }
 
     /// Whether it may run there.
-    pub fn placed(&self, e: &Endpoint) -> bool {
-        let [zones, kinds] = &self.only;
+    pub fn allowed_on(&self, e: &Endpoint) -> bool {
+        let [zones, kinds] = &self.allowed;
         zones.as_ref().is_none_or(|zones| zones.contains(&e.zone))
             && kinds.as_ref().is_none_or(|kinds| kinds.contains(&e.kind))
     }
 
     /// Other orders for the same verb: what was seen of it holds, but for what clients give.
-    fn learn(&mut self, before: &VerbDuty) {
-        (self.asked, self.served, self.usual) = (before.asked, before.served, before.usual);
+    fn adopt_statistics(&mut self, before: &RequestClass) {
+        (self.arrivals, self.served_in_time, self.answer_time) =
+            (before.arrivals, before.served_in_time, before.answer_time);
     }
 }
 
 /// The last few outcomes, one bit each.
 #[derive(Debug, Clone, Copy, Default, Serialize, Deserialize)]
-pub struct Few {
-    pub bad: u32,
-    pub seen: u32,
-    pub failed: Duration, // the last bad one
-    pub ailing: bool,     // told of as failing
+pub struct RecentOutcomes {
+    #[serde(rename = "bad")]
+    pub failure_bits: u32,
+    #[serde(rename = "seen")]
+    pub count: u32,
+    #[serde(rename = "failed")]
+    pub last_failure: Duration, // the last bad one
+    #[serde(rename = "ailing")]
+    pub failing: bool, // told of as failing
 }
 
-impl Few {
-    pub fn note(&mut self, now: Duration, outcome: Outcome, few: u32) {
+impl RecentOutcomes {
+    pub fn record(&mut self, now: Duration, outcome: Outcome, few: u32) {
         let bad = outcome != Outcome::Answered;
-        self.bad = self.bad << 1 | u32::from(bad);
-        self.seen = (self.seen + 1).min(few);
+        self.failure_bits = self.failure_bits << 1 | u32::from(bad);
+        self.count = (self.count + 1).min(few);
         if bad {
-            self.failed = now;
+            self.last_failure = now;
         }
     }
 
     /// Share of the good; where there are not even four they count as mostly good.
-    pub fn good(&self, few: u32) -> f64 {
-        let bad = (self.bad & ((1 << few) - 1)).count_ones().min(self.seen);
-        1.0 - f64::from(bad) / f64::from(self.seen.max(4))
+    pub fn success_share(&self, few: u32) -> f64 {
+        let bad = (self.failure_bits & ((1 << few) - 1))
+            .count_ones()
+            .min(self.count);
+        1.0 - f64::from(bad) / f64::from(self.count.max(4))
     }
 }
 
@@ -263,9 +273,9 @@
 #[derive(Clone, Copy)]
 pub struct Relay {
     pub endpoint: EndpointIndex,
-    pub sent: Duration,
-    pub ahead: f64, // what the endpoint was thought to hold
-    pub told: f64,  // of that, the weight of what it had reported itself
+    pub sent_at: Duration,
+    pub load_ahead: f64,    // what the endpoint was thought to hold
+    pub report_weight: f64, // of that, the weight of what it had reported itself
     pub outcome: Option<Outcome>,
 }
 
@@ -278,67 +288,70 @@
 /// For one command.
 #[derive(Clone)]
 pub struct Command {
-    pub verb: usize,
-    pub play: usize,
+    pub class: usize,
+    pub weight_set: usize,
     pub key: Option<u64>,
-    pub came: Duration,
-    pub due: Duration,   // its response goal passes
-    pub leave: Duration, // the client gives up
+    pub arrived_at: Duration,
+    pub target_deadline: Duration, // its response goal passes
+    pub client_deadline: Duration, // the client gives up
     pub value: f64,
-    pub best: f64,            // value of the verb worth most at that time
-    pub hold_until: Duration, // it waits for heartbeats
-    pub last_call: Duration,  // it is given up if it still waits
-    pub waits: bool,
-    pub over: bool,
-    pub streams: bool,
-    pub coming: bool, // its body is
-    pub once: bool,   // no other relay can be given its body
-    pub rounds: u32,  // of heartbeats after the first
+    pub best_value: f64,            // value of the verb worth most at that time
+    pub probe_wait_until: Duration, // it waits for heartbeats
+    pub queue_deadline: Duration,   // it is given up if it still waits
+    pub queued: bool,
+    pub concluded: bool,
+    pub streaming: bool,
+    pub body_pending: bool,        // its body is
+    pub body_not_replayable: bool, // no other relay can be given its body
+    pub probe_rounds: u32,         // of heartbeats after the first
     pub relays: Vec<Relay>,
 }
 
 impl Command {
-    pub fn come(a: &CommandArrival, now: Duration, due: Duration) -> Self {
+    pub fn new(a: &CommandArrival, now: Duration, due: Duration) -> Self {
         Command {
-            verb: a.class,
-            play: a.weight_set,
+            class: a.class,
+            weight_set: a.weight_set,
             key: None,
-            came: now,
-            due: due
+            arrived_at: now,
+            target_deadline: due
                 + if a.body_pending {
-                    LATER
+                    BODY_PENDING_EXTENSION
                 } else {
                     Duration::ZERO
                 },
-            leave: now
+            client_deadline: now
                 + a.budget
                 + if a.body_pending {
-                    LATER
+                    BODY_PENDING_EXTENSION
                 } else {
                     Duration::ZERO
                 },
             value: 0.0,
-            best: 1.0,
-            hold_until: now,
-            last_call: now,
-            waits: true,
-            over: false,
-            streams: false,
-            coming: a.body_pending,
-            once: false,
-            rounds: 0,
+            best_value: 1.0,
+            probe_wait_until: now,
+            queue_deadline: now,
+            queued: true,
+            concluded: false,
+            streaming: false,
+            body_pending: a.body_pending,
+            body_not_replayable: false,
+            probe_rounds: 0,
             relays: Vec::new(),
         }
     }
 
     /// Its body is there: its time runs from here, and that of its relays; where these are.
-    pub fn begin(&mut self, now: Duration) -> Vec<EndpointIndex> {
-        let late = now.saturating_sub(self.came);
-        (self.due, self.leave) = (self.due + late - LATER, self.leave + late - LATER);
-        self.coming = false;
+    pub fn body_complete(&mut self, now: Duration) -> Vec<EndpointIndex> {
+        let late = now.saturating_sub(self.arrived_at);
+        (self.target_deadline, self.client_deadline) = (
+            self.target_deadline + late - BODY_PENDING_EXTENSION,
+            self.client_deadline + late - BODY_PENDING_EXTENSION,
+        );
+        self.body_pending = false;
         let out = self.relays.iter_mut().filter(|r| r.outcome.is_none());
         let begun = out.map(|r| {
-            r.sent = now;
+            r.sent_at = now;
             r.endpoint
         });
         begun.collect()
@@ -348,125 +361,166 @@
 /// For one endpoint. What is out and open from here is no other instance's.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Endpoint {
-    pub mark: u64,
+    #[serde(rename = "mark")]
+    pub id_hash: u64,
     pub zone: usize,
     pub kind: usize,
     pub cell: usize,
-    pub rating: f64,
-    pub nominal: f64,             // the most that a live weight came to
-    pub size: f64,                // rating against the mean of the listed
-    pub known: bool,              // its slot is given out
-    pub up: bool,                 // by the list
-    pub listed: bool,             // and not out by hand
-    pub gone: bool,               // for good; a draining one is not listed either
-    pub banned: Option<Duration>, // out by hand, since then
-    pub owed: Option<Duration>,   // called back: from then on a send is due to it
+    #[serde(rename = "rating")]
+    pub weight: f64,
+    #[serde(rename = "nominal")]
+    pub max_live_weight: f64, // the most that a live weight came to
+    #[serde(rename = "size")]
+    pub capacity: f64, // rating against the mean of the listed
+    #[serde(rename = "known")]
+    pub in_use: bool, // its slot is given out
+    #[serde(rename = "up")]
+    pub running: bool, // by the list
+    #[serde(rename = "listed")]
+    pub available: bool, // and not out by hand
+    #[serde(rename = "gone")]
+    pub removed: bool, // for good; a draining one is not listed either
+    #[serde(rename = "banned")]
+    pub cordoned_since: Option<Duration>, // out by hand, since then
+    #[serde(rename = "owed")]
+    pub trial_due: Option<Duration>, // called back: from then on a send is due to it
     #[serde(skip)]
-    pub met: bool, // it is in view
+    pub in_view: bool, // it is in view
     #[serde(skip)]
-    pub plays: Vec<f64>, // its weight in each play, where routes are told
-    pub up_since: Option<Duration>, // cold from here, if it started lately
+    pub route_weights: Vec<f64>, // its weight in each play, where routes are told
+    #[serde(rename = "up_since")]
+    pub started_at: Option<Duration>, // cold from here, if it started lately
     #[serde(skip)]
-    pub pass_until: Duration, // a cold one may get one send until then
-    pub heard: Option<Duration>,
-    pub holds: f64,  // last reported, and own sends and answers since
-    pub errs: f64,   // share of errors that it reports
-    pub credit: f64, // how far its reports fit what it does
+    pub permit_until: Duration, // a cold one may get one send until then
+    #[serde(rename = "heard")]
+    pub reported_at: Option<Duration>,
+    #[serde(rename = "holds")]
+    pub load: f64, // last reported, and own sends and answers since
+    #[serde(rename = "errs")]
+    pub error_share: f64, // share of errors that it reports
+    #[serde(rename = "credit")]
+    pub report_credit: f64, // how far its reports fit what it does
     #[serde(skip)]
-    pub out: Vec<Duration>, // when own relays that are still out were sent
-    pub sends: Faded,
+    pub in_flight: Vec<Duration>, // when own relays that are still out were sent
+    pub sends: DecayingCount,
     #[serde(skip)]
-    pub used: Option<Duration>, // last relay; a connection is open from here
-    pub pace: Pace,
-    pub last: Few,         // of its outcomes
-    pub by_verb: Vec<Few>, // the same for each verb, as far as seen
-    pub harm: u32,         // of the last outcomes, those that failed though they may have run
-    pub harmed: Duration,
-    pub doubted: bool, // told of, as its reports do not fit
-    pub limit: f64,    // as it was when last changed
-    pub tried: Duration,
-    pub last_cut: Duration,
+    pub last_used: Option<Duration>, // last relay; a connection is open from here
+    #[serde(rename = "pace")]
+    pub latency: DecayingMean,
+    #[serde(rename = "last")]
+    pub outcomes: RecentOutcomes, // of its outcomes
+    #[serde(rename = "by_verb")]
+    pub outcomes_by_class: Vec<RecentOutcomes>, // the same for each verb, as far as seen
+    #[serde(rename = "harm")]
+    pub harmful_failures: u32, // of the last outcomes, those that failed though they may have run
+    #[serde(rename = "harmed")]
+    pub last_harmful_failure: Duration,
+    #[serde(rename = "doubted")]
+    pub reports_distrusted: bool, // told of, as its reports do not fit
+    #[serde(rename = "limit")]
+    pub concurrency_limit: f64, // as it was when last changed
+    #[serde(rename = "tried")]
+    pub limit_changed_at: Duration,
+    #[serde(rename = "last_cut")]
+    pub limit_cut_at: Duration,
     #[serde(skip)]
-    pub probing: Option<Duration>,
-    pub misses: u32,      // times in a row that it could not be reached
-    pub try_at: Duration, // no trial before
+    pub probe_sent_at: Option<Duration>,
+    #[serde(rename = "misses")]
+    pub times_unreachable: u32, // times in a row that it could not be reached
+    #[serde(rename = "try_at")]
+    pub retry_at: Duration, // no trial before
 }
 
 impl Endpoint {
-    pub fn unknown() -> Self {
+    pub fn unused() -> Self {
         Endpoint {
-            mark: 0,
+            id_hash: 0,
             zone: 0,
             kind: 0,
             cell: 0,
-            rating: 1.0,
-            nominal: 0.0,
-            size: 1.0,
-            known: false,
-            up: false,
-            listed: false,
-            gone: false,
-            banned: None,
-            owed: None,
-            met: false,
-            plays: Vec::new(),
-            up_since: None,
-            pass_until: Duration::ZERO,
-            heard: None,
-            holds: 0.0,
-            errs: 0.0,
-            credit: 1.0,
-            out: Vec::new(),
-            sends: Faded::default(),
-            used: None,
-            pace: Pace::default(),
-            last: Few::default(),
-            by_verb: Vec::new(),
-            harm: 0,
-            harmed: Duration::ZERO,
-            doubted: false,
-            limit: 1.0,
-            tried: Duration::ZERO,
-            last_cut: Duration::ZERO,
-            probing: None,
-            misses: 0,
-            try_at: Duration::ZERO,
+            weight: 1.0,
+            max_live_weight: 0.0,
+            capacity: 1.0,
+            in_use: false,
+            running: false,
+            available: false,
+            removed: false,
+            cordoned_since: None,
+            trial_due: None,
+            in_view: false,
+            route_weights: Vec::new(),
+            started_at: None,
+            permit_until: Duration::ZERO,
+            reported_at: None,
+            load: 0.0,
+            error_share: 0.0,
+            report_credit: 1.0,
+            in_flight: Vec::new(),
+            sends: DecayingCount::default(),
+            last_used: None,
+            latency: DecayingMean::default(),
+            outcomes: RecentOutcomes::default(),
+            outcomes_by_class: Vec::new(),
+            harmful_failures: 0,
+            last_harmful_failure: Duration::ZERO,
+            reports_distrusted: false,
+            concurrency_limit: 1.0,
+            limit_changed_at: Duration::ZERO,
+            limit_cut_at: Duration::ZERO,
+            probe_sent_at: None,
+            times_unreachable: 0,
+            retry_at: Duration::ZERO,
         }
     }
 }
 
 impl Endpoint {
     /// One more outcome among the last few.
-    pub fn note(&mut self, now: Duration, verb: usize, outcome: Outcome, few: u32) {
+    pub fn record_outcome(&mut self, now: Duration, verb: usize, outcome: Outcome, few: u32) {
         let harm = matches!(outcome, Outcome::Error | Outcome::ConnectionLost);
-        self.by_verb
-            .resize(self.by_verb.len().max(verb + 1), Few::default());
-        for last in [&mut self.last, &mut self.by_verb[verb]] {
-            last.note(now, outcome, few);
+        self.outcomes_by_class.resize(
+            self.outcomes_by_class.len().max(verb + 1),
+            RecentOutcomes::default(),
+        );
+        for last in [&mut self.outcomes, &mut self.outcomes_by_class[verb]] {
+            last.record(now, outcome, few);
         }
-        self.harm = self.harm << 1 | u32::from(harm);
-        self.harmed = if harm { now } else { self.harmed };
+        self.harmful_failures = self.harmful_failures << 1 | u32::from(harm);
+        self.last_harmful_failure = if harm { now } else { self.last_harmful_failure };
     }
 
     /// Nothing of what was learnt of it.
-    pub fn forget(&mut self) {
-        (self.last, self.by_verb, self.harm, self.pace) =
-            (Few::default(), Vec::new(), 0, Pace::default());
-        (self.misses, self.try_at, self.tried, self.met) =
-            (0, Duration::ZERO, Duration::ZERO, false);
+    pub fn forget_statistics(&mut self) {
+        (
+            self.outcomes,
+            self.outcomes_by_class,
+            self.harmful_failures,
+            self.latency,
+        ) = (
+            RecentOutcomes::default(),
+            Vec::new(),
+            0,
+            DecayingMean::default(),
+        );
+        (
+            self.times_unreachable,
+            self.retry_at,
+            self.limit_changed_at,
+            self.in_view,
+        ) = (0, Duration::ZERO, Duration::ZERO, false);
     }
 
     /// Another process now, or taken for one: nothing that is known of the old one holds.
-    pub fn start_cold(&mut self, since: Duration) {
-        let met = self.met;
-        self.forget();
-        (self.up_since, self.pass_until, self.met) = (Some(since), Duration::ZERO, met);
+    pub fn restart_cold(&mut self, since: Duration) {
+        let met = self.in_view;
+        self.forget_statistics();
+        (self.started_at, self.permit_until, self.in_view) = (Some(since), Duration::ZERO, met);
     }
 
     /// Share of harm among the last few outcomes; it fades, as what is avoided has no more of them.
-    pub fn harm(&self, now: Duration, few: u32, over: Duration) -> f64 {
-        let count = (self.harm & ((1 << few) - 1)).count_ones();
-        f64::from(count) / f64::from(few) * fade(now, self.harmed, over)
+    pub fn harmful_share(&self, now: Duration, few: u32, over: Duration) -> f64 {
+        let count = (self.harmful_failures & ((1 << few) - 1)).count_ones();
+        f64::from(count) / f64::from(few) * decay(now, self.last_harmful_failure, over)
     }
 }
 
@@ -474,25 +528,37 @@
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct LearnedState {
     endpoints: Vec<(String, Endpoint)>,
-    verbs: Vec<(String, usize, Habit)>, // each with its slot
-    mix: Vec<Faded>,
-    usual: Pace,
-    rtt: Duration,
-    sends: [Faded; 2],
-    warm_served: Faded,
-    arrivals: Faded,
-    numbers: [f64; 6],
-    marked: bool,
+    #[serde(rename = "verbs")]
+    classes: Vec<(String, usize, ClassStatistics)>, // each with its slot
+    #[serde(rename = "mix")]
+    tenant_arrivals: Vec<DecayingCount>,
+    #[serde(rename = "usual")]
+    latency: DecayingMean,
+    #[serde(rename = "rtt")]
+    probe_round_trip: Duration,
+    sends: [DecayingCount; 2],
+    #[serde(rename = "warm_served")]
+    warm_answers: DecayingCount,
+    arrivals: DecayingCount,
+    #[serde(rename = "numbers")]
+    scalars: [f64; 6],
+    #[serde(rename = "marked")]
+    retries_marked: bool,
 }
 
 /// What was seen of a verb.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-struct Habit {
-    budget: Duration,
-    budget_votes: u32,
-    asked: Faded,
-    served: Faded,
-    usual: Pace,
+struct ClassStatistics {
+    #[serde(rename = "budget")]
+    usual_budget: Duration,
+    #[serde(rename = "budget_votes")]
+    budget_confidence: u32,
+    #[serde(rename = "asked")]
+    arrivals: DecayingCount,
+    #[serde(rename = "served")]
+    served_in_time: DecayingCount,
+    #[serde(rename = "usual")]
+    answer_time: DecayingMean,
 }
 
 impl LearnedState {
@@ -503,205 +569,215 @@
 }
 
 /// Where a command may go.
-pub type May<'a> = &'a dyn Fn(&Endpoint) -> bool;
+pub type EndpointFilter<'a> = &'a dyn Fn(&Endpoint) -> bool;
 /// What a command is worth against the best, and what a failure of it costs.
-pub type Need = Option<(f64, f64)>;
+pub type Demand = Option<(f64, f64)>;
 
 /// For the life of the instance: one sidecar's decisions, which stand in `choice.rs`.
 #[derive(Default)]
 pub struct Balancer {
-    pub(crate) duty: DutySheet,
-    pub(crate) dice: u64,
+    pub(crate) parameters: Parameters,
+    pub(crate) random_state: u64,
     pub(crate) endpoints: Vec<Endpoint>,
-    pub(crate) listed: f64,             // how many of them are, one at least
-    pub(crate) warm: f64,               // size of those that are warm
-    pub(crate) met: Vec<EndpointIndex>, // those in view
-    pub(crate) colds: Vec<EndpointIndex>,
-    pub(crate) table: Vec<f64>, // running sum of the base weights of warm ones
-    pub(crate) next_survey: Duration,
+    pub(crate) available_count: f64, // how many of them are, one at least
+    pub(crate) warm_capacity: f64,   // size of those that are warm
+    pub(crate) in_view: Vec<EndpointIndex>, // those in view
+    pub(crate) cold_endpoints: Vec<EndpointIndex>,
+    pub(crate) cumulative_weights: Vec<f64>, // running sum of the base weights of warm ones
+    pub(crate) next_refresh: Duration,
     pub(crate) commands: Vec<Option<Command>>,
     pub(crate) queue: Vec<CommandIndex>,
-    pub(crate) mix: Vec<Faded>,  // arrivals by company
-    pub(crate) kinds: Vec<Pace>, // the same by kind
-    pub(crate) usual: Pace,      // pace of all endpoints, against each verb's usual
-    pub(crate) rtt: Duration,
-    pub(crate) sends: Faded,
-    pub(crate) all_sends: Faded,
+    pub(crate) tenant_arrivals: Vec<DecayingCount>, // arrivals by company
+    pub(crate) latency_by_kind: Vec<DecayingMean>,  // the same by kind
+    pub(crate) latency: DecayingMean, // pace of all endpoints, against each verb's usual
+    pub(crate) probe_round_trip: Duration,
+    pub(crate) sends_short: DecayingCount,
+    pub(crate) sends_long: DecayingCount,
     pub(crate) warm_kinds: Vec<WarmKind>,
-    pub(crate) pass_at: Duration, // when a pass was last drawn
-    pub(crate) arrivals: Faded,
-    pub(crate) keys: Vec<Faded>, // arrivals by key, a few keys to a slot
-    pub(crate) steered: bool,    // routes were told
-    pub(crate) marked: bool,     // clients mark repeats: one was seen
-    pub(crate) limit: f64,       // the usual one, at the usual size
-    pub(crate) window: f64,      // the same of what is out from here in all
-    pub(crate) out_now: f64,
-    pub(crate) worth: f64,   // of a usual command, against the best
-    pub(crate) well: f64,    // share of relays that are answered
-    pub(crate) faith: f64,   // credit of reports as a whole
-    pub(crate) found: f64,   // share of those asked for what waits that were open
-    pub(crate) spare: f64,   // further relays allowed now
-    pub(crate) closed: bool, // all that is listed is out by hand
-    pub(crate) listening: bool,
-    pub(crate) list_fails: u32,
+    pub(crate) permit_drawn_at: Duration, // when a pass was last drawn
+    pub(crate) arrivals: DecayingCount,
+    pub(crate) key_arrivals: Vec<DecayingCount>, // arrivals by key, a few keys to a slot
+    pub(crate) has_route_weights: bool,          // routes were told
+    pub(crate) retries_marked: bool,             // clients mark repeats: one was seen
+    pub(crate) usual_limit: f64,                 // the usual one, at the usual size
+    pub(crate) in_flight_limit: f64,             // the same of what is out from here in all
+    pub(crate) in_flight: f64,
+    pub(crate) mean_value: f64,    // of a usual command, against the best
+    pub(crate) success_rate: f64,  // share of relays that are answered
+    pub(crate) report_credit: f64, // credit of reports as a whole
+    pub(crate) probe_yield: f64,   // share of those asked for what waits that were open
+    pub(crate) retry_budget: f64,  // further relays allowed now
+    pub(crate) all_cordoned: bool, // all that is listed is out by hand
+    pub(crate) subscribed: bool,
+    pub(crate) list_failures: u32,
     pub(crate) shedding: bool,
-    pub(crate) shed_at: Duration,
-    pub(crate) ask_at: Duration,
-    pub(crate) wake: Duration, // when the queue is looked at next
+    pub(crate) overloaded_at: Duration,
+    pub(crate) next_queue_probe: Duration,
+    pub(crate) queue_timer_at: Duration, // when the queue is looked at next
     pub(crate) now: Duration,
-    pub(crate) out: Vec<Action>,
+    pub(crate) actions: Vec<Action>,
 }
 
 /// What the standing orders come to: the figures that decisions use.
 #[derive(Default)]
-pub struct DutySheet {
-    pub verbs: Vec<VerbDuty>,
-    pub goal_whole: f64, // what the result is made of
-    pub goal_verb: f64,
-    pub portions: Vec<f64>,
+pub struct Parameters {
+    pub classes: Vec<RequestClass>,
+    pub objective_total: f64, // what the result is made of
+    pub objective_worst_class: f64,
+    pub tenant_shares: Vec<f64>,
     pub surplus_utility: f64,
     pub own_zone: usize,
-    pub return_after: Option<Duration>,
-    pub may_recall: bool,
-    pub second_copies: bool,
-    pub listen: bool,
-    pub list_every: Duration,
+    pub max_retry_after: Option<Duration>,
+    pub cancellation_allowed: bool,
+    pub hedging_allowed: bool,
+    pub list_on_request: bool,
+    pub list_poll_interval: Duration,
     pub drain_grace: Duration,
-    pub heartbeats: usize,  // probes that one command is worth
-    pub asks: bool,         // for every command, whether or not it waits
-    pub finds: f64,         // probes that one open endpoint is worth to what waits
-    pub fresh: Duration,    // a report needs no heartbeat for so long
-    pub trust: Duration,    // so long a cut stands, and a first pause
-    pub believe: Duration,  // trust in a report falls to a third in this
-    pub hold: Duration,     // the longest wait for heartbeats
-    pub patience: Duration, // the wait that a queue may come to
+    pub probes_per_command: usize,   // probes that one command is worth
+    pub probe_every_command: bool,   // for every command, whether or not it waits
+    pub probes_per_find: f64,        // probes that one open endpoint is worth to what waits
+    pub report_fresh_for: Duration,  // a report needs no heartbeat for so long
+    pub recovery_interval: Duration, // so long a cut stands, and a first pause
+    pub report_decay: Duration,      // trust in a report falls to a third in this
+    pub max_probe_wait: Duration,    // the longest wait for heartbeats
+    pub max_queue_wait: Duration,    // the wait that a queue may come to
     pub tick: Duration,
     pub live_weights: bool,
     pub warm_keys: bool,
-    pub near: f64, // weight in another zone against the own
+    pub other_zone_weight: f64, // weight in another zone against the own
     pub idle_close: Duration,
-    pub one_stream: bool, // a connection carries one relay at a time
-    pub new_link: f64,    // load that a new connection counts as
-    pub cold_from: f64,
-    pub warm_within: Duration,
-    pub tip_after: Duration,
-    pub cold_share: f64, // of a warm one's sends, times the ramp
+    pub single_stream: bool,      // a connection carries one relay at a time
+    pub new_connection_load: f64, // load that a new connection counts as
+    pub cold_capacity: f64,
+    pub warm_up_time: Duration,
+    pub overload_window: Duration,
+    pub cold_send_share: f64, // of a warm one's sends, times the ramp
 }
 
 /// What every decision uses and none decides: chance, the log, what is held and in view, what
 /// the list adds up to.
 impl Balancer {
     /// Nothing seen yet.
-    pub(crate) fn fresh(duty: DutySheet, dice: u64) -> Self {
+    pub(crate) fn with_parameters(duty: Parameters, dice: u64) -> Self {
         Balancer {
-            mix: vec![Faded::default(); duty.portions.len()],
-            keys: vec![Faded::default(); if duty.warm_keys { KEY_SLOTS } else { 0 }],
-            rtt: duty.tick,
-            duty,
-            dice,
-            usual: Pace {
+            tenant_arrivals: vec![DecayingCount::default(); duty.tenant_shares.len()],
+            key_arrivals: vec![
+                DecayingCount::default();
+                if duty.warm_keys { KEY_SLOTS } else { 0 }
+            ],
+            probe_round_trip: duty.tick,
+            parameters: duty,
+            random_state: dice,
+            latency: DecayingMean {
                 mean: 1.0,
-                ..Pace::default()
+                ..DecayingMean::default()
             },
-            window: 1e6,
-            worth: 0.5,
-            well: 1.0,
-            listed: 1.0,
-            faith: 1.0,
-            found: 1.0,
+            in_flight_limit: 1e6,
+            mean_value: 0.5,
+            success_rate: 1.0,
+            available_count: 1.0,
+            report_credit: 1.0,
+            probe_yield: 1.0,
             ..Balancer::default()
         }
     }
 
     /// Which endpoints are in play, and with which base weight, is decided before; the draw is here.
-    pub(crate) fn steer(&mut self, weights: Vec<(usize, EndpointIndex, f64)>) {
-        self.steered = true;
+    pub(crate) fn set_route_weights(&mut self, weights: Vec<(usize, EndpointIndex, f64)>) {
+        self.has_route_weights = true;
         for (play, endpoint, weight) in weights {
             let Some(e) = self.endpoints.get_mut(endpoint) else {
                 continue;
             };
-            e.plays.resize(e.plays.len().max(play + 1), 0.0);
-            e.plays[play] = weight.clamp(0.0, 1e6);
+            e.route_weights
+                .resize(e.route_weights.len().max(play + 1), 0.0);
+            e.route_weights[play] = weight.clamp(0.0, 1e6);
         }
-        self.survey();
+        self.refresh_fleet();
     }
 
     /// Other orders: verbs that did not change keep their slots, all others get some that no command holds.
-    pub(crate) fn retune(&mut self, mut duty: DutySheet) {
-        let (new, now) = (std::mem::take(&mut duty.verbs), self.now);
-        duty.verbs = std::mem::take(&mut self.duty.verbs);
-        if duty.portions != self.duty.portions {
-            self.mix = vec![Faded::default(); duty.portions.len()];
+    pub(crate) fn reconfigure(&mut self, mut duty: Parameters) {
+        let (new, now) = (std::mem::take(&mut duty.classes), self.now);
+        duty.classes = std::mem::take(&mut self.parameters.classes);
+        if duty.tenant_shares != self.parameters.tenant_shares {
+            self.tenant_arrivals = vec![DecayingCount::default(); duty.tenant_shares.len()];
         }
-        self.keys.resize(
+        self.key_arrivals.resize(
             if duty.warm_keys {
-                self.keys.len().max(KEY_SLOTS)
+                self.key_arrivals.len().max(KEY_SLOTS)
             } else {
                 0
             },
-            Faded::default(),
+            DecayingCount::default(),
         );
-        self.duty = duty;
-        let live = |v: &VerbDuty| v.retired.is_none();
-        let stay = |old: &VerbDuty| new.iter().any(|v| v.same(old));
+        self.parameters = duty;
+        let live = |v: &RequestClass| v.retired_at.is_none();
+        let stay = |old: &RequestClass| new.iter().any(|v| v.same_config(old));
         for old in self
-            .duty
-            .verbs
+            .parameters
+            .classes
             .iter_mut()
-            .filter(|v| v.retired.is_none() && !stay(v))
+            .filter(|v| v.retired_at.is_none() && !stay(v))
         {
-            old.retired = Some(now);
+            old.retired_at = Some(now);
         }
         let mut verbs = Vec::with_capacity(new.len());
         for mut v in new {
-            let slots = &self.duty.verbs;
-            if let Some(at) = slots.iter().position(|old| live(old) && old.same(&v)) {
+            let slots = &self.parameters.classes;
+            if let Some(at) = slots
+                .iter()
+                .position(|old| live(old) && old.same_config(&v))
+            {
                 verbs.push(at);
                 continue;
             }
             let before = slots
                 .iter()
-                .rposition(|old| old.name == v.name && old.retired == Some(now));
-            before.iter().for_each(|at| v.learn(&slots[*at]));
-            let held = |at: usize| self.commands.iter().flatten().any(|c| c.verb == at);
+                .rposition(|old| old.name == v.name && old.retired_at == Some(now));
+            before.iter().for_each(|at| v.adopt_statistics(&slots[*at]));
+            let held = |at: usize| self.commands.iter().flatten().any(|c| c.class == at);
             let free = |at: &usize| {
-                let since = slots[*at].retired.map(|since| now.saturating_sub(since));
-                since.is_some_and(|since| since > SLOT_RESTS) && !held(*at)
+                let since = slots[*at].retired_at.map(|since| now.saturating_sub(since));
+                since.is_some_and(|since| since > CLASS_SLOT_REUSE_DELAY) && !held(*at)
             };
             let at = (0..slots.len()).find(free).unwrap_or(slots.len());
             for e in &mut self.endpoints {
                 let few = before
-                    .and_then(|at| e.by_verb.get(at))
+                    .and_then(|at| e.outcomes_by_class.get(at))
                     .copied()
                     .unwrap_or_default();
-                e.by_verb
-                    .resize(e.by_verb.len().max(at + 1), Few::default());
-                e.by_verb[at] = few;
+                e.outcomes_by_class.resize(
+                    e.outcomes_by_class.len().max(at + 1),
+                    RecentOutcomes::default(),
+                );
+                e.outcomes_by_class[at] = few;
             }
             if at == slots.len() {
-                self.duty.verbs.push(v);
+                self.parameters.classes.push(v);
             } else {
-                self.duty.verbs[at] = v;
+                self.parameters.classes[at] = v;
             }
             verbs.push(at);
         }
         for gone in self
-            .duty
-            .verbs
+            .parameters
+            .classes
             .iter_mut()
-            .filter(|v| v.retired == Some(now))
+            .filter(|v| v.retired_at == Some(now))
         {
-            (gone.asked, gone.served) = (Faded::default(), Faded::default());
+            (gone.arrivals, gone.served_in_time) =
+                (DecayingCount::default(), DecayingCount::default());
         }
         let names: Vec<_> = verbs
             .iter()
-            .map(|at| self.duty.verbs[*at].name.as_str())
+            .map(|at| self.parameters.classes[*at].name.as_str())
             .collect();
         let line = format!("other orders: verbs {}", names.join(", "));
         self.log(line);
-        self.out
+        self.actions
             .push(Action::ClassIndicesAssigned { classes: verbs });
-        self.survey();
+        self.refresh_fleet();
     }
 
     /// How an endpoint seems from here, for whoever is to take machines out: the share of what it may hold that it holds,
@@ -711,226 +787,269 @@
             return (None, true);
         };
         let told = e
-            .heard
+            .reported_at
             .is_some_and(|at| self.now.saturating_sub(at) < Duration::from_secs(5));
-        let busy = (e.holds.max(e.out.len() as f64) / (e.size * e.limit).max(1e-6)).clamp(0.0, 1.0);
-        (told.then_some(busy), e.last.ailing || e.try_at > self.now)
+        let busy = (e.load.max(e.in_flight.len() as f64)
+            / (e.capacity * e.concurrency_limit).max(1e-6))
+        .clamp(0.0, 1.0);
+        (
+            told.then_some(busy),
+            e.outcomes.failing || e.retry_at > self.now,
+        )
     }
 
     /// What was learnt here; `name` tells what an endpoint is called outside.
     pub fn learned_state(&self, name: impl Fn(EndpointIndex) -> Option<String>) -> LearnedState {
-        let known = self.endpoints.iter().enumerate().filter(|(_, e)| e.known);
-        let habit = |v: &VerbDuty| Habit {
-            budget: v.budget,
-            budget_votes: v.budget_votes,
-            asked: v.asked,
-            served: v.served,
-            usual: v.usual,
+        let known = self.endpoints.iter().enumerate().filter(|(_, e)| e.in_use);
+        let habit = |v: &RequestClass| ClassStatistics {
+            usual_budget: v.usual_budget,
+            budget_confidence: v.budget_confidence,
+            arrivals: v.arrivals,
+            served_in_time: v.served_in_time,
+            answer_time: v.answer_time,
         };
         let verbs = self
-            .duty
-            .verbs
+            .parameters
+            .classes
             .iter()
             .enumerate()
-            .filter(|(_, v)| v.retired.is_none());
+            .filter(|(_, v)| v.retired_at.is_none());
         LearnedState {
             endpoints: known
                 .filter_map(|(at, e)| Some((name(at)?, e.clone())))
                 .collect(),
-            verbs: verbs
+            classes: verbs
                 .map(|(at, v)| (v.name.clone(), at, habit(v)))
                 .collect(),
-            mix: self.mix.clone(),
-            usual: self.usual,
-            rtt: self.rtt,
-            sends: [self.sends, self.all_sends],
-            warm_served: self
+            tenant_arrivals: self.tenant_arrivals.clone(),
+            latency: self.latency,
+            probe_round_trip: self.probe_round_trip,
+            sends: [self.sends_short, self.sends_long],
+            warm_answers: self
                 .warm_kinds
                 .iter()
-                .fold(Faded::default(), |all, k| all.with(&k.served)),
+                .fold(DecayingCount::default(), |all, k| all.merged(&k.answers)),
             arrivals: self.arrivals,
-            numbers: [
-                self.limit,
-                self.window,
-                self.worth,
-                self.well,
-                self.faith,
-                self.spare,
+            scalars: [
+                self.usual_limit,
+                self.in_flight_limit,
+                self.mean_value,
+                self.success_rate,
+                self.report_credit,
+                self.retry_budget,
             ],
-            marked: self.marked,
+            retries_marked: self.retries_marked,
         }
     }
 
     /// Takes over what another instance learnt. What it had out is its own, and what the list says is newer here.
-    pub(crate) fn inherit(&mut self, memory: LearnedState, slots: &[Option<EndpointIndex>]) {
+    pub(crate) fn inherit_state(&mut self, memory: LearnedState, slots: &[Option<EndpointIndex>]) {
         let (now, count) = (self.now, memory.endpoints.len());
-        let mut from = vec![None; self.duty.verbs.len()];
-        for (name, slot, habit) in memory.verbs {
+        let mut from = vec![None; self.parameters.classes.len()];
+        for (name, slot, habit) in memory.classes {
             let Some(at) = self
-                .duty
-                .verbs
+                .parameters
+                .classes
                 .iter()
-                .position(|v| v.retired.is_none() && v.name == name)
+                .position(|v| v.retired_at.is_none() && v.name == name)
             else {
                 continue;
             };
-            let v = &mut self.duty.verbs[at];
-            (v.budget, v.budget_votes) = (habit.budget, habit.budget_votes);
-            (v.asked, v.served, v.usual) = (habit.asked, habit.served, habit.usual);
+            let v = &mut self.parameters.classes[at];
+            (v.usual_budget, v.budget_confidence) = (habit.usual_budget, habit.budget_confidence);
+            (v.arrivals, v.served_in_time, v.answer_time) =
+                (habit.arrivals, habit.served_in_time, habit.answer_time);
             from[at] = Some(slot);
         }
         for ((_, old), at) in memory.endpoints.into_iter().zip(slots) {
             let Some(e) = at.and_then(|at| self.endpoints.get_mut(at)) else {
                 continue;
             };
-            let by_verb = from
-                .iter()
-                .map(|slot| slot.and_then(|slot| old.by_verb.get(slot)).copied());
+            let by_verb = from.iter().map(|slot| {
+                slot.and_then(|slot| old.outcomes_by_class.get(slot))
+                    .copied()
+            });
             let by_verb = by_verb.map(Option::unwrap_or_default).collect();
             // Guards against times of a clock that ran ahead: an endpoint would stay cold, or untried, for as long.
-            let up_since = e.up_since.max(old.up_since.map(|up| up.min(now)));
-            let try_at = old.try_at.min(now + LONGEST_PAUSE);
+            let up_since = e.started_at.max(old.started_at.map(|up| up.min(now)));
+            let try_at = old.retry_at.min(now + MAX_RETRY_PAUSE);
             let new = std::mem::replace(
                 e,
                 Endpoint {
-                    by_verb,
-                    up_since,
-                    try_at,
+                    outcomes_by_class: by_verb,
+                    started_at: up_since,
+                    retry_at: try_at,
                     ..old
                 },
             );
-            (e.mark, e.zone, e.kind, e.cell) = (new.mark, new.zone, new.kind, new.cell);
-            (e.rating, e.nominal, e.size, e.known) =
-                (new.rating, new.nominal.max(e.nominal), new.size, new.known);
-            (e.up, e.listed, e.gone, e.banned) = (new.up, new.listed, new.gone, new.banned);
-            (e.out, e.used, e.probing, e.met, e.plays) =
-                (new.out, new.used, new.probing, new.met, new.plays);
+            (e.id_hash, e.zone, e.kind, e.cell) = (new.id_hash, new.zone, new.kind, new.cell);
+            (e.weight, e.max_live_weight, e.capacity, e.in_use) = (
+                new.weight,
+                new.max_live_weight.max(e.max_live_weight),
+                new.capacity,
+                new.in_use,
+            );
+            (e.running, e.available, e.removed, e.cordoned_since) =
+                (new.running, new.available, new.removed, new.cordoned_since);
+            (
+                e.in_flight,
+                e.last_used,
+                e.probe_sent_at,
+                e.in_view,
+                e.route_weights,
+            ) = (
+                new.in_flight,
+                new.last_used,
+                new.probe_sent_at,
+                new.in_view,
+                new.route_weights,
+            );
         }
-        if memory.mix.len() == self.mix.len() {
-            self.mix = memory.mix;
+        if memory.tenant_arrivals.len() == self.tenant_arrivals.len() {
+            self.tenant_arrivals = memory.tenant_arrivals;
         }
-        (self.usual, self.rtt, self.marked) = (memory.usual, memory.rtt, memory.marked);
-        [self.sends, self.all_sends] = memory.sends;
+        (self.latency, self.probe_round_trip, self.retries_marked) = (
+            memory.latency,
+            memory.probe_round_trip,
+            memory.retries_marked,
+        );
+        [self.sends_short, self.sends_long] = memory.sends;
         self.arrivals = memory.arrivals;
         [
-            self.limit,
-            self.window,
-            self.worth,
-            self.well,
-            self.faith,
-            self.spare,
-        ] = memory.numbers;
+            self.usual_limit,
+            self.in_flight_limit,
+            self.mean_value,
+            self.success_rate,
+            self.report_credit,
+            self.retry_budget,
+        ] = memory.scalars;
         self.log(format!(
             "what was learnt of {count} endpoints is taken over"
         ));
-        self.survey();
-        let all: f64 = self.warm_kinds.iter().map(|k| k.size).sum();
+        self.refresh_fleet();
+        let all: f64 = self.warm_kinds.iter().map(|k| k.weight).sum();
         for kind in &mut self.warm_kinds {
-            kind.served = memory.warm_served.part(kind.size / all.max(1e-9));
+            kind.answers = memory.warm_answers.scaled(kind.weight / all.max(1e-9));
         }
     }
 
     /// An answer of a warm endpoint.
-    pub(crate) fn note_warm(&mut self, at: EndpointIndex) {
+    pub(crate) fn record_warm_answer(&mut self, at: EndpointIndex) {
         let kind = self.endpoints[at].kind;
         self.warm_kinds
             .resize(self.warm_kinds.len().max(kind + 1), WarmKind::default());
-        self.warm_kinds[kind].served.add(self.now, OVER_WARM);
+        self.warm_kinds[kind]
+            .answers
+            .increment(self.now, WARM_RATE_DECAY);
     }
 
     /// Multiply-with-carry; a number from 0 up to 1.
-    pub(crate) fn chance(&mut self) -> f64 {
-        self.dice = (self.dice & 0xffff_ffff) * 4_294_957_665 + (self.dice >> 32);
-        (self.dice & 0xffff_ffff) as f64 / 4_294_967_296.0
+    pub(crate) fn random(&mut self) -> f64 {
+        self.random_state =
+            (self.random_state & 0xffff_ffff) * 4_294_957_665 + (self.random_state >> 32);
+        (self.random_state & 0xffff_ffff) as f64 / 4_294_967_296.0
     }
 
     pub(crate) fn log(&mut self, line: String) {
-        self.out.push(Action::Log(line));
+        self.actions.push(Action::Log(line));
     }
 
-    pub(crate) fn streams(&mut self, cmd: CommandIndex) {
+    pub(crate) fn mark_streaming(&mut self, cmd: CommandIndex) {
         self.commands
             .get_mut(cmd)
             .into_iter()
             .flatten()
-            .for_each(|c| c.streams = true);
+            .for_each(|c| c.streaming = true);
     }
 
-    pub(crate) fn spent(&mut self, cmd: CommandIndex) {
+    pub(crate) fn mark_body_not_replayable(&mut self, cmd: CommandIndex) {
         self.commands
             .get_mut(cmd)
             .into_iter()
             .flatten()
-            .for_each(|c| c.once = true);
+            .for_each(|c| c.body_not_replayable = true);
     }
 
     /// One more relay is at work there, unless its body still comes.
-    pub(crate) fn book(&mut self, at: EndpointIndex, sent: Duration, coming: bool) {
+    pub(crate) fn count_relay_in(&mut self, at: EndpointIndex, sent: Duration, coming: bool) {
         if coming {
             return;
         }
         let e = &mut self.endpoints[at];
-        e.out.push(sent);
-        e.holds = e.holds.max(0.0) + 1.0;
-        self.out_now += 1.0;
+        e.in_flight.push(sent);
+        e.load = e.load.max(0.0) + 1.0;
+        self.in_flight += 1.0;
     }
 
-    pub(crate) fn unbook(&mut self, at: EndpointIndex, sent: Duration, coming: bool) {
+    pub(crate) fn count_relay_out(&mut self, at: EndpointIndex, sent: Duration, coming: bool) {
         if coming {
             return;
         }
         let e = &mut self.endpoints[at];
-        e.holds -= 1.0;
-        e.out
+        e.load -= 1.0;
+        e.in_flight
             .iter()
             .position(|held| *held == sent)
-            .map(|gone| e.out.swap_remove(gone));
-        self.out_now -= 1.0;
+            .map(|gone| e.in_flight.swap_remove(gone));
+        self.in_flight -= 1.0;
     }
 
     /// Notes an outcome among the last few. One line when most of them are bad, and one when most are good again, of
     /// all verbs and of this one.
-    pub(crate) fn judge(&mut self, at: EndpointIndex, verb: usize, outcome: Outcome, few: u32) {
-        let (name, e) = (&self.duty.verbs[verb].name, &mut self.endpoints[at]);
-        e.note(self.now, verb, outcome, few);
-        for (last, what) in [(&mut e.last, "all verbs"), (&mut e.by_verb[verb], name)] {
-            let good = last.good(few);
-            if last.ailing != (good < if last.ailing { 0.75 } else { 0.5 }) {
-                last.ailing = !last.ailing;
-                let word = if last.ailing { "failing" } else { "well again" };
+    pub(crate) fn record_health(
+        &mut self,
+        at: EndpointIndex,
+        verb: usize,
+        outcome: Outcome,
+        few: u32,
+    ) {
+        let (name, e) = (&self.parameters.classes[verb].name, &mut self.endpoints[at]);
+        e.record_outcome(self.now, verb, outcome, few);
+        for (last, what) in [
+            (&mut e.outcomes, "all verbs"),
+            (&mut e.outcomes_by_class[verb], name),
+        ] {
+            let good = last.success_share(few);
+            if last.failing != (good < if last.failing { 0.75 } else { 0.5 }) {
+                last.failing = !last.failing;
+                let word = if last.failing {
+                    "failing"
+                } else {
+                    "well again"
+                };
                 let line = format!(
                     "endpoint {at} {word}, {what}: {:.0}% of its last outcomes good",
                     good * 100.0
                 );
-                self.out.push(Action::Log(line));
+                self.actions.push(Action::Log(line));
             }
         }
     }
 
-    pub(crate) fn held(&self, cmd: CommandIndex) -> Option<&Command> {
+    pub(crate) fn open_command(&self, cmd: CommandIndex) -> Option<&Command> {
         self.commands.get(cmd).and_then(Option::as_ref)
     }
 
-    pub(crate) fn meet(&mut self, at: EndpointIndex) {
-        if !std::mem::replace(&mut self.endpoints[at].met, true) {
-            self.met.push(at);
+    pub(crate) fn bring_into_view(&mut self, at: EndpointIndex) {
+        if !std::mem::replace(&mut self.endpoints[at].in_view, true) {
+            self.in_view.push(at);
         }
     }
 
-    pub(crate) fn view(&self) -> impl Iterator<Item = &Endpoint> {
-        self.met.iter().map(|at| &self.endpoints[*at])
+    pub(crate) fn endpoints_in_view(&self) -> impl Iterator<Item = &Endpoint> {
+        self.in_view.iter().map(|at| &self.endpoints[*at])
     }
 
-    pub(crate) fn tidy(&mut self, cmd: CommandIndex) {
-        let done = |c: &Command| c.over && c.relays.iter().all(|r| r.outcome.is_some());
-        if self.held(cmd).is_some_and(done) {
+    pub(crate) fn release_if_done(&mut self, cmd: CommandIndex) {
+        let done = |c: &Command| c.concluded && c.relays.iter().all(|r| r.outcome.is_some());
+        if self.open_command(cmd).is_some_and(done) {
             self.commands[cmd] = None;
-            self.out.push(Action::ReleaseCommand { command: cmd });
+            self.actions.push(Action::ReleaseCommand { command: cmd });
         }
     }
 
     /// Takes over what another instance did in place of what this one would have done, for the watch.
-    pub(crate) fn follow(
+    pub(crate) fn align_with(
         &mut self,
         now: Duration,
         lead: &Balancer,
@@ -947,15 +1066,15 @@
                     continue;
                 };
                 if back {
-                    e.sends.take_back();
-                    self.sends.take_back();
-                    self.all_sends.take_back();
-                    e.holds -= 1.0;
+                    e.sends.undo_increment();
+                    self.sends_short.undo_increment();
+                    self.sends_long.undo_increment();
+                    e.load -= 1.0;
                 } else {
-                    e.sends.add(now, over);
-                    self.sends.add(now, over / 4);
-                    self.all_sends.add(now, over);
-                    e.holds = e.holds.max(0.0) + 1.0;
+                    e.sends.increment(now, over);
+                    self.sends_short.increment(now, over / 4);
+                    self.sends_long.increment(now, over);
+                    e.load = e.load.max(0.0) + 1.0;
                 }
             }
         }
@@ -969,34 +1088,52 @@
             command.iter_mut().for_each(|c| c.key = key);
         }
         self.endpoints
-            .resize_with(lead.endpoints.len(), Endpoint::unknown);
+            .resize_with(lead.endpoints.len(), Endpoint::unused);
         for (e, led) in self.endpoints.iter_mut().zip(&lead.endpoints) {
-            e.out.clone_from(&led.out);
-            (e.used, e.probing, e.pass_until, e.owed) =
-                (led.used, led.probing, led.pass_until, led.owed);
+            e.in_flight.clone_from(&led.in_flight);
+            (e.last_used, e.probe_sent_at, e.permit_until, e.trial_due) = (
+                led.last_used,
+                led.probe_sent_at,
+                led.permit_until,
+                led.trial_due,
+            );
         }
         self.queue.clone_from(&lead.queue);
-        (self.spare, self.wake, self.ask_at) = (lead.spare, lead.wake, lead.ask_at);
-        (self.shedding, self.shed_at, self.listening) =
-            (lead.shedding, lead.shed_at, lead.listening);
-        self.out_now = self.endpoints.iter().map(|e| e.out.len() as f64).sum();
+        (
+            self.retry_budget,
+            self.queue_timer_at,
+            self.next_queue_probe,
+        ) = (
+            lead.retry_budget,
+            lead.queue_timer_at,
+            lead.next_queue_probe,
+        );
+        (self.shedding, self.overloaded_at, self.subscribed) =
+            (lead.shedding, lead.overloaded_at, lead.subscribed);
+        self.in_flight = self
+            .endpoints
+            .iter()
+            .map(|e| e.in_flight.len() as f64)
+            .sum();
     }
 
     /// Gives back the slots of endpoints that have left, once nothing is out on them and no command speaks of them.
     /// Guards against a list that changes all day: what is held would grow with every id that ever was.
-    fn part(&mut self) -> bool {
+    fn release_removed_endpoints(&mut self) -> bool {
         let mut wait = false;
         for at in 0..self.endpoints.len() {
             let e = &self.endpoints[at];
-            if !e.gone || e.up || e.banned.is_some() {
+            if !e.removed || e.running || e.cordoned_since.is_some() {
                 continue;
             }
             let tried = |c: &Command| c.relays.iter().any(|r| r.endpoint == at);
-            if e.out.is_empty() && e.probing.is_none() && !self.commands.iter().flatten().any(tried)
+            if e.in_flight.is_empty()
+                && e.probe_sent_at.is_none()
+                && !self.commands.iter().flatten().any(tried)
             {
-                self.endpoints[at] = Endpoint::unknown();
-                self.met.retain(|met| *met != at);
-                self.out.push(Action::ReleaseEndpoint { endpoint: at });
+                self.endpoints[at] = Endpoint::unused();
+                self.in_view.retain(|met| *met != at);
+                self.actions.push(Action::ReleaseEndpoint { endpoint: at });
             } else {
                 wait = true;
             }
@@ -1005,58 +1142,68 @@
     }
 
     /// Size by the list, and by how fast the answers of its kind are, which the list may not tell.
-    fn size(&self, e: &Endpoint) -> f64 {
-        let kind = self.kinds.get(e.kind).filter(|_| self.duty.heartbeats == 0);
+    fn estimated_weight(&self, e: &Endpoint) -> f64 {
+        let kind = self
+            .latency_by_kind
+            .get(e.kind)
+            .filter(|_| self.parameters.probes_per_command == 0);
         let faster = kind.filter(|k| k.count > 0.0).map_or(1.0, |k| {
-            let n = k.count * fade(self.now, k.at, Duration::from_secs(20));
-            self.usual.mean * (n + 2.0) / (k.mean * n + self.usual.mean * 2.0).max(1e-6)
+            let n = k.count * decay(self.now, k.updated_at, Duration::from_secs(20));
+            self.latency.mean * (n + 2.0) / (k.mean * n + self.latency.mean * 2.0).max(1e-6)
         });
-        e.rating * faster.clamp(0.2, 5.0)
+        e.weight * faster.clamp(0.2, 5.0)
     }
 
     /// What the list comes to: sizes, the cold ones, the warm ones as a table to draw from by base weight.
-    pub(crate) fn survey(&mut self) {
-        let wait = self.part();
-        let sizes: Vec<f64> = self.endpoints.iter().map(|e| self.size(e)).collect();
+    pub(crate) fn refresh_fleet(&mut self) {
+        let wait = self.release_removed_endpoints();
+        let sizes: Vec<f64> = self
+            .endpoints
+            .iter()
+            .map(|e| self.estimated_weight(e))
+            .collect();
         let ratings = self
             .endpoints
             .iter()
             .zip(&sizes)
-            .filter(|(e, _)| e.listed)
+            .filter(|(e, _)| e.available)
             .map(|(_, size)| *size);
         let (sum, count) = ratings.fold((0.0, 0.0), |(s, n): (f64, f64), r| (s + r, n + 1.0));
-        (self.listed, self.warm, self.next_survey) = (f64::max(count, 1.0), 0.0, Duration::MAX);
+        (self.available_count, self.warm_capacity, self.next_refresh) =
+            (f64::max(count, 1.0), 0.0, Duration::MAX);
         if wait {
-            self.next_survey = self.now;
+            self.next_refresh = self.now;
         }
-        (self.table, self.colds) = (Vec::new(), Vec::new());
-        self.closed = count == 0.0 && self.endpoints.iter().any(|e| e.up);
+        (self.cumulative_weights, self.cold_endpoints) = (Vec::new(), Vec::new());
+        self.all_cordoned = count == 0.0 && self.endpoints.iter().any(|e| e.running);
         let mut mass = 0.0;
         let mut kinds = vec![0.0; self.warm_kinds.len()];
         for (at, size) in sizes.into_iter().enumerate() {
-            self.endpoints[at].size = size * if sum > 0.0 { count / sum } else { 1.0 };
+            self.endpoints[at].capacity = size * if sum > 0.0 { count / sum } else { 1.0 };
             let e = &self.endpoints[at];
-            if e.listed && self.cold(e) {
-                self.colds.push(at);
-                let warm_at = e.up_since.unwrap_or_default() + self.duty.warm_within;
-                self.next_survey = self.next_survey.min(warm_at);
-            } else if e.listed {
-                self.warm += e.size;
+            if e.available && self.is_cold(e) {
+                self.cold_endpoints.push(at);
+                let warm_at = e.started_at.unwrap_or_default() + self.parameters.warm_up_time;
+                self.next_refresh = self.next_refresh.min(warm_at);
+            } else if e.available {
+                self.warm_capacity += e.capacity;
                 kinds.resize(kinds.len().max(e.kind + 1), 0.0);
-                kinds[e.kind] += e.rating;
-                mass += self.base(e, None);
+                kinds[e.kind] += e.weight;
+                mass += self.base_weight(e, None);
             }
-            self.table.push(mass);
+            self.cumulative_weights.push(mass);
         }
         self.warm_kinds.resize(kinds.len(), WarmKind::default());
         self.warm_kinds
             .iter_mut()
             .zip(kinds)
-            .for_each(|(kind, size)| kind.turn(self.now, size));
-        if self.duty.heartbeats == 0 {
-            self.next_survey = self.next_survey.min(self.now + Duration::from_secs(1));
+            .for_each(|(kind, size)| kind.set_weight(self.now, size));
+        if self.parameters.probes_per_command == 0 {
+            self.next_refresh = self.next_refresh.min(self.now + Duration::from_secs(1));
         }
         // Many become warm one by one: a while later is early enough.
-        self.next_survey = self.next_survey.max(self.now + self.duty.warm_within / 16);
+        self.next_refresh = self
+            .next_refresh
+            .max(self.now + self.parameters.warm_up_time / 16);
     }
 }
