--- a/crates/passroad-choice/src/choice.rs
+++ b/crates/passroad-choice/src/choice.rs
@@ -12,17 +12,71 @@
 //!   warm-up  a cold endpoint gets a send on a pass only: its ramp x the own rate to warm ones, by chance
 //!   list     subscribe or ask with jitter and back-off; what drains, is gone or out by hand gets nothing new
 
-pub use crate::state::Balancer;
-use crate::state::{
+mod state;
+#[cfg(test)]
+mod tests;
+
+use crate::{
+    Action, BalancerConfig, CommandArrival, CommandIndex, DeduplicationScope, Effect,
+    EndpointIndex, EndpointState, Event, ListUpdateKind, ListedEndpoint, LoadReport, Outcome,
+    ReportMode, RequestClassConfig,
+};
+pub use state::LearnedState;
+use state::{
     Command, DecayingCount, DecayingMean, Demand, Endpoint, EndpointFilter, Parameters,
-    RecentOutcomes, Relay, RequestClass, TIMER_HEDGE, TIMER_LIST, TIMER_QUEUE, TIMER_TARGET, decay,
-    key_rank,
+    RecentOutcomes, Relay, RequestClass, WarmKind, decay, key_rank,
 };
-use crate::*;
 use std::time::Duration;
 
-#[cfg(test)]
-mod tests;
+pub const TIMER_LIST: u64 = 0; // in an alarm's low bits; the command stands above them
+pub const TIMER_QUEUE: u64 = 1;
+pub const TIMER_HEDGE: u64 = 2;
+pub const TIMER_TARGET: u64 = 3;
+
+/// For the life of the instance: one sidecar's decisions, which stand in `choice.rs`.
+#[derive(Default)]
+pub struct Balancer {
+    pub(crate) parameters: Parameters,
+    pub(crate) random_state: u64,
+    pub(crate) endpoints: Vec<Endpoint>,
+    pub(crate) available_count: f64, // how many of them are, one at least
+    pub(crate) warm_capacity: f64,   // size of those that are warm
+    pub(crate) in_view: Vec<EndpointIndex>, // those in view
+    pub(crate) cold_endpoints: Vec<EndpointIndex>,
+    pub(crate) cumulative_weights: Vec<f64>, // running sum of the base weights of warm ones
+    pub(crate) next_refresh: Duration,
+    pub(crate) commands: Vec<Option<Command>>,
+    pub(crate) queue: Vec<CommandIndex>,
+    pub(crate) tenant_arrivals: Vec<DecayingCount>, // arrivals by company
+    pub(crate) latency_by_kind: Vec<DecayingMean>,  // the same by kind
+    pub(crate) latency: DecayingMean, // pace of all endpoints, against each verb's usual
+    pub(crate) probe_round_trip: Duration,
+    pub(crate) sends_short: DecayingCount,
+    pub(crate) sends_long: DecayingCount,
+    pub(crate) warm_kinds: Vec<WarmKind>,
+    pub(crate) permit_drawn_at: Duration, // when a pass was last drawn
+    pub(crate) arrivals: DecayingCount,
+    pub(crate) key_arrivals: Vec<DecayingCount>, // arrivals by key, a few keys to a slot
+    pub(crate) has_route_weights: bool,          // routes were told
+    pub(crate) retries_marked: bool,             // clients mark repeats: one was seen
+    pub(crate) usual_limit: f64,                 // the usual one, at the usual size
+    pub(crate) in_flight_limit: f64,             // the same of what is out from here in all
+    pub(crate) in_flight: f64,
+    pub(crate) mean_value: f64,    // of a usual command, against the best
+    pub(crate) success_rate: f64,  // share of relays that are answered
+    pub(crate) report_credit: f64, // credit of reports as a whole
+    pub(crate) probe_yield: f64,   // share of those asked for what waits that were open
+    pub(crate) retry_budget: f64,  // further relays allowed now
+    pub(crate) all_cordoned: bool, // all that is listed is out by hand
+    pub(crate) subscribed: bool,
+    pub(crate) list_failures: u32,
+    pub(crate) shedding: bool,
+    pub(crate) overloaded_at: Duration,
+    pub(crate) next_queue_probe: Duration,
+    pub(crate) queue_timer_at: Duration, // when the queue is looked at next
+    pub(crate) now: Duration,
+    pub(crate) actions: Vec<Action>,
+}
 
 const LOAD_SCORE_SHARE: f64 = 0.5; // of the score; own mean and tail latency share the rest
 const MIN_SCORE: f64 = 0.02; // near-zero scores must recover, so none is zero
@@ -78,6 +132,49 @@
         }
     }
 
+    /// Nothing seen yet.
+    pub(crate) fn with_parameters(duty: Parameters, dice: u64) -> Self {
+        Balancer {
+            tenant_arrivals: vec![DecayingCount::default(); duty.tenant_shares.len()],
+            key_arrivals: vec![
+                DecayingCount::default();
+                if duty.warm_keys { KEY_SLOTS } else { 0 }
+            ],
+            probe_round_trip: duty.tick,
+            parameters: duty,
+            random_state: dice,
+            latency: DecayingMean {
+                mean: 1.0,
+                ..DecayingMean::default()
+            },
+            in_flight_limit: 1e6,
+            mean_value: 0.5,
+            success_rate: 1.0,
+            available_count: 1.0,
+            report_credit: 1.0,
+            probe_yield: 1.0,
+            ..Balancer::default()
+        }
+    }
+
+    /// How an endpoint seems from here, for whoever is to take machines out: the share of what it may hold that it holds,
+    /// where it has said so lately, and whether it fails or can't be reached.
+    pub fn endpoint_load(&self, at: EndpointIndex) -> (Option<f64>, bool) {
+        let Some(e) = self.endpoints.get(at) else {
+            return (None, true);
+        };
+        let told = e
+            .reported_at
+            .is_some_and(|at| self.now.saturating_sub(at) < Duration::from_secs(5));
+        let busy = (e.load.max(e.in_flight.len() as f64)
+            / (e.capacity * e.concurrency_limit).max(1e-6))
+        .clamp(0.0, 1.0);
+        (
+            told.then_some(busy),
+            e.outcomes.failing || e.retry_at > self.now,
+        )
+    }
+
     fn derive_parameters(orders: BalancerConfig) -> Parameters {
         let goals = orders
             .classes
@@ -347,8 +444,6 @@
         }
     }
 
-    // ---- what endpoints show ----
-
     fn on_probe_finished(
         &mut self,
         at: EndpointIndex,
@@ -471,8 +566,6 @@
         }
     }
 
-    // ---- ordinary path: score, weight, draw ----
-
     /// By the list and the zone, or by what routes say of a play; with none named, its most.
     pub(crate) fn base_weight(&self, e: &Endpoint, play: Option<usize>) -> f64 {
         let most = || e.route_weights.iter().copied().fold(0.0, f64::max);
@@ -704,8 +797,6 @@
             .any(|e| self.estimated_load(e, usual) < 0.5 * e.capacity)
     }
 
-    // ---- warm-up ----
-
     pub(crate) fn is_cold(&self, e: &Endpoint) -> bool {
         e.started_at
             .is_some_and(|up| self.now.saturating_sub(up) < self.parameters.warm_up_time)
@@ -779,8 +870,6 @@
         }
     }
 
-    // ---- commands ----
-
     fn on_command_arrived(&mut self, a: CommandArrival) {
         let v = &self.parameters.classes[a.class];
         let goal = (v.deadline_target + a.work.unwrap_or_default().mul_f64(v.target_per_work))
@@ -1516,6 +1605,17 @@
         self.queue.retain(|q| *q != cmd);
         self.release_if_done(cmd);
     }
+
+    /// Multiply-with-carry; a number from 0 up to 1.
+    pub(crate) fn random(&mut self) -> f64 {
+        self.random_state =
+            (self.random_state & 0xffff_ffff) * 4_294_957_665 + (self.random_state >> 32);
+        (self.random_state & 0xffff_ffff) as f64 / 4_294_967_296.0
+    }
+
+    pub(crate) fn log(&mut self, line: String) {
+        self.actions.push(Action::Log(line));
+    }
 }
 
 impl RequestClass {
--- a/crates/passroad-choice/src/state.rs
+++ b/crates/passroad-choice/src/choice/state.rs
@@ -1,7 +1,7 @@
 //! What the decisions remember, by how long it lives: for one relay, one command, one endpoint, one verb.
 //! Only shapes and sums stand here; what follows from them is decided in `choice.rs`.
 
-use crate::choice::{KEY_SLOTS, MIN_GAIN};
+use super::{Balancer, KEY_SLOTS, MIN_GAIN};
 use crate::{
     Action, CommandArrival, CommandIndex, DeduplicationScope, Effect, EndpointIndex, Outcome,
     RequestClassConfig,
@@ -13,10 +13,6 @@
 const MAX_RETRY_PAUSE: Duration = Duration::from_secs(60); // of an endpoint that can't be reached
 const WARM_RATE_DECAY: Duration = Duration::from_secs(8); // answers of warm endpoints fade over this
 const CLASS_SLOT_REUSE_DELAY: Duration = Duration::from_secs(60); // a verb's, before another has it
-pub const TIMER_LIST: u64 = 0; // in an alarm's low bits; the command stands above them
-pub const TIMER_QUEUE: u64 = 1;
-pub const TIMER_HEDGE: u64 = 2;
-pub const TIMER_TARGET: u64 = 3;
 
 /// A mean and a spread over the last few seconds.
 #[derive(Debug, Clone, Copy, Default, Serialize, Deserialize)]
@@ -570,54 +566,10 @@
 
 /// Where a command may go.
 pub type EndpointFilter<'a> = &'a dyn Fn(&Endpoint) -> bool;
+
 /// What a command is worth against the best, and what a failure of it costs.
 pub type Demand = Option<(f64, f64)>;
 
-/// For the life of the instance: one sidecar's decisions, which stand in `choice.rs`.
-#[derive(Default)]
-pub struct Balancer {
-    pub(crate) parameters: Parameters,
-    pub(crate) random_state: u64,
-    pub(crate) endpoints: Vec<Endpoint>,
-    pub(crate) available_count: f64, // how many of them are, one at least
-    pub(crate) warm_capacity: f64,   // size of those that are warm
-    pub(crate) in_view: Vec<EndpointIndex>, // those in view
-    pub(crate) cold_endpoints: Vec<EndpointIndex>,
-    pub(crate) cumulative_weights: Vec<f64>, // running sum of the base weights of warm ones
-    pub(crate) next_refresh: Duration,
-    pub(crate) commands: Vec<Option<Command>>,
-    pub(crate) queue: Vec<CommandIndex>,
-    pub(crate) tenant_arrivals: Vec<DecayingCount>, // arrivals by company
-    pub(crate) latency_by_kind: Vec<DecayingMean>,  // the same by kind
-    pub(crate) latency: DecayingMean, // pace of all endpoints, against each verb's usual
-    pub(crate) probe_round_trip: Duration,
-    pub(crate) sends_short: DecayingCount,
-    pub(crate) sends_long: DecayingCount,
-    pub(crate) warm_kinds: Vec<WarmKind>,
-    pub(crate) permit_drawn_at: Duration, // when a pass was last drawn
-    pub(crate) arrivals: DecayingCount,
-    pub(crate) key_arrivals: Vec<DecayingCount>, // arrivals by key, a few keys to a slot
-    pub(crate) has_route_weights: bool,          // routes were told
-    pub(crate) retries_marked: bool,             // clients mark repeats: one was seen
-    pub(crate) usual_limit: f64,                 // the usual one, at the usual size
-    pub(crate) in_flight_limit: f64,             // the same of what is out from here in all
-    pub(crate) in_flight: f64,
-    pub(crate) mean_value: f64,    // of a usual command, against the best
-    pub(crate) success_rate: f64,  // share of relays that are answered
-    pub(crate) report_credit: f64, // credit of reports as a whole
-    pub(crate) probe_yield: f64,   // share of those asked for what waits that were open
-    pub(crate) retry_budget: f64,  // further relays allowed now
-    pub(crate) all_cordoned: bool, // all that is listed is out by hand
-    pub(crate) subscribed: bool,
-    pub(crate) list_failures: u32,
-    pub(crate) shedding: bool,
-    pub(crate) overloaded_at: Duration,
-    pub(crate) next_queue_probe: Duration,
-    pub(crate) queue_timer_at: Duration, // when the queue is looked at next
-    pub(crate) now: Duration,
-    pub(crate) actions: Vec<Action>,
-}
-
 /// What the standing orders come to: the figures that decisions use.
 #[derive(Default)]
 pub struct Parameters {
@@ -657,31 +609,6 @@
 /// What every decision uses and none decides: chance, the log, what is held and in view, what
 /// the list adds up to.
 impl Balancer {
-    /// Nothing seen yet.
-    pub(crate) fn with_parameters(duty: Parameters, dice: u64) -> Self {
-        Balancer {
-            tenant_arrivals: vec![DecayingCount::default(); duty.tenant_shares.len()],
-            key_arrivals: vec![
-                DecayingCount::default();
-                if duty.warm_keys { KEY_SLOTS } else { 0 }
-            ],
-            probe_round_trip: duty.tick,
-            parameters: duty,
-            random_state: dice,
-            latency: DecayingMean {
-                mean: 1.0,
-                ..DecayingMean::default()
-            },
-            in_flight_limit: 1e6,
-            mean_value: 0.5,
-            success_rate: 1.0,
-            available_count: 1.0,
-            report_credit: 1.0,
-            probe_yield: 1.0,
-            ..Balancer::default()
-        }
-    }
-
     /// Which endpoints are in play, and with which base weight, is decided before; the draw is here.
     pub(crate) fn set_route_weights(&mut self, weights: Vec<(usize, EndpointIndex, f64)>) {
         self.has_route_weights = true;
@@ -780,24 +707,6 @@
         self.refresh_fleet();
     }
 
-    /// How an endpoint seems from here, for whoever is to take machines out: the share of what it may hold that it holds,
-    /// where it has said so lately, and whether it fails or can't be reached.
-    pub fn endpoint_load(&self, at: EndpointIndex) -> (Option<f64>, bool) {
-        let Some(e) = self.endpoints.get(at) else {
-            return (None, true);
-        };
-        let told = e
-            .reported_at
-            .is_some_and(|at| self.now.saturating_sub(at) < Duration::from_secs(5));
-        let busy = (e.load.max(e.in_flight.len() as f64)
-            / (e.capacity * e.concurrency_limit).max(1e-6))
-        .clamp(0.0, 1.0);
-        (
-            told.then_some(busy),
-            e.outcomes.failing || e.retry_at > self.now,
-        )
-    }
-
     /// What was learnt here; `name` tells what an endpoint is called outside.
     pub fn learned_state(&self, name: impl Fn(EndpointIndex) -> Option<String>) -> LearnedState {
         let known = self.endpoints.iter().enumerate().filter(|(_, e)| e.in_use);
@@ -943,17 +852,6 @@
             .increment(self.now, WARM_RATE_DECAY);
     }
 
-    /// Multiply-with-carry; a number from 0 up to 1.
-    pub(crate) fn random(&mut self) -> f64 {
-        self.random_state =
-            (self.random_state & 0xffff_ffff) * 4_294_957_665 + (self.random_state >> 32);
-        (self.random_state & 0xffff_ffff) as f64 / 4_294_967_296.0
-    }
-
-    pub(crate) fn log(&mut self, line: String) {
-        self.actions.push(Action::Log(line));
-    }
-
     pub(crate) fn mark_streaming(&mut self, cmd: CommandIndex) {
         self.commands
             .get_mut(cmd)
--- a/crates/passroad-choice/src/choice/tests.rs
+++ b/crates/passroad-choice/src/choice/tests.rs
@@ -1,8 +1,20 @@
 //! Each test builds the state that it needs and calls the module once; helpers stand at the end.
 
-use super::*;
+use super::state::{
+    Command, DecayingCount, DecayingMean, Endpoint, RecentOutcomes, Relay, RequestClass,
+};
+use super::{
+    Balancer, HOMES_FACTOR, INITIAL_LIMIT, KEY_SLOTS, RECENT_OUTCOMES, SMOOTHING, TIMER_HEDGE,
+    TIMER_LIST, TIMER_QUEUE,
+};
 use crate::interner::stable_hash;
+use crate::{
+    Action, BalancerConfig, CommandArrival, CommandIndex, DeduplicationScope, Effect,
+    EndpointIndex, EndpointState, Event, ListUpdateKind, ListedEndpoint, LoadReport, Outcome,
+    ReportMode, RequestClassConfig,
+};
 use rstest::rstest;
+use std::time::Duration;
 
 const NOW: Duration = Duration::from_secs(100);
 
--- a/crates/passroad-choice/src/lib.rs
+++ b/crates/passroad-choice/src/lib.rs
@@ -6,9 +6,8 @@
 pub mod choice;
 pub mod interner;
 pub mod shadow;
-mod state;
 
-pub use state::LearnedState;
+pub use choice::LearnedState;
 
 use std::time::Duration;
 
