--- a/crates/passroad-choice/src/choice.rs
+++ b/crates/passroad-choice/src/choice.rs
@@ -13,6 +13,7 @@
 //!   list     subscribe or ask with jitter and back-off; what drains, is gone or out by hand gets nothing new
 
 mod state;
+mod statistics;
 #[cfg(test)]
 mod tests;
 
@@ -23,9 +24,9 @@
 };
 pub use state::LearnedState;
 use state::{
-    Command, DecayingCount, DecayingMean, Demand, Endpoint, EndpointFilter, Parameters,
-    RecentOutcomes, Relay, RequestClass, WarmKind, decay, key_rank,
+    Command, Demand, Endpoint, EndpointFilter, Parameters, Relay, RequestClass, WarmKind, key_rank,
 };
+use statistics::{DecayingCount, DecayingMean, MIN_GAIN, RecentOutcomes, SMOOTHING, decay};
 use std::time::Duration;
 
 pub const TIMER_LIST: u64 = 0; // in an alarm's low bits; the command stands above them
@@ -88,12 +89,10 @@
 const FAILURE_RISK: f64 = 2.0; // a sure failure, as commands ahead; five times that where it is the last word
 const EXTRA_PROBE_ROUNDS: u32 = 1; // of heartbeats after the first, for one command
 const FULL_VIEW_ENDPOINTS: usize = 32; // endpoints; so few are all in view
-pub(crate) const MIN_GAIN: f64 = 0.02; // of a sample, however many came before
 const MIN_CLASS_RATE: f64 = 0.1; // a second; so little asked says little of how a verb is served
 pub(crate) const KEY_SLOTS: usize = 4096;
 const HOMES_FACTOR: f64 = 1.5; // for a key, against those that its part of all commands would fill
 const RESERVE_HOME_SHARE: f64 = 0.05;
-const SMOOTHING: Duration = Duration::from_secs(2); // own figures are smoothed over this
 
 impl Endpoint {
     /// Share of successes among the last few outcomes, of all verbs and of this one. Guards against a verb
@@ -109,19 +108,6 @@
     }
 }
 
-impl DecayingMean {
-    /// Mean, and a tail of two spreads above it. RecentOutcomes samples say little of a mean and less of a tail: both
-    /// are drawn toward the usual.
-    fn estimate(&self, now: Duration, calm: Duration, usual: &DecayingMean) -> (f64, f64) {
-        let n = self.count * decay(now, self.updated_at, calm);
-        let mean = (self.mean * n + usual.mean * 2.0) / (n + 2.0);
-        (
-            mean,
-            mean + 2.0 * (self.spread * n + usual.spread * 8.0) / (n + 8.0),
-        )
-    }
-}
-
 impl Balancer {
     pub fn new(orders: BalancerConfig) -> Self {
         let (seed, duty) = (orders.seed | 1, Balancer::derive_parameters(orders));
--- a/crates/passroad-choice/src/choice/state.rs
+++ b/crates/passroad-choice/src/choice/state.rs
@@ -1,7 +1,8 @@
 //! What the decisions remember, by how long it lives: for one relay, one command, one endpoint, one verb.
 //! Only shapes and sums stand here; what follows from them is decided in `choice.rs`.
 
-use super::{Balancer, KEY_SLOTS, MIN_GAIN};
+use super::statistics::{DecayingCount, DecayingMean, RecentOutcomes, decay};
+use super::{Balancer, KEY_SLOTS};
 use crate::{
     Action, CommandArrival, CommandIndex, DeduplicationScope, Effect, EndpointIndex, Outcome,
     RequestClassConfig,
@@ -14,33 +15,6 @@
 const WARM_RATE_DECAY: Duration = Duration::from_secs(8); // answers of warm endpoints fade over this
 const CLASS_SLOT_REUSE_DELAY: Duration = Duration::from_secs(60); // a verb's, before another has it
 
-/// A mean and a spread over the last few seconds.
-#[derive(Debug, Clone, Copy, Default, Serialize, Deserialize)]
-pub struct DecayingMean {
-    pub mean: f64,
-    pub spread: f64,
-    pub count: f64,
-    #[serde(rename = "at")]
-    pub updated_at: Duration,
-}
-
-impl DecayingMean {
-    pub fn record(&mut self, now: Duration, value: f64, calm: Duration) {
-        self.count = self.count * decay(now, self.updated_at, calm) + 1.0;
-        self.updated_at = now;
-        let gain = (1.0 / self.count).max(MIN_GAIN);
-        let off = value - self.mean;
-        self.mean += gain * off;
-        self.spread += gain * (off.abs() - self.spread);
-    }
-}
-
-/// To a third in `over`, to nothing in 32 of it: an exponential but for its far end, at less CPU.
-pub fn decay(now: Duration, since: Duration, over: Duration) -> f64 {
-    let spans = now.saturating_sub(since).as_secs_f64() / over.as_secs_f64();
-    (1.0 - spans / 32.0).max(0.0).powi(32)
-}
-
 /// What is left to chance of an endpoint's place for a key, the same wherever it is asked: exponential.
 pub fn key_rank(mark: u64, key: u64) -> f64 {
     let mixed = (mark ^ key).wrapping_mul(0x9e37_79b9_7f4a_7c15);
@@ -50,26 +24,7 @@
         .ln()
 }
 
-/// A count that fades.
-#[derive(Debug, Clone, Copy, Default, Serialize, Deserialize)]
-pub struct DecayingCount {
-    sum: f64,
-    #[serde(rename = "at")]
-    updated_at: Duration,
-    #[serde(rename = "from")]
-    started_at: Duration,
-}
-
 impl DecayingCount {
-    pub fn increment(&mut self, now: Duration, over: Duration) {
-        let from = if self.sum > 0.0 { self.started_at } else { now };
-        *self = DecayingCount {
-            sum: self.sum * decay(now, self.updated_at, over) + 1.0,
-            updated_at: now,
-            started_at: from,
-        };
-    }
-
     /// Both counts in one.
     fn merged(&self, other: &DecayingCount) -> DecayingCount {
         if self.sum <= 0.0 || other.sum <= 0.0 {
@@ -90,33 +45,6 @@
             ..*self
         }
     }
-
-    /// One less, of those just added.
-    pub fn undo_increment(&mut self) {
-        self.sum = (self.sum - 1.0).max(0.0);
-    }
-
-    /// Counts a second, also while there are counts of a shorter time only.
-    pub fn rate_over_age(&self, now: Duration, over: Duration) -> f64 {
-        let young = now
-            .saturating_sub(self.started_at)
-            .clamp(over / 32, over)
-            .as_secs_f64();
-        self.rate(now, over) * over.as_secs_f64() / young
-    }
-
-    /// Counts a second of the time that there was to count in; the first only starts the clock.
-    pub fn unbiased_rate(&self, now: Duration, over: Duration) -> f64 {
-        let before = decay(now, self.started_at, over);
-        (self.sum * decay(now, self.updated_at, over) - before).max(0.0)
-            / over.as_secs_f64()
-            / (1.0 - before).max(0.12)
-    }
-
-    /// Counts a second.
-    pub fn rate(&self, now: Duration, over: Duration) -> f64 {
-        self.sum * decay(now, self.updated_at, over) / over.as_secs_f64()
-    }
 }
 
 /// What the warm endpoints of one kind answer, in place of what each of them could do.
@@ -233,38 +161,6 @@
     }
 }
 
-/// The last few outcomes, one bit each.
-#[derive(Debug, Clone, Copy, Default, Serialize, Deserialize)]
-pub struct RecentOutcomes {
-    #[serde(rename = "bad")]
-    pub failure_bits: u32,
-    #[serde(rename = "seen")]
-    pub count: u32,
-    #[serde(rename = "failed")]
-    pub last_failure: Duration, // the last bad one
-    #[serde(rename = "ailing")]
-    pub failing: bool, // told of as failing
-}
-
-impl RecentOutcomes {
-    pub fn record(&mut self, now: Duration, outcome: Outcome, few: u32) {
-        let bad = outcome != Outcome::Answered;
-        self.failure_bits = self.failure_bits << 1 | u32::from(bad);
-        self.count = (self.count + 1).min(few);
-        if bad {
-            self.last_failure = now;
-        }
-    }
-
-    /// Share of the good; where there are not even four they count as mostly good.
-    pub fn success_share(&self, few: u32) -> f64 {
-        let bad = (self.failure_bits & ((1 << few) - 1))
-            .count_ones()
-            .min(self.count);
-        1.0 - f64::from(bad) / f64::from(self.count.max(4))
-    }
-}
-
 /// For one relay.
 #[derive(Clone, Copy)]
 pub struct Relay {
--- a/crates/passroad-choice/src/choice/tests.rs
+++ b/crates/passroad-choice/src/choice/tests.rs
@@ -1,11 +1,10 @@
 //! Each test builds the state that it needs and calls the module once; helpers stand at the end.
 
-use super::state::{
-    Command, DecayingCount, DecayingMean, Endpoint, RecentOutcomes, Relay, RequestClass,
-};
+use super::state::{Command, Endpoint, Relay, RequestClass};
+use super::statistics::{DecayingCount, DecayingMean, RecentOutcomes, SMOOTHING};
 use super::{
-    Balancer, HOMES_FACTOR, INITIAL_LIMIT, KEY_SLOTS, RECENT_OUTCOMES, SMOOTHING, TIMER_HEDGE,
-    TIMER_LIST, TIMER_QUEUE,
+    Balancer, HOMES_FACTOR, INITIAL_LIMIT, KEY_SLOTS, RECENT_OUTCOMES, TIMER_HEDGE, TIMER_LIST,
+    TIMER_QUEUE,
 };
 use crate::interner::stable_hash;
 use crate::{
