--- a/crates/passroad-choice/src/choice.rs
+++ b/crates/passroad-choice/src/choice.rs
@@ -12,6 +12,7 @@
 //!   warm-up  a cold endpoint gets a send on a pass only: its ramp x the own rate to warm ones, by chance
 //!   list     subscribe or ask with jitter and back-off; what drains, is gone or out by hand gets nothing new
 
+mod request_class;
 mod state;
 mod statistics;
 #[cfg(test)]
@@ -22,10 +23,9 @@
     EndpointIndex, EndpointState, Event, ListUpdateKind, ListedEndpoint, LoadReport, Outcome,
     ReportMode, RequestClassConfig,
 };
+use request_class::RequestClass;
 pub use state::LearnedState;
-use state::{
-    Command, Demand, Endpoint, EndpointFilter, Parameters, Relay, RequestClass, WarmKind, key_rank,
-};
+use state::{Command, Demand, Endpoint, EndpointFilter, Parameters, Relay, WarmKind, key_rank};
 use statistics::{DecayingCount, DecayingMean, MIN_GAIN, RecentOutcomes, SMOOTHING, decay};
 use std::time::Duration;
 
@@ -933,40 +933,6 @@
         until > self.now
     }
 
-    /// What an answer in time adds to the result, for each verb. Guards against starving the verb that is
-    /// worth least for as long as the result counts the worst served.
-    fn class_values(&self) -> Vec<f64> {
-        let verbs = &self.parameters.classes;
-        let rates: Vec<f64> = verbs
-            .iter()
-            .map(|v| v.arrivals.rate(self.now, 8 * SMOOTHING) + MIN_CLASS_RATE)
-            .collect();
-        let served = verbs
-            .iter()
-            .map(|v| v.served_in_time.rate(self.now, 8 * SMOOTHING) + MIN_CLASS_RATE);
-        let services: Vec<f64> = served
-            .zip(&rates)
-            .map(|(served, rate)| served / rate)
-            .collect();
-        let (all, least) = (
-            rates.iter().sum::<f64>(),
-            services.iter().copied().fold(1.0, f64::min),
-        );
-        let worth: f64 = verbs
-            .iter()
-            .zip(&rates)
-            .map(|(v, rate)| rate * v.utility)
-            .sum();
-        let behind = |n: usize| (1.0 - 10.0 * (services[n] - least)).max(0.0);
-        let (whole, worst) = (
-            self.parameters.objective_total * all / worth,
-            self.parameters.objective_worst_class * all,
-        );
-        (0..verbs.len())
-            .map(|n| whole * verbs[n].utility + worst * behind(n) / rates[n])
-            .collect()
-    }
-
     /// Until when a command may wait from now: what is left of its goal must fit a usual answer.
     fn queue_deadline(&self, c: &Command) -> Duration {
         let v = &self.parameters.classes[c.class];
@@ -1603,24 +1569,3 @@
         self.actions.push(Action::Log(line));
     }
 }
-
-impl RequestClass {
-    /// How long a repeat may still be sent; a tenth is left for the way.
-    fn deduplication_time_left(&self, first: &Relay, now: Duration) -> Duration {
-        self.deduplication_window
-            .mul_f64(0.9)
-            .saturating_sub(now.saturating_sub(first.sent_at))
-    }
-
-    /// Like with like: a time against its verb's usual one, and for the place in line that it had.
-    fn relative_latency(&self, r: &Relay, spent: Duration) -> f64 {
-        spent.as_secs_f64() / self.answer_time.mean.max(1e-6) / (1.0 + 0.5 * r.load_ahead)
-    }
-
-    /// When a relay takes unusually long.
-    fn hedge_delay(&self) -> Duration {
-        Duration::from_secs_f64(
-            (self.answer_time.mean + 3.0 * self.answer_time.spread).clamp(0.0, 4000.0),
-        )
-    }
-}
