--- a/crates/passroad-choice/src/choice.rs
+++ b/crates/passroad-choice/src/choice.rs
@@ -12,6 +12,7 @@
 //!   warm-up  a cold endpoint gets a send on a pass only: its ramp x the own rate to warm ones, by chance
 //!   list     subscribe or ask with jitter and back-off; what drains, is gone or out by hand gets nothing new
 
+mod command;
 mod request_class;
 mod state;
 mod statistics;
@@ -23,9 +24,10 @@
     EndpointIndex, EndpointState, Event, ListUpdateKind, ListedEndpoint, LoadReport, Outcome,
     ReportMode, RequestClassConfig,
 };
+use command::{Command, Relay};
 use request_class::RequestClass;
 pub use state::LearnedState;
-use state::{Command, Demand, Endpoint, EndpointFilter, Parameters, Relay, WarmKind, key_rank};
+use state::{Demand, Endpoint, EndpointFilter, Parameters, WarmKind, key_rank};
 use statistics::{DecayingCount, DecayingMean, MIN_GAIN, RecentOutcomes, SMOOTHING, decay};
 use std::time::Duration;
 
--- a/crates/passroad-choice/src/choice/request_class.rs
+++ b/crates/passroad-choice/src/choice/request_class.rs
@@ -1,4 +1,5 @@
-use super::state::{Endpoint, Parameters, Relay};
+use super::command::Relay;
+use super::state::{Endpoint, Parameters};
 use super::statistics::{DecayingCount, DecayingMean, RecentOutcomes, SMOOTHING};
 use super::{Balancer, KEY_SLOTS, MIN_CLASS_RATE};
 use crate::{Action, DeduplicationScope, Effect, RequestClassConfig};
