--- a/crates/passroad-choice/src/choice.rs
+++ b/crates/passroad-choice/src/choice.rs
@@ -13,6 +13,7 @@
 //!   list     subscribe or ask with jitter and back-off; what drains, is gone or out by hand gets nothing new
 
 mod command;
+mod endpoint;
 mod request_class;
 mod state;
 mod statistics;
@@ -25,9 +26,10 @@
     ReportMode, RequestClassConfig,
 };
 use command::{Command, Relay};
+use endpoint::Endpoint;
 use request_class::RequestClass;
 pub use state::LearnedState;
-use state::{Demand, Endpoint, EndpointFilter, Parameters, WarmKind, key_rank};
+use state::{Demand, EndpointFilter, Parameters, WarmKind, key_rank};
 use statistics::{DecayingCount, DecayingMean, MIN_GAIN, RecentOutcomes, SMOOTHING, decay};
 use std::time::Duration;
 
--- a/crates/passroad-choice/src/choice/tests.rs
+++ b/crates/passroad-choice/src/choice/tests.rs
@@ -1,8 +1,8 @@
 //! Each test builds the state that it needs and calls the module once; helpers stand at the end.
 
 use super::command::{Command, Relay};
+use super::endpoint::Endpoint;
 use super::request_class::RequestClass;
-use super::state::Endpoint;
 use super::statistics::{DecayingCount, DecayingMean, RecentOutcomes, SMOOTHING};
 use super::{
     Balancer, HOMES_FACTOR, INITIAL_LIMIT, KEY_SLOTS, RECENT_OUTCOMES, TIMER_HEDGE, TIMER_LIST,
