--- a/crates/passroad-choice/src/choice/request_class.rs
+++ b/crates/passroad-choice/src/choice/request_class.rs
@@ -1,6 +1,6 @@
 use super::command::Relay;
 use super::endpoint::Endpoint;
-use super::state::Parameters;
+use super::parameters::Parameters;
 use super::statistics::{DecayingCount, DecayingMean, RecentOutcomes, SMOOTHING};
 use super::{Balancer, KEY_SLOTS, MIN_CLASS_RATE};
 use crate::{Action, DeduplicationScope, Effect, RequestClassConfig};
--- a/crates/passroad-choice/src/choice/state.rs
+++ b/crates/passroad-choice/src/choice/state.rs
@@ -141,42 +141,6 @@
 /// What a command is worth against the best, and what a failure of it costs.
 pub type Demand = Option<(f64, f64)>;
 
-/// What the standing orders come to: the figures that decisions use.
-#[derive(Default)]
-pub struct Parameters {
-    pub classes: Vec<RequestClass>,
-    pub objective_total: f64, // what the result is made of
-    pub objective_worst_class: f64,
-    pub tenant_shares: Vec<f64>,
-    pub surplus_utility: f64,
-    pub own_zone: usize,
-    pub max_retry_after: Option<Duration>,
-    pub cancellation_allowed: bool,
-    pub hedging_allowed: bool,
-    pub list_on_request: bool,
-    pub list_poll_interval: Duration,
-    pub drain_grace: Duration,
-    pub probes_per_command: usize,   // probes that one command is worth
-    pub probe_every_command: bool,   // for every command, whether or not it waits
-    pub probes_per_find: f64,        // probes that one open endpoint is worth to what waits
-    pub report_fresh_for: Duration,  // a report needs no heartbeat for so long
-    pub recovery_interval: Duration, // so long a cut stands, and a first pause
-    pub report_decay: Duration,      // trust in a report falls to a third in this
-    pub max_probe_wait: Duration,    // the longest wait for heartbeats
-    pub max_queue_wait: Duration,    // the wait that a queue may come to
-    pub tick: Duration,
-    pub live_weights: bool,
-    pub warm_keys: bool,
-    pub other_zone_weight: f64, // weight in another zone against the own
-    pub idle_close: Duration,
-    pub single_stream: bool,      // a connection carries one relay at a time
-    pub new_connection_load: f64, // load that a new connection counts as
-    pub cold_capacity: f64,
-    pub warm_up_time: Duration,
-    pub overload_window: Duration,
-    pub cold_send_share: f64, // of a warm one's sends, times the ramp
-}
-
 /// What every decision uses and none decides: chance, the log, what is held and in view, what
 /// the list adds up to.
 impl Balancer {
