--- a/crates/passroad-choice/src/choice.rs
+++ b/crates/passroad-choice/src/choice.rs
@@ -14,6 +14,7 @@
 
 mod command;
 mod endpoint;
+mod learned_state;
 mod parameters;
 mod request_class;
 mod slow_start;
@@ -28,9 +29,9 @@
 };
 use command::{Command, Relay};
 use endpoint::Endpoint;
+pub use learned_state::LearnedState;
 use parameters::Parameters;
 use slow_start::WarmKind;
-pub use state::LearnedState;
 use state::{Demand, EndpointFilter, key_rank};
 use statistics::{DecayingCount, DecayingMean, MIN_GAIN, RecentOutcomes, SMOOTHING, decay};
 use std::time::Duration;
