--- a/crates/passroad-choice/src/choice.rs
+++ b/crates/passroad-choice/src/choice.rs
@@ -14,6 +14,7 @@
 
 mod command;
 mod endpoint;
+mod health;
 mod learned_state;
 mod parameters;
 mod request_class;
@@ -29,11 +30,12 @@
 };
 use command::{Command, Relay};
 use endpoint::Endpoint;
+use health::RECENT_OUTCOMES;
 pub use learned_state::LearnedState;
 use parameters::Parameters;
 use slow_start::WarmKind;
 use state::{Demand, EndpointFilter, key_rank};
-use statistics::{DecayingCount, DecayingMean, MIN_GAIN, RecentOutcomes, SMOOTHING, decay};
+use statistics::{DecayingCount, DecayingMean, MIN_GAIN, SMOOTHING, decay};
 use std::time::Duration;
 
 pub const TIMER_LIST: u64 = 0; // in an alarm's low bits; the command stands above them
@@ -88,7 +90,6 @@
 
 const LOAD_SCORE_SHARE: f64 = 0.5; // of the score; own mean and tail latency share the rest
 const MIN_SCORE: f64 = 0.02; // near-zero scores must recover, so none is zero
-const RECENT_OUTCOMES: u32 = 8; // the last few outcomes that judge an endpoint
 const INITIAL_LIMIT: f64 = 2.0; // one in work and one waiting, at the usual size
 const LIMIT_GROWTH: f64 = 0.3; // of one, for a round of answers well in time
 const USUAL_LIMIT_SHARE: f64 = 0.5; // of a change at one endpoint, what goes to the usual limit
@@ -101,20 +102,6 @@
 const HOMES_FACTOR: f64 = 1.5; // for a key, against those that its part of all commands would fill
 const RESERVE_HOME_SHARE: f64 = 0.05;
 
-impl Endpoint {
-    /// Share of successes among the last few outcomes, of all verbs and of this one. Guards against a verb
-    /// that hangs where others are answered; its failures fade, as nothing else would show their end.
-    fn health(&self, now: Duration, verb: Option<usize>) -> f64 {
-        let own = |few: &RecentOutcomes| {
-            1.0 - (1.0 - few.success_share(RECENT_OUTCOMES))
-                * decay(now, few.last_failure, 4 * SMOOTHING)
-        };
-        verb.and_then(|v| self.outcomes_by_class.get(v))
-            .map_or(1.0, own)
-            .min(self.outcomes.success_share(RECENT_OUTCOMES))
-    }
-}
-
 impl Balancer {
     pub fn new(orders: BalancerConfig) -> Self {
         let (seed, duty) = (orders.seed | 1, Balancer::derive_parameters(orders));
@@ -413,38 +400,6 @@
         }
     }
 
-    /// Could not be reached: the next trial comes later each time.
-    fn record_unreachable(&mut self, at: EndpointIndex) {
-        let e = &mut self.endpoints[at];
-        e.times_unreachable += 1;
-        e.retry_at =
-            self.now + self.parameters.recovery_interval * (1 << e.times_unreachable.min(5));
-        if e.times_unreachable == 3 {
-            self.log(format!(
-                "endpoint {at} could not be reached 3 times in a row"
-            ));
-        }
-    }
-
-    /// Guards against pushing over a process that restarted before the list says so: if it could not be
-    /// reached and now can, it counts as cold from here.
-    fn record_reached(&mut self, at: EndpointIndex) {
-        let (now, within) = (self.now, self.parameters.warm_up_time);
-        let e = &mut self.endpoints[at];
-        let misses = std::mem::take(&mut e.times_unreachable);
-        e.retry_at = Duration::ZERO;
-        if misses >= 3
-            && e.started_at
-                .is_none_or(|up| now.saturating_sub(up) > within)
-        {
-            e.restart_cold(now);
-            self.next_refresh = now;
-            self.log(format!(
-                "endpoint {at} back after {misses} misses, taken as cold"
-            ));
-        }
-    }
-
     fn record_report(&mut self, at: EndpointIndex, report: Option<LoadReport>) {
         let (Some(e), Some(report)) = (self.endpoints.get_mut(at), report) else {
             return;
--- a/crates/passroad-choice/src/choice/state.rs
+++ b/crates/passroad-choice/src/choice/state.rs
@@ -6,7 +6,7 @@
 use super::endpoint::Endpoint;
 use super::slow_start::WarmKind;
 use super::statistics::decay;
-use crate::{Action, CommandIndex, EndpointIndex, Outcome};
+use crate::{Action, CommandIndex, EndpointIndex};
 use std::time::Duration;
 
 /// What is left to chance of an endpoint's place for a key, the same wherever it is asked: exponential.
@@ -18,14 +18,6 @@
         .ln()
 }
 
-impl Endpoint {
-    /// Share of harm among the last few outcomes; it fades, as what is avoided has no more of them.
-    pub fn harmful_share(&self, now: Duration, few: u32, over: Duration) -> f64 {
-        let count = (self.harmful_failures & ((1 << few) - 1)).count_ones();
-        f64::from(count) / f64::from(few) * decay(now, self.last_harmful_failure, over)
-    }
-}
-
 /// Where a command may go.
 pub type EndpointFilter<'a> = &'a dyn Fn(&Endpoint) -> bool;
 
@@ -89,38 +81,6 @@
         self.in_flight -= 1.0;
     }
 
-    /// Notes an outcome among the last few. One line when most of them are bad, and one when most are good again, of
-    /// all verbs and of this one.
-    pub(crate) fn record_health(
-        &mut self,
-        at: EndpointIndex,
-        verb: usize,
-        outcome: Outcome,
-        few: u32,
-    ) {
-        let (name, e) = (&self.parameters.classes[verb].name, &mut self.endpoints[at]);
-        e.record_outcome(self.now, verb, outcome, few);
-        for (last, what) in [
-            (&mut e.outcomes, "all verbs"),
-            (&mut e.outcomes_by_class[verb], name),
-        ] {
-            let good = last.success_share(few);
-            if last.failing != (good < if last.failing { 0.75 } else { 0.5 }) {
-                last.failing = !last.failing;
-                let word = if last.failing {
-                    "failing"
-                } else {
-                    "well again"
-                };
-                let line = format!(
-                    "endpoint {at} {word}, {what}: {:.0}% of its last outcomes good",
-                    good * 100.0
-                );
-                self.actions.push(Action::Log(line));
-            }
-        }
-    }
-
     pub(crate) fn open_command(&self, cmd: CommandIndex) -> Option<&Command> {
         self.commands.get(cmd).and_then(Option::as_ref)
     }
--- a/crates/passroad-choice/src/choice/tests.rs
+++ b/crates/passroad-choice/src/choice/tests.rs
@@ -2,11 +2,11 @@
 
 use super::command::{Command, Relay};
 use super::endpoint::Endpoint;
+use super::health::RECENT_OUTCOMES;
 use super::request_class::RequestClass;
 use super::statistics::{DecayingCount, DecayingMean, RecentOutcomes, SMOOTHING};
 use super::{
-    Balancer, HOMES_FACTOR, INITIAL_LIMIT, KEY_SLOTS, RECENT_OUTCOMES, TIMER_HEDGE, TIMER_LIST,
-    TIMER_QUEUE,
+    Balancer, HOMES_FACTOR, INITIAL_LIMIT, KEY_SLOTS, TIMER_HEDGE, TIMER_LIST, TIMER_QUEUE,
 };
 use crate::interner::stable_hash;
 use crate::{
