--- a/crates/passroad-choice/src/choice.rs
+++ b/crates/passroad-choice/src/choice.rs
@@ -13,6 +13,7 @@
 //!   list     subscribe or ask with jitter and back-off; what drains, is gone or out by hand gets nothing new
 
 mod command;
+mod concurrency_limit;
 mod endpoint;
 mod health;
 mod learned_state;
@@ -30,13 +31,14 @@
     EndpointIndex, EndpointState, Event, ListUpdateKind, ListedEndpoint, LoadReport, Outcome,
 };
 use command::{Command, Relay};
+use concurrency_limit::{INITIAL_LIMIT, LIMIT_GROWTH};
 use endpoint::Endpoint;
 use health::RECENT_OUTCOMES;
 pub use learned_state::LearnedState;
 use parameters::Parameters;
 use slow_start::WarmKind;
 use state::{Demand, EndpointFilter, key_rank};
-use statistics::{DecayingCount, DecayingMean, MIN_GAIN, SMOOTHING, decay};
+use statistics::{DecayingCount, DecayingMean, SMOOTHING, decay};
 use std::time::Duration;
 
 pub const TIMER_LIST: u64 = 0; // in an alarm's low bits; the command stands above them
@@ -91,10 +93,6 @@
 
 const LOAD_SCORE_SHARE: f64 = 0.5; // of the score; own mean and tail latency share the rest
 const MIN_SCORE: f64 = 0.02; // near-zero scores must recover, so none is zero
-const INITIAL_LIMIT: f64 = 2.0; // one in work and one waiting, at the usual size
-const LIMIT_GROWTH: f64 = 0.3; // of one, for a round of answers well in time
-const USUAL_LIMIT_SHARE: f64 = 0.5; // of a change at one endpoint, what goes to the usual limit
-const LIMIT_CUT_FACTOR: f64 = 0.7; // what a limit keeps when it is cut
 const FAILURE_RISK: f64 = 2.0; // a sure failure, as commands ahead; five times that where it is the last word
 const EXTRA_PROBE_ROUNDS: u32 = 1; // of heartbeats after the first, for one command
 const FULL_VIEW_ENDPOINTS: usize = 32; // endpoints; so few are all in view
@@ -1128,36 +1126,6 @@
         Some(at)
     }
 
-    /// The limit on what is out from here in all: steps by worth, up while it binds, down for what is late or
-    /// turned away. What fails at an endpoint that fails more than the others says little of the fleet.
-    fn adjust_in_flight_limit(
-        &mut self,
-        at: EndpointIndex,
-        verb: usize,
-        outcome: Outcome,
-        in_time: bool,
-        value: f64,
-    ) {
-        self.mean_value += MIN_GAIN * (value - self.mean_value);
-        let (value, answered) = (value / self.mean_value, outcome == Outcome::Answered);
-        let share =
-            value * (self.endpoints[at].health(self.now, Some(verb)) / self.success_rate).min(1.0);
-        self.success_rate = (self.success_rate
-            + MIN_GAIN * (f64::from(u8::from(answered)) - self.success_rate))
-            .max(0.1);
-        let late = answered || outcome == Outcome::Cancelled && !in_time;
-        if answered && in_time {
-            self.in_flight_limit += if self.in_flight + 2.0 >= 0.6 * self.in_flight_limit {
-                0.1 * value
-            } else {
-                0.0
-            };
-        } else if late || matches!(outcome, Outcome::TimedOut | Outcome::Overloaded) {
-            self.in_flight_limit =
-                (self.in_flight_limit.min(2.0 * self.in_flight + 4.0) - 0.5 * share).max(1.0);
-        }
-    }
-
     /// Failures never count as fast answers: a time-out is an answer at least as slow as it lasted.
     fn record_slow_answer(&mut self, r: &Relay, verb: usize, spent: Duration) {
         let pace = self.parameters.classes[verb]
@@ -1179,36 +1147,6 @@
         self.cut_limit(r.endpoint);
     }
 
-    fn cut_limit(&mut self, at: EndpointIndex) {
-        if self.now.saturating_sub(self.endpoints[at].limit_cut_at)
-            > self.parameters.recovery_interval
-        {
-            self.endpoints[at].limit_cut_at = self.now;
-            self.set_limit(
-                at,
-                (self.current_limit(&self.endpoints[at]) * LIMIT_CUT_FACTOR).max(1.0),
-            );
-        }
-    }
-
-    /// An endpoint not tried lately has the usual limit. Guards against limits that never grow: in a large
-    /// fleet a sidecar meets each endpoint too seldom to learn one for each.
-    fn current_limit(&self, e: &Endpoint) -> f64 {
-        self.usual_limit
-            + (e.concurrency_limit - self.usual_limit)
-                * decay(self.now, e.limit_changed_at, 4 * SMOOTHING)
-    }
-
-    fn set_limit(&mut self, at: EndpointIndex, limit: f64) {
-        self.usual_limit = (self.usual_limit
-            + USUAL_LIMIT_SHARE * (limit - self.current_limit(&self.endpoints[at])))
-        .max(1.0);
-        (
-            self.endpoints[at].concurrency_limit,
-            self.endpoints[at].limit_changed_at,
-        ) = (limit, self.now);
-    }
-
     /// What becomes of a command of which a relay ended without an answer.
     fn retry_or_give_up(&mut self, cmd: CommandIndex, outcome: Outcome) {
         let all_ended = |c: &&Command| c.concluded || c.relays.iter().all(|r| r.outcome.is_some());
--- a/crates/passroad-choice/src/choice/tests.rs
+++ b/crates/passroad-choice/src/choice/tests.rs
@@ -1,13 +1,12 @@
 //! Each test builds the state that it needs and calls the module once; helpers stand at the end.
 
 use super::command::{Command, Relay};
+use super::concurrency_limit::INITIAL_LIMIT;
 use super::endpoint::Endpoint;
 use super::health::RECENT_OUTCOMES;
 use super::request_class::RequestClass;
 use super::statistics::{DecayingCount, DecayingMean, RecentOutcomes, SMOOTHING};
-use super::{
-    Balancer, HOMES_FACTOR, INITIAL_LIMIT, KEY_SLOTS, TIMER_HEDGE, TIMER_LIST, TIMER_QUEUE,
-};
+use super::{Balancer, HOMES_FACTOR, KEY_SLOTS, TIMER_HEDGE, TIMER_LIST, TIMER_QUEUE};
 use crate::interner::stable_hash;
 use crate::{
     Action, BalancerConfig, CommandArrival, CommandIndex, DeduplicationScope, Effect,
