--- a/crates/passroad-choice/src/choice.rs
+++ b/crates/passroad-choice/src/choice.rs
@@ -26,6 +26,7 @@
 mod statistics;
 #[cfg(test)]
 mod tests;
+mod view;
 
 use crate::{
     Action, BalancerConfig, CommandArrival, CommandIndex, DeduplicationScope, Effect,
@@ -96,7 +97,6 @@
 const MIN_SCORE: f64 = 0.02; // near-zero scores must recover, so none is zero
 const FAILURE_RISK: f64 = 2.0; // a sure failure, as commands ahead; five times that where it is the last word
 const EXTRA_PROBE_ROUNDS: u32 = 1; // of heartbeats after the first, for one command
-const FULL_VIEW_ENDPOINTS: usize = 32; // endpoints; so few are all in view
 const MIN_CLASS_RATE: f64 = 0.1; // a second; so little asked says little of how a verb is served
 pub(crate) const KEY_SLOTS: usize = 4096;
 const HOMES_FACTOR: f64 = 1.5; // for a key, against those that its part of all commands would fill
@@ -235,38 +235,6 @@
         });
     }
 
-    /// A small fleet is in view whole; of a large one those met lately and a few more, drawn by base weight.
-    /// Guards against walks over hundreds of endpoints for every command.
-    fn refresh_view(&mut self) {
-        if self.endpoints.len() <= FULL_VIEW_ENDPOINTS {
-            return (0..self.endpoints.len()).for_each(|at| self.bring_into_view(at));
-        }
-        let old = |at: Duration, span: Duration| self.now.saturating_sub(at) > span;
-        let gone = |e: &Endpoint| {
-            let silent = e
-                .reported_at
-                .is_none_or(|at| old(at, 8 * self.parameters.report_decay))
-                && old(e.latency.updated_at, 4 * SMOOTHING);
-            let idle =
-                e.in_flight.is_empty() && e.probe_sent_at.is_none() && !self.has_free_connection(e);
-            silent && idle && self.now >= e.retry_at.max(e.permit_until)
-        };
-        let (gone, met): (Vec<_>, _) = self
-            .in_view
-            .iter()
-            .partition(|at| gone(&self.endpoints[**at]));
-        self.in_view = met;
-        gone.into_iter()
-            .for_each(|at: EndpointIndex| self.endpoints[at].forget_statistics());
-        for _ in 0..2 * self.parameters.probes_per_command.max(2) {
-            let mass = self.random() * self.cumulative_weights.last().copied().unwrap_or_default();
-            let at = self.cumulative_weights.partition_point(|m| *m <= mass);
-            if at < self.endpoints.len() {
-                self.bring_into_view(at);
-            }
-        }
-    }
-
     fn on_probe_finished(
         &mut self,
         at: EndpointIndex,
--- a/crates/passroad-choice/src/choice/state.rs
+++ b/crates/passroad-choice/src/choice/state.rs
@@ -69,16 +69,6 @@
         self.commands.get(cmd).and_then(Option::as_ref)
     }
 
-    pub(crate) fn bring_into_view(&mut self, at: EndpointIndex) {
-        if !std::mem::replace(&mut self.endpoints[at].in_view, true) {
-            self.in_view.push(at);
-        }
-    }
-
-    pub(crate) fn endpoints_in_view(&self) -> impl Iterator<Item = &Endpoint> {
-        self.in_view.iter().map(|at| &self.endpoints[*at])
-    }
-
     pub(crate) fn release_if_done(&mut self, cmd: CommandIndex) {
         let done = |c: &Command| c.concluded && c.relays.iter().all(|r| r.outcome.is_some());
         if self.open_command(cmd).is_some_and(done) {
