--- a/crates/passroad-choice/src/choice.rs
+++ b/crates/passroad-choice/src/choice.rs
@@ -17,6 +17,7 @@
 mod endpoint;
 mod endpoint_list;
 mod health;
+mod key_affinity;
 mod learned_state;
 mod load_reports;
 mod parameters;
@@ -36,10 +37,11 @@
 use concurrency_limit::{INITIAL_LIMIT, LIMIT_GROWTH};
 use endpoint::Endpoint;
 use health::RECENT_OUTCOMES;
+use key_affinity::KEY_SLOTS;
 pub use learned_state::LearnedState;
 use parameters::Parameters;
 use slow_start::WarmKind;
-use state::{Demand, EndpointFilter, key_rank};
+use state::{Demand, EndpointFilter};
 use statistics::{DecayingCount, DecayingMean, SMOOTHING, decay};
 use std::time::Duration;
 
@@ -98,9 +100,6 @@
 const FAILURE_RISK: f64 = 2.0; // a sure failure, as commands ahead; five times that where it is the last word
 const EXTRA_PROBE_ROUNDS: u32 = 1; // of heartbeats after the first, for one command
 const MIN_CLASS_RATE: f64 = 0.1; // a second; so little asked says little of how a verb is served
-pub(crate) const KEY_SLOTS: usize = 4096;
-const HOMES_FACTOR: f64 = 1.5; // for a key, against those that its part of all commands would fill
-const RESERVE_HOME_SHARE: f64 = 0.05;
 
 impl Balancer {
     pub fn new(orders: BalancerConfig) -> Self {
@@ -734,47 +733,6 @@
         self.draw(&weights).map(|n| ats[n])
     }
 
-    /// The few that are to remember a key, the same at every sidecar, with shares of their weight: as many as
-    /// its part of all commands asks for, and two more. Guards against a key met everywhere, remembered
-    /// nowhere. Zones share homes, so the root of the base weight ranks. A pass is for whatever is next.
-    fn key_homes(&self, c: &Command) -> Vec<(EndpointIndex, f64)> {
-        let Some(key) = c.key else { return Vec::new() };
-        let rate = |m: &DecayingCount| m.rate(self.now, 4 * SMOOTHING);
-        let part =
-            rate(&self.key_arrivals[key as usize % KEY_SLOTS]) / rate(&self.arrivals).max(1e-9);
-        let wide = (HOMES_FACTOR * part * self.available_count).max(1.0);
-        let ready = |(at, e): &(usize, &Endpoint)| {
-            let here = e.available
-                && self.now >= e.retry_at
-                && self.admits_relays(e)
-                && self.parameters.classes[c.class].allowed_on(e);
-            here && !c.relays.iter().any(|r| r.endpoint == *at)
-        };
-        let place = |(at, e): (usize, &Endpoint)| match self.is_cold(e) {
-            true => (0.0, at),
-            false => (
-                key_rank(e.id_hash, key) / self.base_weight(e, Some(c.weight_set)).sqrt().max(1e-9),
-                at,
-            ),
-        };
-        let mut places: Vec<_> = self
-            .endpoints
-            .iter()
-            .enumerate()
-            .filter(ready)
-            .map(place)
-            .collect();
-        places.sort_unstable_by(|a, b| a.0.total_cmp(&b.0));
-        let wide = wide + places.iter().filter(|(place, _)| *place == 0.0).count() as f64;
-        let share = |(n, (_, at))| (at, (wide - n as f64).clamp(RESERVE_HOME_SHARE, 1.0));
-        places
-            .into_iter()
-            .take(wide.ceil() as usize + 2)
-            .enumerate()
-            .map(share)
-            .collect()
-    }
-
     fn send_relay(&mut self, cmd: CommandIndex, at: EndpointIndex) {
         let (now, usual) = (self.now, self.mean_load());
         let e = &self.endpoints[at];
--- a/crates/passroad-choice/src/choice/state.rs
+++ b/crates/passroad-choice/src/choice/state.rs
@@ -7,15 +7,6 @@
 use crate::{Action, CommandIndex, EndpointIndex};
 use std::time::Duration;
 
-/// What is left to chance of an endpoint's place for a key, the same wherever it is asked: exponential.
-pub fn key_rank(mark: u64, key: u64) -> f64 {
-    let mixed = (mark ^ key).wrapping_mul(0x9e37_79b9_7f4a_7c15);
-    let mixed = (mixed ^ mixed >> 32).wrapping_mul(0xd6e8_feb8_6659_fd93);
-    -(((mixed ^ mixed >> 32) & 0xffff_ffff) as f64 / 4_294_967_296.0)
-        .max(1e-12)
-        .ln()
-}
-
 /// Where a command may go.
 pub type EndpointFilter<'a> = &'a dyn Fn(&Endpoint) -> bool;
 
--- a/crates/passroad-choice/src/choice/tests.rs
+++ b/crates/passroad-choice/src/choice/tests.rs
@@ -4,9 +4,10 @@
 use super::concurrency_limit::INITIAL_LIMIT;
 use super::endpoint::Endpoint;
 use super::health::RECENT_OUTCOMES;
+use super::key_affinity::{HOMES_FACTOR, KEY_SLOTS};
 use super::request_class::RequestClass;
 use super::statistics::{DecayingCount, DecayingMean, RecentOutcomes, SMOOTHING};
-use super::{Balancer, HOMES_FACTOR, KEY_SLOTS, TIMER_HEDGE, TIMER_LIST, TIMER_QUEUE};
+use super::{Balancer, TIMER_HEDGE, TIMER_LIST, TIMER_QUEUE};
 use crate::interner::stable_hash;
 use crate::{
     Action, BalancerConfig, CommandArrival, CommandIndex, DeduplicationScope, Effect,
