--- a/crates/passroad-choice/src/choice/state.rs
+++ b/crates/passroad-choice/src/choice/state.rs
@@ -7,12 +7,6 @@
 use crate::{Action, CommandIndex, EndpointIndex};
 use std::time::Duration;
 
-/// Where a command may go.
-pub type EndpointFilter<'a> = &'a dyn Fn(&Endpoint) -> bool;
-
-/// What a command is worth against the best, and what a failure of it costs.
-pub type Demand = Option<(f64, f64)>;
-
 /// What every decision uses and none decides: chance, the log, what is held and in view, what
 /// the list adds up to.
 impl Balancer {
