--- a/crates/passroad-choice/src/choice/request_class.rs
+++ b/crates/passroad-choice/src/choice/request_class.rs
@@ -1,9 +1,10 @@
+use super::Balancer;
+use super::admission::MIN_CLASS_RATE;
 use super::command::Relay;
 use super::endpoint::Endpoint;
 use super::key_affinity::KEY_SLOTS;
 use super::parameters::Parameters;
 use super::statistics::{DecayingCount, DecayingMean, RecentOutcomes, SMOOTHING};
-use super::{Balancer, MIN_CLASS_RATE};
 use crate::{Action, DeduplicationScope, Effect, RequestClassConfig};
 use std::time::Duration;
 
