--- a/crates/passroad-choice/src/choice/state.rs
+++ b/crates/passroad-choice/src/choice/state.rs
@@ -2,66 +2,13 @@
 //! Only shapes and sums stand here; what follows from them is decided in `choice.rs`.
 
 use super::Balancer;
-use super::command::Command;
 use super::endpoint::Endpoint;
-use crate::{Action, CommandIndex, EndpointIndex};
+use crate::Action;
 use std::time::Duration;
 
 /// What every decision uses and none decides: chance, the log, what is held and in view, what
 /// the list adds up to.
 impl Balancer {
-    pub(crate) fn mark_streaming(&mut self, cmd: CommandIndex) {
-        self.commands
-            .get_mut(cmd)
-            .into_iter()
-            .flatten()
-            .for_each(|c| c.streaming = true);
-    }
-
-    pub(crate) fn mark_body_not_replayable(&mut self, cmd: CommandIndex) {
-        self.commands
-            .get_mut(cmd)
-            .into_iter()
-            .flatten()
-            .for_each(|c| c.body_not_replayable = true);
-    }
-
-    /// One more relay is at work there, unless its body still comes.
-    pub(crate) fn count_relay_in(&mut self, at: EndpointIndex, sent: Duration, coming: bool) {
-        if coming {
-            return;
-        }
-        let e = &mut self.endpoints[at];
-        e.in_flight.push(sent);
-        e.load = e.load.max(0.0) + 1.0;
-        self.in_flight += 1.0;
-    }
-
-    pub(crate) fn count_relay_out(&mut self, at: EndpointIndex, sent: Duration, coming: bool) {
-        if coming {
-            return;
-        }
-        let e = &mut self.endpoints[at];
-        e.load -= 1.0;
-        e.in_flight
-            .iter()
-            .position(|held| *held == sent)
-            .map(|gone| e.in_flight.swap_remove(gone));
-        self.in_flight -= 1.0;
-    }
-
-    pub(crate) fn open_command(&self, cmd: CommandIndex) -> Option<&Command> {
-        self.commands.get(cmd).and_then(Option::as_ref)
-    }
-
-    pub(crate) fn release_if_done(&mut self, cmd: CommandIndex) {
-        let done = |c: &Command| c.concluded && c.relays.iter().all(|r| r.outcome.is_some());
-        if self.open_command(cmd).is_some_and(done) {
-            self.commands[cmd] = None;
-            self.actions.push(Action::ReleaseCommand { command: cmd });
-        }
-    }
-
     /// Takes over what another instance did in place of what this one would have done, for the watch.
     pub(crate) fn align_with(
         &mut self,
