--- a/crates/passroad-choice/src/choice.rs
+++ b/crates/passroad-choice/src/choice.rs
@@ -15,7 +15,7 @@
 mod admission;
 mod command;
 mod concurrency_limit;
-mod endpoint;
+pub(crate) mod endpoint;
 mod endpoint_list;
 mod health;
 mod hedging;
@@ -28,7 +28,6 @@
 mod request_class;
 mod scoring;
 mod slow_start;
-mod state;
 mod statistics;
 #[cfg(test)]
 mod tests;
