--- a/crates/passroad-choice/src/choice.rs
+++ b/crates/passroad-choice/src/choice.rs
@@ -23,6 +23,7 @@
 mod learned_state;
 mod load_reports;
 mod parameters;
+mod placement;
 mod probing;
 mod relaying;
 mod request_class;
