--- a/crates/passroad-choice/src/choice.rs
+++ b/crates/passroad-choice/src/choice.rs
@@ -22,6 +22,7 @@
 mod key_affinity;
 mod learned_state;
 mod load_reports;
+mod outcomes;
 mod parameters;
 mod placement;
 mod probing;
