--- a/crates/passroad-choice/src/choice.rs
+++ b/crates/passroad-choice/src/choice.rs
@@ -28,6 +28,7 @@
 mod probing;
 mod relaying;
 mod request_class;
+mod retries;
 mod scoring;
 mod slow_start;
 mod statistics;
