--- a/crates/passroad-choice/src/choice/admission.rs
+++ b/crates/passroad-choice/src/choice/admission.rs
@@ -6,7 +6,6 @@
 use std::time::Duration;
 
 const EXTRA_PROBE_ROUNDS: u32 = 1; // of heartbeats after the first, for one command
-pub(super) const MIN_CLASS_RATE: f64 = 0.1; // a second; so little asked says little of how a verb is served
 
 impl Balancer {
     pub(super) fn on_command_arrived(&mut self, a: CommandArrival) {
--- a/crates/passroad-choice/src/choice/request_class.rs
+++ b/crates/passroad-choice/src/choice/request_class.rs
@@ -1,5 +1,4 @@
 use super::Balancer;
-use super::admission::MIN_CLASS_RATE;
 use super::command::Relay;
 use super::endpoint::Endpoint;
 use super::key_affinity::KEY_SLOTS;
@@ -9,6 +8,7 @@
 use std::time::Duration;
 
 const CLASS_SLOT_REUSE_DELAY: Duration = Duration::from_secs(60); // a verb's, before another has it
+const MIN_CLASS_RATE: f64 = 0.1; // a second; so little asked says little of how a verb is served
 
 /// For one verb: what was ordered, and what was seen of it.
 pub struct RequestClass {
