--- a/crates/passroad-choice/src/choice/command.rs
+++ b/crates/passroad-choice/src/choice/command.rs
@@ -1,15 +1,21 @@
+//! What is kept for each open command and each of its relays.
+
 use crate::{CommandArrival, EndpointIndex, Outcome};
 use std::time::Duration;
 
-const BODY_PENDING_EXTENSION: Duration = Duration::from_secs(86_400); // the time of a command whose body still comes
+/// Added to the deadlines of a command whose body is still arriving: its time has not begun.
+const BODY_PENDING_EXTENSION: Duration = Duration::from_secs(86_400);
 
-/// For one relay.
+/// One attempt of a command at one endpoint.
 #[derive(Clone, Copy)]
 pub struct Relay {
     pub endpoint: EndpointIndex,
     pub sent_at: Duration,
-    pub load_ahead: f64,    // what the endpoint was thought to hold
-    pub report_weight: f64, // of that, the weight of what it had reported itself
+    /// Estimated load of the endpoint when the relay was sent, in commands at the mean capacity.
+    pub load_ahead: f64,
+    /// Weight that the endpoint's own report had in that estimate, from 0 to 1.
+    pub report_weight: f64,
+    /// None while it is in flight.
     pub outcome: Option<Outcome>,
 }
 
@@ -19,44 +25,55 @@
     }
 }
 
-/// For one command.
+/// An open command, and its relays.
 #[derive(Clone)]
 pub struct Command {
     pub class: usize,
     pub weight_set: usize,
     pub key: Option<u64>,
     pub arrived_at: Duration,
-    pub target_deadline: Duration, // its response goal passes
-    pub client_deadline: Duration, // the client gives up
+    /// An answer after this misses the deadline target of its class.
+    pub target_deadline: Duration,
+    /// The client gives up.
+    pub client_deadline: Duration,
+    /// What an answer in time adds to the objective.
     pub value: f64,
-    pub best_value: f64,            // value of the verb worth most at that time
-    pub probe_wait_until: Duration, // it waits for heartbeats
-    pub queue_deadline: Duration,   // it is given up if it still waits
+    /// Value of the most valuable class when the command arrived.
+    pub best_value: f64,
+    /// It is held back until then for the answers of probes.
+    pub probe_wait_until: Duration,
+    /// It is given up if it is still queued then.
+    pub queue_deadline: Duration,
     pub queued: bool,
+    /// Its final answer is given; relays may still be in flight.
     pub concluded: bool,
+    /// The answer is being streamed to the client.
     pub streaming: bool,
-    pub body_pending: bool,        // its body is
-    pub body_not_replayable: bool, // no other relay can be given its body
-    pub probe_rounds: u32,         // of heartbeats after the first
+    /// Its body is still arriving.
+    pub body_pending: bool,
+    /// Part of its body was sent and is not kept, so no other relay can be given it.
+    pub body_not_replayable: bool,
+    /// Rounds of probes after the first.
+    pub probe_rounds: u32,
     pub relays: Vec<Relay>,
 }
 
 impl Command {
-    pub fn new(a: &CommandArrival, now: Duration, due: Duration) -> Self {
+    pub fn new(arrival: &CommandArrival, now: Duration, target_deadline: Duration) -> Self {
         Command {
-            class: a.class,
-            weight_set: a.weight_set,
+            class: arrival.class,
+            weight_set: arrival.weight_set,
             key: None,
             arrived_at: now,
-            target_deadline: due
-                + if a.body_pending {
+            target_deadline: target_deadline
+                + if arrival.body_pending {
                     BODY_PENDING_EXTENSION
                 } else {
                     Duration::ZERO
                 },
             client_deadline: now
-                + a.budget
-                + if a.body_pending {
+                + arrival.budget
+                + if arrival.body_pending {
                     BODY_PENDING_EXTENSION
                 } else {
                     Duration::ZERO
@@ -68,26 +85,25 @@
             queued: true,
             concluded: false,
             streaming: false,
-            body_pending: a.body_pending,
+            body_pending: arrival.body_pending,
             body_not_replayable: false,
             probe_rounds: 0,
             relays: Vec::new(),
         }
     }
 
-    /// Its body is there: its time runs from here, and that of its relays; where these are.
+    /// The whole body has arrived: the deadlines and the relays in flight count from now. Returns the endpoints of these
+    /// relays.
     pub fn body_complete(&mut self, now: Duration) -> Vec<EndpointIndex> {
-        let late = now.saturating_sub(self.arrived_at);
-        (self.target_deadline, self.client_deadline) = (
-            self.target_deadline + late - BODY_PENDING_EXTENSION,
-            self.client_deadline + late - BODY_PENDING_EXTENSION,
-        );
+        let upload_time = now.saturating_sub(self.arrived_at);
+        self.target_deadline = self.target_deadline + upload_time - BODY_PENDING_EXTENSION;
+        self.client_deadline = self.client_deadline + upload_time - BODY_PENDING_EXTENSION;
         self.body_pending = false;
-        let out = self.relays.iter_mut().filter(|r| r.outcome.is_none());
-        let begun = out.map(|r| {
-            r.sent_at = now;
-            r.endpoint
+        let in_flight = self.relays.iter_mut().filter(|r| r.outcome.is_none());
+        let endpoints = in_flight.map(|relay| {
+            relay.sent_at = now;
+            relay.endpoint
         });
-        begun.collect()
+        endpoints.collect()
     }
 }
