--- a/crates/passroad-choice/src/choice/learned_state.rs
+++ b/crates/passroad-choice/src/choice/learned_state.rs
@@ -1,3 +1,6 @@
+//! The learned state: what an old process hands to its successor in an upgrade. It is written by field name, and the two
+//! processes may be of different versions, so a renamed field keeps its outer name by attribute.
+
 use super::Balancer;
 use super::endpoint::Endpoint;
 use super::request_class::RequestClass;
@@ -6,31 +9,35 @@
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-const MAX_RETRY_PAUSE: Duration = Duration::from_secs(60); // of an endpoint that can't be reached
+/// Longest pause that is taken over for an endpoint that can't be reached.
+const MAX_RETRY_PAUSE: Duration = Duration::from_secs(60);
 
-/// What one instance has learnt, for the one that takes its place. Times are by a clock that both share.
+/// What a process has learnt of endpoints, classes and load, for its successor. Times are by a clock that both share.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct LearnedState {
     endpoints: Vec<(String, Endpoint)>,
+    /// Each class by name, with its slot.
     #[serde(rename = "verbs")]
-    classes: Vec<(String, usize, ClassStatistics)>, // each with its slot
+    classes: Vec<(String, usize, ClassStatistics)>,
     #[serde(rename = "mix")]
     tenant_arrivals: Vec<DecayingCount>,
     #[serde(rename = "usual")]
     latency: DecayingMean,
     #[serde(rename = "rtt")]
     probe_round_trip: Duration,
+    /// Over the short and the long time.
     sends: [DecayingCount; 2],
     #[serde(rename = "warm_served")]
     warm_answers: DecayingCount,
     arrivals: DecayingCount,
+    /// Usual limit, in-flight limit, mean value, success rate, report credit, retry budget.
     #[serde(rename = "numbers")]
     scalars: [f64; 6],
     #[serde(rename = "marked")]
     retries_marked: bool,
 }
 
-/// What was seen of a verb.
+/// What was seen of a request class.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 struct ClassStatistics {
     #[serde(rename = "budget")]
@@ -46,35 +53,35 @@
 }
 
 impl LearnedState {
-    /// The endpoints that it speaks of.
+    /// Ids of the endpoints in it, in the order in which [`crate::Event::StateInherited`] gives their slots.
     pub fn endpoint_ids(&self) -> impl Iterator<Item = &str> {
         self.endpoints.iter().map(|(id, _)| id.as_str())
     }
 }
 
 impl Balancer {
-    /// What was learnt here; `name` tells what an endpoint is called outside.
-    pub fn learned_state(&self, name: impl Fn(EndpointIndex) -> Option<String>) -> LearnedState {
-        let known = self.endpoints.iter().enumerate().filter(|(_, e)| e.in_use);
-        let habit = |v: &RequestClass| ClassStatistics {
-            usual_budget: v.usual_budget,
-            budget_confidence: v.budget_confidence,
-            arrivals: v.arrivals,
-            served_in_time: v.served_in_time,
-            answer_time: v.answer_time,
+    /// What this process has learnt; `id` gives the outer id of an endpoint.
+    pub fn learned_state(&self, id: impl Fn(EndpointIndex) -> Option<String>) -> LearnedState {
+        let endpoints = self.endpoints.iter().enumerate().filter(|(_, e)| e.in_use);
+        let statistics = |class: &RequestClass| ClassStatistics {
+            usual_budget: class.usual_budget,
+            budget_confidence: class.budget_confidence,
+            arrivals: class.arrivals,
+            served_in_time: class.served_in_time,
+            answer_time: class.answer_time,
         };
-        let verbs = self
+        let classes = self
             .parameters
             .classes
             .iter()
             .enumerate()
-            .filter(|(_, v)| v.retired_at.is_none());
+            .filter(|(_, class)| class.retired_at.is_none());
         LearnedState {
-            endpoints: known
-                .filter_map(|(at, e)| Some((name(at)?, e.clone())))
+            endpoints: endpoints
+                .filter_map(|(index, endpoint)| Some((id(index)?, endpoint.clone())))
                 .collect(),
-            classes: verbs
-                .map(|(at, v)| (v.name.clone(), at, habit(v)))
+            classes: classes
+                .map(|(slot, class)| (class.name.clone(), slot, statistics(class)))
                 .collect(),
             tenant_arrivals: self.tenant_arrivals.clone(),
             latency: self.latency,
@@ -83,7 +90,9 @@
             warm_answers: self
                 .warm_kinds
                 .iter()
-                .fold(DecayingCount::default(), |all, k| all.merged(&k.answers)),
+                .fold(DecayingCount::default(), |all, kind| {
+                    all.merged(&kind.answers)
+                }),
             arrivals: self.arrivals,
             scalars: [
                 self.usual_limit,
@@ -97,79 +106,78 @@
         }
     }
 
-    /// Takes over what another instance learnt. What it had out is its own, and what the list says is newer here.
-    pub(crate) fn inherit_state(&mut self, memory: LearnedState, slots: &[Option<EndpointIndex>]) {
-        let (now, count) = (self.now, memory.endpoints.len());
-        let mut from = vec![None; self.parameters.classes.len()];
-        for (name, slot, habit) in memory.classes {
-            let Some(at) = self
+    /// Takes over what the old process has learnt. The relays that it had in flight stay its own, and what the list says
+    /// here is newer.
+    pub(crate) fn inherit_state(&mut self, state: LearnedState, slots: &[Option<EndpointIndex>]) {
+        let now = self.now;
+        let count = state.endpoints.len();
+        let mut old_slots = vec![None; self.parameters.classes.len()];
+        for (name, old_slot, statistics) in state.classes {
+            let Some(slot) = self
                 .parameters
                 .classes
                 .iter()
-                .position(|v| v.retired_at.is_none() && v.name == name)
+                .position(|class| class.retired_at.is_none() && class.name == name)
             else {
                 continue;
             };
-            let v = &mut self.parameters.classes[at];
-            (v.usual_budget, v.budget_confidence) = (habit.usual_budget, habit.budget_confidence);
-            (v.arrivals, v.served_in_time, v.answer_time) =
-                (habit.arrivals, habit.served_in_time, habit.answer_time);
-            from[at] = Some(slot);
+            let class = &mut self.parameters.classes[slot];
+            class.usual_budget = statistics.usual_budget;
+            class.budget_confidence = statistics.budget_confidence;
+            class.arrivals = statistics.arrivals;
+            class.served_in_time = statistics.served_in_time;
+            class.answer_time = statistics.answer_time;
+            old_slots[slot] = Some(old_slot);
         }
-        for ((_, old), at) in memory.endpoints.into_iter().zip(slots) {
-            let Some(e) = at.and_then(|at| self.endpoints.get_mut(at)) else {
+        for ((_, old), index) in state.endpoints.into_iter().zip(slots) {
+            let Some(endpoint) = index.and_then(|index| self.endpoints.get_mut(index)) else {
                 continue;
             };
-            let by_verb = from.iter().map(|slot| {
+            let outcomes = old_slots.iter().map(|slot| {
                 slot.and_then(|slot| old.outcomes_by_class.get(slot))
                     .copied()
             });
-            let by_verb = by_verb.map(Option::unwrap_or_default).collect();
-            // Guards against times of a clock that ran ahead: an endpoint would stay cold, or untried, for as long.
-            let up_since = e.started_at.max(old.started_at.map(|up| up.min(now)));
-            let try_at = old.retry_at.min(now + MAX_RETRY_PAUSE);
-            let new = std::mem::replace(
-                e,
+            let outcomes_by_class = outcomes.map(Option::unwrap_or_default).collect();
+            // Prevents times of a clock that ran ahead from keeping an endpoint cold, or paused, for as long.
+            let started_at = endpoint
+                .started_at
+                .max(old.started_at.map(|at| at.min(now)));
+            let retry_at = old.retry_at.min(now + MAX_RETRY_PAUSE);
+            let current = std::mem::replace(
+                endpoint,
                 Endpoint {
-                    outcomes_by_class: by_verb,
-                    started_at: up_since,
-                    retry_at: try_at,
+                    outcomes_by_class,
+                    started_at,
+                    retry_at,
                     ..old
                 },
             );
-            (e.id_hash, e.zone, e.kind, e.cell) = (new.id_hash, new.zone, new.kind, new.cell);
-            (e.weight, e.max_live_weight, e.capacity, e.in_use) = (
-                new.weight,
-                new.max_live_weight.max(e.max_live_weight),
-                new.capacity,
-                new.in_use,
-            );
-            (e.running, e.available, e.removed, e.cordoned_since) =
-                (new.running, new.available, new.removed, new.cordoned_since);
-            (
-                e.in_flight,
-                e.last_used,
-                e.probe_sent_at,
-                e.in_view,
-                e.route_weights,
-            ) = (
-                new.in_flight,
-                new.last_used,
-                new.probe_sent_at,
-                new.in_view,
-                new.route_weights,
-            );
+            endpoint.id_hash = current.id_hash;
+            endpoint.zone = current.zone;
+            endpoint.kind = current.kind;
+            endpoint.cell = current.cell;
+            endpoint.weight = current.weight;
+            endpoint.max_live_weight = current.max_live_weight.max(endpoint.max_live_weight);
+            endpoint.capacity = current.capacity;
+            endpoint.in_use = current.in_use;
+            endpoint.running = current.running;
+            endpoint.available = current.available;
+            endpoint.removed = current.removed;
+            endpoint.cordoned_since = current.cordoned_since;
+            endpoint.in_flight = current.in_flight;
+            endpoint.last_used = current.last_used;
+            endpoint.probe_sent_at = current.probe_sent_at;
+            endpoint.in_view = current.in_view;
+            endpoint.route_weights = current.route_weights;
         }
-        if memory.tenant_arrivals.len() == self.tenant_arrivals.len() {
-            self.tenant_arrivals = memory.tenant_arrivals;
+        if state.tenant_arrivals.len() == self.tenant_arrivals.len() {
+            self.tenant_arrivals = state.tenant_arrivals;
         }
-        (self.latency, self.probe_round_trip, self.retries_marked) = (
-            memory.latency,
-            memory.probe_round_trip,
-            memory.retries_marked,
-        );
-        [self.sends_short, self.sends_long] = memory.sends;
-        self.arrivals = memory.arrivals;
+        self.latency = state.latency;
+        self.probe_round_trip = state.probe_round_trip;
+        self.retries_marked = state.retries_marked;
+        [self.sends_short, self.sends_long] = state.sends;
+        self.arrivals = state.arrivals;
         [
             self.usual_limit,
             self.in_flight_limit,
@@ -177,14 +185,16 @@
             self.success_rate,
             self.report_credit,
             self.retry_budget,
-        ] = memory.scalars;
+        ] = state.scalars;
         self.log(format!(
-            "what was learnt of {count} endpoints is taken over"
+            "took over the learned state of {count} endpoints from the old process"
         ));
         self.refresh_fleet();
-        let all: f64 = self.warm_kinds.iter().map(|k| k.weight).sum();
+        let total_weight: f64 = self.warm_kinds.iter().map(|kind| kind.weight).sum();
         for kind in &mut self.warm_kinds {
-            kind.answers = memory.warm_answers.scaled(kind.weight / all.max(1e-9));
+            kind.answers = state
+                .warm_answers
+                .scaled(kind.weight / total_weight.max(1e-9));
         }
     }
 }
--- a/crates/passroad-choice/src/choice/request_class.rs
+++ b/crates/passroad-choice/src/choice/request_class.rs
@@ -1,3 +1,5 @@
+//! Request classes: what is configured for each, what was seen of it, and what an answer of it is worth.
+
 use super::Balancer;
 use super::command::Relay;
 use super::endpoint::Endpoint;
@@ -7,10 +9,12 @@
 use crate::{Action, DeduplicationScope, Effect, RequestClassConfig};
 use std::time::Duration;
 
-const CLASS_SLOT_REUSE_DELAY: Duration = Duration::from_secs(60); // a verb's, before another has it
-const MIN_CLASS_RATE: f64 = 0.1; // a second; so little asked says little of how a verb is served
+/// The slot of a class that was removed is given to another no earlier than this.
+const CLASS_SLOT_REUSE_DELAY: Duration = Duration::from_secs(60);
+/// Added to the rates of each class, per second: a few arrivals say little of how a class is served.
+const MIN_CLASS_RATE: f64 = 0.1;
 
-/// For one verb: what was ordered, and what was seen of it.
+/// A request class: its configuration, and what was seen of it.
 pub struct RequestClass {
     pub name: String,
     pub effect: Effect,
@@ -21,46 +25,63 @@
     pub target_per_work: f64,
     pub utility: f64,
     pub late_utility: f64,
-    pub usual_budget: Duration, // what most clients give, and how sure that is
+    /// Time budget that most clients give.
+    pub usual_budget: Duration,
+    /// Votes for that budget, up to 20.
     pub budget_confidence: u32,
+    /// First tries, not retries by clients.
     pub arrivals: DecayingCount,
-    pub served_in_time: DecayingCount, // in time
-    pub answer_time: DecayingMean,     // seconds that an answer takes
+    pub served_in_time: DecayingCount,
+    /// Seconds that an answer takes.
+    pub answer_time: DecayingMean,
     pub max_relays: usize,
-    pub allowed: [Option<Vec<usize>>; 2], // zones and kinds where it may run, if not all
-    pub retired_at: Option<Duration>,     // no command comes with it since then
+    /// Zones and kinds where it may run, if not all.
+    pub allowed: [Option<Vec<usize>>; 2],
+    /// No command arrives with it since then.
+    pub retired_at: Option<Duration>,
 }
 
 impl RequestClass {
-    pub fn from_config(v: &RequestClassConfig, usual: Duration, most_relays: usize) -> Self {
+    pub fn from_config(
+        config: &RequestClassConfig,
+        usual_answer_time: Duration,
+        max_relays: usize,
+    ) -> Self {
         RequestClass {
-            name: v.name.clone(),
-            effect: v.effect,
-            deduplication_scope: v.deduplication_scope,
-            deduplication_window: v.deduplication_window,
-            deadline_target: v.deadline_target,
-            time_limit: v.time_limit,
-            target_per_work: v.target_per_work,
-            utility: v.utility,
-            late_utility: v.late_utility,
+            name: config.name.clone(),
+            effect: config.effect,
+            deduplication_scope: config.deduplication_scope,
+            deduplication_window: config.deduplication_window,
+            deadline_target: config.deadline_target,
+            time_limit: config.time_limit,
+            target_per_work: config.target_per_work,
+            utility: config.utility,
+            late_utility: config.late_utility,
             usual_budget: Duration::ZERO,
             budget_confidence: 0,
             arrivals: DecayingCount::default(),
             served_in_time: DecayingCount::default(),
             answer_time: DecayingMean {
-                mean: usual.as_secs_f64(),
+                mean: usual_answer_time.as_secs_f64(),
                 ..DecayingMean::default()
             },
-            max_relays: most_relays,
-            allowed: [v.allowed_zones.clone(), v.allowed_kinds.clone()],
+            max_relays,
+            allowed: [config.allowed_zones.clone(), config.allowed_kinds.clone()],
             retired_at: None,
         }
     }
 
-    /// Whether the orders are the same.
+    /// Whether the two are configured alike.
     fn same_config(&self, other: &RequestClass) -> bool {
-        let times = |v: &RequestClass| [v.deduplication_window, v.deadline_target, v.time_limit];
-        let numbers = |v: &RequestClass| [v.target_per_work, v.utility, v.late_utility];
+        let times = |class: &RequestClass| {
+            [
+                class.deduplication_window,
+                class.deadline_target,
+                class.time_limit,
+            ]
+        };
+        let numbers =
+            |class: &RequestClass| [class.target_per_work, class.utility, class.late_utility];
         self.name == other.name
             && (self.effect, self.deduplication_scope, self.max_relays)
                 == (other.effect, other.deduplication_scope, other.max_relays)
@@ -68,36 +89,42 @@
                 == (times(other), numbers(other), &other.allowed)
     }
 
+    /// Whether it may run in some zones or kinds only.
     pub fn is_restricted(&self) -> bool {
         self.allowed.iter().any(Option::is_some)
     }
 
-    /// Whether it may run there.
-    pub fn allowed_on(&self, e: &Endpoint) -> bool {
+    pub fn allowed_on(&self, endpoint: &Endpoint) -> bool {
         let [zones, kinds] = &self.allowed;
-        zones.as_ref().is_none_or(|zones| zones.contains(&e.zone))
-            && kinds.as_ref().is_none_or(|kinds| kinds.contains(&e.kind))
+        zones
+            .as_ref()
+            .is_none_or(|zones| zones.contains(&endpoint.zone))
+            && kinds
+                .as_ref()
+                .is_none_or(|kinds| kinds.contains(&endpoint.kind))
     }
 
-    /// Other orders for the same verb: what was seen of it holds, but for what clients give.
-    fn adopt_statistics(&mut self, before: &RequestClass) {
-        (self.arrivals, self.served_in_time, self.answer_time) =
-            (before.arrivals, before.served_in_time, before.answer_time);
+    /// The same class under another configuration: what was seen of it still holds, but for the budget of clients.
+    fn adopt_statistics(&mut self, previous: &RequestClass) {
+        self.arrivals = previous.arrivals;
+        self.served_in_time = previous.served_in_time;
+        self.answer_time = previous.answer_time;
     }
 
-    /// How long a repeat may still be sent; a tenth is left for the way.
+    /// For how long a repeat of a relay is still dropped by the endpoints; a tenth of the window is left for its way.
     pub(super) fn deduplication_time_left(&self, first: &Relay, now: Duration) -> Duration {
         self.deduplication_window
             .mul_f64(0.9)
             .saturating_sub(now.saturating_sub(first.sent_at))
     }
 
-    /// Like with like: a time against its verb's usual one, and for the place in line that it had.
-    pub(super) fn relative_latency(&self, r: &Relay, spent: Duration) -> f64 {
-        spent.as_secs_f64() / self.answer_time.mean.max(1e-6) / (1.0 + 0.5 * r.load_ahead)
+    /// Latency relative to the usual one of the class and to the load ahead of the relay, so that relays of different
+    /// classes and loads can be compared.
+    pub(super) fn relative_latency(&self, relay: &Relay, elapsed: Duration) -> f64 {
+        elapsed.as_secs_f64() / self.answer_time.mean.max(1e-6) / (1.0 + 0.5 * relay.load_ahead)
     }
 
-    /// When a relay takes unusually long.
+    /// Time after which a relay counts as unusually slow.
     pub(super) fn hedge_delay(&self) -> Duration {
         Duration::from_secs_f64(
             (self.answer_time.mean + 3.0 * self.answer_time.spread).clamp(0.0, 4000.0),
@@ -106,121 +133,121 @@
 }
 
 impl Balancer {
-    /// Other orders: verbs that did not change keep their slots, all others get some that no command holds.
-    pub(crate) fn reconfigure(&mut self, mut duty: Parameters) {
-        let (new, now) = (std::mem::take(&mut duty.classes), self.now);
-        duty.classes = std::mem::take(&mut self.parameters.classes);
-        if duty.tenant_shares != self.parameters.tenant_shares {
-            self.tenant_arrivals = vec![DecayingCount::default(); duty.tenant_shares.len()];
+    /// Applies another configuration. Classes that did not change keep their slots; each other one gets a new slot, or one
+    /// that no open command holds.
+    pub(crate) fn reconfigure(&mut self, mut parameters: Parameters) {
+        let new_classes = std::mem::take(&mut parameters.classes);
+        let now = self.now;
+        parameters.classes = std::mem::take(&mut self.parameters.classes);
+        if parameters.tenant_shares != self.parameters.tenant_shares {
+            self.tenant_arrivals = vec![DecayingCount::default(); parameters.tenant_shares.len()];
         }
         self.key_arrivals.resize(
-            if duty.warm_keys {
+            if parameters.warm_keys {
                 self.key_arrivals.len().max(KEY_SLOTS)
             } else {
                 0
             },
             DecayingCount::default(),
         );
-        self.parameters = duty;
-        let live = |v: &RequestClass| v.retired_at.is_none();
-        let stay = |old: &RequestClass| new.iter().any(|v| v.same_config(old));
+        self.parameters = parameters;
+        let is_live = |class: &RequestClass| class.retired_at.is_none();
+        let stays = |old: &RequestClass| new_classes.iter().any(|class| class.same_config(old));
         for old in self
             .parameters
             .classes
             .iter_mut()
-            .filter(|v| v.retired_at.is_none() && !stay(v))
+            .filter(|class| class.retired_at.is_none() && !stays(class))
         {
             old.retired_at = Some(now);
         }
-        let mut verbs = Vec::with_capacity(new.len());
-        for mut v in new {
+        let mut assigned = Vec::with_capacity(new_classes.len());
+        for mut class in new_classes {
             let slots = &self.parameters.classes;
-            if let Some(at) = slots
+            if let Some(slot) = slots
                 .iter()
-                .position(|old| live(old) && old.same_config(&v))
+                .position(|old| is_live(old) && old.same_config(&class))
             {
-                verbs.push(at);
+                assigned.push(slot);
                 continue;
             }
-            let before = slots
+            let previous = slots
+                .iter()
+                .rposition(|old| old.name == class.name && old.retired_at == Some(now));
+            previous
                 .iter()
-                .rposition(|old| old.name == v.name && old.retired_at == Some(now));
-            before.iter().for_each(|at| v.adopt_statistics(&slots[*at]));
-            let held = |at: usize| self.commands.iter().flatten().any(|c| c.class == at);
-            let free = |at: &usize| {
-                let since = slots[*at].retired_at.map(|since| now.saturating_sub(since));
-                since.is_some_and(|since| since > CLASS_SLOT_REUSE_DELAY) && !held(*at)
+                .for_each(|slot| class.adopt_statistics(&slots[*slot]));
+            let is_held = |slot: usize| self.commands.iter().flatten().any(|c| c.class == slot);
+            let is_free = |slot: &usize| {
+                let retired_for = slots[*slot].retired_at.map(|at| now.saturating_sub(at));
+                retired_for.is_some_and(|time| time > CLASS_SLOT_REUSE_DELAY) && !is_held(*slot)
             };
-            let at = (0..slots.len()).find(free).unwrap_or(slots.len());
-            for e in &mut self.endpoints {
-                let few = before
-                    .and_then(|at| e.outcomes_by_class.get(at))
+            let slot = (0..slots.len()).find(is_free).unwrap_or(slots.len());
+            for endpoint in &mut self.endpoints {
+                let outcomes = previous
+                    .and_then(|slot| endpoint.outcomes_by_class.get(slot))
                     .copied()
                     .unwrap_or_default();
-                e.outcomes_by_class.resize(
-                    e.outcomes_by_class.len().max(at + 1),
+                endpoint.outcomes_by_class.resize(
+                    endpoint.outcomes_by_class.len().max(slot + 1),
                     RecentOutcomes::default(),
                 );
-                e.outcomes_by_class[at] = few;
+                endpoint.outcomes_by_class[slot] = outcomes;
             }
-            if at == slots.len() {
-                self.parameters.classes.push(v);
+            if slot == slots.len() {
+                self.parameters.classes.push(class);
             } else {
-                self.parameters.classes[at] = v;
+                self.parameters.classes[slot] = class;
             }
-            verbs.push(at);
+            assigned.push(slot);
         }
-        for gone in self
+        for retired in self
             .parameters
             .classes
             .iter_mut()
-            .filter(|v| v.retired_at == Some(now))
+            .filter(|class| class.retired_at == Some(now))
         {
-            (gone.arrivals, gone.served_in_time) =
-                (DecayingCount::default(), DecayingCount::default());
+            retired.arrivals = DecayingCount::default();
+            retired.served_in_time = DecayingCount::default();
         }
-        let names: Vec<_> = verbs
+        let names: Vec<_> = assigned
             .iter()
-            .map(|at| self.parameters.classes[*at].name.as_str())
+            .map(|slot| self.parameters.classes[*slot].name.as_str())
             .collect();
-        let line = format!("other orders: verbs {}", names.join(", "));
+        let line = format!("configuration changed: classes {}", names.join(", "));
         self.log(line);
         self.actions
-            .push(Action::ClassIndicesAssigned { classes: verbs });
+            .push(Action::ClassIndicesAssigned { classes: assigned });
         self.refresh_fleet();
     }
 
-    /// What an answer in time adds to the result, for each verb. Guards against starving the verb that is
-    /// worth least for as long as the result counts the worst served.
+    /// What an answer in time adds to the objective, for each class. Prevents starving the class with the least utility:
+    /// the objective also counts the class that is served worst.
     pub(super) fn class_values(&self) -> Vec<f64> {
-        let verbs = &self.parameters.classes;
-        let rates: Vec<f64> = verbs
+        let classes = &self.parameters.classes;
+        let rates: Vec<f64> = classes
             .iter()
-            .map(|v| v.arrivals.rate(self.now, 8 * SMOOTHING) + MIN_CLASS_RATE)
+            .map(|class| class.arrivals.rate(self.now, 8 * SMOOTHING) + MIN_CLASS_RATE)
             .collect();
-        let served = verbs
+        let served_rates = classes
             .iter()
-            .map(|v| v.served_in_time.rate(self.now, 8 * SMOOTHING) + MIN_CLASS_RATE);
-        let services: Vec<f64> = served
+            .map(|class| class.served_in_time.rate(self.now, 8 * SMOOTHING) + MIN_CLASS_RATE);
+        let served_shares: Vec<f64> = served_rates
             .zip(&rates)
             .map(|(served, rate)| served / rate)
             .collect();
-        let (all, least) = (
-            rates.iter().sum::<f64>(),
-            services.iter().copied().fold(1.0, f64::min),
-        );
-        let worth: f64 = verbs
+        let total_rate = rates.iter().sum::<f64>();
+        let worst_share = served_shares.iter().copied().fold(1.0, f64::min);
+        let total_utility: f64 = classes
             .iter()
             .zip(&rates)
-            .map(|(v, rate)| rate * v.utility)
+            .map(|(class, rate)| rate * class.utility)
             .sum();
-        let behind = |n: usize| (1.0 - 10.0 * (services[n] - least)).max(0.0);
-        let (whole, worst) = (
-            self.parameters.objective_total * all / worth,
-            self.parameters.objective_worst_class * all,
-        );
-        (0..verbs.len())
-            .map(|n| whole * verbs[n].utility + worst * behind(n) / rates[n])
+        let near_worst = |n: usize| (1.0 - 10.0 * (served_shares[n] - worst_share)).max(0.0);
+        let of_total = self.parameters.objective_total * total_rate / total_utility;
+        let of_worst_class = self.parameters.objective_worst_class * total_rate;
+        (0..classes.len())
+            .map(|n| of_total * classes[n].utility + of_worst_class * near_worst(n) / rates[n])
             .collect()
     }
 }
