--- a/crates/passroad-choice/src/choice/endpoint_list.rs
+++ b/crates/passroad-choice/src/choice/endpoint_list.rs
@@ -1,3 +1,6 @@
+//! The endpoint list: updates and failures of the list service, cordons, route weights, and what follows from the list for
+//! all endpoints together.
+
 use super::command::Command;
 use super::endpoint::Endpoint;
 use super::slow_start::WarmKind;
@@ -10,20 +13,21 @@
     pub(super) fn update_list(&mut self, kind: ListUpdateKind, entries: Vec<ListedEndpoint>) {
         let jitter = self.random();
         match kind {
-            // Guards against a crowd at a list service that is down: later each time, never in step; 1.5 s at
-            // most, as news soon counts as told. Where lists are pushed the agent's news counts at once.
+            // Prevents crowding a list service that is down: exponential backoff with jitter, 1.5 s at most, as a change of
+            // the list must be followed soon after it is made. Where lists are pushed it must be followed at once, so the
+            // pause is short and doesn't grow.
             ListUpdateKind::Failed => {
                 self.subscribed = false;
                 self.list_failures += 1;
-                let step = match self.parameters.list_on_request {
+                let backoff = match self.parameters.list_on_request {
                     true => {
                         self.parameters.list_poll_interval / 16 * (1 << self.list_failures.min(4))
                     }
                     false => self.parameters.drain_grace / 4,
                 };
-                let after = step.min(Duration::from_secs(1)).mul_f64(0.5 + jitter);
+                let after = backoff.min(Duration::from_secs(1)).mul_f64(0.5 + jitter);
                 self.log(format!(
-                    "list refused {} times, again in {after:.2?}",
+                    "list request failed {} times; next attempt in {after:.2?}",
                     self.list_failures
                 ));
                 return self.set_timer(after, TIMER_LIST);
@@ -36,7 +40,7 @@
             }
             ListUpdateKind::Full | ListUpdateKind::Delta if self.list_failures > 0 => {
                 self.log(format!(
-                    "list answers again after {} refusals",
+                    "list service answers again after {} failures",
                     self.list_failures
                 ));
                 self.list_failures = 0;
@@ -44,35 +48,41 @@
             _ => {}
         }
         if kind != ListUpdateKind::Delta {
-            self.endpoints
-                .iter_mut()
-                .for_each(|e| (e.running, e.available, e.removed) = (false, false, e.in_use));
+            self.endpoints.iter_mut().for_each(|endpoint| {
+                endpoint.running = false;
+                endpoint.available = false;
+                endpoint.removed = endpoint.in_use;
+            });
         }
         for entry in &entries {
-            let (now, len) = (self.now, self.endpoints.len().max(entry.endpoint + 1));
+            let now = self.now;
+            let len = self.endpoints.len().max(entry.endpoint + 1);
             self.endpoints.resize_with(len, Endpoint::unused);
-            let e = &mut self.endpoints[entry.endpoint];
-            (e.id_hash, e.kind, e.zone, e.cell, e.in_use) =
-                (entry.id_hash, entry.kind, entry.zone, entry.cell, true);
-            e.weight = entry.weight.clamp(0.01, 1e6);
-            // A live weight is the size by one more than what is held: the most seen is the size.
+            let endpoint = &mut self.endpoints[entry.endpoint];
+            endpoint.id_hash = entry.id_hash;
+            endpoint.kind = entry.kind;
+            endpoint.zone = entry.zone;
+            endpoint.cell = entry.cell;
+            endpoint.in_use = true;
+            endpoint.weight = entry.weight.clamp(0.01, 1e6);
+            // A live weight is the endpoint's full weight divided by one more than the commands it holds. The highest live
+            // weight seen is taken for the full weight.
             if self.parameters.live_weights {
-                e.max_live_weight = e.max_live_weight.max(e.weight);
-                (e.load, e.weight) = (e.max_live_weight / e.weight - 1.0, e.max_live_weight);
+                endpoint.max_live_weight = endpoint.max_live_weight.max(endpoint.weight);
+                endpoint.load = endpoint.max_live_weight / endpoint.weight - 1.0;
+                endpoint.weight = endpoint.max_live_weight;
             }
-            (e.running, e.removed) = (
-                entry.state == EndpointState::Running,
-                entry.state == EndpointState::Removed,
-            );
-            e.available = e.running && e.cordoned_since.is_none();
-            let young = !entry.started_at.is_zero()
+            endpoint.running = entry.state == EndpointState::Running;
+            endpoint.removed = entry.state == EndpointState::Removed;
+            endpoint.available = endpoint.running && endpoint.cordoned_since.is_none();
+            let is_young = !entry.started_at.is_zero()
                 && now.saturating_sub(entry.started_at) < self.parameters.warm_up_time;
-            if young && e.started_at.is_none_or(|at| entry.started_at > at) {
-                e.restart_cold(entry.started_at);
+            if is_young && endpoint.started_at.is_none_or(|at| entry.started_at > at) {
+                endpoint.restart_cold(entry.started_at);
             }
         }
         if self.parameters.live_weights {
-            // What is not named has not changed.
+            // An endpoint that an update doesn't name has not changed.
             self.endpoints
                 .iter_mut()
                 .filter(|e| e.available)
@@ -81,135 +91,152 @@
         self.refresh_fleet();
     }
 
-    /// Out by hand, whatever the list says. Guards against trust in what may be another process when it
-    /// is called back: nothing old holds, it is cold unless told of a start meanwhile, and a send is due.
-    pub(super) fn set_cordon(&mut self, at: EndpointIndex, out: bool) {
-        let (now, len) = (self.now, self.endpoints.len().max(at + 1));
+    /// Cordons an endpoint, whatever the list says, or lifts its cordon. Prevents trusting what was learnt of a process
+    /// that may have been replaced meanwhile: when the cordon is lifted nothing of it holds, the endpoint is cold, and a
+    /// trial is due.
+    pub(super) fn set_cordon(&mut self, index: EndpointIndex, cordoned: bool) {
+        let now = self.now;
+        let len = self.endpoints.len().max(index + 1);
         self.endpoints.resize_with(len, Endpoint::unused);
-        let owed = now + self.parameters.overload_window.mul_f64(self.random());
-        let e = &mut self.endpoints[at];
-        match e.cordoned_since.filter(|_| !out) {
+        let trial_due = now + self.parameters.overload_window.mul_f64(self.random());
+        let endpoint = &mut self.endpoints[index];
+        match endpoint.cordoned_since.filter(|_| !cordoned) {
             Some(since) => {
-                e.restart_cold(e.started_at.filter(|up| *up > since).unwrap_or(now));
-                (
-                    e.cordoned_since,
-                    e.trial_due,
-                    e.reported_at,
-                    e.report_credit,
-                ) = (None, Some(owed), None, 1.0);
+                // A start that the list reported during the cordon holds; otherwise it may have started just now.
+                let started_at = endpoint.started_at.filter(|at| *at > since).unwrap_or(now);
+                endpoint.restart_cold(started_at);
+                endpoint.cordoned_since = None;
+                endpoint.trial_due = Some(trial_due);
+                endpoint.reported_at = None;
+                endpoint.report_credit = 1.0;
             }
-            None if out => {
-                (e.cordoned_since, e.removed) =
-                    (e.cordoned_since.or(Some(now)), e.removed || !e.in_use)
+            None if cordoned => {
+                endpoint.cordoned_since = endpoint.cordoned_since.or(Some(now));
+                endpoint.removed = endpoint.removed || !endpoint.in_use;
             }
             None => return,
         }
-        e.available = e.running && !out;
-        self.actions.push(Action::Disconnect { endpoint: at });
+        endpoint.available = endpoint.running && !cordoned;
+        self.actions.push(Action::Disconnect { endpoint: index });
         self.refresh_fleet();
     }
 
-    /// Which endpoints are in play, and with which base weight, is decided before; the draw is here.
+    /// Sets weights that routes give: weight set, endpoint, weight. Which endpoints a route may use is decided by the
+    /// caller; the draw among them is made here.
     pub(crate) fn set_route_weights(&mut self, weights: Vec<(usize, EndpointIndex, f64)>) {
         self.has_route_weights = true;
-        for (play, endpoint, weight) in weights {
-            let Some(e) = self.endpoints.get_mut(endpoint) else {
+        for (weight_set, index, weight) in weights {
+            let Some(endpoint) = self.endpoints.get_mut(index) else {
                 continue;
             };
-            e.route_weights
-                .resize(e.route_weights.len().max(play + 1), 0.0);
-            e.route_weights[play] = weight.clamp(0.0, 1e6);
+            endpoint
+                .route_weights
+                .resize(endpoint.route_weights.len().max(weight_set + 1), 0.0);
+            endpoint.route_weights[weight_set] = weight.clamp(0.0, 1e6);
         }
         self.refresh_fleet();
     }
 
-    /// What the list comes to: sizes, the cold ones, the warm ones as a table to draw from by base weight.
+    /// Recomputes what follows from the list: capacities, the cold endpoints, the warm ones as a table to draw from by
+    /// base weight, and when to do this again.
     pub(crate) fn refresh_fleet(&mut self) {
-        let wait = self.release_removed_endpoints();
-        let sizes: Vec<f64> = self
+        let removal_pending = self.release_removed_endpoints();
+        let weights: Vec<f64> = self
             .endpoints
             .iter()
-            .map(|e| self.estimated_weight(e))
+            .map(|endpoint| self.estimated_weight(endpoint))
             .collect();
-        let ratings = self
+        let available_weights = self
             .endpoints
             .iter()
-            .zip(&sizes)
-            .filter(|(e, _)| e.available)
-            .map(|(_, size)| *size);
-        let (sum, count) = ratings.fold((0.0, 0.0), |(s, n): (f64, f64), r| (s + r, n + 1.0));
-        (self.available_count, self.warm_capacity, self.next_refresh) =
-            (f64::max(count, 1.0), 0.0, Duration::MAX);
-        if wait {
+            .zip(&weights)
+            .filter(|(endpoint, _)| endpoint.available)
+            .map(|(_, weight)| *weight);
+        let (total, count) = available_weights.fold((0.0, 0.0), |(sum, n): (f64, f64), weight| {
+            (sum + weight, n + 1.0)
+        });
+        self.available_count = f64::max(count, 1.0);
+        self.warm_capacity = 0.0;
+        self.next_refresh = Duration::MAX;
+        if removal_pending {
             self.next_refresh = self.now;
         }
-        (self.cumulative_weights, self.cold_endpoints) = (Vec::new(), Vec::new());
+        self.cumulative_weights = Vec::new();
+        self.cold_endpoints = Vec::new();
         self.all_cordoned = count == 0.0 && self.endpoints.iter().any(|e| e.running);
-        let mut mass = 0.0;
-        let mut kinds = vec![0.0; self.warm_kinds.len()];
-        for (at, size) in sizes.into_iter().enumerate() {
-            self.endpoints[at].capacity = size * if sum > 0.0 { count / sum } else { 1.0 };
-            let e = &self.endpoints[at];
-            if e.available && self.is_cold(e) {
-                self.cold_endpoints.push(at);
-                let warm_at = e.started_at.unwrap_or_default() + self.parameters.warm_up_time;
+        let mut cumulative_weight = 0.0;
+        let mut kind_weights = vec![0.0; self.warm_kinds.len()];
+        for (index, weight) in weights.into_iter().enumerate() {
+            self.endpoints[index].capacity = weight * if total > 0.0 { count / total } else { 1.0 };
+            let endpoint = &self.endpoints[index];
+            if endpoint.available && self.is_cold(endpoint) {
+                self.cold_endpoints.push(index);
+                let warm_at =
+                    endpoint.started_at.unwrap_or_default() + self.parameters.warm_up_time;
                 self.next_refresh = self.next_refresh.min(warm_at);
-            } else if e.available {
-                self.warm_capacity += e.capacity;
-                kinds.resize(kinds.len().max(e.kind + 1), 0.0);
-                kinds[e.kind] += e.weight;
-                mass += self.base_weight(e, None);
+            } else if endpoint.available {
+                self.warm_capacity += endpoint.capacity;
+                kind_weights.resize(kind_weights.len().max(endpoint.kind + 1), 0.0);
+                kind_weights[endpoint.kind] += endpoint.weight;
+                cumulative_weight += self.base_weight(endpoint, None);
             }
-            self.cumulative_weights.push(mass);
+            self.cumulative_weights.push(cumulative_weight);
         }
-        self.warm_kinds.resize(kinds.len(), WarmKind::default());
+        self.warm_kinds
+            .resize(kind_weights.len(), WarmKind::default());
         self.warm_kinds
             .iter_mut()
-            .zip(kinds)
-            .for_each(|(kind, size)| kind.set_weight(self.now, size));
+            .zip(kind_weights)
+            .for_each(|(kind, weight)| kind.set_weight(self.now, weight));
         if self.parameters.probes_per_command == 0 {
             self.next_refresh = self.next_refresh.min(self.now + Duration::from_secs(1));
         }
-        // Many become warm one by one: a while later is early enough.
+        // Many endpoints become warm one after the other; one refresh for a few of them is early enough.
         self.next_refresh = self
             .next_refresh
             .max(self.now + self.parameters.warm_up_time / 16);
     }
 
-    /// Size by the list, and by how fast the answers of its kind are, which the list may not tell.
-    fn estimated_weight(&self, e: &Endpoint) -> f64 {
+    /// Weight by the list, and, without probes, by how fast the answers of its kind are, which the list may not tell.
+    fn estimated_weight(&self, endpoint: &Endpoint) -> f64 {
         let kind = self
             .latency_by_kind
-            .get(e.kind)
+            .get(endpoint.kind)
             .filter(|_| self.parameters.probes_per_command == 0);
-        let faster = kind.filter(|k| k.count > 0.0).map_or(1.0, |k| {
-            let n = k.count * decay(self.now, k.updated_at, Duration::from_secs(20));
-            self.latency.mean * (n + 2.0) / (k.mean * n + self.latency.mean * 2.0).max(1e-6)
-        });
-        e.weight * faster.clamp(0.2, 5.0)
+        let speed = kind
+            .filter(|latency| latency.count > 0.0)
+            .map_or(1.0, |latency| {
+                let count =
+                    latency.count * decay(self.now, latency.updated_at, Duration::from_secs(20));
+                self.latency.mean * (count + 2.0)
+                    / (latency.mean * count + self.latency.mean * 2.0).max(1e-6)
+            });
+        endpoint.weight * speed.clamp(0.2, 5.0)
     }
 
-    /// Gives back the slots of endpoints that have left, once nothing is out on them and no command speaks of them.
-    /// Guards against a list that changes all day: what is held would grow with every id that ever was.
+    /// Releases the slots of removed endpoints once nothing is in flight to them and no open command was sent there;
+    /// returns whether some must wait. Prevents the state from growing with every id that was ever listed, where the list
+    /// changes all day.
     fn release_removed_endpoints(&mut self) -> bool {
-        let mut wait = false;
-        for at in 0..self.endpoints.len() {
-            let e = &self.endpoints[at];
-            if !e.removed || e.running || e.cordoned_since.is_some() {
+        let mut some_wait = false;
+        for index in 0..self.endpoints.len() {
+            let endpoint = &self.endpoints[index];
+            if !endpoint.removed || endpoint.running || endpoint.cordoned_since.is_some() {
                 continue;
             }
-            let tried = |c: &Command| c.relays.iter().any(|r| r.endpoint == at);
-            if e.in_flight.is_empty()
-                && e.probe_sent_at.is_none()
-                && !self.commands.iter().flatten().any(tried)
+            let was_sent_there = |c: &Command| c.relays.iter().any(|r| r.endpoint == index);
+            if endpoint.in_flight.is_empty()
+                && endpoint.probe_sent_at.is_none()
+                && !self.commands.iter().flatten().any(was_sent_there)
             {
-                self.endpoints[at] = Endpoint::unused();
-                self.in_view.retain(|met| *met != at);
-                self.actions.push(Action::ReleaseEndpoint { endpoint: at });
+                self.endpoints[index] = Endpoint::unused();
+                self.in_view.retain(|in_view| *in_view != index);
+                self.actions
+                    .push(Action::ReleaseEndpoint { endpoint: index });
             } else {
-                wait = true;
+                some_wait = true;
             }
         }
-        wait
+        some_wait
     }
 }
--- a/crates/passroad-choice/src/choice/hedging.rs
+++ b/crates/passroad-choice/src/choice/hedging.rs
@@ -1,56 +1,77 @@
+//! Slow relays: hedging, and cancellation once the deadline target has passed.
+
 use super::Balancer;
 use super::command::{Command, Relay};
 use super::endpoint::Endpoint;
 use crate::CommandIndex;
 
 impl Balancer {
-    /// A second copy, where one relay takes unusually long. Guards against an endpoint that stands still; the
-    /// budget of further relays keeps it from feeding an overload.
-    pub(super) fn hedge(&mut self, cmd: CommandIndex) {
-        let Some(c) = self
-            .open_command(cmd)
-            .filter(|c| !c.concluded && !c.streaming && !c.queued && !c.body_not_replayable)
-        else {
+    /// Sends a hedge where the only relay takes unusually long. Prevents a command from waiting for an endpoint that hangs;
+    /// the retry budget keeps hedges from adding to an overload.
+    pub(super) fn hedge(&mut self, command_index: CommandIndex) {
+        let Some(command) = self.open_command(command_index).filter(|command| {
+            !command.concluded
+                && !command.streaming
+                && !command.queued
+                && !command.body_not_replayable
+        }) else {
+            return;
+        };
+        let class = &self.parameters.classes[command.class];
+        let [only_relay] = command.relays[..] else {
             return;
         };
-        let v = &self.parameters.classes[c.class];
-        let [only] = c.relays[..] else { return };
-        let slow = only.outcome.is_none()
-            && self.now.saturating_sub(only.sent_at) >= v.hedge_delay().mul_f64(0.8);
-        let time = c.target_deadline.saturating_sub(self.now).as_secs_f64() > v.answer_time.mean;
-        let may = slow && time && self.retry_budget >= 1.0 && !self.shedding;
-        if let Some(at) = may.then(|| self.pick_endpoint(cmd, true)).flatten() {
+        let is_slow = only_relay.outcome.is_none()
+            && self.now.saturating_sub(only_relay.sent_at) >= class.hedge_delay().mul_f64(0.8);
+        let has_time = command
+            .target_deadline
+            .saturating_sub(self.now)
+            .as_secs_f64()
+            > class.answer_time.mean;
+        let may_hedge = is_slow && has_time && self.retry_budget >= 1.0 && !self.shedding;
+        if let Some(index) = may_hedge
+            .then(|| self.pick_endpoint(command_index, true))
+            .flatten()
+        {
             self.retry_budget -= 1.0;
-            self.send_relay(cmd, at);
+            self.send_relay(command_index, index);
         }
     }
 
-    /// Past its goal an answer is worth nothing. Guards against work that keeps others waiting: it is called
-    /// off where something waits, here or at its endpoint; else it may end by itself and is not wasted.
-    pub(super) fn on_target_passed(&mut self, cmd: CommandIndex) {
-        let past = |c: &&Command| {
-            !c.concluded && !c.streaming && !c.queued && self.now >= c.target_deadline
+    /// The deadline target has passed, and an answer is worth nothing any more. Prevents useless work from keeping others
+    /// waiting: it is cancelled where a command waits, here or at its endpoint. Otherwise it may end by itself, as nothing
+    /// is gained by cancelling it.
+    pub(super) fn on_target_passed(&mut self, command_index: CommandIndex) {
+        let is_past = |command: &&Command| {
+            !command.concluded
+                && !command.streaming
+                && !command.queued
+                && self.now >= command.target_deadline
         };
-        let Some(c) = self.open_command(cmd).filter(past) else {
+        let Some(command) = self.open_command(command_index).filter(is_past) else {
             return;
         };
-        let (usual, verb) = (self.mean_load(), c.class);
-        let out: Vec<Relay> = c
+        let mean_load = self.mean_load();
+        let class_index = command.class;
+        let in_flight: Vec<Relay> = command
             .relays
             .iter()
-            .filter(|r| r.outcome.is_none())
+            .filter(|relay| relay.outcome.is_none())
             .copied()
             .collect();
-        // What can't be known of an endpoint without credit is taken for the worse.
-        let crowded = |e: &Endpoint| {
-            self.estimated_load(e, usual) / e.capacity > 1.2
-                || e.report_credit * self.report_credit < 0.5
+        // The load of an endpoint whose reports have no credit is unknown; the worse is assumed.
+        let is_crowded = |endpoint: &Endpoint| {
+            self.estimated_load(endpoint, mean_load) / endpoint.capacity > 1.2
+                || endpoint.report_credit * self.report_credit < 0.5
         };
-        let wanted = out.iter().any(|r| crowded(&self.endpoints[r.endpoint]));
-        if wanted || self.shedding || !self.queue.is_empty() {
-            out.iter()
-                .for_each(|r| self.record_slow_answer(r, verb, self.now.saturating_sub(r.sent_at)));
-            self.give_up(cmd);
+        let others_wait = in_flight
+            .iter()
+            .any(|relay| is_crowded(&self.endpoints[relay.endpoint]));
+        if others_wait || self.shedding || !self.queue.is_empty() {
+            in_flight.iter().for_each(|relay| {
+                self.record_slow_answer(relay, class_index, self.now.saturating_sub(relay.sent_at))
+            });
+            self.give_up(command_index);
         }
     }
 }
--- a/crates/passroad-choice/src/choice/outcomes.rs
+++ b/crates/passroad-choice/src/choice/outcomes.rs
@@ -1,3 +1,5 @@
+//! Outcomes of relays, and what is learnt from each.
+
 use super::Balancer;
 use super::command::Relay;
 use super::concurrency_limit::{INITIAL_LIMIT, LIMIT_GROWTH};
@@ -7,107 +9,126 @@
 use std::time::Duration;
 
 impl Balancer {
-    /// Books the outcome of a relay; tells its endpoint.
+    /// Records the outcome of a relay; returns its endpoint, or none if the relay is not in flight.
     pub(super) fn on_relay_finished(
         &mut self,
-        cmd: CommandIndex,
-        n: usize,
+        command_index: CommandIndex,
+        relay_index: usize,
         outcome: Outcome,
-        spent: Duration,
+        elapsed: Duration,
     ) -> Option<EndpointIndex> {
         let now = self.now;
-        let c = self.commands.get_mut(cmd)?.as_mut()?;
-        let (verb, in_time, coming) = (c.class, now <= c.target_deadline, c.body_pending);
-        let value = (c.value / c.best_value).clamp(0.05, 1.0);
-        let r = c.relays.get_mut(n).filter(|r| r.outcome.is_none())?;
-        r.outcome = Some(outcome);
-        let (r, at) = (*r, r.endpoint);
-        self.count_relay_out(at, r.sent_at, coming);
-        self.adjust_in_flight_limit(at, verb, outcome, in_time, value);
-        if outcome == Outcome::Answered && !self.is_cold(&self.endpoints[at]) {
-            self.record_warm_answer(at);
+        let command = self.commands.get_mut(command_index)?.as_mut()?;
+        let class_index = command.class;
+        let in_time = now <= command.target_deadline;
+        let body_pending = command.body_pending;
+        let value = (command.value / command.best_value).clamp(0.05, 1.0);
+        let relay = command
+            .relays
+            .get_mut(relay_index)
+            .filter(|relay| relay.outcome.is_none())?;
+        relay.outcome = Some(outcome);
+        let relay = *relay;
+        let index = relay.endpoint;
+        self.count_relay_out(index, relay.sent_at, body_pending);
+        self.adjust_in_flight_limit(index, class_index, outcome, in_time, value);
+        if outcome == Outcome::Answered && !self.is_cold(&self.endpoints[index]) {
+            self.record_warm_answer(index);
         }
-        let e = &mut self.endpoints[at];
+        let endpoint = &mut self.endpoints[index];
         match outcome {
             Outcome::Answered => {
-                e.last_used = Some(now);
-                let v = &mut self.parameters.classes[verb];
+                endpoint.last_used = Some(now);
+                let class = &mut self.parameters.classes[class_index];
                 if in_time {
-                    v.served_in_time.increment(now, 8 * SMOOTHING);
+                    class.served_in_time.increment(now, 8 * SMOOTHING);
                 }
-                let pace = v.relative_latency(&r, spent);
-                v.answer_time
-                    .record(now, spent.as_secs_f64(), 10 * SMOOTHING);
-                self.latency.record(now, pace, 10 * SMOOTHING);
+                let latency = class.relative_latency(&relay, elapsed);
+                class
+                    .answer_time
+                    .record(now, elapsed.as_secs_f64(), 10 * SMOOTHING);
+                self.latency.record(now, latency, 10 * SMOOTHING);
                 self.latency_by_kind.resize(
-                    self.latency_by_kind.len().max(e.kind + 1),
+                    self.latency_by_kind.len().max(endpoint.kind + 1),
                     DecayingMean::default(),
                 );
-                self.latency_by_kind[e.kind].record(now, pace, 10 * SMOOTHING);
-                e.latency.record(now, pace, 2 * SMOOTHING);
-                let (goal, limit) = (v.deadline_target, self.current_limit(&self.endpoints[at]));
-                if spent > goal.mul_f64(0.85) {
-                    self.cut_limit(at);
-                } else if spent < goal / 2 && r.load_ahead + 1.0 >= limit {
-                    self.set_limit(at, (limit + LIMIT_GROWTH / limit).min(64.0));
+                self.latency_by_kind[endpoint.kind].record(now, latency, 10 * SMOOTHING);
+                endpoint.latency.record(now, latency, 2 * SMOOTHING);
+                let target = class.deadline_target;
+                let limit = self.current_limit(&self.endpoints[index]);
+                if elapsed > target.mul_f64(0.85) {
+                    self.cut_limit(index);
+                } else if elapsed < target / 2 && relay.load_ahead + 1.0 >= limit {
+                    self.set_limit(index, (limit + LIMIT_GROWTH / limit).min(64.0));
                 }
                 self.adjust_report_credit(
-                    at,
-                    if pace > 3.0 * self.latency.mean {
-                        -0.1 * r.report_weight
+                    index,
+                    if latency > 3.0 * self.latency.mean {
+                        -0.1 * relay.report_weight
                     } else {
                         0.0
                     },
                 );
-                self.record_reached(at);
-                self.record_health(at, verb, outcome, RECENT_OUTCOMES);
+                self.record_reached(index);
+                self.record_health(index, class_index, outcome, RECENT_OUTCOMES);
             }
             Outcome::NotSent | Outcome::Cancelled | Outcome::Rejected => {}
             Outcome::Overloaded => {
-                self.cut_limit(at);
+                self.cut_limit(index);
                 self.adjust_report_credit(
-                    at,
-                    if r.load_ahead < INITIAL_LIMIT {
+                    index,
+                    if relay.load_ahead < INITIAL_LIMIT {
                         -0.25
                     } else {
                         0.0
                     },
                 );
                 if self.parameters.probes_per_command == 0 {
-                    self.record_health(at, verb, outcome, RECENT_OUTCOMES);
+                    self.record_health(index, class_index, outcome, RECENT_OUTCOMES);
                 }
             }
-            Outcome::TimedOut => self.record_slow_answer(&r, verb, spent),
+            Outcome::TimedOut => self.record_slow_answer(&relay, class_index, elapsed),
+            // The endpoint was reached, so these are no reason for a pause.
             Outcome::Error | Outcome::ConnectionLost => {
-                self.record_health(at, verb, outcome, RECENT_OUTCOMES)
-            } // it was reached
+                self.record_health(index, class_index, outcome, RECENT_OUTCOMES)
+            }
             Outcome::ConnectFailed => {
-                self.endpoints[at].last_used = None;
-                self.record_health(at, verb, outcome, RECENT_OUTCOMES);
-                self.record_unreachable(at);
+                self.endpoints[index].last_used = None;
+                self.record_health(index, class_index, outcome, RECENT_OUTCOMES);
+                self.record_unreachable(index);
             }
         }
-        Some(at)
+        Some(index)
     }
 
-    /// Failures never count as fast answers: a time-out is an answer at least as slow as it lasted.
-    pub(super) fn record_slow_answer(&mut self, r: &Relay, verb: usize, spent: Duration) {
-        let pace = self.parameters.classes[verb]
-            .relative_latency(r, spent)
+    /// Records a time-out as an answer at least as slow as it lasted, so that a failure never counts as a fast answer.
+    pub(super) fn record_slow_answer(
+        &mut self,
+        relay: &Relay,
+        class_index: usize,
+        elapsed: Duration,
+    ) {
+        let latency = self.parameters.classes[class_index]
+            .relative_latency(relay, elapsed)
             .max(1.0);
-        self.endpoints[r.endpoint]
+        self.endpoints[relay.endpoint]
             .latency
-            .record(self.now, pace, 2 * SMOOTHING);
+            .record(self.now, latency, 2 * SMOOTHING);
         self.adjust_report_credit(
-            r.endpoint,
-            if pace > 2.0 * self.latency.mean {
-                -0.1 * r.report_weight
+            relay.endpoint,
+            if latency > 2.0 * self.latency.mean {
+                -0.1 * relay.report_weight
             } else {
                 0.0
             },
         );
-        // Guards against an endpoint that lets work hang while its probes are fine.
-        self.record_health(r.endpoint, verb, Outcome::TimedOut, RECENT_OUTCOMES);
-        self.cut_limit(r.endpoint);
+        // Prevents sending to an endpoint that lets commands hang while it answers probes.
+        self.record_health(
+            relay.endpoint,
+            class_index,
+            Outcome::TimedOut,
+            RECENT_OUTCOMES,
+        );
+        self.cut_limit(relay.endpoint);
     }
 }
--- a/crates/passroad-choice/src/choice/placement.rs
+++ b/crates/passroad-choice/src/choice/placement.rs
@@ -1,68 +1,85 @@
+//! Placement: the endpoint that a command's next relay is sent to.
+
 use super::Balancer;
 use super::endpoint::Endpoint;
 use super::scoring::FAILURE_RISK;
 use crate::{CommandIndex, DeduplicationScope, Effect, EndpointIndex};
 
 impl Balancer {
-    /// The design's draw among the endpoints where this command may go.
-    pub(super) fn pick_endpoint(&mut self, cmd: CommandIndex, copy: bool) -> Option<EndpointIndex> {
-        let c = self.open_command(cmd)?;
-        let v = &self.parameters.classes[c.class];
-        // Guards against an effect twice: what may have run goes on only inside the group that drops repeats.
-        let home = match (v.effect, c.relays.iter().find(|r| r.may_have_run())) {
+    /// Draws an endpoint for a command among those where it may go, for a hedge or for any other relay.
+    pub(super) fn pick_endpoint(
+        &mut self,
+        command_index: CommandIndex,
+        is_hedge: bool,
+    ) -> Option<EndpointIndex> {
+        let command = self.open_command(command_index)?;
+        let class = &self.parameters.classes[command.class];
+        // Prevents running a command twice: one that may have run is sent again only within the scope that drops repeats.
+        let first_endpoint = match (
+            class.effect,
+            command.relays.iter().find(|r| r.may_have_run()),
+        ) {
             (Effect::Safe, _) | (_, None) => None,
             (Effect::NonIdempotent, Some(_)) => return None,
             (Effect::Keyed, Some(first)) => {
-                if v.deduplication_time_left(first, self.now) <= self.parameters.tick {
+                if class.deduplication_time_left(first, self.now) <= self.parameters.tick {
                     return None;
                 }
                 Some(&self.endpoints[first.endpoint])
             }
         };
-        let group = v.deduplication_scope;
-        let drops_repeats = |e: &Endpoint| {
-            home.is_none_or(|home| match group {
+        let scope = class.deduplication_scope;
+        let drops_repeats = |endpoint: &Endpoint| {
+            first_endpoint.is_none_or(|first| match scope {
                 DeduplicationScope::All => true,
-                DeduplicationScope::Zone => e.zone == home.zone,
-                DeduplicationScope::Cell => e.zone == home.zone && e.cell == home.cell,
+                DeduplicationScope::Zone => endpoint.zone == first.zone,
+                DeduplicationScope::Cell => {
+                    endpoint.zone == first.zone && endpoint.cell == first.cell
+                }
             })
         };
-        let may = |e: &Endpoint| self.admits_relays(e) && drops_repeats(e) && v.allowed_on(e);
-        // A second copy is a luxury: it goes only where there is room for the least worth.
-        let value = if copy {
+        let may_use = |endpoint: &Endpoint| {
+            self.admits_relays(endpoint) && drops_repeats(endpoint) && class.allowed_on(endpoint)
+        };
+        // A hedge is sent only where even the least valuable command would be.
+        let value = if is_hedge {
             0.0
         } else {
-            (c.value / c.best_value).clamp(0.0, 1.0)
+            (command.value / command.best_value).clamp(0.0, 1.0)
         };
-        let homes = if home.is_none() {
-            self.key_homes(c)
+        let homes = if first_endpoint.is_none() {
+            self.key_homes(command)
         } else {
             Vec::new()
         };
-        let ats = match home {
-            None if !homes.is_empty() => homes.iter().map(|(at, _)| *at).collect(),
-            None if !v.is_restricted() => self.in_view.clone(),
+        let indices = match first_endpoint {
+            None if !homes.is_empty() => homes.iter().map(|(index, _)| *index).collect(),
+            None if !class.is_restricted() => self.in_view.clone(),
             _ => (0..self.endpoints.len()).collect(),
         };
-        let risk = if v.effect == Effect::NonIdempotent {
+        let risk = if class.effect == Effect::NonIdempotent {
             5.0 * FAILURE_RISK
         } else {
             FAILURE_RISK
         };
         let mut weights = self.weights(
-            &ats,
-            Some((c.class, c.weight_set)),
+            &indices,
+            Some((command.class, command.weight_set)),
             Some((value, risk)),
-            &may,
+            &may_use,
         );
         homes
             .iter()
             .zip(&mut weights)
-            .for_each(|((_, share), w)| *w *= share);
-        let tried = |at: &EndpointIndex| c.relays.iter().any(|r| r.endpoint == *at);
-        for (_, w) in ats.iter().zip(&mut weights).filter(|(at, _)| tried(at)) {
-            *w *= if copy { 0.0 } else { 0.01 };
+            .for_each(|((_, share), weight)| *weight *= share);
+        let was_tried = |index: &EndpointIndex| command.relays.iter().any(|r| r.endpoint == *index);
+        for (_, weight) in indices
+            .iter()
+            .zip(&mut weights)
+            .filter(|(index, _)| was_tried(index))
+        {
+            *weight *= if is_hedge { 0.0 } else { 0.01 };
         }
-        self.draw(&weights).map(|n| ats[n])
+        self.draw(&weights).map(|n| indices[n])
     }
 }
--- a/crates/passroad-choice/src/choice/probing.rs
+++ b/crates/passroad-choice/src/choice/probing.rs
@@ -1,123 +1,128 @@
+//! Probing: a few likely endpoints are asked for their load before a command is sent.
+
 use super::Balancer;
 use super::endpoint::Endpoint;
 use crate::{Action, CommandIndex, EndpointIndex, LoadReport, Outcome};
 use std::time::Duration;
 
 impl Balancer {
-    /// Asks a few likely endpoints how they are before a command goes out. Guards against choosing by reports
-    /// that are older than a service time: each sidecar sees too little traffic to hear of all by answers.
-    pub(super) fn send_probes(&mut self, of: Option<(usize, usize)>) -> Duration {
+    /// Probes a few likely endpoints, for a command of a class and weight set or for all that wait; returns for how long
+    /// to wait for the answers. Prevents choosing by reports that are older than a service time: each sidecar has too
+    /// little traffic to get a report of every endpoint with its answers.
+    pub(super) fn send_probes(&mut self, target: Option<(usize, usize)>) -> Duration {
         self.refresh_view();
-        // None where they are not allowed, also not of an endpoint with a pass; where they are dear only for
-        // what nothing takes, as often as that finds something open.
-        let odds = if of.is_none() {
+        // Where probes are not allowed there are none, also not to an endpoint with a permit. Where they are expensive they
+        // are sent only for commands that nothing takes, and as often as they find an endpoint below its limit.
+        let odds = if target.is_none() {
             (self.probe_yield * self.parameters.probes_per_find).max(0.05)
         } else {
             0.0
         };
-        let asks = self.parameters.probes_per_command > 0
+        let probing = self.parameters.probes_per_command > 0
             && (self.parameters.probe_every_command || self.random() < odds);
-        let may = |e: &Endpoint| {
-            self.admits_relays(e)
-                && of.is_none_or(|(verb, _)| self.parameters.classes[verb].allowed_on(e))
+        let may_use = |endpoint: &Endpoint| {
+            self.admits_relays(endpoint)
+                && target
+                    .is_none_or(|(class, _)| self.parameters.classes[class].allowed_on(endpoint))
         };
-        let mut weights = if asks {
-            self.weights(&self.in_view, of, None, &may)
+        let mut weights = if probing {
+            self.weights(&self.in_view, target, None, &may_use)
         } else {
             Vec::new()
         };
-        for (e, w) in self.endpoints_in_view().zip(&mut weights) {
-            let known = e
+        for (endpoint, weight) in self.endpoints_in_view().zip(&mut weights) {
+            let has_fresh_report = endpoint
                 .reported_at
                 .is_some_and(|at| self.now.saturating_sub(at) <= self.parameters.report_fresh_for);
-            *w = if e.probe_sent_at.is_some() || known || *w <= 0.0 {
+            *weight = if endpoint.probe_sent_at.is_some() || has_fresh_report || *weight <= 0.0 {
                 0.0
             } else {
-                w.max(0.002)
+                weight.max(0.002)
             };
         }
-        // Where most are idle, one asked is enough; the second round asks again if it is not.
-        let most = self
+        // Where most endpoints are idle one probe is enough; if it finds a busy one, the second round probes again.
+        let max_probes = self
             .parameters
             .probes_per_command
             .min(1 + (4.0 * self.mean_load()) as usize);
-        // A pass is for now: its endpoint is asked in any case.
-        let passed =
+        // A permit expires soon, so its endpoint is probed in any case.
+        let has_permit =
             |n: &usize| weights[*n] > 0.0 && self.is_cold(&self.endpoints[self.in_view[*n]]);
-        let mut asked: Vec<_> = (0..weights.len()).filter(passed).collect();
-        while asked.len() < most {
+        let mut chosen: Vec<_> = (0..weights.len()).filter(has_permit).collect();
+        while chosen.len() < max_probes {
             let Some(n) = self.draw(&weights) else { break };
             weights[n] = 0.0;
-            asked.push(n);
+            chosen.push(n);
         }
-        let hold = if asked.is_empty() {
+        let wait = if chosen.is_empty() {
             Duration::ZERO
         } else {
             3 * self.probe_round_trip + 2 * self.parameters.tick
         };
-        for endpoint in asked.into_iter().map(|n| self.in_view[n]) {
+        for endpoint in chosen.into_iter().map(|n| self.in_view[n]) {
             self.endpoints[endpoint].probe_sent_at = Some(self.now);
             self.actions.push(Action::Probe { endpoint });
         }
-        hold.min(self.parameters.max_probe_wait)
+        wait.min(self.parameters.max_probe_wait)
     }
 
-    /// Holds a command while a few endpoints are asked how they are; tells whether it waits for them.
-    pub(super) fn wait_for_probes(&mut self, cmd: CommandIndex) -> bool {
-        // Guards against holding a command longer than its client stays.
-        let Some(c) = self
-            .open_command(cmd)
-            .filter(|c| self.now < c.queue_deadline)
+    /// Sends probes for a command; returns whether it waits for their answers.
+    pub(super) fn wait_for_probes(&mut self, command_index: CommandIndex) -> bool {
+        // Prevents holding a command back past its queue deadline.
+        let Some(command) = self
+            .open_command(command_index)
+            .filter(|command| self.now < command.queue_deadline)
         else {
             return false;
         };
-        let until = self.now + self.send_probes(Some((c.class, c.weight_set)));
-        self.commands[cmd]
+        let until = self.now + self.send_probes(Some((command.class, command.weight_set)));
+        self.commands[command_index]
             .iter_mut()
-            .for_each(|c| c.probe_wait_until = until);
+            .for_each(|command| command.probe_wait_until = until);
         until > self.now
     }
 
     pub(super) fn on_probe_finished(
         &mut self,
-        at: EndpointIndex,
+        index: EndpointIndex,
         outcome: Outcome,
-        spent: Duration,
+        elapsed: Duration,
         report: Option<LoadReport>,
     ) {
-        let Some(e) = self.endpoints.get_mut(at) else {
+        let Some(endpoint) = self.endpoints.get_mut(index) else {
             return;
         };
-        e.probe_sent_at = None;
+        endpoint.probe_sent_at = None;
         if outcome == Outcome::Answered {
-            self.probe_round_trip = (9 * self.probe_round_trip + spent) / 10;
-            self.record_reached(at);
-            self.record_report(at, report);
-            let (e, counts) = (
-                &self.endpoints[at],
-                !self.parameters.probe_every_command && !self.queue.is_empty(),
-            );
-            let open = counts
-                && self.estimated_load(e, self.mean_load()) < self.current_limit(e) * e.capacity;
+            self.probe_round_trip = (9 * self.probe_round_trip + elapsed) / 10;
+            self.record_reached(index);
+            self.record_report(index, report);
+            let endpoint = &self.endpoints[index];
+            let counts = !self.parameters.probe_every_command && !self.queue.is_empty();
+            let below_limit = counts
+                && self.estimated_load(endpoint, self.mean_load())
+                    < self.current_limit(endpoint) * endpoint.capacity;
             self.probe_yield += if counts {
-                0.1 * (f64::from(u8::from(open)) - self.probe_yield)
+                0.1 * (f64::from(u8::from(below_limit)) - self.probe_yield)
             } else {
                 0.0
             };
         } else if matches!(outcome, Outcome::ConnectFailed | Outcome::TimedOut) {
-            self.record_unreachable(at);
+            self.record_unreachable(index);
         }
     }
 
+    /// Whether an endpoint with a recent report holds less than half a command, at the mean capacity.
     pub(super) fn knows_idle_endpoint(&self) -> bool {
-        let (usual, since) = (
-            self.mean_load(),
-            self.now
-                .saturating_sub(2 * self.parameters.report_fresh_for),
-        );
-        let known = |e: &&Endpoint| e.available && e.reported_at.is_some_and(|at| at > since);
+        let mean_load = self.mean_load();
+        let since = self
+            .now
+            .saturating_sub(2 * self.parameters.report_fresh_for);
+        let reported = |endpoint: &&Endpoint| {
+            endpoint.available && endpoint.reported_at.is_some_and(|at| at > since)
+        };
         self.endpoints_in_view()
-            .filter(known)
-            .any(|e| self.estimated_load(e, usual) < 0.5 * e.capacity)
+            .filter(reported)
+            .any(|endpoint| self.estimated_load(endpoint, mean_load) < 0.5 * endpoint.capacity)
     }
 }
--- a/crates/passroad-choice/src/choice/relaying.rs
+++ b/crates/passroad-choice/src/choice/relaying.rs
@@ -1,3 +1,5 @@
+//! Relays in flight: sending them, counting them at their endpoints, and the bodies that they carry.
+
 use super::command::{Command, Relay};
 use super::statistics::{SMOOTHING, decay};
 use super::{Balancer, TIMER_HEDGE, TIMER_TARGET};
@@ -5,132 +7,146 @@
 use std::time::Duration;
 
 impl Balancer {
-    pub(super) fn send_relay(&mut self, cmd: CommandIndex, at: EndpointIndex) {
-        let (now, usual) = (self.now, self.mean_load());
-        let e = &self.endpoints[at];
-        let ahead = self.estimated_load(e, usual) / e.capacity;
-        let told = e
+    pub(super) fn send_relay(&mut self, command_index: CommandIndex, index: EndpointIndex) {
+        let now = self.now;
+        let mean_load = self.mean_load();
+        let endpoint = &self.endpoints[index];
+        let load_ahead = self.estimated_load(endpoint, mean_load) / endpoint.capacity;
+        let report_weight = endpoint
             .reported_at
-            .filter(|_| !self.is_cold(e))
+            .filter(|_| !self.is_cold(endpoint))
             .map_or(0.0, |at| decay(now, at, self.parameters.report_decay));
-        self.bring_into_view(at);
-        let Some(c) = self.commands[cmd].as_mut() else {
+        self.bring_into_view(index);
+        let Some(command) = self.commands[command_index].as_mut() else {
             return;
         };
-        let (first, coming, due, verb) = (
-            c.relays.is_empty(),
-            c.body_pending,
-            c.target_deadline,
-            c.class,
-        );
-        let v = &self.parameters.classes[verb];
-        let ran = c
+        let is_first = command.relays.is_empty();
+        let body_pending = command.body_pending;
+        let target_deadline = command.target_deadline;
+        let class_index = command.class;
+        let class = &self.parameters.classes[class_index];
+        let may_have_run = command
             .relays
             .iter()
-            .find(|r| r.may_have_run() && v.effect == Effect::Keyed);
-        let window = ran.map(|first| v.deduplication_time_left(first, now));
-        c.queued = false;
-        c.relays.push(Relay {
-            endpoint: at,
+            .find(|relay| relay.may_have_run() && class.effect == Effect::Keyed);
+        let deduplication_left =
+            may_have_run.map(|first| class.deduplication_time_left(first, now));
+        command.queued = false;
+        command.relays.push(Relay {
+            endpoint: index,
             sent_at: now,
-            load_ahead: ahead,
-            report_weight: told,
+            load_ahead,
+            report_weight,
             outcome: None,
         });
-        let within = c
+        let timeout = command
             .client_deadline
             .saturating_sub(now)
             .max(self.parameters.tick);
-        // Guards against a repeat whose connection comes up when its endpoint would no longer drop it.
-        let begin = window.unwrap_or(within).min(within);
+        // Prevents sending a repeat over a connection that is established only when its endpoint no longer drops it.
+        let send_by = deduplication_left.unwrap_or(timeout).min(timeout);
         self.actions.push(Action::Relay {
-            command: cmd,
-            endpoint: at,
-            timeout: within,
-            send_by: begin,
+            command: command_index,
+            endpoint: index,
+            timeout,
+            send_by,
         });
-        let e = &mut self.endpoints[at];
-        (e.last_used, e.permit_until, e.trial_due) = (Some(now), Duration::ZERO, None);
-        self.count_relay_in(at, now, coming);
+        let endpoint = &mut self.endpoints[index];
+        endpoint.last_used = Some(now);
+        endpoint.permit_until = Duration::ZERO;
+        endpoint.trial_due = None;
+        self.count_relay_in(index, now, body_pending);
         self.sends_short.increment(now, SMOOTHING);
         self.sends_long.increment(now, 4 * SMOOTHING);
-        self.endpoints[at].sends.increment(now, 4 * SMOOTHING);
-        let v = &self.parameters.classes[verb];
-        let (until_due, slow) = (due.saturating_sub(now), v.hedge_delay());
-        let copies = self.parameters.hedging_allowed
-            && v.effect != Effect::NonIdempotent
-            && slow < v.deadline_target.mul_f64(0.8);
-        if first && v.late_utility <= 0.0 && !coming {
-            self.set_timer(until_due, TIMER_TARGET | (cmd as u64) << 2);
+        self.endpoints[index].sends.increment(now, 4 * SMOOTHING);
+        let class = &self.parameters.classes[class_index];
+        let until_target = target_deadline.saturating_sub(now);
+        let hedge_delay = class.hedge_delay();
+        let may_hedge = self.parameters.hedging_allowed
+            && class.effect != Effect::NonIdempotent
+            && hedge_delay < class.deadline_target.mul_f64(0.8);
+        if is_first && class.late_utility <= 0.0 && !body_pending {
+            self.set_timer(until_target, TIMER_TARGET | (command_index as u64) << 2);
         }
-        if first && copies {
-            self.set_timer(slow, TIMER_HEDGE | (cmd as u64) << 2);
+        if is_first && may_hedge {
+            self.set_timer(hedge_delay, TIMER_HEDGE | (command_index as u64) << 2);
         }
     }
 
-    /// All of a long body has come; from here on it is as any other command.
-    pub(super) fn on_body_complete(&mut self, cmd: CommandIndex) {
-        let Some(c) = self
+    /// The whole body of a command has arrived; from here on it is like any other command.
+    pub(super) fn on_body_complete(&mut self, command_index: CommandIndex) {
+        let Some(command) = self
             .commands
-            .get_mut(cmd)
+            .get_mut(command_index)
             .and_then(Option::as_mut)
-            .filter(|c| c.body_pending)
+            .filter(|command| command.body_pending)
         else {
             return;
         };
-        let out = c.body_complete(self.now);
-        let (until_due, late) = (
-            c.target_deadline.saturating_sub(self.now),
-            self.parameters.classes[c.class].late_utility,
-        );
-        out.into_iter()
-            .for_each(|at| self.count_relay_in(at, self.now, false));
-        if late <= 0.0 {
-            self.set_timer(until_due, TIMER_TARGET | (cmd as u64) << 2);
+        let endpoints = command.body_complete(self.now);
+        let until_target = command.target_deadline.saturating_sub(self.now);
+        let late_utility = self.parameters.classes[command.class].late_utility;
+        endpoints
+            .into_iter()
+            .for_each(|index| self.count_relay_in(index, self.now, false));
+        if late_utility <= 0.0 {
+            self.set_timer(until_target, TIMER_TARGET | (command_index as u64) << 2);
         }
     }
 
-    /// One more relay is at work there, unless its body still comes.
-    pub(crate) fn count_relay_in(&mut self, at: EndpointIndex, sent: Duration, coming: bool) {
-        if coming {
+    /// Counts one more relay at an endpoint. While its body is pending it is no work there, and is not counted.
+    pub(crate) fn count_relay_in(
+        &mut self,
+        index: EndpointIndex,
+        sent_at: Duration,
+        body_pending: bool,
+    ) {
+        if body_pending {
             return;
         }
-        let e = &mut self.endpoints[at];
-        e.in_flight.push(sent);
-        e.load = e.load.max(0.0) + 1.0;
+        let endpoint = &mut self.endpoints[index];
+        endpoint.in_flight.push(sent_at);
+        endpoint.load = endpoint.load.max(0.0) + 1.0;
         self.in_flight += 1.0;
     }
 
-    pub(crate) fn count_relay_out(&mut self, at: EndpointIndex, sent: Duration, coming: bool) {
-        if coming {
+    /// Counts one relay less at an endpoint.
+    pub(crate) fn count_relay_out(
+        &mut self,
+        index: EndpointIndex,
+        sent_at: Duration,
+        body_pending: bool,
+    ) {
+        if body_pending {
             return;
         }
-        let e = &mut self.endpoints[at];
-        e.load -= 1.0;
-        e.in_flight
+        let endpoint = &mut self.endpoints[index];
+        endpoint.load -= 1.0;
+        endpoint
+            .in_flight
             .iter()
-            .position(|held| *held == sent)
-            .map(|gone| e.in_flight.swap_remove(gone));
+            .position(|other| *other == sent_at)
+            .map(|position| endpoint.in_flight.swap_remove(position));
         self.in_flight -= 1.0;
     }
 
-    pub(crate) fn mark_streaming(&mut self, cmd: CommandIndex) {
+    pub(crate) fn mark_streaming(&mut self, command_index: CommandIndex) {
         self.commands
-            .get_mut(cmd)
+            .get_mut(command_index)
             .into_iter()
             .flatten()
-            .for_each(|c| c.streaming = true);
+            .for_each(|command| command.streaming = true);
     }
 
-    pub(crate) fn mark_body_not_replayable(&mut self, cmd: CommandIndex) {
+    pub(crate) fn mark_body_not_replayable(&mut self, command_index: CommandIndex) {
         self.commands
-            .get_mut(cmd)
+            .get_mut(command_index)
             .into_iter()
             .flatten()
-            .for_each(|c| c.body_not_replayable = true);
+            .for_each(|command| command.body_not_replayable = true);
     }
 
-    pub(crate) fn open_command(&self, cmd: CommandIndex) -> Option<&Command> {
-        self.commands.get(cmd).and_then(Option::as_ref)
+    pub(crate) fn open_command(&self, command_index: CommandIndex) -> Option<&Command> {
+        self.commands.get(command_index).and_then(Option::as_ref)
     }
 }
--- a/crates/passroad-choice/src/choice/retries.rs
+++ b/crates/passroad-choice/src/choice/retries.rs
@@ -1,101 +1,118 @@
+//! Retries and final answers: a command whose relay failed is queued again under a retry budget, or refused or failed.
+
 use super::Balancer;
 use super::command::{Command, Relay};
 use crate::{Action, CommandIndex, DeduplicationScope, Effect, Outcome};
 
 impl Balancer {
-    /// What becomes of a command of which a relay ended without an answer.
-    pub(super) fn retry_or_give_up(&mut self, cmd: CommandIndex, outcome: Outcome) {
-        let all_ended = |c: &&Command| c.concluded || c.relays.iter().all(|r| r.outcome.is_some());
-        let Some(c) = self.open_command(cmd).filter(all_ended) else {
+    /// Decides what becomes of a command whose relay has ended without a final answer.
+    pub(super) fn retry_or_give_up(&mut self, command_index: CommandIndex, outcome: Outcome) {
+        let all_ended = |command: &&Command| {
+            command.concluded || command.relays.iter().all(|relay| relay.outcome.is_some())
+        };
+        let Some(command) = self.open_command(command_index).filter(all_ended) else {
             return;
         };
-        if c.concluded {
-            return self.release_if_done(cmd);
+        if command.concluded {
+            return self.release_if_done(command_index);
         }
-        let ran = c.relays.iter().any(Relay::may_have_run);
-        // Guards against what no endpoint can use and takes the budget of the rest: two words settle it.
-        let unfit = c
+        let may_have_run = command.relays.iter().any(Relay::may_have_run);
+        // Prevents a command that no endpoint can use from taking the retry budget of the others: two rejections are
+        // final.
+        let rejections = command
             .relays
             .iter()
-            .filter(|r| r.outcome == Some(Outcome::Rejected))
+            .filter(|relay| relay.outcome == Some(Outcome::Rejected))
             .count();
-        let again = unfit < 2
-            && !c.body_not_replayable
-            && (!ran || self.parameters.classes[c.class].effect != Effect::NonIdempotent);
-        // A first relay proven not to have run, or not to fit, costs little to send again, but not nothing.
-        let price = if c.relays.len() < 2 && (outcome.never_ran() || unfit > 0) {
+        let may_retry = rejections < 2
+            && !command.body_not_replayable
+            && (!may_have_run
+                || self.parameters.classes[command.class].effect != Effect::NonIdempotent);
+        // Sending again after a first relay that surely did not run, or was rejected, costs little, but not nothing.
+        let price = if command.relays.len() < 2 && (outcome.never_ran() || rejections > 0) {
             0.2
         } else {
             1.0
         };
-        let time = self.now < self.queue_deadline(c)
-            && c.relays.len() < self.parameters.classes[c.class].max_relays;
-        if time && again && self.retry_budget >= price {
+        let has_time = self.now < self.queue_deadline(command)
+            && command.relays.len() < self.parameters.classes[command.class].max_relays;
+        if has_time && may_retry && self.retry_budget >= price {
             self.retry_budget -= price;
-            self.enqueue(cmd);
+            self.enqueue(command_index);
         } else {
-            self.give_up(cmd);
+            self.give_up(command_index);
         }
     }
 
-    /// The final answer at once: declined where a repeat is harmless, else terminated.
-    pub(super) fn give_up(&mut self, cmd: CommandIndex) {
-        let Some(c) = self.open_command(cmd) else {
+    /// Gives the final answer at once: refused where a retry by the client is harmless, else failed.
+    pub(super) fn give_up(&mut self, command_index: CommandIndex) {
+        let Some(command) = self.open_command(command_index) else {
             return;
         };
-        let (v, late) = (
-            &self.parameters.classes[c.class],
-            self.now >= c.target_deadline,
-        );
-        let ran = c.relays.iter().any(Relay::may_have_run);
-        let drops_any =
-            v.effect == Effect::Keyed && v.deduplication_scope == DeduplicationScope::All;
-        let harmless = !ran || v.effect == Effect::Safe || drops_any;
-        let rest = if late {
-            v.time_limit
+        let class = &self.parameters.classes[command.class];
+        let is_late = self.now >= command.target_deadline;
+        let may_have_run = command.relays.iter().any(Relay::may_have_run);
+        let dropped_everywhere =
+            class.effect == Effect::Keyed && class.deduplication_scope == DeduplicationScope::All;
+        let is_harmless = !may_have_run || class.effect == Effect::Safe || dropped_everywhere;
+        let pause = if is_late {
+            class.time_limit
         } else {
-            v.deadline_target / 5
+            class.deadline_target / 5
         };
-        let not_before = self.parameters.max_retry_after.map(|most| most.min(rest));
-        let action = if harmless {
+        let retry_after = self.parameters.max_retry_after.map(|max| max.min(pause));
+        let action = if is_harmless {
             Action::Refuse {
-                command: cmd,
-                retry_after: not_before,
+                command: command_index,
+                retry_after,
             }
         } else {
-            Action::Fail { command: cmd }
+            Action::Fail {
+                command: command_index,
+            }
         };
-        self.conclude(cmd, Some(action));
+        self.conclude(command_index, Some(action));
     }
 
-    pub(super) fn conclude(&mut self, cmd: CommandIndex, answer: Option<Action>) {
-        let Some(c) = self.commands.get_mut(cmd).and_then(Option::as_mut) else {
+    /// Ends a command, with `answer` if its client still waits, and cancels its relays in flight.
+    pub(super) fn conclude(&mut self, command_index: CommandIndex, answer: Option<Action>) {
+        let Some(command) = self
+            .commands
+            .get_mut(command_index)
+            .and_then(Option::as_mut)
+        else {
             return;
         };
-        (c.concluded, c.queued) = (true, false);
+        command.concluded = true;
+        command.queued = false;
         self.actions.extend(answer);
-        if self.parameters.cancellation_allowed && !c.streaming {
-            for (relay, _) in c
+        if self.parameters.cancellation_allowed && !command.streaming {
+            for (relay, _) in command
                 .relays
                 .iter()
                 .enumerate()
-                .filter(|(_, r)| r.outcome.is_none())
+                .filter(|(_, relay)| relay.outcome.is_none())
             {
                 self.actions.push(Action::CancelRelay {
-                    command: cmd,
+                    command: command_index,
                     relay,
                 });
             }
         }
-        self.queue.retain(|q| *q != cmd);
-        self.release_if_done(cmd);
+        self.queue.retain(|queued| *queued != command_index);
+        self.release_if_done(command_index);
     }
 
-    pub(crate) fn release_if_done(&mut self, cmd: CommandIndex) {
-        let done = |c: &Command| c.concluded && c.relays.iter().all(|r| r.outcome.is_some());
-        if self.open_command(cmd).is_some_and(done) {
-            self.commands[cmd] = None;
-            self.actions.push(Action::ReleaseCommand { command: cmd });
+    /// Releases the slot of a concluded command once none of its relays is in flight.
+    pub(crate) fn release_if_done(&mut self, command_index: CommandIndex) {
+        let is_done = |command: &Command| {
+            command.concluded && command.relays.iter().all(|relay| relay.outcome.is_some())
+        };
+        if self.open_command(command_index).is_some_and(is_done) {
+            self.commands[command_index] = None;
+            self.actions.push(Action::ReleaseCommand {
+                command: command_index,
+            });
         }
     }
 }
