--- a/crates/passroad-choice/src/choice.rs
+++ b/crates/passroad-choice/src/choice.rs
@@ -1,16 +1,21 @@
-//! All decisions of passroad. `Balancer::decide(now, event)` is the one entry: it takes what happened and
-//! returns what is to be done, in order. Its types stand in `lib.rs`; ids are indices given out in `door.rs`.
-//! It shares nothing, keeps no clock and does no input or output.
+//! All decisions of passroad: which endpoint a command is sent to, when, how often, and when it is refused.
 //!
-//! Ordinary path (He Xiaofeng's lesson 11): each ready endpoint is scored out of ten by a weighted sum of
-//! sub-scores (reported load, own mean and tail latency); its weight is base weight x score / 10; a weighted
-//! random draw picks the endpoint, in a large fleet among those in view. Six mechanisms stand beside it:
-//!   health   successes among the last outcomes scale the weight; sparing trials bring an endpoint back
-//!   limit    a cap on what an endpoint holds, plus one on success, cut by a share
-//!   relays   time-outs, further relays and second copies, under a budget
-//!   waiting  a short queue, best utility first; what can't make it is declined at once
-//!   warm-up  a cold endpoint gets a send on a pass only: its ramp x the own rate to warm ones, by chance
-//!   list     subscribe or ask with jitter and back-off; what drains, is gone or out by hand gets nothing new
+//! [`Balancer::decide`] is the only entry: it takes what happened and returns what is to be done, in order. The events and
+//! actions are defined at the root of the crate. A balancer shares nothing, has no clock and does no input or output.
+//!
+//! Each endpoint that may be used is scored by its reported load and by its own mean and tail latency; its weight is
+//! `base weight x score / 10 x health`, and a weighted random draw picks the endpoint ([`scoring`], [`placement`]). In a
+//! large fleet only the endpoints in view are scored ([`view`]). Beside this:
+//!
+//! - [`health`]: successes among the last outcomes scale the weight; an unreachable endpoint is tried again after pauses.
+//! - [`load_reports`] and [`probing`]: what endpoints report of their load, how far it is trusted, and how it is asked for.
+//! - [`concurrency_limit`]: a limit on the load of an endpoint that grows on success and is cut by a factor.
+//! - [`outcomes`], [`retries`] and [`hedging`]: time-outs, retries and hedges, under a retry budget.
+//! - [`admission`]: a short queue, most valuable command first; a command that can't be answered in time is refused.
+//! - [`slow_start`]: a cold endpoint is sent a relay only with a permit, drawn by its ramp and the rate of warm endpoints.
+//! - [`key_affinity`]: commands with one key go to the same few endpoints.
+//! - [`endpoint_list`]: list updates, with jitter and backoff; draining, removed and cordoned endpoints get nothing new.
+//! - [`learned_state`]: what an old process hands to its successor in an upgrade.
 
 mod admission;
 mod command;
@@ -47,77 +52,100 @@
 use statistics::{DecayingCount, DecayingMean};
 use std::time::Duration;
 
-pub const TIMER_LIST: u64 = 0; // in an alarm's low bits; the command stands above them
+// Kinds of timers, in the two low bits of a token; the index of the command stands above them.
+pub const TIMER_LIST: u64 = 0;
 pub const TIMER_QUEUE: u64 = 1;
 pub const TIMER_HEDGE: u64 = 2;
 pub const TIMER_TARGET: u64 = 3;
 
-/// For the life of the instance: one sidecar's decisions, which stand in `choice.rs`.
+/// The decisions of one sidecar, and all that they remember.
 #[derive(Default)]
 pub struct Balancer {
     pub(crate) parameters: Parameters,
     pub(crate) random_state: u64,
     pub(crate) endpoints: Vec<Endpoint>,
-    pub(crate) available_count: f64, // how many of them are, one at least
-    pub(crate) warm_capacity: f64,   // size of those that are warm
-    pub(crate) in_view: Vec<EndpointIndex>, // those in view
+    /// Number of available endpoints, at least one.
+    pub(crate) available_count: f64,
+    /// Sum of the capacities of the warm endpoints.
+    pub(crate) warm_capacity: f64,
+    pub(crate) in_view: Vec<EndpointIndex>,
     pub(crate) cold_endpoints: Vec<EndpointIndex>,
-    pub(crate) cumulative_weights: Vec<f64>, // running sum of the base weights of warm ones
+    /// Running sum of the base weights of the warm endpoints, one entry for each endpoint.
+    pub(crate) cumulative_weights: Vec<f64>,
     pub(crate) next_refresh: Duration,
     pub(crate) commands: Vec<Option<Command>>,
     pub(crate) queue: Vec<CommandIndex>,
-    pub(crate) tenant_arrivals: Vec<DecayingCount>, // arrivals by company
-    pub(crate) latency_by_kind: Vec<DecayingMean>,  // the same by kind
-    pub(crate) latency: DecayingMean, // pace of all endpoints, against each verb's usual
+    pub(crate) tenant_arrivals: Vec<DecayingCount>,
+    /// Relative latency by kind of endpoint.
+    pub(crate) latency_by_kind: Vec<DecayingMean>,
+    /// Latency of all endpoints, relative to the usual one of each class.
+    pub(crate) latency: DecayingMean,
     pub(crate) probe_round_trip: Duration,
+    /// All relays sent, over one and over four smoothing times.
     pub(crate) sends_short: DecayingCount,
     pub(crate) sends_long: DecayingCount,
     pub(crate) warm_kinds: Vec<WarmKind>,
-    pub(crate) permit_drawn_at: Duration, // when a pass was last drawn
+    /// When a slow-start permit was last drawn for.
+    pub(crate) permit_drawn_at: Duration,
     pub(crate) arrivals: DecayingCount,
-    pub(crate) key_arrivals: Vec<DecayingCount>, // arrivals by key, a few keys to a slot
-    pub(crate) has_route_weights: bool,          // routes were told
-    pub(crate) retries_marked: bool,             // clients mark repeats: one was seen
-    pub(crate) usual_limit: f64,                 // the usual one, at the usual size
-    pub(crate) in_flight_limit: f64,             // the same of what is out from here in all
+    /// Arrivals by key; a few keys share a slot.
+    pub(crate) key_arrivals: Vec<DecayingCount>,
+    /// Routes gave weights, which stand in for those by zone.
+    pub(crate) has_route_weights: bool,
+    /// Clients mark retries: a marked one was seen.
+    pub(crate) retries_marked: bool,
+    /// Usual concurrency limit of an endpoint, at the mean capacity.
+    pub(crate) usual_limit: f64,
+    /// Limit on all relays in flight from here, and their number.
+    pub(crate) in_flight_limit: f64,
     pub(crate) in_flight: f64,
-    pub(crate) mean_value: f64,    // of a usual command, against the best
-    pub(crate) success_rate: f64,  // share of relays that are answered
-    pub(crate) report_credit: f64, // credit of reports as a whole
-    pub(crate) probe_yield: f64,   // share of those asked for what waits that were open
-    pub(crate) retry_budget: f64,  // further relays allowed now
-    pub(crate) all_cordoned: bool, // all that is listed is out by hand
+    /// Mean value of commands, against the most valuable class.
+    pub(crate) mean_value: f64,
+    /// Share of relays that are answered.
+    pub(crate) success_rate: f64,
+    /// Credit of the reports of all endpoints together.
+    pub(crate) report_credit: f64,
+    /// Share of the endpoints probed for waiting commands that were below their limit.
+    pub(crate) probe_yield: f64,
+    /// Retries and hedges allowed now.
+    pub(crate) retry_budget: f64,
+    /// All running endpoints are cordoned.
+    pub(crate) all_cordoned: bool,
     pub(crate) subscribed: bool,
     pub(crate) list_failures: u32,
+    /// The queue has reached its limit lately.
     pub(crate) shedding: bool,
     pub(crate) overloaded_at: Duration,
     pub(crate) next_queue_probe: Duration,
-    pub(crate) queue_timer_at: Duration, // when the queue is looked at next
+    pub(crate) queue_timer_at: Duration,
+    /// Time of the event being decided.
     pub(crate) now: Duration,
+    /// Actions decided so far for this event.
     pub(crate) actions: Vec<Action>,
 }
 
 impl Balancer {
-    pub fn new(orders: BalancerConfig) -> Self {
-        let (seed, duty) = (orders.seed | 1, Balancer::derive_parameters(orders));
+    pub fn new(config: BalancerConfig) -> Self {
+        let seed = config.seed | 1;
+        let parameters = Balancer::derive_parameters(config);
         Balancer {
             usual_limit: INITIAL_LIMIT,
             retry_budget: 2.0,
-            ..Balancer::with_parameters(duty, seed)
+            ..Balancer::with_parameters(parameters, seed)
         }
     }
 
-    /// Nothing seen yet.
-    pub(crate) fn with_parameters(duty: Parameters, dice: u64) -> Self {
+    /// A balancer that has seen nothing yet.
+    pub(crate) fn with_parameters(parameters: Parameters, random_state: u64) -> Self {
         Balancer {
-            tenant_arrivals: vec![DecayingCount::default(); duty.tenant_shares.len()],
+            tenant_arrivals: vec![DecayingCount::default(); parameters.tenant_shares.len()],
             key_arrivals: vec![
                 DecayingCount::default();
-                if duty.warm_keys { KEY_SLOTS } else { 0 }
+                if parameters.warm_keys { KEY_SLOTS } else { 0 }
             ],
-            probe_round_trip: duty.tick,
-            parameters: duty,
-            random_state: dice,
+            probe_round_trip: parameters.tick,
+            parameters,
+            random_state,
             latency: DecayingMean {
                 mean: 1.0,
                 ..DecayingMean::default()
@@ -132,93 +160,88 @@
         }
     }
 
-    /// How an endpoint seems from here, for whoever is to take machines out: the share of what it may hold that it holds,
-    /// where it has said so lately, and whether it fails or can't be reached.
-    pub fn endpoint_load(&self, at: EndpointIndex) -> (Option<f64>, bool) {
-        let Some(e) = self.endpoints.get(at) else {
+    /// How an endpoint seems from here, for those who plan maintenance: its load as a share of its limit, where its load was
+    /// reported lately, and whether it fails or can't be reached.
+    pub fn endpoint_load(&self, index: EndpointIndex) -> (Option<f64>, bool) {
+        let Some(endpoint) = self.endpoints.get(index) else {
             return (None, true);
         };
-        let told = e
+        let reported_lately = endpoint
             .reported_at
             .is_some_and(|at| self.now.saturating_sub(at) < Duration::from_secs(5));
-        let busy = (e.load.max(e.in_flight.len() as f64)
-            / (e.capacity * e.concurrency_limit).max(1e-6))
+        let load_share = (endpoint.load.max(endpoint.in_flight.len() as f64)
+            / (endpoint.capacity * endpoint.concurrency_limit).max(1e-6))
         .clamp(0.0, 1.0);
         (
-            told.then_some(busy),
-            e.outcomes.failing || e.retry_at > self.now,
+            reported_lately.then_some(load_share),
+            endpoint.outcomes.failing || endpoint.retry_at > self.now,
         )
     }
 
-    /// Takes one event and returns what is to be done about it.
+    /// Takes one event and returns what is to be done about it, in order.
     pub fn decide(&mut self, now: Duration, event: Event) -> Vec<Action> {
         self.now = now;
         if now >= self.next_refresh {
             self.refresh_fleet();
         }
-        let stirs = !matches!(event, Event::TimerFired { token } if token & 3 != TIMER_QUEUE);
+        let may_change_queue =
+            !matches!(event, Event::TimerFired { token } if token & 3 != TIMER_QUEUE);
         match event {
             Event::ListUpdated { kind, entries } => self.update_list(kind, entries),
             Event::RouteWeightsChanged { weights } => self.set_route_weights(weights),
-            Event::Reconfigured(orders) => self.reconfigure(Balancer::derive_parameters(*orders)),
-            Event::CordonChanged {
-                endpoint,
-                cordoned: out,
-            } => self.set_cordon(endpoint, out),
-            Event::StateInherited {
-                state: memory,
-                slots,
-            } => self.inherit_state(*memory, &slots),
+            Event::Reconfigured(config) => self.reconfigure(Balancer::derive_parameters(*config)),
+            Event::CordonChanged { endpoint, cordoned } => self.set_cordon(endpoint, cordoned),
+            Event::StateInherited { state, slots } => self.inherit_state(*state, &slots),
             Event::CommandArrived(arrival) => self.on_command_arrived(arrival),
-            Event::BodyComplete { command: cmd } => self.on_body_complete(cmd),
-            Event::BodyNotReplayable { command: cmd } => self.mark_body_not_replayable(cmd),
-            Event::StreamStarted { command: cmd, .. } => self.mark_streaming(cmd),
+            Event::BodyComplete { command } => self.on_body_complete(command),
+            Event::BodyNotReplayable { command } => self.mark_body_not_replayable(command),
+            Event::StreamStarted { command, .. } => self.mark_streaming(command),
             Event::RelayFinished {
-                command: cmd,
+                command,
                 relay,
                 outcome,
-                elapsed: spent,
+                elapsed,
                 concluded,
                 report,
             } => {
-                if let Some(at) = self.on_relay_finished(cmd, relay, outcome, spent) {
-                    self.record_report(at, report);
+                if let Some(endpoint) = self.on_relay_finished(command, relay, outcome, elapsed) {
+                    self.record_report(endpoint, report);
                     if concluded {
-                        self.conclude(cmd, None)
+                        self.conclude(command, None)
                     } else {
-                        self.retry_or_give_up(cmd, outcome)
+                        self.retry_or_give_up(command, outcome)
                     }
                 }
             }
-            Event::CommandAbandoned { command: cmd } => self.conclude(cmd, None),
+            Event::CommandAbandoned { command } => self.conclude(command, None),
             Event::ProbeFinished {
-                endpoint: at,
+                endpoint,
                 outcome,
-                elapsed: spent,
+                elapsed,
                 report,
-            } => self.on_probe_finished(at, outcome, spent, report),
+            } => self.on_probe_finished(endpoint, outcome, elapsed, report),
             Event::PeerMessageReceived { .. } => {}
             Event::TimerFired { token } => self.on_timer(token),
         }
-        if stirs || !self.actions.is_empty() {
+        if may_change_queue || !self.actions.is_empty() {
             self.run_queue();
         }
         std::mem::take(&mut self.actions)
     }
 
     fn on_timer(&mut self, token: u64) {
-        let cmd = (token >> 2) as usize;
+        let command = (token >> 2) as usize;
         match token & 3 {
             TIMER_LIST if !self.subscribed => {
                 self.subscribed = true;
                 self.actions.push(Action::Subscribe { active: true });
             }
-            // Guards against a lost command: an alarm that comes a hair early must not stop the queue.
+            // Prevents a timer that fires slightly early from leaving commands in the queue for good.
             TIMER_QUEUE if self.queue_timer_at <= self.now + self.parameters.tick / 100 => {
                 self.queue_timer_at = Duration::ZERO
             }
-            TIMER_HEDGE => self.hedge(cmd),
-            TIMER_TARGET => self.on_target_passed(cmd),
+            TIMER_HEDGE => self.hedge(command),
+            TIMER_TARGET => self.on_target_passed(command),
             _ => {}
         }
     }
@@ -230,7 +253,7 @@
         });
     }
 
-    /// Multiply-with-carry; a number from 0 up to 1.
+    /// Random number from 0 up to 1, by multiply-with-carry.
     pub(crate) fn random(&mut self) -> f64 {
         self.random_state =
             (self.random_state & 0xffff_ffff) * 4_294_957_665 + (self.random_state >> 32);
--- a/crates/passroad-choice/src/interner.rs
+++ b/crates/passroad-choice/src/interner.rs
@@ -1,64 +1,67 @@
-//! The door: outside ids become small indices here, and indices ids again on the way out.
+//! Interning of outer ids: each gets a small index inside the process, and an index gives the id again on the way out.
 
 use rustc_hash::FxHashMap;
 use std::hash::Hash;
 
-/// A number made of a text (FNV-1a): the same at every sidecar, in every build.
+/// Hash of a text (FNV-1a) that is the same at every sidecar and in every build.
 pub fn stable_hash(text: &str) -> u64 {
-    text.bytes().fold(0xcbf2_9ce4_8422_2325, |sum, byte| {
-        (sum ^ u64::from(byte)).wrapping_mul(0x100_0000_01b3)
+    text.bytes().fold(0xcbf2_9ce4_8422_2325, |hash, byte| {
+        (hash ^ u64::from(byte)).wrapping_mul(0x100_0000_01b3)
     })
 }
 
-/// Gives each id the lowest free index. Iteration order never shows.
+/// Gives each id a small index, and reuses the index that was released last. Never iterates over its ids, so the order of
+/// its map never shows.
 #[derive(Debug, Default)]
 pub struct Interner<K> {
-    inside: FxHashMap<K, usize>,
-    outside: Vec<Option<K>>,
+    indices: FxHashMap<K, usize>,
+    ids: Vec<Option<K>>,
     free: Vec<usize>,
 }
 
 impl<K: Eq + Hash + Clone> Interner<K> {
     pub fn new() -> Self {
         Interner {
-            inside: FxHashMap::default(),
-            outside: Vec::new(),
+            indices: FxHashMap::default(),
+            ids: Vec::new(),
             free: Vec::new(),
         }
     }
 
-    /// The index of an id, new if it is a stranger.
+    /// The index of an id; a new one if the id has none.
     pub fn intern(&mut self, id: &K) -> usize {
-        if let Some(&ix) = self.inside.get(id) {
-            return ix;
+        if let Some(&index) = self.indices.get(id) {
+            return index;
         }
-        let ix = self.free.pop().unwrap_or(self.outside.len());
-        if ix == self.outside.len() {
-            self.outside.push(Some(id.clone()));
+        let index = self.free.pop().unwrap_or(self.ids.len());
+        if index == self.ids.len() {
+            self.ids.push(Some(id.clone()));
         } else {
-            self.outside[ix] = Some(id.clone());
+            self.ids[index] = Some(id.clone());
         }
-        self.inside.insert(id.clone(), ix);
-        ix
+        self.indices.insert(id.clone(), index);
+        index
     }
 
+    /// The index of an id, if it has one.
     pub fn get<Q>(&self, id: &Q) -> Option<usize>
     where
         K: std::borrow::Borrow<Q>,
         Q: Eq + Hash + ?Sized,
     {
-        self.inside.get(id).copied()
+        self.indices.get(id).copied()
     }
 
-    pub fn name(&self, ix: usize) -> Option<&K> {
-        self.outside.get(ix).and_then(Option::as_ref)
+    /// The id of an index, if it is given out.
+    pub fn name(&self, index: usize) -> Option<&K> {
+        self.ids.get(index).and_then(Option::as_ref)
     }
 
-    /// Frees an index for the next stranger.
-    pub fn release(&mut self, ix: usize) {
-        if let Some(id) = self.outside.get_mut(ix).and_then(Option::take) {
-            self.inside.remove(&id);
-            self.free.push(ix);
+    /// Frees an index for another id.
+    pub fn release(&mut self, index: usize) {
+        if let Some(id) = self.ids.get_mut(index).and_then(Option::take) {
+            self.indices.remove(&id);
+            self.free.push(index);
         }
     }
 }
--- a/crates/passroad-choice/src/shadow.rs
+++ b/crates/passroad-choice/src/shadow.rs
@@ -1,5 +1,5 @@
-//! Watch: beside the module that decides, a second one with other orders hears the same events. What it would have
-//! done is counted by kind and dropped; after each event it is brought back to what was done.
+//! Shadow evaluation: beside the balancer that decides, a second one with another configuration is given the same events.
+//! What it would have done is counted by kind and dropped; after each event its state is aligned with what was done.
 
 use crate::choice::Balancer;
 use crate::choice::endpoint::Endpoint;
@@ -11,23 +11,23 @@
 #[cfg(test)]
 mod tests;
 
-/// Decisions of the module that leads, by what the watched orders would have made of them.
+/// Decisions of the leading balancer, by what the shadow would have done.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
 pub struct ShadowCounts {
     pub same: u64,
-    /// Sent to another endpoint, by weight or by a draw that fell otherwise.
+    /// Sent to another endpoint, by weight or by another random draw.
     pub elsewhere: u64,
-    /// Sent, where the other would have declined or terminated.
+    /// Sent, where the shadow would have refused or failed.
     pub refused: u64,
-    /// Sent, where the other would have waited.
+    /// Sent, where the shadow would have queued.
     pub queued: u64,
-    /// Second copies that the other would not have sent.
+    /// Hedges that the shadow would not have sent.
     pub hedges: u64,
-    /// Declined or terminated, where the other would have sent or waited.
+    /// Refused or failed, where the shadow would have sent or queued.
     pub admitted: u64,
-    /// Still waiting, where the other would have sent or turned away.
+    /// Still queued, where the shadow would have sent, refused or failed.
     pub earlier: u64,
-    /// Probes that the other would not have sent.
+    /// Probes that the shadow would not have sent.
     pub probes: u64,
 }
 
@@ -36,84 +36,87 @@
         let ShadowCounts {
             same,
             elsewhere,
-            refused: turned_away,
-            queued: waited,
-            hedges: copies,
-            admitted: taken,
-            earlier: sooner,
+            refused,
+            queued,
+            hedges,
+            admitted,
+            earlier,
             probes,
         } = self;
         write!(
             f,
-            "same {same}, elsewhere {elsewhere}, turned away {turned_away}, waited {waited}, no copy {copies}, \
-             taken {taken}, sooner {sooner}, no probe {probes}"
+            "same {same}, elsewhere {elsewhere}, turned away {refused}, waited {queued}, no copy {hedges}, \
+             taken {admitted}, sooner {earlier}, no probe {probes}"
         )
     }
 }
 
-/// The decision module, with a watched one beside it where there are orders for one.
+/// The balancer that decides, with a shadow beside it where a second configuration is given.
 pub struct ShadowedBalancer {
-    lead: Balancer,
-    beside: Option<Box<(Balancer, ShadowCounts)>>,
+    leader: Balancer,
+    shadow: Option<Box<(Balancer, ShadowCounts)>>,
 }
 
 impl ShadowedBalancer {
-    pub fn new(orders: BalancerConfig, watch: Option<BalancerConfig>) -> Self {
-        let beside = watch.map(|orders| Box::new((Balancer::new(orders), ShadowCounts::default())));
+    pub fn new(config: BalancerConfig, shadow_config: Option<BalancerConfig>) -> Self {
+        let shadow =
+            shadow_config.map(|config| Box::new((Balancer::new(config), ShadowCounts::default())));
         ShadowedBalancer {
-            lead: Balancer::new(orders),
-            beside,
+            leader: Balancer::new(config),
+            shadow,
         }
     }
 
-    pub fn endpoint_load(&self, at: EndpointIndex) -> (Option<f64>, bool) {
-        self.lead.endpoint_load(at)
+    /// How an endpoint seems to the leading balancer; see [`Balancer::endpoint_load`].
+    pub fn endpoint_load(&self, index: EndpointIndex) -> (Option<f64>, bool) {
+        self.leader.endpoint_load(index)
     }
 
-    /// What the module that decides has learnt.
-    pub fn learned_state(&self, name: impl Fn(EndpointIndex) -> Option<String>) -> LearnedState {
-        self.lead.learned_state(name)
+    /// What the leading balancer has learnt; see [`Balancer::learned_state`].
+    pub fn learned_state(&self, id: impl Fn(EndpointIndex) -> Option<String>) -> LearnedState {
+        self.leader.learned_state(id)
     }
 
+    /// None where there is no shadow, or none any more.
     pub fn counts(&self) -> Option<ShadowCounts> {
-        self.beside.as_deref().map(|(_, counts)| *counts)
+        self.shadow.as_deref().map(|(_, counts)| *counts)
     }
 
-    /// As the module's own entry: what comes back is the lead's word alone.
+    /// As [`Balancer::decide`]: returns the actions of the leading balancer alone.
     pub fn decide(&mut self, now: Duration, event: Event) -> Vec<Action> {
-        let Some((other, counts)) = self.beside.as_deref_mut() else {
-            return self.lead.decide(now, event);
+        let Some((shadow, counts)) = self.shadow.as_deref_mut() else {
+            return self.leader.decide(now, event);
         };
-        other.random_state = self.lead.random_state; // the same draws as far as they are as many
-        // Under other orders the two would no longer speak of the same verbs.
+        // The shadow makes the same random draws, as long as it makes as many.
+        shadow.random_state = self.leader.random_state;
+        // After a change of configuration the two may number classes differently.
         if matches!(event, Event::Reconfigured(_)) {
-            self.beside = None;
-            return self.lead.decide(now, event);
+            self.shadow = None;
+            return self.leader.decide(now, event);
         }
-        let (lead, heard) = (&mut self.lead, event.clone());
-        let done = lead.decide(now, event);
-        let beside = catch_unwind(AssertUnwindSafe(|| {
-            let would = other.decide(now, heard);
-            counts.add(lead, &done, &would);
-            other.align_with(now, lead, &done, &would);
+        let leader = &mut self.leader;
+        let shadow_event = event.clone();
+        let done = leader.decide(now, event);
+        let evaluated = catch_unwind(AssertUnwindSafe(|| {
+            let would_do = shadow.decide(now, shadow_event);
+            counts.add(leader, &done, &would_do);
+            shadow.align_with(now, leader, &done, &would_do);
         }));
-        // Guards against a fault in what is only watched that takes a command with it: the watch ends.
-        if beside.is_err() {
-            self.beside = None;
+        // Prevents a fault in the shadow from taking a command with it: the evaluation ends.
+        if evaluated.is_err() {
+            self.shadow = None;
         }
         done
     }
 }
 
-/// What becomes of a command in some actions: an endpoint, or turned away.
-fn fate(actions: &[Action], of: CommandIndex) -> Option<Option<EndpointIndex>> {
+/// What some actions do with a command: send it to an endpoint, or refuse or fail it.
+fn fate(actions: &[Action], command_index: CommandIndex) -> Option<Option<EndpointIndex>> {
     actions.iter().find_map(|action| match action {
         Action::Relay {
-            command: cmd,
-            endpoint,
-            ..
-        } if *cmd == of => Some(Some(*endpoint)),
-        Action::Refuse { command: cmd, .. } | Action::Fail { command: cmd } if *cmd == of => {
+            command, endpoint, ..
+        } if *command == command_index => Some(Some(*endpoint)),
+        Action::Refuse { command, .. } | Action::Fail { command } if *command == command_index => {
             Some(None)
         }
         _ => None,
@@ -121,117 +124,111 @@
 }
 
 impl ShadowCounts {
-    fn add(&mut self, lead: &Balancer, done: &[Action], would: &[Action]) {
-        let ended = |cmd: &CommandIndex| {
-            let cmd = *cmd;
-            matches!(fate(done, cmd), Some(None))
-                || lead.open_command(cmd).is_none_or(|c| c.concluded)
+    fn add(&mut self, leader: &Balancer, done: &[Action], would_do: &[Action]) {
+        let has_ended = |command: &CommandIndex| {
+            let command = *command;
+            matches!(fate(done, command), Some(None))
+                || leader.open_command(command).is_none_or(|c| c.concluded)
         };
         let mut seen = Vec::new();
-        for action in done.iter().chain(would) {
-            let (Action::Relay { command: cmd, .. }
-            | Action::Refuse { command: cmd, .. }
-            | Action::Fail { command: cmd }) = action
+        for action in done.iter().chain(would_do) {
+            let (Action::Relay { command, .. }
+            | Action::Refuse { command, .. }
+            | Action::Fail { command }) = action
             else {
                 continue;
             };
-            if seen.contains(cmd) {
+            if seen.contains(command) {
                 continue;
             }
-            seen.push(*cmd);
-            let copy = lead
-                .open_command(*cmd)
+            seen.push(*command);
+            let is_hedge = leader
+                .open_command(*command)
                 .is_some_and(|c| c.relays.iter().filter(|r| r.outcome.is_none()).count() > 1);
-            let kind = match (fate(done, *cmd), fate(would, *cmd)) {
+            let count = match (fate(done, *command), fate(would_do, *command)) {
                 (Some(a), Some(b)) if a == b => &mut self.same,
                 (Some(Some(_)), Some(Some(_))) => &mut self.elsewhere,
-                (Some(Some(_)), None) if copy => &mut self.hedges,
+                (Some(Some(_)), None) if is_hedge => &mut self.hedges,
                 (Some(Some(_)), Some(None)) => &mut self.refused,
                 (Some(Some(_)), None) => &mut self.queued,
                 (Some(None), _) => &mut self.admitted,
-                // Of what has ended the other may still speak.
-                (None, _) if ended(cmd) => continue,
+                // The shadow may still act on a command that has ended.
+                (None, _) if has_ended(command) => continue,
                 (None, _) => &mut self.earlier,
             };
-            *kind += 1;
+            *count += 1;
         }
-        let asked = |actions: &[Action]| {
+        let probes = |actions: &[Action]| {
             actions
                 .iter()
                 .filter(|a| matches!(a, Action::Probe { .. }))
                 .count()
         };
-        self.probes += asked(done).saturating_sub(asked(would)) as u64;
+        self.probes += probes(done).saturating_sub(probes(would_do)) as u64;
     }
 }
 
 impl Balancer {
-    /// Takes over what another instance did in place of what this one would have done, for the watch.
+    /// Takes over what the leading balancer did in place of what this one would have done.
     pub(crate) fn align_with(
         &mut self,
         now: Duration,
-        lead: &Balancer,
+        leader: &Balancer,
         done: &[Action],
-        would: &[Action],
+        would_do: &[Action],
     ) {
         let over = 4 * Duration::from_secs(2);
-        for (actions, back) in [(would, true), (done, false)] {
+        for (actions, take_back) in [(would_do, true), (done, false)] {
             for action in actions {
                 let Action::Relay { endpoint, .. } = action else {
                     continue;
                 };
-                let Some(e) = self.endpoints.get_mut(*endpoint) else {
+                let Some(endpoint) = self.endpoints.get_mut(*endpoint) else {
                     continue;
                 };
-                if back {
-                    e.sends.undo_increment();
+                if take_back {
+                    endpoint.sends.undo_increment();
                     self.sends_short.undo_increment();
                     self.sends_long.undo_increment();
-                    e.load -= 1.0;
+                    endpoint.load -= 1.0;
                 } else {
-                    e.sends.increment(now, over);
+                    endpoint.sends.increment(now, over);
                     self.sends_short.increment(now, over / 4);
                     self.sends_long.increment(now, over);
-                    e.load = e.load.max(0.0) + 1.0;
+                    endpoint.load = endpoint.load.max(0.0) + 1.0;
                 }
             }
         }
+        // Each keeps its own keys: the leader's configuration may not use them.
         let keys: Vec<_> = self
             .commands
             .iter()
-            .map(|c| c.as_ref().and_then(|c| c.key))
+            .map(|command| command.as_ref().and_then(|command| command.key))
             .collect();
-        self.commands = lead.commands.clone();
+        self.commands = leader.commands.clone();
         for (command, key) in self.commands.iter_mut().zip(keys) {
-            command.iter_mut().for_each(|c| c.key = key);
+            command.iter_mut().for_each(|command| command.key = key);
         }
         self.endpoints
-            .resize_with(lead.endpoints.len(), Endpoint::unused);
-        for (e, led) in self.endpoints.iter_mut().zip(&lead.endpoints) {
-            e.in_flight.clone_from(&led.in_flight);
-            (e.last_used, e.probe_sent_at, e.permit_until, e.trial_due) = (
-                led.last_used,
-                led.probe_sent_at,
-                led.permit_until,
-                led.trial_due,
-            );
+            .resize_with(leader.endpoints.len(), Endpoint::unused);
+        for (endpoint, of_leader) in self.endpoints.iter_mut().zip(&leader.endpoints) {
+            endpoint.in_flight.clone_from(&of_leader.in_flight);
+            endpoint.last_used = of_leader.last_used;
+            endpoint.probe_sent_at = of_leader.probe_sent_at;
+            endpoint.permit_until = of_leader.permit_until;
+            endpoint.trial_due = of_leader.trial_due;
         }
-        self.queue.clone_from(&lead.queue);
-        (
-            self.retry_budget,
-            self.queue_timer_at,
-            self.next_queue_probe,
-        ) = (
-            lead.retry_budget,
-            lead.queue_timer_at,
-            lead.next_queue_probe,
-        );
-        (self.shedding, self.overloaded_at, self.subscribed) =
-            (lead.shedding, lead.overloaded_at, lead.subscribed);
+        self.queue.clone_from(&leader.queue);
+        self.retry_budget = leader.retry_budget;
+        self.queue_timer_at = leader.queue_timer_at;
+        self.next_queue_probe = leader.next_queue_probe;
+        self.shedding = leader.shedding;
+        self.overloaded_at = leader.overloaded_at;
+        self.subscribed = leader.subscribed;
         self.in_flight = self
             .endpoints
             .iter()
-            .map(|e| e.in_flight.len() as f64)
+            .map(|endpoint| endpoint.in_flight.len() as f64)
             .sum();
     }
 }
