--- a/crates/passroad-choice/src/choice.rs
+++ b/crates/passroad-choice/src/choice.rs
@@ -4,18 +4,18 @@
 //! actions are defined at the root of the crate. A balancer shares nothing, has no clock and does no input or output.
 //!
 //! Each endpoint that may be used is scored by its reported load and by its own mean and tail latency; its weight is
-//! `base weight x score / 10 x health`, and a weighted random draw picks the endpoint ([`scoring`], [`placement`]). In a
-//! large fleet only the endpoints in view are scored ([`view`]). Beside this:
+//! `base weight x score / 10 x health`, and a weighted random draw picks the endpoint (`scoring`, `placement`). In a
+//! large fleet only the endpoints in view are scored (`view`). Beside this:
 //!
-//! - [`health`]: successes among the last outcomes scale the weight; an unreachable endpoint is tried again after pauses.
-//! - [`load_reports`] and [`probing`]: what endpoints report of their load, how far it is trusted, and how it is asked for.
-//! - [`concurrency_limit`]: a limit on the load of an endpoint that grows on success and is cut by a factor.
-//! - [`outcomes`], [`retries`] and [`hedging`]: time-outs, retries and hedges, under a retry budget.
-//! - [`admission`]: a short queue, most valuable command first; a command that can't be answered in time is refused.
-//! - [`slow_start`]: a cold endpoint is sent a relay only with a permit, drawn by its ramp and the rate of warm endpoints.
-//! - [`key_affinity`]: commands with one key go to the same few endpoints.
-//! - [`endpoint_list`]: list updates, with jitter and backoff; draining, removed and cordoned endpoints get nothing new.
-//! - [`learned_state`]: what an old process hands to its successor in an upgrade.
+//! - `health`: successes among the last outcomes scale the weight; an unreachable endpoint is tried again after pauses.
+//! - `load_reports` and `probing`: what endpoints report of their load, how far it is trusted, and how it is asked for.
+//! - `concurrency_limit`: a limit on the load of an endpoint that grows on success and is cut by a factor.
+//! - `outcomes`, `retries` and `hedging`: time-outs, retries and hedges, under a retry budget.
+//! - `admission`: a short queue, most valuable command first; a command that can't be answered in time is refused.
+//! - `slow_start`: a cold endpoint is sent a relay only with a permit, drawn by its ramp and the rate of warm endpoints.
+//! - `key_affinity`: commands with one key go to the same few endpoints.
+//! - `endpoint_list`: list updates, with jitter and backoff; draining, removed and cordoned endpoints get nothing new.
+//! - `learned_state`: what an old process hands to its successor in an upgrade.
 
 mod admission;
 mod command;
