--- /dev/null
+++ b/crates/passroad-choice/src/choice/tests/hedging.rs
@@ -0,0 +1,46 @@
+//! Hedges, and cancellation past the deadline target.
+
+use super::*;
+
+#[rstest]
+#[case(1.0, 1)]
+#[case(0.0, 0)]
+fn a_hedge_needs_retry_budget(#[case] budget: f64, #[case] sent: usize) {
+    let mut balancer = balancer_with_relay(Effect::Safe, 2);
+    balancer.retry_budget = budget;
+    balancer.commands[0].as_mut().unwrap().relays[0].sent_at = NOW - Duration::from_millis(250);
+    let actions = balancer.decide(NOW, Event::TimerFired { token: TIMER_HEDGE });
+    assert_eq!(relayed_to(&actions).len(), sent);
+}
+
+#[rstest]
+#[case(0.0, false)]
+#[case(3.0, true)]
+fn past_its_target_a_relay_is_cancelled_where_others_wait(
+    #[case] load: f64,
+    #[case] cancelled: bool,
+) {
+    let mut balancer = balancer_with_relay(Effect::Safe, 1);
+    balancer.endpoints[0].load = load;
+    balancer.commands[0].as_mut().unwrap().target_deadline = NOW;
+    balancer.on_target_passed(0);
+    assert_eq!(
+        balancer.actions.contains(&Action::CancelRelay {
+            command: 0,
+            relay: 0
+        }),
+        cancelled
+    );
+}
+
+#[rstest]
+fn past_its_target_a_relay_is_cancelled_where_reports_have_no_credit() {
+    let mut balancer = balancer_with_relay(Effect::Safe, 1);
+    balancer.endpoints[0].report_credit = 0.0;
+    balancer.commands[0].as_mut().unwrap().target_deadline = NOW;
+    balancer.on_target_passed(0);
+    assert!(balancer.actions.contains(&Action::CancelRelay {
+        command: 0,
+        relay: 0
+    }));
+}
