--- a/crates/passroad-choice/src/choice.rs
+++ b/crates/passroad-choice/src/choice.rs
@@ -1,20 +1,29 @@
-//! All decisions of passroad: which endpoint a command is sent to, when, how often, and when it is refused.
+//! All decisions of passroad: which endpoint a command is sent to, when, how often, and when it is
+//! refused.
 //!
-//! [`Balancer::decide`] is the only entry: it takes what happened and returns what is to be done, in order. The events and
-//! actions are defined at the root of the crate. A balancer shares nothing, has no clock and does no input or output.
+//! [`Balancer::decide`] is the only entry: it takes what happened and returns what is to be done,
+//! in order. The events and actions are defined at the root of the crate. A balancer shares
+//! nothing, has no clock and does no input or output.
 //!
-//! Each endpoint that may be used is scored by its reported load and by its own mean and tail latency; its weight is
-//! `base weight x score / 10 x health`, and a weighted random draw picks the endpoint (`scoring`, `placement`). In a
-//! large fleet only the endpoints in view are scored (`view`). Beside this:
+//! Each endpoint that may be used is scored by its reported load and by its own mean and tail
+//! latency; its weight is `base weight x score / 10 x health`, and a weighted random draw picks the
+//! endpoint (`scoring`, `placement`). In a large fleet only the endpoints in view are scored
+//! (`view`). Beside this:
 //!
-//! - `health`: successes among the last outcomes scale the weight; an unreachable endpoint is tried again after pauses.
-//! - `load_reports` and `probing`: what endpoints report of their load, how far it is trusted, and how it is asked for.
-//! - `concurrency_limit`: a limit on the load of an endpoint that grows on success and is cut by a factor.
+//! - `health`: successes among the last outcomes scale the weight; an unreachable endpoint is tried
+//!   again after pauses.
+//! - `load_reports` and `probing`: what endpoints report of their load, how far it is trusted, and
+//!   how it is asked for.
+//! - `concurrency_limit`: a limit on the load of an endpoint that grows on success and is cut by a
+//!   factor.
 //! - `outcomes`, `retries` and `hedging`: time-outs, retries and hedges, under a retry budget.
-//! - `admission`: a short queue, most valuable command first; a command that can't be answered in time is refused.
-//! - `slow_start`: a cold endpoint is sent a relay only with a permit, drawn by its ramp and the rate of warm endpoints.
+//! - `admission`: a short queue, most valuable command first; a command that can't be answered in
+//!   time is refused.
+//! - `slow_start`: a cold endpoint is sent a relay only with a permit, drawn by its ramp and the
+//!   rate of warm endpoints.
 //! - `key_affinity`: commands with one key go to the same few endpoints.
-//! - `endpoint_list`: list updates, with jitter and backoff; draining, removed and cordoned endpoints get nothing new.
+//! - `endpoint_list`: list updates, with jitter and backoff; draining, removed and cordoned
+//!   endpoints get nothing new.
 //! - `learned_state`: what an old process hands to its successor in an upgrade.
 
 mod admission;
@@ -53,10 +62,10 @@
 use std::time::Duration;
 
 // Kinds of timers, in the two low bits of a token; the index of the command stands above them.
-pub const TIMER_LIST: u64 = 0;
-pub const TIMER_QUEUE: u64 = 1;
-pub const TIMER_HEDGE: u64 = 2;
-pub const TIMER_TARGET: u64 = 3;
+const TIMER_LIST: u64 = 0;
+const TIMER_QUEUE: u64 = 1;
+const TIMER_HEDGE: u64 = 2;
+const TIMER_TARGET: u64 = 3;
 
 /// The decisions of one sidecar, and all that they remember.
 #[derive(Default)]
@@ -127,7 +136,7 @@
 impl Balancer {
     pub fn new(config: BalancerConfig) -> Self {
         let seed = config.seed | 1;
-        let parameters = Balancer::derive_parameters(config);
+        let parameters = Parameters::from_config(config);
         Balancer {
             usual_limit: INITIAL_LIMIT,
             retry_budget: 2.0,
@@ -160,8 +169,8 @@
         }
     }
 
-    /// How an endpoint seems from here, for those who plan maintenance: its load as a share of its limit, where its load was
-    /// reported lately, and whether it fails or can't be reached.
+    /// How an endpoint seems from here, for those who plan maintenance: its load as a share of its
+    /// limit, where its load was reported lately, and whether it fails or can't be reached.
     pub fn endpoint_load(&self, index: EndpointIndex) -> (Option<f64>, bool) {
         let Some(endpoint) = self.endpoints.get(index) else {
             return (None, true);
@@ -189,7 +198,7 @@
         match event {
             Event::ListUpdated { kind, entries } => self.update_list(kind, entries),
             Event::RouteWeightsChanged { weights } => self.set_route_weights(weights),
-            Event::Reconfigured(config) => self.reconfigure(Balancer::derive_parameters(*config)),
+            Event::Reconfigured(config) => self.reconfigure(Parameters::from_config(*config)),
             Event::CordonChanged { endpoint, cordoned } => self.set_cordon(endpoint, cordoned),
             Event::StateInherited { state, slots } => self.inherit_state(*state, &slots),
             Event::CommandArrived(arrival) => self.on_command_arrived(arrival),
@@ -236,7 +245,8 @@
                 self.subscribed = true;
                 self.actions.push(Action::Subscribe { active: true });
             }
-            // Prevents a timer that fires slightly early from leaving commands in the queue for good.
+            // Prevents a timer that fires slightly early from leaving commands in the queue for
+            // good.
             TIMER_QUEUE if self.queue_timer_at <= self.now + self.parameters.tick / 100 => {
                 self.queue_timer_at = Duration::ZERO
             }
--- a/crates/passroad-choice/src/choice/admission.rs
+++ b/crates/passroad-choice/src/choice/admission.rs
@@ -1,5 +1,6 @@
-//! Admission: arrivals, and the short queue of commands that wait for an endpoint. The most valuable command goes first, and
-//! one that can't be answered in time any more is given up at once.
+//! Admission: arrivals, and the short queue of commands that wait for an endpoint. The most
+//! valuable command goes first, and one that can't be answered in time any more is given up at
+//! once.
 
 use super::command::Command;
 use super::key_affinity::KEY_SLOTS;
@@ -20,9 +21,9 @@
                 .unwrap_or_default()
                 .mul_f64(class.target_per_work))
         .min(class.time_limit);
-        // Prevents working on retries whose target has already passed. First tries of a class come with the same budget, and
-        // the last retry with what is left of the time limit, which tells how much time was spent. Where clients mark
-        // retries, this applies to marked ones only.
+        // Prevents working on retries whose target has already passed. First tries of a class come
+        // with the same budget, and the last retry with what is left of the time limit, which tells
+        // how much time was spent. Where clients mark retries, this applies to marked ones only.
         let unusual_budget = arrival.budget.abs_diff(class.usual_budget) > class.usual_budget / 50;
         let spent_is_known = unusual_budget
             && class.budget_confidence >= 4
@@ -48,7 +49,8 @@
             let rate = |arrivals: &DecayingCount| arrivals.rate(self.now, 8 * SMOOTHING);
             let share = rate(&self.tenant_arrivals[tenant])
                 / self.tenant_arrivals.iter().map(rate).sum::<f64>();
-            // In an overload the commands of a tenant beyond its share are worth little, and go last.
+            // In an overload the commands of a tenant beyond its share are worth little, and go
+            // last.
             if self.shedding && share > 1.3 * self.parameters.tenant_shares[tenant] {
                 value *= self.parameters.surplus_utility.max(0.3);
             }
@@ -87,7 +89,8 @@
         self.wait_for_probes(arrival.command);
     }
 
-    /// Until when a command that is queued now may wait: a usual answer must fit into the time that is left then.
+    /// Until when a command that is queued now may wait: a usual answer must fit into the time that
+    /// is left then.
     pub(super) fn queue_deadline(&self, command: &Command) -> Duration {
         let class = &self.parameters.classes[command.class];
         let answer_time = Duration::from_secs_f64(
@@ -120,8 +123,8 @@
         self.queue.push(command_index);
     }
 
-    /// Sends the queued commands that an endpoint takes, the most valuable first, and gives up those that can't be answered
-    /// in time any more.
+    /// Sends the queued commands that an endpoint takes, the most valuable first, and gives up
+    /// those that can't be answered in time any more.
     pub(super) fn run_queue(&mut self) {
         if self.queue.is_empty() {
             return;
@@ -151,7 +154,8 @@
         let mut knows_idle = self.knows_idle_endpoint();
         // Commands that no endpoint took; the others in the queue only wait for probes.
         let mut not_taken = 0;
-        // Pairs of weight set and restricted class for which no endpoint took a more valuable command.
+        // Pairs of weight set and restricted class for which no endpoint took a more valuable
+        // command.
         let mut full = Vec::new();
         for command_index in waiting {
             let Some(command) = self
@@ -195,7 +199,8 @@
             full.extend(
                 (is_first_relay && !is_too_late && !full.contains(&place)).then_some(place),
             );
-            // Prevents keeping a command that will be refused anyway: beyond the queue limit it is refused at once.
+            // Prevents keeping a command that will be refused anyway: beyond the queue limit it is
+            // refused at once.
             if is_too_late || self.all_cordoned || f64::from(not_taken) >= queue_limit {
                 self.give_up(command_index);
             } else {
@@ -203,12 +208,14 @@
                 self.queue.push(command_index);
             }
         }
-        // Prevents a deadlock where all endpoints seem full by old reports: they are probed again while commands wait.
+        // Prevents a deadlock where all endpoints seem full by old reports: they are probed again
+        // while commands wait.
         if !full.is_empty() && not_taken > 0 && !probes_in_flight && now >= self.next_queue_probe {
             self.next_queue_probe = now + self.parameters.recovery_interval / 2;
             self.send_probes(None);
         }
-        // One timer for the whole queue, at the next time when something in it may change by itself.
+        // One timer for the whole queue, at the next time when something in it may change by
+        // itself.
         let next_change = |command: &Command| {
             if command.probe_wait_until > now {
                 command.queue_deadline.min(command.probe_wait_until)
--- a/crates/passroad-choice/src/choice/command.rs
+++ b/crates/passroad-choice/src/choice/command.rs
@@ -92,8 +92,8 @@
         }
     }
 
-    /// The whole body has arrived: the deadlines and the relays in flight count from now. Returns the endpoints of these
-    /// relays.
+    /// The whole body has arrived: the deadlines and the relays in flight count from now. Returns
+    /// the endpoints of these relays.
     pub fn body_complete(&mut self, now: Duration) -> Vec<EndpointIndex> {
         let upload_time = now.saturating_sub(self.arrived_at);
         self.target_deadline = self.target_deadline + upload_time - BODY_PENDING_EXTENSION;
--- a/crates/passroad-choice/src/choice/concurrency_limit.rs
+++ b/crates/passroad-choice/src/choice/concurrency_limit.rs
@@ -1,5 +1,6 @@
-//! Concurrency limits: one on the load of each endpoint, and, where no probes tell that load, one on all relays in flight
-//! from here. Both grow by steps on success and are cut when answers are late or refused.
+//! Concurrency limits: one on the load of each endpoint, and, where no probes tell that load, one
+//! on all relays in flight from here. Both grow by steps on success and are cut when answers are
+//! late or refused.
 
 use super::Balancer;
 use super::endpoint::Endpoint;
@@ -16,8 +17,9 @@
 const LIMIT_CUT_FACTOR: f64 = 0.7;
 
 impl Balancer {
-    /// Limit of an endpoint, for the mean capacity; it decays to the usual limit. Prevents limits that never grow: in a
-    /// large fleet a sidecar meets each endpoint too seldom to learn a limit for each.
+    /// Limit of an endpoint, for the mean capacity; it decays to the usual limit. Prevents limits
+    /// that never grow: in a large fleet a sidecar meets each endpoint too seldom to learn a limit
+    /// for each.
     pub(super) fn current_limit(&self, endpoint: &Endpoint) -> f64 {
         self.usual_limit
             + (endpoint.concurrency_limit - self.usual_limit)
@@ -45,9 +47,9 @@
         }
     }
 
-    /// Adjusts the limit on all relays in flight from here, by steps that follow the value of the command. It grows while
-    /// it binds and shrinks for late or refused answers. A failure at an endpoint that fails more than the others says
-    /// little of the fleet, and counts less.
+    /// Adjusts the limit on all relays in flight from here, by steps that follow the value of the
+    /// command. It grows while it binds and shrinks for late or refused answers. A failure at an
+    /// endpoint that fails more than the others says little of the fleet, and counts less.
     pub(super) fn adjust_in_flight_limit(
         &mut self,
         index: EndpointIndex,
--- a/crates/passroad-choice/src/choice/endpoint.rs
+++ b/crates/passroad-choice/src/choice/endpoint.rs
@@ -5,8 +5,8 @@
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// An endpoint: what the list says of it, what it reports, and what this process has seen of it. Skipped fields concern
-/// this process alone and are not handed over in an upgrade.
+/// An endpoint: what the list says of it, what it reports, and what this process has seen of it.
+/// Skipped fields concern this process alone and are not handed over in an upgrade.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Endpoint {
     #[serde(rename = "mark")]
--- a/crates/passroad-choice/src/choice/endpoint_list.rs
+++ b/crates/passroad-choice/src/choice/endpoint_list.rs
@@ -1,5 +1,5 @@
-//! The endpoint list: updates and failures of the list service, cordons, route weights, and what follows from the list for
-//! all endpoints together.
+//! The endpoint list: updates and failures of the list service, cordons, route weights, and what
+//! follows from the list for all endpoints together.
 
 use super::command::Command;
 use super::endpoint::Endpoint;
@@ -13,9 +13,9 @@
     pub(super) fn update_list(&mut self, kind: ListUpdateKind, entries: Vec<ListedEndpoint>) {
         let jitter = self.random();
         match kind {
-            // Prevents crowding a list service that is down: exponential backoff with jitter, 1.5 s at most, as a change of
-            // the list must be followed soon after it is made. Where lists are pushed it must be followed at once, so the
-            // pause is short and doesn't grow.
+            // Prevents crowding a list service that is down: exponential backoff with jitter, 1.5 s
+            // at most, as a change of the list must be followed soon after it is made. Where lists
+            // are pushed it must be followed at once, so the pause is short and doesn't grow.
             ListUpdateKind::Failed => {
                 self.subscribed = false;
                 self.list_failures += 1;
@@ -65,8 +65,8 @@
             endpoint.cell = entry.cell;
             endpoint.in_use = true;
             endpoint.weight = entry.weight.clamp(0.01, 1e6);
-            // A live weight is the endpoint's full weight divided by one more than the commands it holds. The highest live
-            // weight seen is taken for the full weight.
+            // A live weight is the endpoint's full weight divided by one more than the commands it
+            // holds. The highest live weight seen is taken for the full weight.
             if self.parameters.live_weights {
                 endpoint.max_live_weight = endpoint.max_live_weight.max(endpoint.weight);
                 endpoint.load = endpoint.max_live_weight / endpoint.weight - 1.0;
@@ -91,9 +91,9 @@
         self.refresh_fleet();
     }
 
-    /// Cordons an endpoint, whatever the list says, or lifts its cordon. Prevents trusting what was learnt of a process
-    /// that may have been replaced meanwhile: when the cordon is lifted nothing of it holds, the endpoint is cold, and a
-    /// trial is due.
+    /// Cordons an endpoint, whatever the list says, or lifts its cordon. Prevents trusting what was
+    /// learnt of a process that may have been replaced meanwhile: when the cordon is lifted nothing
+    /// of it holds, the endpoint is cold, and a trial is due.
     pub(super) fn set_cordon(&mut self, index: EndpointIndex, cordoned: bool) {
         let now = self.now;
         let len = self.endpoints.len().max(index + 1);
@@ -102,7 +102,8 @@
         let endpoint = &mut self.endpoints[index];
         match endpoint.cordoned_since.filter(|_| !cordoned) {
             Some(since) => {
-                // A start that the list reported during the cordon holds; otherwise it may have started just now.
+                // A start that the list reported during the cordon holds; otherwise it may have
+                // started just now.
                 let started_at = endpoint.started_at.filter(|at| *at > since).unwrap_or(now);
                 endpoint.restart_cold(started_at);
                 endpoint.cordoned_since = None;
@@ -121,8 +122,8 @@
         self.refresh_fleet();
     }
 
-    /// Sets weights that routes give: weight set, endpoint, weight. Which endpoints a route may use is decided by the
-    /// caller; the draw among them is made here.
+    /// Sets weights that routes give: weight set, endpoint, weight. Which endpoints a route may use
+    /// is decided by the caller; the draw among them is made here.
     pub(crate) fn set_route_weights(&mut self, weights: Vec<(usize, EndpointIndex, f64)>) {
         self.has_route_weights = true;
         for (weight_set, index, weight) in weights {
@@ -137,8 +138,8 @@
         self.refresh_fleet();
     }
 
-    /// Recomputes what follows from the list: capacities, the cold endpoints, the warm ones as a table to draw from by
-    /// base weight, and when to do this again.
+    /// Recomputes what follows from the list: capacities, the cold endpoints, the warm ones as a
+    /// table to draw from by base weight, and when to do this again.
     pub(crate) fn refresh_fleet(&mut self) {
         let removal_pending = self.release_removed_endpoints();
         let weights: Vec<f64> = self
@@ -191,13 +192,15 @@
         if self.parameters.probes_per_command == 0 {
             self.next_refresh = self.next_refresh.min(self.now + Duration::from_secs(1));
         }
-        // Many endpoints become warm one after the other; one refresh for a few of them is early enough.
+        // Many endpoints become warm one after the other; one refresh for a few of them is early
+        // enough.
         self.next_refresh = self
             .next_refresh
             .max(self.now + self.parameters.warm_up_time / 16);
     }
 
-    /// Weight by the list, and, without probes, by how fast the answers of its kind are, which the list may not tell.
+    /// Weight by the list, and, without probes, by how fast the answers of its kind are, which the
+    /// list may not tell.
     fn estimated_weight(&self, endpoint: &Endpoint) -> f64 {
         let kind = self
             .latency_by_kind
@@ -214,9 +217,9 @@
         endpoint.weight * speed.clamp(0.2, 5.0)
     }
 
-    /// Releases the slots of removed endpoints once nothing is in flight to them and no open command was sent there;
-    /// returns whether some must wait. Prevents the state from growing with every id that was ever listed, where the list
-    /// changes all day.
+    /// Releases the slots of removed endpoints once nothing is in flight to them and no open
+    /// command was sent there; returns whether some must wait. Prevents the state from growing with
+    /// every id that was ever listed, where the list changes all day.
     fn release_removed_endpoints(&mut self) -> bool {
         let mut some_wait = false;
         for index in 0..self.endpoints.len() {
--- a/crates/passroad-choice/src/choice/health.rs
+++ b/crates/passroad-choice/src/choice/health.rs
@@ -1,5 +1,5 @@
-//! Health of endpoints: successes among the last few outcomes scale an endpoint's weight, and one that can't be reached
-//! is tried again after pauses that double.
+//! Health of endpoints: successes among the last few outcomes scale an endpoint's weight, and one
+//! that can't be reached is tried again after pauses that double.
 
 use super::Balancer;
 use super::endpoint::Endpoint;
@@ -11,9 +11,10 @@
 pub(super) const RECENT_OUTCOMES: u32 = 8;
 
 impl Endpoint {
-    /// Share of successes among the last few outcomes: the lower one of all classes together and of this class. Prevents a
-    /// class that hangs at an endpoint from being sent there because others are answered. The failures of the class
-    /// decay, as nothing else would show that they have ended.
+    /// Share of successes among the last few outcomes: the lower one of all classes together and of
+    /// this class. Prevents a class that hangs at an endpoint from being sent there because others
+    /// are answered. The failures of the class decay, as nothing else would show that they have
+    /// ended.
     pub(super) fn health(&self, now: Duration, class: Option<usize>) -> f64 {
         let of_class = |outcomes: &RecentOutcomes| {
             1.0 - (1.0 - outcomes.success_share(RECENT_OUTCOMES))
@@ -25,8 +26,8 @@
             .min(self.outcomes.success_share(RECENT_OUTCOMES))
     }
 
-    /// Share of harmful failures among the last `kept` outcomes. It decays, as an endpoint that is avoided has no new
-    /// outcomes.
+    /// Share of harmful failures among the last `kept` outcomes. It decays, as an endpoint that is
+    /// avoided has no new outcomes.
     pub fn harmful_share(&self, now: Duration, kept: u32, over: Duration) -> f64 {
         let count = (self.harmful_failures & ((1 << kept) - 1)).count_ones();
         f64::from(count) / f64::from(kept) * decay(now, self.last_harmful_failure, over)
@@ -34,8 +35,8 @@
 }
 
 impl Balancer {
-    /// Records an outcome among the last few. Logs one line when most of them are failures and one when most are
-    /// successes again, for all classes together and for this one.
+    /// Records an outcome among the last few. Logs one line when most of them are failures and one
+    /// when most are successes again, for all classes together and for this one.
     pub(crate) fn record_health(
         &mut self,
         index: EndpointIndex,
@@ -80,8 +81,8 @@
         }
     }
 
-    /// The endpoint was reached. If it could not be reached before, it counts as cold from now: prevents overloading a
-    /// process that has restarted before the list says so.
+    /// The endpoint was reached. If it could not be reached before, it counts as cold from now:
+    /// prevents overloading a process that has restarted before the list says so.
     pub(super) fn record_reached(&mut self, index: EndpointIndex) {
         let now = self.now;
         let warm_up_time = self.parameters.warm_up_time;
--- a/crates/passroad-choice/src/choice/hedging.rs
+++ b/crates/passroad-choice/src/choice/hedging.rs
@@ -6,8 +6,8 @@
 use crate::CommandIndex;
 
 impl Balancer {
-    /// Sends a hedge where the only relay takes unusually long. Prevents a command from waiting for an endpoint that hangs;
-    /// the retry budget keeps hedges from adding to an overload.
+    /// Sends a hedge where the only relay takes unusually long. Prevents a command from waiting for
+    /// an endpoint that hangs; the retry budget keeps hedges from adding to an overload.
     pub(super) fn hedge(&mut self, command_index: CommandIndex) {
         let Some(command) = self.open_command(command_index).filter(|command| {
             !command.concluded
@@ -38,9 +38,9 @@
         }
     }
 
-    /// The deadline target has passed, and an answer is worth nothing any more. Prevents useless work from keeping others
-    /// waiting: it is cancelled where a command waits, here or at its endpoint. Otherwise it may end by itself, as nothing
-    /// is gained by cancelling it.
+    /// The deadline target has passed, and an answer is worth nothing any more. Prevents useless
+    /// work from keeping others waiting: it is cancelled where a command waits, here or at its
+    /// endpoint. Otherwise it may end by itself, as nothing is gained by cancelling it.
     pub(super) fn on_target_passed(&mut self, command_index: CommandIndex) {
         let is_past = |command: &&Command| {
             !command.concluded
--- a/crates/passroad-choice/src/choice/key_affinity.rs
+++ b/crates/passroad-choice/src/choice/key_affinity.rs
@@ -1,5 +1,6 @@
-//! Key affinity: commands with the same key are sent to the same few endpoints, which do less work for a key that they met
-//! lately. Every sidecar computes the same endpoints for a key, by weighted rendezvous hashing.
+//! Key affinity: commands with the same key are sent to the same few endpoints, which do less work
+//! for a key that they met lately. Every sidecar computes the same endpoints for a key, by weighted
+//! rendezvous hashing.
 
 use super::Balancer;
 use super::command::Command;
@@ -14,8 +15,8 @@
 /// Share of its weight that a home in reserve gets.
 const RESERVE_HOME_SHARE: f64 = 0.05;
 
-/// Rank of an endpoint for a key before its weight is applied, the lowest first: exponentially distributed over the
-/// endpoints, and the same at every sidecar.
+/// Rank of an endpoint for a key before its weight is applied, the lowest first: exponentially
+/// distributed over the endpoints, and the same at every sidecar.
 pub fn key_rank(id_hash: u64, key: u64) -> f64 {
     let mixed = (id_hash ^ key).wrapping_mul(0x9e37_79b9_7f4a_7c15);
     let mixed = (mixed ^ mixed >> 32).wrapping_mul(0xd6e8_feb8_6659_fd93);
@@ -25,10 +26,10 @@
 }
 
 impl Balancer {
-    /// Homes of a command's key, each with a share of its weight: as many endpoints as the key's share of all commands
-    /// asks for, and two in reserve. Prevents a key from being met at every endpoint and remembered at none. Zones share
-    /// homes, so the rank is divided by the square root of the base weight. A cold endpoint with a permit comes first,
-    /// whatever the key.
+    /// Homes of a command's key, each with a share of its weight: as many endpoints as the key's
+    /// share of all commands asks for, and two in reserve. Prevents a key from being met at every
+    /// endpoint and remembered at none. Zones share homes, so the rank is divided by the square
+    /// root of the base weight. A cold endpoint with a permit comes first, whatever the key.
     pub(super) fn key_homes(&self, command: &Command) -> Vec<(EndpointIndex, f64)> {
         let Some(key) = command.key else {
             return Vec::new();
--- a/crates/passroad-choice/src/choice/learned_state.rs
+++ b/crates/passroad-choice/src/choice/learned_state.rs
@@ -1,5 +1,6 @@
-//! The learned state: what an old process hands to its successor in an upgrade. It is written by field name, and the two
-//! processes may be of different versions, so a renamed field keeps its outer name by attribute.
+//! The learned state: what an old process hands to its successor in an upgrade. It is written by
+//! field name, and the two processes may be of different versions, so a renamed field keeps its
+//! outer name by attribute.
 
 use super::Balancer;
 use super::endpoint::Endpoint;
@@ -12,7 +13,8 @@
 /// Longest pause that is taken over for an endpoint that can't be reached.
 const MAX_RETRY_PAUSE: Duration = Duration::from_secs(60);
 
-/// What a process has learnt of endpoints, classes and load, for its successor. Times are by a clock that both share.
+/// What a process has learnt of endpoints, classes and load, for its successor. Times are by a
+/// clock that both share.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct LearnedState {
     endpoints: Vec<(String, Endpoint)>,
@@ -53,7 +55,8 @@
 }
 
 impl LearnedState {
-    /// Ids of the endpoints in it, in the order in which [`crate::Event::StateInherited`] gives their slots.
+    /// Ids of the endpoints in it, in the order in which [`crate::Event::StateInherited`] gives
+    /// their slots.
     pub fn endpoint_ids(&self) -> impl Iterator<Item = &str> {
         self.endpoints.iter().map(|(id, _)| id.as_str())
     }
@@ -106,8 +109,8 @@
         }
     }
 
-    /// Takes over what the old process has learnt. The relays that it had in flight stay its own, and what the list says
-    /// here is newer.
+    /// Takes over what the old process has learnt. The relays that it had in flight stay its own,
+    /// and what the list says here is newer.
     pub(crate) fn inherit_state(&mut self, state: LearnedState, slots: &[Option<EndpointIndex>]) {
         let now = self.now;
         let count = state.endpoints.len();
@@ -138,7 +141,8 @@
                     .copied()
             });
             let outcomes_by_class = outcomes.map(Option::unwrap_or_default).collect();
-            // Prevents times of a clock that ran ahead from keeping an endpoint cold, or paused, for as long.
+            // Prevents times of a clock that ran ahead from keeping an endpoint cold, or paused,
+            // for as long.
             let started_at = endpoint
                 .started_at
                 .max(old.started_at.map(|at| at.min(now)));
--- a/crates/passroad-choice/src/choice/load_reports.rs
+++ b/crates/passroad-choice/src/choice/load_reports.rs
@@ -21,7 +21,8 @@
             Some(outstanding) if outstanding < 0.5 * surely_there => -0.25,
             outstanding => outstanding.map_or(0.0, |_| 0.02),
         };
-        // A share of busy time counts as the commands that a single server holds which is busy for that share.
+        // A share of busy time counts as the commands that a single server holds which is busy for
+        // that share.
         let by_utilization = report
             .utilization
             .map(|u| u.clamp(0.0, 1.0))
@@ -44,10 +45,11 @@
         self.adjust_report_credit(index, step);
     }
 
-    /// Changes the credit of an endpoint's reports, and a fifth of that of all reports. Prevents stuck or wrong reports
-    /// from drawing all traffic to an endpoint that seems empty. A report is compared with own relays that are surely at
-    /// the endpoint, with its refusals as overloaded, and with its latency where a relay was sent because of it. Sparse
-    /// traffic is sent by old reports, and cold endpoints are slow: neither costs credit.
+    /// Changes the credit of an endpoint's reports, and a fifth of that of all reports. Prevents
+    /// stuck or wrong reports from drawing all traffic to an endpoint that seems empty. A report is
+    /// compared with own relays that are surely at the endpoint, with its refusals as overloaded,
+    /// and with its latency where a relay was sent because of it. Sparse traffic is sent by old
+    /// reports, and cold endpoints are slow: neither costs credit.
     pub(super) fn adjust_report_credit(&mut self, index: EndpointIndex, step: f64) {
         let endpoint = &mut self.endpoints[index];
         endpoint.report_credit = (endpoint.report_credit + step).clamp(0.0, 1.0);
@@ -83,8 +85,8 @@
         })
     }
 
-    /// Load in commands. As a report ages or loses credit, the estimate moves to the mean of the trusted loads. It is
-    /// never below the own relays in flight.
+    /// Load in commands. As a report ages or loses credit, the estimate moves to the mean of the
+    /// trusted loads. It is never below the own relays in flight.
     pub(super) fn estimated_load(&self, endpoint: &Endpoint, mean_load: f64) -> f64 {
         let trust = self.report_trust(endpoint);
         (trust * endpoint.load.max(0.0)
@@ -92,8 +94,9 @@
         .max(endpoint.in_flight.len() as f64)
     }
 
-    /// Mean of the trusted loads, in commands at the mean capacity. Prevents a deadlock where nothing is reported any
-    /// more: as reports age or lose credit the mean falls to nothing, and own relays in flight decide.
+    /// Mean of the trusted loads, in commands at the mean capacity. Prevents a deadlock where
+    /// nothing is reported any more: as reports age or lose credit the mean falls to nothing, and
+    /// own relays in flight decide.
     pub(super) fn mean_load(&self) -> f64 {
         let mut load = 0.0;
         let mut capacity = 0.0;
@@ -107,7 +110,8 @@
                 * endpoint.load.max(endpoint.in_flight.len() as f64);
             capacity += freshness * endpoint.capacity;
         }
-        // At least one report, not a share of the fleet: in a large fleet few endpoints report at any time.
+        // At least one report, not a share of the fleet: in a large fleet few endpoints report at
+        // any time.
         load / capacity.max(1.0)
     }
 }
--- a/crates/passroad-choice/src/choice/outcomes.rs
+++ b/crates/passroad-choice/src/choice/outcomes.rs
@@ -101,7 +101,8 @@
         Some(index)
     }
 
-    /// Records a time-out as an answer at least as slow as it lasted, so that a failure never counts as a fast answer.
+    /// Records a time-out as an answer at least as slow as it lasted, so that a failure never
+    /// counts as a fast answer.
     pub(super) fn record_slow_answer(
         &mut self,
         relay: &Relay,
--- a/crates/passroad-choice/src/choice/parameters.rs
+++ b/crates/passroad-choice/src/choice/parameters.rs
@@ -1,6 +1,5 @@
 //! The parameters of the decisions, derived from the configuration.
 
-use super::Balancer;
 use super::request_class::RequestClass;
 use super::statistics::SMOOTHING;
 use crate::{BalancerConfig, ReportMode, RequestClassConfig};
@@ -10,7 +9,8 @@
 #[derive(Default)]
 pub struct Parameters {
     pub classes: Vec<RequestClass>,
-    /// Weights of the two parts of the objective: all answers in time, and the class that is served worst.
+    /// Weights of the two parts of the objective: all answers in time, and the class that is served
+    /// worst.
     pub objective_total: f64,
     pub objective_worst_class: f64,
     pub tenant_shares: Vec<f64>,
@@ -30,7 +30,8 @@
     pub probes_per_find: f64,
     /// A report needs no probe for so long.
     pub report_fresh_for: Duration,
-    /// Least time between two cuts of a limit, and half the first pause of an endpoint that can't be reached.
+    /// Least time between two cuts of a limit, and half the first pause of an endpoint that can't
+    /// be reached.
     pub recovery_interval: Duration,
     /// Trust in a report falls to about a third in this time.
     pub report_decay: Duration,
@@ -55,8 +56,8 @@
     pub cold_send_share: f64,
 }
 
-impl Balancer {
-    pub(super) fn derive_parameters(config: BalancerConfig) -> Parameters {
+impl Parameters {
+    pub(super) fn from_config(config: BalancerConfig) -> Self {
         let targets = config
             .classes
             .iter()
@@ -64,8 +65,8 @@
             .min()
             .unwrap_or_default();
         let target = targets.clamp(Duration::from_millis(1), Duration::from_secs(60));
-        // Probes may cost up to 0.7% of the service. Where a single one costs more, they are sent only for commands that
-        // wait, and not at all where they are the only source of reports.
+        // Probes may cost up to 0.7% of the service. Where a single one costs more, they are sent
+        // only for commands that wait, and not at all where they are the only source of reports.
         let expensive = config.probe_price > 0.007;
         let reported = config.report_mode == ReportMode::Piggyback
             || config.report_mode == ReportMode::Pull && !expensive;
@@ -107,8 +108,8 @@
             cold_capacity: config.cold_capacity.clamp(0.01, 1.0),
             warm_up_time: config.warm_up_time.max(Duration::from_millis(1)),
             overload_window: config.overload_window,
-            // Some permits expire unused, so a little more than the fair share is drawn. Not much more: beyond it a cold
-            // endpoint is late long before it fails.
+            // Some permits expire unused, so a little more than the fair share is drawn. Not much
+            // more: beyond it a cold endpoint is late long before it fails.
             cold_send_share: config.overload_multiple.max(1.0).powf(0.25),
         }
     }
--- a/crates/passroad-choice/src/choice/placement.rs
+++ b/crates/passroad-choice/src/choice/placement.rs
@@ -6,7 +6,8 @@
 use crate::{CommandIndex, DeduplicationScope, Effect, EndpointIndex};
 
 impl Balancer {
-    /// Draws an endpoint for a command among those where it may go, for a hedge or for any other relay.
+    /// Draws an endpoint for a command among those where it may go, for a hedge or for any other
+    /// relay.
     pub(super) fn pick_endpoint(
         &mut self,
         command_index: CommandIndex,
@@ -14,7 +15,8 @@
     ) -> Option<EndpointIndex> {
         let command = self.open_command(command_index)?;
         let class = &self.parameters.classes[command.class];
-        // Prevents running a command twice: one that may have run is sent again only within the scope that drops repeats.
+        // Prevents running a command twice: one that may have run is sent again only within the
+        // scope that drops repeats.
         let first_endpoint = match (
             class.effect,
             command.relays.iter().find(|r| r.may_have_run()),
--- a/crates/passroad-choice/src/choice/probing.rs
+++ b/crates/passroad-choice/src/choice/probing.rs
@@ -6,13 +6,15 @@
 use std::time::Duration;
 
 impl Balancer {
-    /// Probes a few likely endpoints, for a command of a class and weight set or for all that wait; returns for how long
-    /// to wait for the answers. Prevents choosing by reports that are older than a service time: each sidecar has too
-    /// little traffic to get a report of every endpoint with its answers.
+    /// Probes a few likely endpoints, for a command of a class and weight set or for all that wait;
+    /// returns for how long to wait for the answers. Prevents choosing by reports that are older
+    /// than a service time: each sidecar has too little traffic to get a report of every endpoint
+    /// with its answers.
     pub(super) fn send_probes(&mut self, target: Option<(usize, usize)>) -> Duration {
         self.refresh_view();
-        // Where probes are not allowed there are none, also not to an endpoint with a permit. Where they are expensive they
-        // are sent only for commands that nothing takes, and as often as they find an endpoint below its limit.
+        // Where probes are not allowed there are none, also not to an endpoint with a permit. Where
+        // they are expensive they are sent only for commands that nothing takes, and as often as
+        // they find an endpoint below its limit.
         let odds = if target.is_none() {
             (self.probe_yield * self.parameters.probes_per_find).max(0.05)
         } else {
@@ -40,7 +42,8 @@
                 weight.max(0.002)
             };
         }
-        // Where most endpoints are idle one probe is enough; if it finds a busy one, the second round probes again.
+        // Where most endpoints are idle one probe is enough; if it finds a busy one, the second
+        // round probes again.
         let max_probes = self
             .parameters
             .probes_per_command
@@ -112,7 +115,8 @@
         }
     }
 
-    /// Whether an endpoint with a recent report holds less than half a command, at the mean capacity.
+    /// Whether an endpoint with a recent report holds less than half a command, at the mean
+    /// capacity.
     pub(super) fn knows_idle_endpoint(&self) -> bool {
         let mean_load = self.mean_load();
         let since = self
--- a/crates/passroad-choice/src/choice/relaying.rs
+++ b/crates/passroad-choice/src/choice/relaying.rs
@@ -1,4 +1,5 @@
-//! Relays in flight: sending them, counting them at their endpoints, and the bodies that they carry.
+//! Relays in flight: sending them, counting them at their endpoints, and the bodies that they
+//! carry.
 
 use super::command::{Command, Relay};
 use super::statistics::{SMOOTHING, decay};
@@ -43,7 +44,8 @@
             .client_deadline
             .saturating_sub(now)
             .max(self.parameters.tick);
-        // Prevents sending a repeat over a connection that is established only when its endpoint no longer drops it.
+        // Prevents sending a repeat over a connection that is established only when its endpoint no
+        // longer drops it.
         let send_by = deduplication_left.unwrap_or(timeout).min(timeout);
         self.actions.push(Action::Relay {
             command: command_index,
@@ -94,7 +96,8 @@
         }
     }
 
-    /// Counts one more relay at an endpoint. While its body is pending it is no work there, and is not counted.
+    /// Counts one more relay at an endpoint. While its body is pending it is no work there, and is
+    /// not counted.
     pub(crate) fn count_relay_in(
         &mut self,
         index: EndpointIndex,
--- a/crates/passroad-choice/src/choice/request_class.rs
+++ b/crates/passroad-choice/src/choice/request_class.rs
@@ -1,4 +1,5 @@
-//! Request classes: what is configured for each, what was seen of it, and what an answer of it is worth.
+//! Request classes: what is configured for each, what was seen of it, and what an answer of it is
+//! worth.
 
 use super::Balancer;
 use super::command::Relay;
@@ -11,7 +12,8 @@
 
 /// The slot of a class that was removed is given to another no earlier than this.
 const CLASS_SLOT_REUSE_DELAY: Duration = Duration::from_secs(60);
-/// Added to the rates of each class, per second: a few arrivals say little of how a class is served.
+/// Added to the rates of each class, per second: a few arrivals say little of how a class is
+/// served.
 const MIN_CLASS_RATE: f64 = 0.1;
 
 /// A request class: its configuration, and what was seen of it.
@@ -104,22 +106,24 @@
                 .is_none_or(|kinds| kinds.contains(&endpoint.kind))
     }
 
-    /// The same class under another configuration: what was seen of it still holds, but for the budget of clients.
+    /// The same class under another configuration: what was seen of it still holds, but for the
+    /// budget of clients.
     fn adopt_statistics(&mut self, previous: &RequestClass) {
         self.arrivals = previous.arrivals;
         self.served_in_time = previous.served_in_time;
         self.answer_time = previous.answer_time;
     }
 
-    /// For how long a repeat of a relay is still dropped by the endpoints; a tenth of the window is left for its way.
+    /// For how long a repeat of a relay is still dropped by the endpoints; a tenth of the window is
+    /// left for its way.
     pub(super) fn deduplication_time_left(&self, first: &Relay, now: Duration) -> Duration {
         self.deduplication_window
             .mul_f64(0.9)
             .saturating_sub(now.saturating_sub(first.sent_at))
     }
 
-    /// Latency relative to the usual one of the class and to the load ahead of the relay, so that relays of different
-    /// classes and loads can be compared.
+    /// Latency relative to the usual one of the class and to the load ahead of the relay, so that
+    /// relays of different classes and loads can be compared.
     pub(super) fn relative_latency(&self, relay: &Relay, elapsed: Duration) -> f64 {
         elapsed.as_secs_f64() / self.answer_time.mean.max(1e-6) / (1.0 + 0.5 * relay.load_ahead)
     }
@@ -133,8 +137,8 @@
 }
 
 impl Balancer {
-    /// Applies another configuration. Classes that did not change keep their slots; each other one gets a new slot, or one
-    /// that no open command holds.
+    /// Applies another configuration. Classes that did not change keep their slots; each other one
+    /// gets a new slot, or one that no open command holds.
     pub(crate) fn reconfigure(&mut self, mut parameters: Parameters) {
         let new_classes = std::mem::take(&mut parameters.classes);
         let now = self.now;
@@ -221,8 +225,8 @@
         self.refresh_fleet();
     }
 
-    /// What an answer in time adds to the objective, for each class. Prevents starving the class with the least utility:
-    /// the objective also counts the class that is served worst.
+    /// What an answer in time adds to the objective, for each class. Prevents starving the class
+    /// with the least utility: the objective also counts the class that is served worst.
     pub(super) fn class_values(&self) -> Vec<f64> {
         let classes = &self.parameters.classes;
         let rates: Vec<f64> = classes
--- a/crates/passroad-choice/src/choice/retries.rs
+++ b/crates/passroad-choice/src/choice/retries.rs
@@ -1,4 +1,5 @@
-//! Retries and final answers: a command whose relay failed is queued again under a retry budget, or refused or failed.
+//! Retries and final answers: a command whose relay failed is queued again under a retry budget, or
+//! refused or failed.
 
 use super::Balancer;
 use super::command::{Command, Relay};
@@ -17,8 +18,8 @@
             return self.release_if_done(command_index);
         }
         let may_have_run = command.relays.iter().any(Relay::may_have_run);
-        // Prevents a command that no endpoint can use from taking the retry budget of the others: two rejections are
-        // final.
+        // Prevents a command that no endpoint can use from taking the retry budget of the others:
+        // two rejections are final.
         let rejections = command
             .relays
             .iter()
@@ -28,7 +29,8 @@
             && !command.body_not_replayable
             && (!may_have_run
                 || self.parameters.classes[command.class].effect != Effect::NonIdempotent);
-        // Sending again after a first relay that surely did not run, or was rejected, costs little, but not nothing.
+        // Sending again after a first relay that surely did not run, or was rejected, costs little,
+        // but not nothing.
         let price = if command.relays.len() < 2 && (outcome.never_ran() || rejections > 0) {
             0.2
         } else {
@@ -44,7 +46,8 @@
         }
     }
 
-    /// Gives the final answer at once: refused where a retry by the client is harmless, else failed.
+    /// Gives the final answer at once: refused where a retry by the client is harmless, else
+    /// failed.
     pub(super) fn give_up(&mut self, command_index: CommandIndex) {
         let Some(command) = self.open_command(command_index) else {
             return;
--- a/crates/passroad-choice/src/choice/slow_start.rs
+++ b/crates/passroad-choice/src/choice/slow_start.rs
@@ -1,5 +1,6 @@
-//! Slow start: an endpoint whose process started lately is cold. It is sent a relay only with a permit, and permits are
-//! drawn at random at a rate that follows its warm-up ramp and what warm endpoints of its kind answer.
+//! Slow start: an endpoint whose process started lately is cold. It is sent a relay only with a
+//! permit, and permits are drawn at random at a rate that follows its warm-up ramp and what warm
+//! endpoints of its kind answer.
 
 use super::Balancer;
 use super::endpoint::Endpoint;
@@ -10,7 +11,8 @@
 /// Decay time of the answers of warm endpoints.
 const WARM_RATE_DECAY: Duration = Duration::from_secs(8);
 
-/// What the warm endpoints of one kind answer; stands for what a cold one of the kind will be able to do.
+/// What the warm endpoints of one kind answer; stands for what a cold one of the kind will be able
+/// to do.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct WarmKind {
     pub answers: DecayingCount,
@@ -22,8 +24,8 @@
 }
 
 impl WarmKind {
-    /// Sets the weight of the endpoints that are warm now. The answers are scaled with it, so that the rate of one
-    /// endpoint stays as it was.
+    /// Sets the weight of the endpoints that are warm now. The answers are scaled with it, so that
+    /// the rate of one endpoint stays as it was.
     pub(super) fn set_weight(&mut self, now: Duration, weight: f64) {
         self.last_rate = if self.any_warm && weight <= 0.0 {
             self.rate(now)
@@ -88,7 +90,8 @@
         !self.is_cold(endpoint) || self.now < endpoint.permit_until
     }
 
-    /// Capacity against that of a warm endpoint: from `cold_capacity` to 1, in proportion to its age.
+    /// Capacity against that of a warm endpoint: from `cold_capacity` to 1, in proportion to its
+    /// age.
     pub(super) fn warm_up_ramp(&self, endpoint: &Endpoint) -> f64 {
         let Some(started_at) = endpoint.started_at else {
             return 1.0;
@@ -98,8 +101,8 @@
         self.parameters.cold_capacity + (1.0 - self.parameters.cold_capacity) * age.min(1.0)
     }
 
-    /// Answers a second of a warm endpoint of this kind and weight 1, or when last seen; for an unknown kind the lowest of
-    /// all kinds.
+    /// Answers a second of a warm endpoint of this kind and weight 1, or when last seen; for an
+    /// unknown kind the lowest of all kinds.
     fn warm_rate(&self, kind: usize) -> f64 {
         let all_rates = self
             .warm_kinds
@@ -130,9 +133,10 @@
             .increment(self.now, WARM_RATE_DECAY);
     }
 
-    /// Draws whether a cold endpoint gets a permit for one relay, and which; called for each arrival. Prevents overloading
-    /// a cold endpoint: sidecars can't agree, so each follows the endpoint's ramp and its own rate to warm endpoints of
-    /// the kind. An unused permit soon expires, so that hundreds of sidecars never hold a burst of them.
+    /// Draws whether a cold endpoint gets a permit for one relay, and which; called for each
+    /// arrival. Prevents overloading a cold endpoint: sidecars can't agree, so each follows the
+    /// endpoint's ramp and its own rate to warm endpoints of the kind. An unused permit soon
+    /// expires, so that hundreds of sidecars never hold a burst of them.
     pub(super) fn draw_slow_start_permit(&mut self) {
         let elapsed = self
             .now
@@ -157,7 +161,8 @@
             return;
         };
         let endpoint = &self.endpoints[index];
-        // Where nearly all endpoints are cold there is no warm rate; a share of the arrivals stands for it.
+        // Where nearly all endpoints are cold there is no warm rate; a share of the arrivals stands
+        // for it.
         let arrival_rate =
             0.3 * self.arrivals.unbiased_rate(self.now, 4 * SMOOTHING) / self.available_count;
         let rate =
--- a/crates/passroad-choice/src/choice/statistics.rs
+++ b/crates/passroad-choice/src/choice/statistics.rs
@@ -1,5 +1,5 @@
-//! Decaying means, decaying counts and the last few outcomes. Nothing here keeps a window of samples: each value decays
-//! with its age when it is read or updated.
+//! Decaying means, decaying counts and the last few outcomes. Nothing here keeps a window of
+//! samples: each value decays with its age when it is read or updated.
 
 use crate::Outcome;
 use serde::{Deserialize, Serialize};
@@ -10,8 +10,8 @@
 /// Unit of the decay times of what this process measures itself.
 pub(super) const SMOOTHING: Duration = Duration::from_secs(2);
 
-/// Share that is left of a value of age `now - since`: about `1/e` after `over`, nothing after `32 * over`. Follows an
-/// exponential closely, at less CPU.
+/// Share that is left of a value of age `now - since`: about `1/e` after `over`, nothing after `32
+/// * over`. Follows an exponential closely, at less CPU.
 pub fn decay(now: Duration, since: Duration, over: Duration) -> f64 {
     let spans = now.saturating_sub(since).as_secs_f64() / over.as_secs_f64();
     (1.0 - spans / 32.0).max(0.0).powi(32)
@@ -37,8 +37,9 @@
         self.spread += gain * (deviation.abs() - self.spread);
     }
 
-    /// Mean, and a tail of two spreads above it. A few samples say little of a mean and less of a tail, so both are
-    /// drawn toward `prior`: the mean as if by 2 samples of it, the spread as if by 8.
+    /// Mean, and a tail of two spreads above it. A few samples say little of a mean and less of a
+    /// tail, so both are drawn toward `prior`: the mean as if by 2 samples of it, the spread as if
+    /// by 8.
     pub(super) fn estimate(
         &self,
         now: Duration,
@@ -80,7 +81,8 @@
         self.sum = (self.sum - 1.0).max(0.0);
     }
 
-    /// Events a second. While the count is younger than `over`, the sum is divided by its age instead.
+    /// Events a second. While the count is younger than `over`, the sum is divided by its age
+    /// instead.
     pub fn rate_over_age(&self, now: Duration, over: Duration) -> f64 {
         let age = now
             .saturating_sub(self.started_at)
@@ -89,8 +91,8 @@
         self.rate(now, over) * over.as_secs_f64() / age
     }
 
-    /// Events a second, corrected for the time before the first event. The first event only starts the clock, so a
-    /// single event gives no rate.
+    /// Events a second, corrected for the time before the first event. The first event only starts
+    /// the clock, so a single event gives no rate.
     pub fn unbiased_rate(&self, now: Duration, over: Duration) -> f64 {
         let before_start = decay(now, self.started_at, over);
         (self.sum * decay(now, self.updated_at, over) - before_start).max(0.0)
--- a/crates/passroad-choice/src/choice/tests.rs
+++ b/crates/passroad-choice/src/choice/tests.rs
@@ -1,5 +1,5 @@
-//! Tests of the decisions, one module for each subject. Each test builds the state that it needs and calls the balancer;
-//! the helpers stand here.
+//! Tests of the decisions, one module for each subject. Each test builds the state that it needs
+//! and calls the balancer; the helpers stand here.
 
 mod admission;
 mod concurrency_limit;
@@ -25,6 +25,7 @@
 use super::endpoint::Endpoint;
 use super::health::RECENT_OUTCOMES;
 use super::key_affinity::{HOMES_FACTOR, KEY_SLOTS};
+use super::parameters::Parameters;
 use super::request_class::RequestClass;
 use super::statistics::{DecayingCount, DecayingMean, RecentOutcomes, SMOOTHING};
 use super::{Balancer, TIMER_HEDGE, TIMER_LIST, TIMER_QUEUE};
--- a/crates/passroad-choice/src/choice/tests/admission.rs
+++ b/crates/passroad-choice/src/choice/tests/admission.rs
@@ -18,7 +18,8 @@
     );
 }
 
-// The queue's timer fired 239 ns early, no other was set, and a command got no answer (incidents i76fc45 and icb7ea6).
+// The queue's timer fired 239 ns early, no other was set, and a command got no answer (incidents
+// i76fc45 and icb7ea6).
 #[rstest]
 fn a_queue_timer_that_fires_early_is_set_again() {
     let mut balancer = balancer_with_endpoints(Effect::Safe, 1);
@@ -58,7 +59,8 @@
     );
 }
 
-// Hundreds of quiet sidecars with two waiting commands each met at the next idle endpoint (incident i1a0a9a).
+// Hundreds of quiet sidecars with two waiting commands each met at the next idle endpoint (incident
+// i1a0a9a).
 #[rstest]
 fn beyond_the_queue_limit_the_least_valuable_command_is_refused_at_once() {
     let mut balancer = balancer_with_endpoints(Effect::Safe, 1);
@@ -100,8 +102,8 @@
     );
 }
 
-// First tries with less time than usual were refused at once beside idle endpoints, as they were taken for retries (incident
-// ree4900).
+// First tries with less time than usual were refused at once beside idle endpoints, as they were
+// taken for retries (incident ree4900).
 #[rstest]
 #[case::never_marked(false, false, 0)]
 #[case::others_are_marked(true, false, 1)]
@@ -127,7 +129,8 @@
     assert_eq!(relayed_to(&actions).len(), sent, "{actions:?}");
 }
 
-// A command whose client had a millisecond left was held back for probes and got no answer (incident i69898d).
+// A command whose client had a millisecond left was held back for probes and got no answer
+// (incident i69898d).
 #[rstest]
 fn a_command_with_no_time_left_is_refused_at_once() {
     let mut balancer = balancer_with_endpoints(Effect::Safe, 2);
--- a/crates/passroad-choice/src/choice/tests/cordons.rs
+++ b/crates/passroad-choice/src/choice/tests/cordons.rs
@@ -6,7 +6,8 @@
     Event::CordonChanged { endpoint, cordoned }
 }
 
-// The list names all as running, as just started, or as removed and back: a cordon stays until it is lifted.
+// The list names all as running, as just started, or as removed and back: a cordon stays until it
+// is lifted.
 #[rstest]
 #[case::full_list(ListUpdateKind::Full, vec![listed_endpoint(0, Duration::ZERO), listed_endpoint(1, Duration::ZERO)])]
 #[case::just_started(ListUpdateKind::Delta, vec![listed_endpoint(0, NOW)])]
@@ -59,7 +60,8 @@
     assert_eq!(balancer.endpoints[0].latency.count, 7.0);
 }
 
-// The endpoint may have restarted while it was cordoned, and the list may be late: what was learnt is of another process.
+// The endpoint may have restarted while it was cordoned, and the list may be late: what was learnt
+// is of another process.
 #[rstest]
 #[case::list_is_late(None, NOW + SMOOTHING)]
 #[case::list_reported_it(Some(NOW + SMOOTHING / 2), NOW + SMOOTHING / 2)]
--- a/crates/passroad-choice/src/choice/tests/endpoint_list.rs
+++ b/crates/passroad-choice/src/choice/tests/endpoint_list.rs
@@ -61,7 +61,8 @@
     assert!(balancer.endpoints[0].available);
 }
 
-// Once the agent is back its list counts as known, and a request seconds later still sent to draining endpoints.
+// Once the agent is back its list counts as known, and a request seconds later still sent to
+// draining endpoints.
 #[rstest]
 #[case::requested(true)]
 #[case::pushed(false)]
@@ -99,7 +100,8 @@
     );
 }
 
-// Where the list changed all day, slots grew with every id there ever was, and with them memory and walks.
+// Where the list changed all day, slots grew with every id there ever was, and with them memory and
+// walks.
 #[rstest]
 #[case::nothing_in_flight(false, false, 1)]
 #[case::relay_in_flight(true, false, 0)]
--- a/crates/passroad-choice/src/choice/tests/health.rs
+++ b/crates/passroad-choice/src/choice/tests/health.rs
@@ -32,8 +32,8 @@
     assert!(balancer.endpoints[0].health(NOW, None) < 1.0);
 }
 
-// Five of nine endpoints let every command of one class hang and answered the other classes, whose answers kept them in the
-// draw for it.
+// Five of nine endpoints let every command of one class hang and answered the other classes, whose
+// answers kept them in the draw for it.
 #[rstest]
 #[case::at_once(0, false)]
 #[case::long_after(60, true)]
@@ -98,8 +98,8 @@
     assert!(weights[0] < 0.3 * weights[1], "{weights:?}");
 }
 
-// An endpoint that failed half of its commands at once looked idle beside busy ones and drew a twelfth of all commands,
-// non-idempotent ones as well.
+// An endpoint that failed half of its commands at once looked idle beside busy ones and drew a
+// twelfth of all commands, non-idempotent ones as well.
 #[rstest]
 #[case::non_idempotent(Effect::NonIdempotent, 0.01)]
 #[case::safe(Effect::Safe, 0.5)]
@@ -121,7 +121,8 @@
     assert!(drawn as f64 <= 400.0 * most, "{drawn}");
 }
 
-// A relay that never ran costs a non-idempotent command nothing, and a slow answer is no harmful failure either.
+// A relay that never ran costs a non-idempotent command nothing, and a slow answer is no harmful
+// failure either.
 #[rstest]
 #[case(Outcome::Error, 1)]
 #[case(Outcome::ConnectionLost, 1)]
@@ -148,7 +149,8 @@
     assert!(actions.contains(&Action::Fail { command: 0 }));
 }
 
-// Where the network broke connections, healthy endpoints were not sent anything for seconds and then treated as cold.
+// Where the network broke connections, healthy endpoints were not sent anything for seconds and
+// then treated as cold.
 #[rstest]
 #[case::connection_lost(Outcome::ConnectionLost, 0)]
 #[case::connect_failed(Outcome::ConnectFailed, 3)]
--- a/crates/passroad-choice/src/choice/tests/key_affinity.rs
+++ b/crates/passroad-choice/src/choice/tests/key_affinity.rs
@@ -2,7 +2,8 @@
 
 use super::*;
 
-// Without homes each key was met at every endpoint and remembered at none, and a quarter of the commands was answered.
+// Without homes each key was met at every endpoint and remembered at none, and a quarter of the
+// commands was answered.
 #[rstest]
 fn commands_with_one_key_have_the_same_home_at_every_sidecar() {
     let home = |seed: u64, key: u64| {
--- a/crates/passroad-choice/src/choice/tests/learned_state.rs
+++ b/crates/passroad-choice/src/choice/tests/learned_state.rs
@@ -2,7 +2,8 @@
 
 use super::*;
 
-// Slots of endpoints and classes may differ between the two processes; what was learnt is matched by name.
+// Slots of endpoints and classes may differ between the two processes; what was learnt is matched
+// by name.
 #[rstest]
 fn learned_state_is_inherited_and_relays_in_flight_are_not() {
     let mut old = balancer_with_endpoints(Effect::Safe, 2);
--- a/crates/passroad-choice/src/choice/tests/load_reports.rs
+++ b/crates/passroad-choice/src/choice/tests/load_reports.rs
@@ -10,8 +10,8 @@
     assert!((balancer.estimated_load(&balancer.endpoints[0], 1.0) - 1.0).abs() < 1e-3);
 }
 
-// With wrong reports all endpoints seemed to hold one command, and own relays in flight made no difference (incidents i69898d
-// and ie1a8dc).
+// With wrong reports all endpoints seemed to hold one command, and own relays in flight made no
+// difference (incidents i69898d and ie1a8dc).
 #[rstest]
 fn without_report_credit_own_relays_decide() {
     let mut balancer = balancer_with_endpoints(Effect::Safe, 2);
@@ -59,9 +59,9 @@
     );
 }
 
-// A hundred sidecars with 15 commands a second each sent by reports that were a quarter of a second old. Slow answers of that
-// time, and of cold endpoints, cost all reports their credit; loads seemed near zero (0.02 for 8 held) and the fleet was
-// overloaded.
+// A hundred sidecars with 15 commands a second each sent by reports that were a quarter of a second
+// old. Slow answers of that time, and of cold endpoints, cost all reports their credit; loads
+// seemed near zero (0.02 for 8 held) and the fleet was overloaded.
 #[rstest]
 #[case::reported_now(Duration::ZERO, false, true)]
 #[case::reported_long_ago(Duration::from_secs(1), false, false)]
@@ -112,8 +112,8 @@
     assert!((balancer.mean_load() - 2.0).abs() < 1e-9);
 }
 
-// Live weights were read as plain weights: they are the full weight divided by one more than the load, and the only news of
-// most endpoints.
+// Live weights were read as plain weights: they are the full weight divided by one more than the
+// load, and the only news of most endpoints.
 #[rstest]
 fn a_live_weight_gives_the_load() {
     let mut balancer = balancer_with_endpoints(Effect::Safe, 2);
@@ -143,7 +143,8 @@
     );
 }
 
-// Without probes nothing was reported any more, and the last mean load stayed above every limit (incident id7bedd).
+// Without probes nothing was reported any more, and the last mean load stayed above every limit
+// (incident id7bedd).
 #[rstest]
 fn without_reports_the_fleet_is_not_taken_for_full() {
     let mut balancer = balancer_with_endpoints(Effect::Safe, 2);
--- a/crates/passroad-choice/src/choice/tests/placement.rs
+++ b/crates/passroad-choice/src/choice/tests/placement.rs
@@ -18,7 +18,8 @@
         balancer.endpoints[3].zone,
         balancer.endpoints[3].load,
     ) = (1, 1, 1.0);
-    // The first relay goes there, though all others are idle; the hedge and the retry find no endpoint.
+    // The first relay goes there, though all others are idle; the hedge and the retry find no
+    // endpoint.
     let first = balancer.decide(NOW, command_arrived(0));
     assert_eq!(relayed_to(&first), [3]);
     let hedge = balancer.decide(
--- a/crates/passroad-choice/src/choice/tests/probing.rs
+++ b/crates/passroad-choice/src/choice/tests/probing.rs
@@ -2,7 +2,8 @@
 
 use super::*;
 
-// All endpoints seemed full, none was probed again, and the service stayed down (incidents i6e3b06, ia79e8d and id7bedd).
+// All endpoints seemed full, none was probed again, and the service stayed down (incidents i6e3b06,
+// ia79e8d and id7bedd).
 #[rstest]
 fn while_commands_wait_full_endpoints_are_probed_again() {
     let mut balancer = balancer_with_endpoints(Effect::Safe, 2);
@@ -18,8 +19,9 @@
     );
 }
 
-// Each probe cost more than it was worth and only probes reported, so that little was known. Limits by report_mode held nothing
-// back, a lost zone filled all queues, and it stayed so: 0.368 served, 0.746 with the limit on all relays in flight.
+// Each probe cost more than it was worth and only probes reported, so that little was known. Limits
+// by report_mode held nothing back, a lost zone filled all queues, and it stayed so: 0.368 served,
+// 0.746 with the limit on all relays in flight.
 #[rstest]
 #[case::with_each_answer(ReportMode::Piggyback, 0.009, 1)]
 #[case::with_expensive_probes_only(ReportMode::Pull, 0.009, 0)]
@@ -30,7 +32,7 @@
     #[case] probe_price: f64,
     #[case] probes: usize,
 ) {
-    let parameters = Balancer::derive_parameters(BalancerConfig {
+    let parameters = Parameters::from_config(BalancerConfig {
         report_mode,
         probe_price,
         ..config(Effect::Safe)
@@ -53,9 +55,9 @@
     );
 }
 
-// A probe cost a tenth of a command, and each command sent one or more: an eighth of the service. When probes were then sent
-// at random, most preceded commands that needed none, while commands that nothing took were refused without a probe though
-// a third of the warm endpoints were idle.
+// A probe cost a tenth of a command, and each command sent one or more: an eighth of the service.
+// When probes were then sent at random, most preceded commands that needed none, while commands
+// that nothing took were refused without a probe though a third of the warm endpoints were idle.
 #[rstest]
 #[case::cheap(0.002, false, 0.0, 900..=9000)]
 #[case::expensive(0.07, false, 1.0, 0..=0)]
@@ -68,7 +70,7 @@
     #[case] expected: std::ops::RangeInclusive<usize>,
 ) {
     let mut balancer = balancer_with_endpoints(Effect::Safe, 8);
-    balancer.parameters = Balancer::derive_parameters(BalancerConfig {
+    balancer.parameters = Parameters::from_config(BalancerConfig {
         probe_price: price,
         ..config(Effect::Safe)
     });
@@ -102,7 +104,7 @@
     #[case] found: f64,
 ) {
     let mut balancer = balancer_with_endpoints(Effect::Safe, 1);
-    balancer.parameters = Balancer::derive_parameters(BalancerConfig {
+    balancer.parameters = Parameters::from_config(BalancerConfig {
         probe_price,
         ..config(Effect::Safe)
     });
--- a/crates/passroad-choice/src/choice/tests/request_class.rs
+++ b/crates/passroad-choice/src/choice/tests/request_class.rs
@@ -2,7 +2,8 @@
 
 use super::*;
 
-// The class with the least utility was served a third of what the best was (incidents ic477d7 and ibbfe5c).
+// The class with the least utility was served a third of what the best was (incidents ic477d7 and
+// ibbfe5c).
 #[rstest]
 #[case(1.0, true)]
 #[case(0.2, false)]
@@ -76,7 +77,8 @@
     );
 }
 
-// A non-idempotent command was open when its class became safe: it is not sent is_sent_again. The other way round it may be.
+// A non-idempotent command was open when its class became safe: it is not sent is_sent_again. The
+// other way round it may be.
 #[rstest]
 #[case::non_idempotent_before(Effect::NonIdempotent, Effect::Safe, false)]
 #[case::safe_before(Effect::Safe, Effect::NonIdempotent, true)]
--- a/crates/passroad-choice/src/choice/tests/retries.rs
+++ b/crates/passroad-choice/src/choice/tests/retries.rs
@@ -78,8 +78,8 @@
     );
 }
 
-// A third of the keyed commands whose answers were malformed were given up with most of their time left, as a quarter of it
-// had passed.
+// A third of the keyed commands whose answers were malformed were given up with most of their time
+// left, as a quarter of it had passed.
 #[rstest]
 #[case::time_left(150, false)]
 #[case::none_left(390, true)]
@@ -102,7 +102,8 @@
     );
 }
 
-// Each command that no endpoint could use was sent to five endpoints and used up the retry budget of the others.
+// Each command that no endpoint could use was sent to five endpoints and used up the retry budget
+// of the others.
 #[rstest]
 fn two_rejections_are_final_and_cost_little_retry_budget() {
     let mut balancer = balancer_with_relay(Effect::Safe, 5);
--- a/crates/passroad-choice/src/choice/tests/scoring.rs
+++ b/crates/passroad-choice/src/choice/tests/scoring.rs
@@ -50,7 +50,8 @@
     assert!(weights[0] < 0.1 * weights[1], "{weights:?}");
 }
 
-// Nearly half of all relays got no connection in a large fleet, and handshakes took the rest of the capacity.
+// Nearly half of all relays got no connection in a large fleet, and handshakes took the rest of the
+// capacity.
 #[rstest]
 #[case(Duration::from_secs(1), true)]
 #[case(Duration::from_secs(61), false)]
--- a/crates/passroad-choice/src/choice/tests/slow_start.rs
+++ b/crates/passroad-choice/src/choice/tests/slow_start.rs
@@ -81,7 +81,8 @@
     balancer.now = NOW;
 }
 
-// When all endpoints restarted, the answers of twelve were attributed to the few that were still warm.
+// When all endpoints restarted, the answers of twelve were attributed to the few that were still
+// warm.
 #[rstest]
 #[case::all_stay(12, 20.0)]
 #[case::half_have_left(6, 20.0)]
@@ -110,7 +111,8 @@
     assert!((permits / rate - 1.0).abs() < 0.25, "{permits}");
 }
 
-// Without warm endpoints the last rate decayed to nothing, and cold ones with free capacity were sent next to nothing.
+// Without warm endpoints the last rate decayed to nothing, and cold ones with free capacity were
+// sent next to nothing.
 #[rstest]
 fn without_warm_endpoints_permits_follow_the_last_rate() {
     let mut balancer = balancer_with_endpoints(Effect::Safe, 12);
@@ -130,8 +132,8 @@
     assert!((permits / 20.0 - 1.0).abs() < 0.25, "{permits}");
 }
 
-// A list gave endpoints of one core and of four the same weight: small ones were sent what large ones answer and were
-// overloaded.
+// A list gave endpoints of one core and of four the same weight: small ones were sent what large
+// ones answer and were overloaded.
 #[rstest]
 #[case::small(0, 20.0)]
 #[case::large(1, 80.0)]
@@ -152,15 +154,16 @@
     assert!((permits / rate - 1.0).abs() < 0.25, "{permits}");
 }
 
-// Warm endpoints were overloaded beside cold ones that were half idle: the ramp is a lower bound of their capacity (incident
-// i4a6661).
+// Warm endpoints were overloaded beside cold ones that were half idle: the ramp is a lower bound of
+// their capacity (incident i4a6661).
 #[rstest]
 fn a_cold_endpoint_is_sent_more_than_its_ramp_but_not_what_overloads_it() {
     let balancer = balancer_with_endpoints(Effect::Safe, 1);
     assert!(balancer.parameters.cold_send_share > 1.0 && balancer.parameters.cold_send_share < 3.0);
 }
 
-// Three in five of the commands sent to endpoints in their first seconds were late, though the endpoints held little.
+// Three in five of the commands sent to endpoints in their first seconds were late, though the
+// endpoints held little.
 #[rstest]
 fn a_cold_endpoint_counts_as_slow_by_its_ramp() {
     let mut balancer = balancer_with_endpoints(Effect::Safe, 2);
--- a/crates/passroad-choice/src/choice/tests/statistics.rs
+++ b/crates/passroad-choice/src/choice/tests/statistics.rs
@@ -2,8 +2,8 @@
 
 use super::*;
 
-// Restarted sidecars computed their rates over eight seconds and sent cold endpoints next to nothing. Events that all arrive
-// at the start are no rate either.
+// Restarted sidecars computed their rates over eight seconds and sent cold endpoints next to
+// nothing. Events that all arrive at the start are no rate either.
 #[rstest]
 #[case::steady(50, 40.0, 60.0)]
 #[case::at_once(0, 0.0, 110.0)]
--- a/crates/passroad-choice/src/choice/tests/view.rs
+++ b/crates/passroad-choice/src/choice/tests/view.rs
@@ -2,7 +2,8 @@
 
 use super::*;
 
-// Every command walked 477 endpoints several times, which cost a seventh of the service in CPU (incident iaf261e).
+// Every command walked 477 endpoints several times, which cost a seventh of the service in CPU
+// (incident iaf261e).
 #[rstest]
 fn few_endpoints_of_a_large_fleet_are_in_view() {
     let mut balancer = balancer_with_endpoints(Effect::Safe, 500);
@@ -18,7 +19,8 @@
     );
 }
 
-// The endpoint of a slow-start permit left the view before it was probed, and cold endpoints were sent a third less.
+// The endpoint of a slow-start permit left the view before it was probed, and cold endpoints were
+// sent a third less.
 #[rstest]
 fn an_endpoint_with_a_permit_stays_in_view() {
     let mut balancer = balancer_with_endpoints(Effect::Safe, 500);
--- a/crates/passroad-choice/src/choice/view.rs
+++ b/crates/passroad-choice/src/choice/view.rs
@@ -1,5 +1,6 @@
-//! The view: the endpoints that decisions look at. A small fleet is in view as a whole. Of a large one only the endpoints
-//! met lately are, and a few more that are drawn by base weight, so that a command costs the same CPU in any fleet.
+//! The view: the endpoints that decisions look at. A small fleet is in view as a whole. Of a large
+//! one only the endpoints met lately are, and a few more that are drawn by base weight, so that a
+//! command costs the same CPU in any fleet.
 
 use super::Balancer;
 use super::endpoint::Endpoint;
@@ -11,8 +12,8 @@
 const FULL_VIEW_ENDPOINTS: usize = 32;
 
 impl Balancer {
-    /// Drops endpoints of which nothing was seen lately, and draws a few others by base weight. Prevents a walk over
-    /// hundreds of endpoints for every command.
+    /// Drops endpoints of which nothing was seen lately, and draws a few others by base weight.
+    /// Prevents a walk over hundreds of endpoints for every command.
     pub(super) fn refresh_view(&mut self) {
         if self.endpoints.len() <= FULL_VIEW_ENDPOINTS {
             return (0..self.endpoints.len()).for_each(|index| self.bring_into_view(index));
--- a/crates/passroad-choice/src/config.rs
+++ b/crates/passroad-choice/src/config.rs
@@ -8,7 +8,8 @@
 pub enum Effect {
     /// Nothing: a command may be sent again at any time.
     Safe,
-    /// Nothing, where the endpoints drop a repeat by its idempotency key; see [`DeduplicationScope`].
+    /// Nothing, where the endpoints drop a repeat by its idempotency key; see
+    /// [`DeduplicationScope`].
     Keyed,
     /// Its effect would be doubled: a command that may have run is not sent again.
     NonIdempotent,
@@ -42,6 +43,7 @@
     pub utility: f64,
     /// Utility of an answer after the deadline target.
     pub late_utility: f64,
+    /// Its answers are streamed; not used by the decisions.
     pub stream: bool,
     /// Zones where it may run, if not all.
     pub allowed_zones: Option<Vec<usize>>,
@@ -111,8 +113,8 @@
 }
 
 impl BalancerConfig {
-    /// Replaces indices of zones and kinds by those that the interners give their names. An index without a name becomes
-    /// one that no endpoint has.
+    /// Replaces indices of zones and kinds by those that the interners give their names. An index
+    /// without a name becomes one that no endpoint has.
     pub fn intern_names(&mut self, zones: &mut Interner<String>, kinds: &mut Interner<String>) {
         let zone_indices: Vec<usize> = self.zones.iter().map(|zone| zones.intern(zone)).collect();
         let kind_indices: Vec<usize> = self.kinds.iter().map(|kind| kinds.intern(kind)).collect();
--- a/crates/passroad-choice/src/event.rs
+++ b/crates/passroad-choice/src/event.rs
@@ -96,7 +96,8 @@
 #[derive(Debug, Clone)]
 pub struct CommandArrival {
     pub command: CommandIndex,
-    /// Request class, by the indices of [`Action::ClassIndicesAssigned`] or else of the configuration.
+    /// Request class, by the indices of [`Action::ClassIndicesAssigned`] or else of the
+    /// configuration.
     pub class: usize,
     pub tenant: Option<usize>,
     /// Hash of what the command is about, for key affinity.
@@ -107,6 +108,7 @@
     pub work: Option<Duration>,
     /// The client marks it as a retry.
     pub is_retry: bool,
+    /// The client names it a write; not used by the decisions.
     pub is_write: bool,
     /// Which of the weights of [`Event::RouteWeightsChanged`] hold for it; zero without routes.
     pub weight_set: usize,
@@ -121,8 +123,8 @@
         kind: ListUpdateKind,
         entries: Vec<ListedEndpoint>,
     },
-    /// Routes give weights of endpoints in weight sets. From here on an endpoint's weight in a set takes the place of the
-    /// zone's part of its base weight, and is zero where none was given.
+    /// Routes give weights of endpoints in weight sets. From here on an endpoint's weight in a set
+    /// takes the place of the zone's part of its base weight, and is zero where none was given.
     RouteWeightsChanged {
         weights: Vec<(usize, EndpointIndex, f64)>,
     },
@@ -184,7 +186,8 @@
 /// Something to be done.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
-    /// Sends a command to an endpoint. The relays of a command are numbered from zero in the order of these actions.
+    /// Sends a command to an endpoint. The relays of a command are numbered from zero in the order
+    /// of these actions.
     Relay {
         command: CommandIndex,
         endpoint: EndpointIndex,
@@ -235,7 +238,8 @@
         after: Duration,
         token: u64,
     },
-    /// The answer to [`Event::Reconfigured`]: the index of each configured class, which commands are to use from here on.
+    /// The answer to [`Event::Reconfigured`]: the index of each configured class, which commands
+    /// are to use from here on.
     ClassIndicesAssigned {
         classes: Vec<usize>,
     },
--- a/crates/passroad-choice/src/interner.rs
+++ b/crates/passroad-choice/src/interner.rs
@@ -1,4 +1,5 @@
-//! Interning of outer ids: each gets a small index inside the process, and an index gives the id again on the way out.
+//! Interning of outer ids: each gets a small index inside the process, and an index gives the id
+//! again on the way out.
 
 use rustc_hash::FxHashMap;
 use std::hash::Hash;
@@ -10,8 +11,8 @@
     })
 }
 
-/// Gives each id a small index, and reuses the index that was released last. Never iterates over its ids, so the order of
-/// its map never shows.
+/// Gives each id a small index, and reuses the index that was released last. Never iterates over
+/// its ids, so the order of its map never shows.
 #[derive(Debug, Default)]
 pub struct Interner<K> {
     indices: FxHashMap<K, usize>,
--- a/crates/passroad-choice/src/shadow.rs
+++ b/crates/passroad-choice/src/shadow.rs
@@ -1,5 +1,6 @@
-//! Shadow evaluation: beside the balancer that decides, a second one with another configuration is given the same events.
-//! What it would have done is counted by kind and dropped; after each event its state is aligned with what was done.
+//! Shadow evaluation: beside the balancer that decides, a second one with another configuration is
+//! given the same events. What it would have done is counted by kind and dropped; after each event
+//! its state is aligned with what was done.
 
 use crate::choice::Balancer;
 use crate::choice::endpoint::Endpoint;
--- a/crates/passroad-choice/src/shadow/tests.rs
+++ b/crates/passroad-choice/src/shadow/tests.rs
@@ -53,8 +53,8 @@
     }
 }
 
-/// Gives a balancer a list of ten endpoints, then commands with a few keys that are answered 20 ms later; returns its
-/// actions and the counts of its shadow.
+/// Gives a balancer a list of ten endpoints, then commands with a few keys that are answered 20 ms
+/// later; returns its actions and the counts of its shadow.
 fn run(mut balancer: ShadowedBalancer) -> (Vec<Action>, Option<ShadowCounts>) {
     let time = |n: u64| Duration::from_millis(100_000 + 10 * n);
     let listed_endpoint = |endpoint| {
--- a/crates/passroad-choice/tests/learned_state.rs
+++ b/crates/passroad-choice/tests/learned_state.rs
@@ -1,5 +1,6 @@
-//! The learned state is handed from an old process to its successor as JSON, and either may be of another version. The
-//! field names are therefore part of a format: these tests fail when one of them is lost or changed.
+//! The learned state is handed from an old process to its successor as JSON, and either may be of
+//! another version. The field names are therefore part of a format: these tests fail when one of
+//! them is lost or changed.
 
 use passroad_choice::choice::Balancer;
 use passroad_choice::*;
