--- a/crates/passroad-msgpack/src/lib.rs
+++ b/crates/passroad-msgpack/src/lib.rs
@@ -1,20 +1,20 @@
-//! MessagePack-RPC off a stream of bytes: requests `[0, msgid, method, params]`, responses `[1, msgid, error, result]`
-//! and notifications `[2, method, params]`, as the public specification of MessagePack-RPC has them. No input or output
-//! here: bytes go in as they come, whole messages come out. Params and results stay the bytes that they were.
+//! Sans-I/O decoder and encoder for MessagePack-RPC, as in its public specification: requests
+//! `[0, msgid, method, params]`, responses `[1, msgid, error, result]` and notifications `[2, method, params]`. Params
+//! and results are kept as encoded bytes.
 //!
-//! A length that a sender states is believed only as far as bytes have come: what is held never grows past the limit,
-//! whatever a header says, and depth costs a counter, no stack.
+//! Memory is bounded against untrusted input: no buffer is allocated from a length stated in a header, messages over
+//! the limit are rejected, and nesting costs a counter instead of stack depth.
 
-mod scan;
-mod write;
+mod encode;
+mod scanner;
 
-pub use scan::{Limits, Scan};
-pub use write::{notification, request, response};
+pub use encode::{encode_notification, encode_request, encode_response};
+pub use scanner::{Limits, ValueScanner};
 
 use bytes::{Buf, Bytes, BytesMut};
 use rmp::Marker;
 
-/// One message, its values as they came.
+/// One message. Params, errors and results are the encoded values as received.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Message {
     Request {
@@ -33,164 +33,172 @@
     },
 }
 
-/// Why a stream can't be read on. What was read before stands.
+/// Why a stream can't be decoded any further. Messages decoded before the error remain valid.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Fault {
-    /// Longer than a message may be.
+pub enum DecodeError {
+    /// Longer than [`Limits::max_length`].
     TooLong,
-    /// Nested deeper than a message may be.
+    /// Nested deeper than [`Limits::max_depth`].
     TooDeep,
-    /// The marker that MessagePack never uses.
-    Reserved,
-    /// No array of three or four values, or of another type than there are.
-    NoMessage,
-    /// An id that is no whole number of 32 bits.
-    OddId,
-    /// A method that is no text, or not UTF-8.
-    OddMethod,
-    /// Params that are no array.
-    OddParams,
+    /// The marker `0xc1`, which MessagePack never uses.
+    ReservedMarker,
+    /// Not an array of three or four values, or an unknown message type.
+    InvalidMessage,
+    /// The id is not an unsigned 32-bit integer.
+    InvalidId,
+    /// The method is not a string, or not UTF-8.
+    InvalidMethod,
+    /// The params are not an array.
+    InvalidParams,
 }
 
-impl std::fmt::Display for Fault {
+impl std::fmt::Display for DecodeError {
     fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
         f.write_str(match self {
-            Fault::TooLong => "a message longer than allowed",
-            Fault::TooDeep => "a message nested deeper than allowed",
-            Fault::Reserved => "the reserved marker 0xc1",
-            Fault::NoMessage => "no MessagePack-RPC message",
-            Fault::OddId => "an id that is no whole number of 32 bits",
-            Fault::OddMethod => "a method that is no text",
-            Fault::OddParams => "params that are no array",
+            DecodeError::TooLong => "message exceeds the length limit",
+            DecodeError::TooDeep => "message exceeds the nesting limit",
+            DecodeError::ReservedMarker => "reserved marker 0xc1 in the stream",
+            DecodeError::InvalidMessage => "not a MessagePack-RPC message",
+            DecodeError::InvalidId => "message id is not an unsigned 32-bit integer",
+            DecodeError::InvalidMethod => "method is not a UTF-8 string",
+            DecodeError::InvalidParams => "params are not an array",
         })
     }
 }
 
-impl std::error::Error for Fault {}
+impl std::error::Error for DecodeError {}
 
-/// Reads messages off a stream, in whatever pieces it comes.
+/// Decodes messages from a byte stream that arrives in chunks of any size.
 #[derive(Debug)]
-pub struct Reader {
+pub struct MessageDecoder {
     limits: Limits,
-    held: BytesMut,
-    scan: Scan,
-    fault: Option<Fault>,
+    buffer: BytesMut,
+    scanner: ValueScanner,
+    error: Option<DecodeError>,
 }
 
-impl Reader {
+impl MessageDecoder {
     pub fn new(limits: Limits) -> Self {
-        Reader {
+        MessageDecoder {
             limits,
-            held: BytesMut::new(),
-            scan: Scan::new(limits),
-            fault: None,
+            buffer: BytesMut::new(),
+            scanner: ValueScanner::new(limits),
+            error: None,
         }
     }
 
-    /// Takes bytes as they came. After a fault they are passed over: where the next message begins is not known.
+    /// Appends received bytes. After an error they are discarded, as the start of the next message is unknown.
     pub fn feed(&mut self, bytes: &[u8]) {
-        if self.fault.is_none() {
-            self.held.extend_from_slice(bytes);
+        if self.error.is_none() {
+            self.buffer.extend_from_slice(bytes);
         }
     }
 
-    /// Bytes of a message that is not whole yet.
-    pub fn pending(&self) -> usize {
-        self.held.len()
+    /// Bytes received but not decoded yet.
+    pub fn buffered_bytes(&self) -> usize {
+        self.buffer.len()
     }
 
-    /// How many more bytes may be fed before a whole message or a fault must come of them.
-    pub fn room(&self) -> usize {
-        (self.limits.length + 1).saturating_sub(self.held.len())
+    /// How many more bytes may be fed before they must yield a complete message or an error.
+    pub fn remaining_capacity(&self) -> usize {
+        (self.limits.max_length + 1).saturating_sub(self.buffer.len())
     }
 
-    /// The next whole message; none until more bytes come.
-    pub fn next_message(&mut self) -> Result<Option<Message>, Fault> {
-        if let Some(fault) = self.fault {
-            return Err(fault);
+    /// The next complete message, or none until more bytes arrive.
+    pub fn next_message(&mut self) -> Result<Option<Message>, DecodeError> {
+        if let Some(error) = self.error {
+            return Err(error);
         }
-        let read = match self.scan.run(&self.held) {
+        let decoded = match self.scanner.scan(&self.buffer) {
             Ok(None) => return Ok(None),
             Ok(Some(length)) => {
-                let whole = self.held.split_to(length).freeze();
-                self.scan = Scan::new(self.limits);
-                read(whole)
+                let message = self.buffer.split_to(length).freeze();
+                self.scanner = ValueScanner::new(self.limits);
+                decode(message)
             }
-            Err(fault) => Err(fault),
+            Err(error) => Err(error),
         };
-        if let Err(fault) = read {
-            self.fault = Some(fault);
-            self.held = BytesMut::new();
+        if let Err(error) = decoded {
+            self.error = Some(error);
+            self.buffer = BytesMut::new();
         }
-        read.map(Some)
+        decoded.map(Some)
     }
 }
 
-/// Takes a value off the front, as its bytes. The message is known to be whole.
-fn value(rest: &mut Bytes) -> Result<Bytes, Fault> {
-    let anything = Limits {
-        length: usize::MAX,
-        depth: usize::MAX,
+/// Splits the first value off a complete message, still encoded.
+fn take_value(rest: &mut Bytes) -> Result<Bytes, DecodeError> {
+    let unlimited = Limits {
+        max_length: usize::MAX,
+        max_depth: usize::MAX,
     };
-    let length = Scan::new(anything).run(rest)?.ok_or(Fault::NoMessage)?;
+    let length = ValueScanner::new(unlimited)
+        .scan(rest)?
+        .ok_or(DecodeError::InvalidMessage)?;
     Ok(rest.split_to(length))
 }
 
-fn read(mut whole: Bytes) -> Result<Message, Fault> {
-    let count = match Marker::from_u8(whole.get_u8()) {
+fn decode(mut message: Bytes) -> Result<Message, DecodeError> {
+    let element_count = match Marker::from_u8(message.get_u8()) {
         Marker::FixArray(n) => usize::from(n),
-        Marker::Array16 => usize::from(whole.get_u16()),
-        Marker::Array32 => whole.get_u32() as usize,
-        _ => return Err(Fault::NoMessage),
+        Marker::Array16 => usize::from(message.get_u16()),
+        Marker::Array32 => message.get_u32() as usize,
+        _ => return Err(DecodeError::InvalidMessage),
     };
-    if !(3..=4).contains(&count) {
-        return Err(Fault::NoMessage);
+    if !(3..=4).contains(&element_count) {
+        return Err(DecodeError::InvalidMessage);
     }
-    let kind = number(&value(&mut whole)?).ok_or(Fault::NoMessage)?;
-    match (kind, count) {
+    let message_type = decode_u32(&take_value(&mut message)?).ok_or(DecodeError::InvalidMessage)?;
+    match (message_type, element_count) {
         (0, 4) => {
-            let id = number(&value(&mut whole)?).ok_or(Fault::OddId)?;
-            let (method, params) = (text(value(&mut whole)?)?, array(value(&mut whole)?)?);
+            let id = decode_u32(&take_value(&mut message)?).ok_or(DecodeError::InvalidId)?;
+            let (method, params) = (
+                str_contents(take_value(&mut message)?)?,
+                require_array(take_value(&mut message)?)?,
+            );
             Ok(Message::Request { id, method, params })
         }
         (1, 4) => {
-            let id = number(&value(&mut whole)?).ok_or(Fault::OddId)?;
-            let (error, result) = (value(&mut whole)?, value(&mut whole)?);
+            let id = decode_u32(&take_value(&mut message)?).ok_or(DecodeError::InvalidId)?;
+            let (error, result) = (take_value(&mut message)?, take_value(&mut message)?);
             Ok(Message::Response { id, error, result })
         }
         (2, 3) => {
-            let (method, params) = (text(value(&mut whole)?)?, array(value(&mut whole)?)?);
+            let (method, params) = (
+                str_contents(take_value(&mut message)?)?,
+                require_array(take_value(&mut message)?)?,
+            );
             Ok(Message::Notification { method, params })
         }
-        _ => Err(Fault::NoMessage),
+        _ => Err(DecodeError::InvalidMessage),
     }
 }
 
-/// A whole number of 32 bits, however wide it is written.
-pub fn number(value: &[u8]) -> Option<u32> {
+/// Decodes an unsigned 32-bit integer, whatever width it is encoded with.
+pub fn decode_u32(value: &[u8]) -> Option<u32> {
     let mut rest = value;
     let number = rmp::decode::read_int::<u64, _>(&mut rest).ok()?;
     u32::try_from(number).ok().filter(|_| rest.is_empty())
 }
 
-/// The text in a value, without its header.
-fn text(value: Bytes) -> Result<Bytes, Fault> {
-    let header = match Marker::from_u8(*value.first().ok_or(Fault::OddMethod)?) {
+/// The contents of a string value, without its header.
+fn str_contents(value: Bytes) -> Result<Bytes, DecodeError> {
+    let header_length = match Marker::from_u8(*value.first().ok_or(DecodeError::InvalidMethod)?) {
         Marker::FixStr(_) => 1,
         Marker::Str8 => 2,
         Marker::Str16 => 3,
         Marker::Str32 => 5,
-        _ => return Err(Fault::OddMethod),
+        _ => return Err(DecodeError::InvalidMethod),
     };
-    let text = value.slice(header..);
-    std::str::from_utf8(&text).map_err(|_| Fault::OddMethod)?;
+    let text = value.slice(header_length..);
+    std::str::from_utf8(&text).map_err(|_| DecodeError::InvalidMethod)?;
     Ok(text)
 }
 
-fn array(value: Bytes) -> Result<Bytes, Fault> {
-    match value.first().map(|b| Marker::from_u8(*b)) {
+fn require_array(value: Bytes) -> Result<Bytes, DecodeError> {
+    match value.first().map(|byte| Marker::from_u8(*byte)) {
         Some(Marker::FixArray(_) | Marker::Array16 | Marker::Array32) => Ok(value),
-        _ => Err(Fault::OddParams),
+        _ => Err(DecodeError::InvalidParams),
     }
 }
 
