--- a/crates/passroad-rig/src/capacity/slopes.rs
+++ b/crates/passroad-rig/src/capacity/slopes.rs
@@ -217,7 +217,8 @@
 pub fn read_assumed(path: &Path, target: &Target) -> Result<Vec<Law>, String> {
     let text = std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))?;
     let file: AssumedFile = toml::from_str(&text).map_err(|e| {
-        let wrong = passroad_units::Wrong::of(&text, e.span().map(|s| s.start), e.message());
+        let wrong =
+            passroad_units::ConfigError::from_parser(&text, e.span().map(|s| s.start), e.message());
         format!("{}: {wrong}", path.display())
     })?;
     let one = |(n, told): (usize, Assumed)| {
--- a/crates/passroad-rig/src/capacity/target.rs
+++ b/crates/passroad-rig/src/capacity/target.rs
@@ -1,7 +1,7 @@
 //! The size that an installation has to carry and what it may cost, read from a file. Nothing is guessed: an unknown
 //! key, a missing one or a value that can't be is an error that names line and key.
 
-use passroad_units::{Wrong, read_time};
+use passroad_units::{ConfigError, parse_duration};
 use serde::Serialize;
 use std::collections::BTreeMap;
 use toml::{Table, Value};
@@ -70,9 +70,9 @@
 }
 
 /// Reads a target; the first thing wrong is told with its line and key.
-pub fn read(text: &str) -> Result<Target, Wrong> {
+pub fn read(text: &str) -> Result<Target, ConfigError> {
     let table: Table = toml::from_str(text)
-        .map_err(|e| Wrong::of(text, e.span().map(|s| s.start), e.message()))?;
+        .map_err(|e| ConfigError::from_parser(text, e.span().map(|s| s.start), e.message()))?;
     let wrong = |section: &str, key: &str, what: String| {
         let key_there = table
             .get(section)
@@ -84,9 +84,9 @@
         } else {
             format!("{section}.{key}")
         };
-        Wrong {
+        ConfigError {
             line,
-            what: format!("{name}: {what}"),
+            message: format!("{name}: {what}"),
         }
     };
     let sections = ["size", "budget", "machine", "failures"];
@@ -97,9 +97,9 @@
                 Value::Table(_) => line_of(text, name, None),
                 _ => line_of(text, "", Some(name)),
             };
-            return Err(Wrong {
+            return Err(ConfigError {
                 line,
-                what: format!("{name}: unknown key"),
+                message: format!("{name}: unknown key"),
             });
         }
         for key in value.as_table().into_iter().flat_map(Table::keys) {
@@ -114,9 +114,9 @@
     let about = match table.get("about") {
         Some(Value::String(about)) => about.replace('\n', " "),
         Some(_) => {
-            return Err(Wrong {
+            return Err(ConfigError {
                 line: line_of(text, "", Some("about")),
-                what: "about: not a text".into(),
+                message: "about: not a text".into(),
             });
         }
         None => return Err(wrong("", "about", "missing".into())),
@@ -141,7 +141,7 @@
 
 fn number(value: &Value, kind: Kind) -> Result<f64, String> {
     let number = match (value, kind) {
-        (Value::String(text), Kind::Time) => read_time(text)?.as_secs_f64(),
+        (Value::String(text), Kind::Time) => parse_duration(text)?.as_secs_f64(),
         (_, Kind::Time) => return Err(format!("{value} is no time; write for example \"17s\"")),
         (Value::String(text), Kind::Share) => {
             let share = text
--- a/crates/passroad-rig/src/experiment.rs
+++ b/crates/passroad-rig/src/experiment.rs
@@ -3,7 +3,7 @@
 
 use crate::fleet::{DutyPlan, FleetFault, FleetPlan, What, Whom, WorkPlan};
 use crate::model::{Make, Turn};
-use passroad_units::{Share, Time, Wrong, line_of};
+use passroad_units::{ConfigError, HumanDuration, Ratio, line_number};
 use serde::Deserialize;
 use serde_json::json;
 use std::collections::BTreeMap;
@@ -17,9 +17,9 @@
     about: String,
     #[serde(default = "one_seed")]
     seeds: Vec<u64>,
-    length: Time,
+    length: HumanDuration,
     #[serde(default)]
-    settle: Time,
+    settle: HumanDuration,
     #[serde(default = "five")]
     instances: usize,
     #[serde(default)]
@@ -69,9 +69,9 @@
 #[serde(deny_unknown_fields)]
 struct Fleet {
     #[serde(default)]
-    noticed: Option<Time>,
+    noticed: Option<HumanDuration>,
     #[serde(default)]
-    restart: Option<Time>,
+    restart: Option<HumanDuration>,
     kind: BTreeMap<String, Kind>,
     group: Vec<Spanned<Group>>,
 }
@@ -87,15 +87,15 @@
     #[serde(default)]
     drag_from: usize,
     #[serde(default = "drag")]
-    drag: Share,
+    drag: Ratio,
     #[serde(default = "cold_from")]
-    cold_from: Share,
+    cold_from: Ratio,
     #[serde(default)]
-    warm_within: Time,
+    warm_within: HumanDuration,
     #[serde(default = "tip_multiple")]
     tip_multiple: f64,
     #[serde(default = "tip_after")]
-    tip_after: Time,
+    tip_after: HumanDuration,
     #[serde(default = "yes")]
     tips: bool,
     #[serde(default = "yes")]
@@ -103,9 +103,9 @@
     #[serde(default = "most_links")]
     most_links: usize,
     #[serde(default)]
-    link_work: Time,
+    link_work: HumanDuration,
     #[serde(default)]
-    report_age: Time,
+    report_age: HumanDuration,
 }
 
 fn unit() -> f64 {
@@ -114,17 +114,17 @@
 fn sixteen() -> usize {
     16
 }
-fn drag() -> Share {
-    Share(0.7)
+fn drag() -> Ratio {
+    Ratio(0.7)
 }
-fn cold_from() -> Share {
-    Share(0.13)
+fn cold_from() -> Ratio {
+    Ratio(0.13)
 }
 fn tip_multiple() -> f64 {
     2.5
 }
-fn tip_after() -> Time {
-    Time(Duration::from_secs(2))
+fn tip_after() -> HumanDuration {
+    HumanDuration(Duration::from_secs(2))
 }
 fn yes() -> bool {
     true
@@ -161,12 +161,12 @@
     #[serde(default)]
     group: KeyGroup,
     #[serde(default)]
-    window: Time,
-    work: Time,
+    window: HumanDuration,
+    work: HumanDuration,
     #[serde(default)]
     spread: f64,
-    goal: Time,
-    limit: Time,
+    goal: HumanDuration,
+    limit: HumanDuration,
     #[serde(default = "unit")]
     utility: f64,
     #[serde(default)]
@@ -213,41 +213,41 @@
     #[serde(default)]
     steps: Vec<LoadStep>,
     #[serde(default)]
-    retries: Share,
+    retries: Ratio,
     #[serde(default)]
     marked: bool,
     #[serde(default = "three")]
     tries: u32,
     #[serde(default = "pause")]
-    pause: Time,
+    pause: HumanDuration,
 }
 
 fn three() -> u32 {
     3
 }
-fn pause() -> Time {
-    Time(Duration::from_millis(200))
+fn pause() -> HumanDuration {
+    HumanDuration(Duration::from_millis(200))
 }
 
 #[derive(Deserialize, Debug)]
 #[serde(deny_unknown_fields)]
 struct LoadStep {
-    at: Time,
+    at: HumanDuration,
     factor: f64,
 }
 
 #[derive(Deserialize, Debug)]
 #[serde(deny_unknown_fields, default)]
 struct Network {
-    round_trip: Time,
-    cross_zone: Time,
+    round_trip: HumanDuration,
+    cross_zone: HumanDuration,
 }
 
 impl Default for Network {
     fn default() -> Self {
         Network {
-            round_trip: Time(Duration::from_millis(1)),
-            cross_zone: Time(Duration::ZERO),
+            round_trip: HumanDuration(Duration::from_millis(1)),
+            cross_zone: HumanDuration(Duration::ZERO),
         }
     }
 }
@@ -260,11 +260,11 @@
     reports: Reports,
     second_copies: bool,
     recall: bool,
-    retry_after: Time,
-    connect: Time,
-    idle_close: Time,
-    ask_every: Time,
-    grace: Time,
+    retry_after: HumanDuration,
+    connect: HumanDuration,
+    idle_close: HumanDuration,
+    ask_every: HumanDuration,
+    grace: HumanDuration,
     probe_price: f64,
     cross_zone_price: f64,
     handshake_price: f64,
@@ -278,11 +278,11 @@
             reports: Reports::Piggyback,
             second_copies: true,
             recall: true,
-            retry_after: Time(Duration::from_millis(1500)),
-            connect: Time(Duration::from_millis(250)),
-            idle_close: Time(Duration::from_secs(30)),
-            ask_every: Time(Duration::from_secs(10)),
-            grace: Time(Duration::from_millis(500)),
+            retry_after: HumanDuration(Duration::from_millis(1500)),
+            connect: HumanDuration(Duration::from_millis(250)),
+            idle_close: HumanDuration(Duration::from_secs(30)),
+            ask_every: HumanDuration(Duration::from_secs(10)),
+            grace: HumanDuration(Duration::from_millis(500)),
             probe_price: 0.002,
             cross_zone_price: 0.005,
             handshake_price: 0.0,
@@ -318,9 +318,9 @@
 #[derive(Deserialize, Debug)]
 #[serde(deny_unknown_fields)]
 struct Peers {
-    lease: Time,
+    lease: HumanDuration,
     #[serde(default = "period")]
-    period: Time,
+    period: HumanDuration,
     #[serde(default = "five")]
     voters: usize,
     #[serde(default)]
@@ -337,7 +337,7 @@
 #[derive(Deserialize, Debug)]
 #[serde(deny_unknown_fields)]
 struct Work {
-    lasts: Time,
+    lasts: HumanDuration,
     #[serde(default = "one")]
     at_once: usize,
     request: Vec<WorkRequest>,
@@ -346,23 +346,23 @@
 #[derive(Deserialize, Debug)]
 #[serde(deny_unknown_fields)]
 struct WorkRequest {
-    at: Time,
+    at: HumanDuration,
     instance: usize,
     endpoints: Vec<usize>,
 }
 
-fn period() -> Time {
-    Time(Duration::from_secs(1))
+fn period() -> HumanDuration {
+    HumanDuration(Duration::from_secs(1))
 }
 
 #[derive(Deserialize, Debug)]
 #[serde(deny_unknown_fields)]
 struct PeerDuty {
     name: String,
-    every: Time,
-    within: Time,
+    every: HumanDuration,
+    within: HumanDuration,
     #[serde(default)]
-    work: Time,
+    work: HumanDuration,
 }
 
 /// Whom a fault is to hit, where that is known only when it comes.
@@ -385,9 +385,9 @@
 #[serde(deny_unknown_fields)]
 struct Fault {
     kind: Kinds,
-    at: Time,
+    at: HumanDuration,
     #[serde(default, rename = "for")]
-    lasts: Option<Time>,
+    lasts: Option<HumanDuration>,
     #[serde(default)]
     endpoints: Option<Vec<usize>>,
     #[serde(default)]
@@ -395,15 +395,15 @@
     #[serde(default)]
     instances: Option<Vec<usize>>,
     #[serde(default)]
-    share: Option<Share>,
+    share: Option<Ratio>,
     #[serde(default)]
-    left: Option<Share>,
+    left: Option<Ratio>,
     #[serde(default)]
     verb: Option<String>,
     #[serde(default)]
-    by: Option<Time>,
+    by: Option<HumanDuration>,
     #[serde(default)]
-    every: Option<Time>,
+    every: Option<HumanDuration>,
     #[serde(default)]
     repeat: Option<usize>,
     #[serde(default)]
@@ -417,7 +417,7 @@
     #[serde(default)]
     one_way: Option<OneWay>,
     #[serde(default)]
-    spread: Option<Time>,
+    spread: Option<HumanDuration>,
 }
 
 #[derive(Deserialize, Debug, Clone, Copy, PartialEq, Eq)]
@@ -461,9 +461,9 @@
     #[serde(default)]
     above: Option<String>,
     #[serde(default)]
-    from: Option<Time>,
+    from: Option<HumanDuration>,
     #[serde(default)]
-    to: Option<Time>,
+    to: Option<HumanDuration>,
     #[serde(default)]
     verb: Option<String>,
     #[serde(default)]
@@ -688,14 +688,14 @@
 ];
 
 /// Reads an experiment.
-pub fn read(text: &str) -> Result<Plan, Wrong> {
+pub fn read(text: &str) -> Result<Plan, ConfigError> {
     read_for(text, None)
 }
 
 /// The same, for another number of instances than the file's.
-pub fn read_for(text: &str, instances: Option<usize>) -> Result<Plan, Wrong> {
+pub fn read_for(text: &str, instances: Option<usize>) -> Result<Plan, ConfigError> {
     let mut told: Text = toml::from_str(text)
-        .map_err(|e| Wrong::of(text, e.span().map(|s| s.start), e.message()))?;
+        .map_err(|e| ConfigError::from_parser(text, e.span().map(|s| s.start), e.message()))?;
     told.instances = instances.unwrap_or(told.instances);
     Checker { text }.plan(told)
 }
@@ -707,10 +707,10 @@
 type Place = Range<usize>;
 
 impl Checker<'_> {
-    fn wrong<T>(&self, place: &Place, what: impl Into<String>) -> Result<T, Wrong> {
-        Err(Wrong {
-            line: line_of(self.text, place.start),
-            what: what.into(),
+    fn wrong<T>(&self, place: &Place, what: impl Into<String>) -> Result<T, ConfigError> {
+        Err(ConfigError {
+            line: line_number(self.text, place.start),
+            message: what.into(),
         })
     }
 
@@ -731,7 +731,7 @@
         at..at
     }
 
-    fn plan(&self, told: Text) -> Result<Plan, Wrong> {
+    fn plan(&self, told: Text) -> Result<Plan, ConfigError> {
         let top = |key: &str| self.at_key(0, key);
         if told.seeds.is_empty() {
             return self.wrong(&top("seeds"), "seeds: none");
@@ -826,7 +826,7 @@
             .hold
             .iter()
             .map(|hold| self.hold(hold, &told, &verbs, &zones, &policies));
-        let holds = holds.collect::<Result<Vec<_>, Wrong>>()?;
+        let holds = holds.collect::<Result<Vec<_>, ConfigError>>()?;
         let of: f64 = told
             .company
             .iter()
@@ -837,7 +837,7 @@
             .iter()
             .map(|c| (c.name.clone(), c.portion, c.share.unwrap_or(c.portion) / of));
         let a = &told.allowed;
-        let ns = |time: Time| time.0.as_nanos() as u64;
+        let ns = |time: HumanDuration| time.0.as_nanos() as u64;
         let make = &endpoints[0].make;
         let plan = Plan {
             seeds: told.seeds.clone(),
@@ -901,7 +901,7 @@
     }
 
     /// Sidecars that talk, and the faults between them.
-    fn fleet(&self, told: &Text) -> Result<Option<FleetPlan>, Wrong> {
+    fn fleet(&self, told: &Text) -> Result<Option<FleetPlan>, ConfigError> {
         let Some(spanned) = &told.peers else {
             let alone = |fault: &&Spanned<Fault>| {
                 of_fleet(fault.get_ref().kind) && !of_processes(fault.get_ref().kind)
@@ -1005,7 +1005,7 @@
             if f.whom.is_some() && (f.instances.is_some() || f.from.is_some()) {
                 return self.wrong(&place, "fault: whom beside a list of the same");
             }
-            let need = |share: Option<Share>| match share {
+            let need = |share: Option<Ratio>| match share {
                 Some(share) => Ok(share.0),
                 None => self.wrong(&place, "fault: share is missing"),
             };
@@ -1084,7 +1084,7 @@
         &self,
         fleet: &Fleet,
         kinds: &[String],
-    ) -> Result<(Vec<String>, Vec<EndpointPlan>), Wrong> {
+    ) -> Result<(Vec<String>, Vec<EndpointPlan>), ConfigError> {
         let (mut zones, mut endpoints) = (Vec::<String>::new(), Vec::new());
         for spanned in &fleet.group {
             let (group, place) = (spanned.get_ref(), spanned.span());
@@ -1146,7 +1146,7 @@
         }
     }
 
-    fn verbs(&self, told: &[Spanned<Verb>]) -> Result<Vec<VerbPlan>, Wrong> {
+    fn verbs(&self, told: &[Spanned<Verb>]) -> Result<Vec<VerbPlan>, ConfigError> {
         let mut verbs: Vec<VerbPlan> = Vec::new();
         for spanned in told {
             let (v, place) = (spanned.get_ref(), spanned.span());
@@ -1208,10 +1208,10 @@
         zones: &[String],
         verbs: &[VerbPlan],
         out: &mut Vec<(Duration, Change)>,
-    ) -> Result<(), Wrong> {
+    ) -> Result<(), ConfigError> {
         let (f, place) = (fault.get_ref(), fault.span());
         let kind = format!("{:?}", f.kind).to_lowercase();
-        let need = |what: Option<Share>, key: &str| match what {
+        let need = |what: Option<Ratio>, key: &str| match what {
             Some(share) => Ok(share.0),
             None => self.wrong(&place, format!("fault {kind}: {key} is missing")),
         };
@@ -1380,7 +1380,7 @@
         verbs: &[VerbPlan],
         zones: &[String],
         policies: &[String],
-    ) -> Result<HoldPlan, Wrong> {
+    ) -> Result<HoldPlan, ConfigError> {
         let (h, place) = (hold.get_ref(), hold.span());
         for name in h.policy.iter().chain(&h.above) {
             if !policies.contains(name) {
@@ -1440,7 +1440,7 @@
         if window.start >= window.end || window.end > told.length.0 {
             return self.wrong(&place, "hold: from and to leave nothing of the day");
         }
-        let line = line_of(self.text, place.start);
+        let line = line_number(self.text, place.start);
         let name = format!("{:?}", h.metric).to_lowercase();
         let mut text = h
             .policy
@@ -1612,10 +1612,10 @@
     #[case::unknown_key(&format!("{SMALL}speed = 2\n"), 38, "speed: unknown field")]
     #[case::no_unit(&SMALL.replace("\"6s\"", "\"6\""), 3, "'6' has no unit")]
     #[case::odd_unit(&SMALL.replace("\"6s\"", "\"6h\""), 3, "unknown unit 'h'")]
-    #[case::share_for_time(&SMALL.replace("\"200ms\"", "\"20%\""), 25, "is a share where a time is expected")]
-    #[case::time_for_share(&SMALL.replace("\"50%\"", "\"50ms\""), 37, "'50ms' is no share")]
-    #[case::share_over_one(&SMALL.replace("\"50%\"", "1.5"), 37, "1.5 is no share from 0 to 1")]
-    #[case::number_for_time(&SMALL.replace("\"6s\"", "6"), 3, "expected a time with its unit")]
+    #[case::share_for_time(&SMALL.replace("\"200ms\"", "\"20%\""), 25, "is a share where a duration is expected")]
+    #[case::time_for_share(&SMALL.replace("\"50%\"", "\"50ms\""), 37, "'50ms' is not a share")]
+    #[case::share_over_one(&SMALL.replace("\"50%\"", "1.5"), 37, "1.5 is not a share between 0 and 1")]
+    #[case::number_for_time(&SMALL.replace("\"6s\"", "6"), 3, "expected a duration with a unit")]
     #[case::no_kind(&SMALL.replace("kind = \"plain\"\nzone = \"b\"", "kind = \"big\"\nzone = \"b\""), 16, "unknown 'big'")]
     #[case::goal_past_limit(&SMALL.replacen("\"500ms\"", "\"100ms\"", 1), 21, "goal of look: longer than its limit")]
     #[case::same_verb(&SMALL.replace("\"book\"", "\"look\""), 28, "'look' is taken")]
@@ -1639,7 +1639,10 @@
     #[case::share_of_nothing(&format!("{SMALL}[[hold]]\nmetric = \"share\"\nat_most = 1\n"), 38, "are of a zone")]
     fn a_slip_is_named_with_its_line(#[case] text: &str, #[case] line: usize, #[case] what: &str) {
         let wrong = read(text).expect_err("it is wrong");
-        assert!(wrong.line == line && wrong.what.contains(what), "{wrong}");
+        assert!(
+            wrong.line == line && wrong.message.contains(what),
+            "{wrong}"
+        );
     }
 
     #[rstest]
--- a/crates/passroad-rig/src/scale/plan.rs
+++ b/crates/passroad-rig/src/scale/plan.rs
@@ -1,6 +1,6 @@
 //! The file of a scale run: what is played, in which places, and what must hold.
 
-use passroad_units::{Time, Wrong, line_of};
+use passroad_units::{ConfigError, HumanDuration, line_number};
 use serde::Deserialize;
 use std::collections::BTreeMap;
 use std::ops::Range;
@@ -30,10 +30,10 @@
     #[serde(default = "nothing")]
     changes_a_day: Spanned<f64>,
     #[serde(default = "apart")]
-    apart: Time,
+    apart: HumanDuration,
     #[serde(default = "settle")]
-    settle: Time,
-    length: Spanned<Time>,
+    settle: HumanDuration,
+    length: Spanned<HumanDuration>,
     #[serde(default)]
     delay: Delay,
     #[serde(default)]
@@ -56,28 +56,28 @@
 fn three() -> Spanned<usize> {
     Spanned::new(0..0, 3)
 }
-fn apart() -> Time {
-    Time(Duration::from_millis(15))
+fn apart() -> HumanDuration {
+    HumanDuration(Duration::from_millis(15))
 }
-fn settle() -> Time {
-    Time(Duration::from_secs(15))
+fn settle() -> HumanDuration {
+    HumanDuration(Duration::from_secs(15))
 }
-fn two_seconds() -> Time {
-    Time(Duration::from_secs(2))
+fn two_seconds() -> HumanDuration {
+    HumanDuration(Duration::from_secs(2))
 }
 
 /// One way, put in by the rig's relay between sidecars, and between a sidecar and discovery.
 #[derive(Deserialize, Debug, Clone, Copy)]
 #[serde(deny_unknown_fields, default)]
 pub struct Delay {
-    pub zone: Time,
-    pub between_zones: Time,
-    pub between_regions: Time,
+    pub zone: HumanDuration,
+    pub between_zones: HumanDuration,
+    pub between_regions: HumanDuration,
 }
 
 impl Default for Delay {
     fn default() -> Self {
-        let time = |us| Time(Duration::from_micros(us));
+        let time = |us| HumanDuration(Duration::from_micros(us));
         Delay {
             zone: time(0),
             between_zones: time(1000),
@@ -89,15 +89,15 @@
 #[derive(Deserialize, Debug, Clone, Copy)]
 #[serde(deny_unknown_fields, default)]
 pub struct Fleet {
-    pub lease: Time,
-    pub period: Time,
+    pub lease: HumanDuration,
+    pub period: HumanDuration,
     pub voters: usize,
-    pub every: Time,
+    pub every: HumanDuration,
 }
 
 impl Default for Fleet {
     fn default() -> Self {
-        let time = |s| Time(Duration::from_secs(s));
+        let time = |s| HumanDuration(Duration::from_secs(s));
         Fleet {
             lease: time(3),
             period: time(1),
@@ -112,9 +112,9 @@
 struct EventText {
     name: Spanned<String>,
     kind: Spanned<String>,
-    at: Spanned<Time>,
+    at: Spanned<HumanDuration>,
     #[serde(rename = "for")]
-    lasts: Spanned<Time>,
+    lasts: Spanned<HumanDuration>,
     #[serde(default)]
     count: Option<Spanned<usize>>,
     #[serde(default)]
@@ -126,7 +126,7 @@
     #[serde(default)]
     one_way: Option<Spanned<String>>,
     #[serde(default = "two_seconds")]
-    noticed: Time,
+    noticed: HumanDuration,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -227,13 +227,13 @@
 }
 
 /// Reads a file; what is wrong is named by its line and key. `sidecars` takes the place of its sizes.
-pub fn read(text: &str, sidecars: Option<usize>) -> Result<ScalePlan, Wrong> {
+pub fn read(text: &str, sidecars: Option<usize>) -> Result<ScalePlan, ConfigError> {
     let told: Text = toml::from_str(text)
-        .map_err(|e| Wrong::of(text, e.span().map(|s| s.start), e.message()))?;
+        .map_err(|e| ConfigError::from_parser(text, e.span().map(|s| s.start), e.message()))?;
     let wrong = |at: Range<usize>, what: String| {
-        Err(Wrong {
-            line: line_of(text, at.start),
-            what,
+        Err(ConfigError {
+            line: line_number(text, at.start),
+            message: what,
         })
     };
     let within =
@@ -248,9 +248,9 @@
                     span.start(),
                     span.end()
                 );
-                Err(Wrong {
-                    line: line_of(text, told.span().start),
-                    what,
+                Err(ConfigError {
+                    line: line_number(text, told.span().start),
+                    message: what,
                 })
             }
         };
@@ -510,7 +510,7 @@
     }
 
     pub fn fleet_file(&self, resource: std::net::SocketAddr) -> String {
-        let ms = |time: Time| format!("\"{}ms\"", time.0.as_millis());
+        let ms = |time: HumanDuration| format!("\"{}ms\"", time.0.as_millis());
         let fleet = &self.fleet;
         format!(
             "lease = {}\nperiod = {}\nvoters = {}\n\n[upkeep]\nat_once = 1\n\n\
--- a/crates/passroad-routes/src/text.rs
+++ b/crates/passroad-routes/src/text.rs
@@ -2,7 +2,7 @@
 //! unknown, can't be reached or leaves a command without a route is an error that names its line.
 
 use passroad_choice::StandingOrders;
-use passroad_units::{Share, Time, Wrong, line_of};
+use passroad_units::{ConfigError, HumanDuration, Ratio, line_number};
 use serde::Deserialize;
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -41,19 +41,19 @@
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields, default)]
 struct SpillText {
-    most: Share,
+    most: Ratio,
     per_second: Option<f64>,
-    ceiling: Share,
-    trickle: Share,
+    ceiling: Ratio,
+    trickle: Ratio,
 }
 
 impl Default for SpillText {
     fn default() -> Self {
         SpillText {
-            most: Share(1.0),
+            most: Ratio(1.0),
             per_second: None,
-            ceiling: Share(0.8),
-            trickle: Share(0.02),
+            ceiling: Ratio(0.8),
+            trickle: Ratio(0.02),
         }
     }
 }
@@ -61,15 +61,15 @@
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields, default)]
 struct ReturnText {
-    over: Time,
-    spread: Share,
+    over: HumanDuration,
+    spread: Ratio,
 }
 
 impl Default for ReturnText {
     fn default() -> Self {
         ReturnText {
-            over: Time(Duration::from_secs(60)),
-            spread: Share(0.25),
+            over: HumanDuration(Duration::from_secs(60)),
+            spread: Ratio(0.25),
         }
     }
 }
@@ -136,15 +136,15 @@
 }
 
 /// Reads a file of routes against the settings it is to work with.
-pub fn read(text: &str, orders: &StandingOrders) -> Result<RouteOrders, Wrong> {
+pub fn read(text: &str, orders: &StandingOrders) -> Result<RouteOrders, ConfigError> {
     let told: Text = toml::from_str(text)
-        .map_err(|e| Wrong::of(text, e.span().map(|s| s.start), e.message()))?;
+        .map_err(|e| ConfigError::from_parser(text, e.span().map(|s| s.start), e.message()))?;
     let mut pools: Vec<PoolOrder> = Vec::new();
     for pool in &told.pool {
         let wrong = |what: String| {
-            Err(Wrong {
-                line: line_of(text, pool.span().start),
-                what,
+            Err(ConfigError {
+                line: line_number(text, pool.span().start),
+                message: what,
             })
         };
         let p = pool.get_ref();
@@ -207,9 +207,9 @@
     let mut routes: Vec<RouteOrder> = Vec::new();
     for route in &told.route {
         let wrong = |what: String| {
-            Err(Wrong {
-                line: line_of(text, route.span().start),
-                what,
+            Err(ConfigError {
+                line: line_number(text, route.span().start),
+                message: what,
             })
         };
         let r = route.get_ref();
@@ -264,17 +264,17 @@
                 "route: none takes {} of any company; end with a route that names none",
                 verb.name
             );
-            return Err(Wrong {
-                line: line_of(text, told.route.last().map_or(0, |r| r.span().start)),
-                what,
+            return Err(ConfigError {
+                line: line_number(text, told.route.last().map_or(0, |r| r.span().start)),
+                message: what,
             });
         }
     }
     if let Some(n) = (0..pools.len()).find(|n| !routes.iter().any(|r| r.pool == *n)) {
-        let line = line_of(text, told.pool[n].span().start);
-        return Err(Wrong {
+        let line = line_number(text, told.pool[n].span().start);
+        return Err(ConfigError {
             line,
-            what: format!("pool {}: no route leads to it", pools[n].name),
+            message: format!("pool {}: no route leads to it", pools[n].name),
         });
     }
     Ok(RouteOrders { pools, routes })
@@ -343,8 +343,8 @@
 
     #[rstest]
     #[case::unknown_key(format!("{POOL}speed = 1\n{ROUTE}"), 4, "speed: unknown field")]
-    #[case::odd_share(format!("{POOL}spill = {{ most = \"40ms\" }}\n{ROUTE}"), 4, "'40ms' is no share")]
-    #[case::odd_time(format!("{POOL}return = {{ over = \"13%\" }}\n{ROUTE}"), 4, "is a share where a time is expected")]
+    #[case::odd_share(format!("{POOL}spill = {{ most = \"40ms\" }}\n{ROUTE}"), 4, "'40ms' is not a share")]
+    #[case::odd_time(format!("{POOL}return = {{ over = \"13%\" }}\n{ROUTE}"), 4, "is a share where a duration is expected")]
     #[case::no_zone(POOL.replace("\"*\"", "\"d\"") + ROUTE, 1, "unknown zone 'd'; there are a, b, c")]
     #[case::twice(POOL.replace("\"*\"", "\"own\"") + ROUTE, 1, "'own' is named twice")]
     #[case::behind_the_rest(POOL.replace("[\"*\"]", "[\"*\"], [\"b\"]") + ROUTE, 1, "stands behind \"*\"")]
@@ -366,7 +366,10 @@
         #[case] what: &str,
     ) {
         let wrong = read(&text, &orders()).expect_err("it is wrong");
-        assert!(wrong.line == line && wrong.what.contains(what), "{wrong}");
+        assert!(
+            wrong.line == line && wrong.message.contains(what),
+            "{wrong}"
+        );
     }
 
     #[rstest]
--- a/crates/passroad/src/fleet/orders.rs
+++ b/crates/passroad/src/fleet/orders.rs
@@ -1,7 +1,7 @@
 //! The fleet's file and what the configuration says of the other sidecars.
 
 use hyper::Uri;
-use passroad_units::{Share, Time, Wrong, line_of};
+use passroad_units::{ConfigError, HumanDuration, Ratio, line_number};
 use serde::Deserialize;
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -19,9 +19,9 @@
 #[serde(deny_unknown_fields)]
 struct Text {
     #[serde(default = "lease")]
-    lease: Spanned<Time>,
+    lease: Spanned<HumanDuration>,
     #[serde(default = "period")]
-    period: Spanned<Time>,
+    period: Spanned<HumanDuration>,
     #[serde(default = "voters")]
     voters: Spanned<usize>,
     #[serde(default)]
@@ -42,33 +42,33 @@
     #[serde(default)]
     at_once_in_a_cell: Option<usize>,
     #[serde(default = "reserve")]
-    reserve: Share,
+    reserve: Ratio,
     #[serde(default)]
-    warm: Option<Time>,
+    warm: Option<HumanDuration>,
 }
 
 fn one() -> usize {
     1
 }
-fn reserve() -> Share {
-    Share(0.1)
+fn reserve() -> Ratio {
+    Ratio(0.1)
 }
 
 #[derive(Deserialize, Debug)]
 #[serde(deny_unknown_fields)]
 struct Duty {
     name: Spanned<String>,
-    every: Spanned<Time>,
+    every: Spanned<HumanDuration>,
     call: Spanned<String>,
     #[serde(default)]
-    within: Option<Spanned<Time>>,
+    within: Option<Spanned<HumanDuration>>,
 }
 
-fn lease() -> Spanned<Time> {
-    Spanned::new(0..0, Time(Duration::from_secs(3)))
+fn lease() -> Spanned<HumanDuration> {
+    Spanned::new(0..0, HumanDuration(Duration::from_secs(3)))
 }
-fn period() -> Spanned<Time> {
-    Spanned::new(0..0, Time(Duration::from_secs(1)))
+fn period() -> Spanned<HumanDuration> {
+    Spanned::new(0..0, HumanDuration(Duration::from_secs(1)))
 }
 fn voters() -> Spanned<usize> {
     Spanned::new(0..0, 5)
@@ -174,13 +174,13 @@
 }
 
 /// Reads the fleet's file; what is wrong is named by its line.
-pub fn read(text: &str) -> Result<FleetOrders, Wrong> {
+pub fn read(text: &str) -> Result<FleetOrders, ConfigError> {
     let told: Text = toml::from_str(text)
-        .map_err(|e| Wrong::of(text, e.span().map(|s| s.start), e.message()))?;
+        .map_err(|e| ConfigError::from_parser(text, e.span().map(|s| s.start), e.message()))?;
     let wrong = |at: usize, what: String| {
-        Err(Wrong {
-            line: line_of(text, at),
-            what,
+        Err(ConfigError {
+            line: line_number(text, at),
+            message: what,
         })
     };
     let lease = told.lease.get_ref().0;
@@ -337,7 +337,10 @@
         #[case] what: &str,
     ) {
         let wrong = read(&text).unwrap_err();
-        assert!(wrong.line == line && wrong.what.contains(what), "{wrong}");
+        assert!(
+            wrong.line == line && wrong.message.contains(what),
+            "{wrong}"
+        );
     }
 
     #[rstest]
--- a/crates/passroad/src/lib.rs
+++ b/crates/passroad/src/lib.rs
@@ -230,8 +230,8 @@
             back,
             name,
         } => {
-            let lasts =
-                passroad_units::read_time(&lasts).map_err(|fault| format!("--for: {fault}"))?;
+            let lasts = passroad_units::parse_duration(&lasts)
+                .map_err(|fault| format!("--for: {fault}"))?;
             let all = machines
                 .is_empty()
                 .then(|| serde_json::json!({ "zone": zone, "kind": kind, "cell": cell }));
