--- a/crates/passroad-orders/src/lib.rs
+++ b/crates/passroad-orders/src/lib.rs
@@ -187,20 +187,20 @@
 }
 
 /// The orders in a settings text.
-pub fn read(seed: u64, text: &str) -> Result<BalancerConfig, String> {
-    from_value(
+pub fn config_from_text(seed: u64, text: &str) -> Result<BalancerConfig, String> {
+    config_from_value(
         seed,
         &serde_json::from_str(text).map_err(|e| format!("settings: {e}"))?,
     )
 }
 
 /// How long an endpoint may take to accept a connection.
-pub fn connect_within(value: &Value) -> Result<Duration, String> {
+pub fn connect_timeout(value: &Value) -> Result<Duration, String> {
     At(value).span("/allowed/connect_timeout", Duration::from_millis(250))
 }
 
 /// The orders in a settings object.
-pub fn from_value(seed: u64, value: &Value) -> Result<BalancerConfig, String> {
+pub fn config_from_value(seed: u64, value: &Value) -> Result<BalancerConfig, String> {
     if !value.is_object() {
         return Err("settings: not an object".into());
     }
@@ -284,7 +284,7 @@
     use rstest::rstest;
 
     fn orders(more: &str) -> Result<BalancerConfig, String> {
-        read(
+        config_from_text(
             7,
             &format!(
                 r#"{{"dcs":["a","b"],"az":"b","kinds":["k","m","n"],"verbs":[{{"name":"look","effect":"read_like"}},
--- a/crates/passroad-rig/src/baseline.rs
+++ b/crates/passroad-rig/src/baseline.rs
@@ -7,7 +7,7 @@
     Action, CommandArrival, CommandIndex, EndpointState, Event, ListUpdateKind, ListedEndpoint,
     Outcome,
 };
-use passroad_routes::Steered;
+use passroad_routes::RoutedBalancer;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -23,9 +23,9 @@
     fn decide(&mut self, now: Duration, event: Event, sight: &dyn Sight) -> Vec<Action>;
 }
 
-impl Policy for Steered {
+impl Policy for RoutedBalancer {
     fn decide(&mut self, now: Duration, event: Event, _: &dyn Sight) -> Vec<Action> {
-        Steered::decide(self, now, event)
+        RoutedBalancer::decide(self, now, event)
     }
 }
 
@@ -39,12 +39,12 @@
     let how = match name {
         "passroad" | "passroad-routes" => {
             let settings = plan.settings(plan.zone_of(instance));
-            let mut orders = passroad_orders::from_value(seed, &settings)?;
+            let mut orders = passroad_orders::config_from_value(seed, &settings)?;
             // As the sidecar does it: what it counts on is what it keeps.
             orders.idle_close = orders.idle_close.mul_f64(IDLE_SHARE);
             let routes = match (name, &plan.routes) {
                 ("passroad-routes", Some(text)) => Some(
-                    passroad_routes::read(text, &orders)
+                    passroad_routes::parse_routes(text, &orders)
                         .map_err(|wrong| format!("routes: {wrong}"))?,
                 ),
                 ("passroad-routes", None) => {
@@ -52,11 +52,11 @@
                 }
                 _ => None,
             };
-            let mut steered = Steered::new(orders, None, routes);
+            let mut balancer = RoutedBalancer::new(orders, None, routes);
             for (n, endpoint) in plan.endpoints.iter().enumerate() {
-                steered.name(n, &format!("e{n}"), &plan.kinds[endpoint.kind]);
+                balancer.register_endpoint(n, &format!("e{n}"), &plan.kinds[endpoint.kind]);
             }
-            return Ok(Box::new(steered));
+            return Ok(Box::new(balancer));
         }
         "random" => How::Random,
         "round-robin" => How::Turns,
--- a/crates/passroad-rig/src/experiment.rs
+++ b/crates/passroad-rig/src/experiment.rs
@@ -891,8 +891,9 @@
         };
         // What is wrong in the routes is named by its own line there, and by where they stand here.
         if let Some(routes) = &told.routes {
-            let orders = passroad_orders::from_value(1, &plan.settings(0));
-            let read = orders.map(|orders| passroad_routes::read(routes.get_ref(), &orders));
+            let orders = passroad_orders::config_from_value(1, &plan.settings(0));
+            let read =
+                orders.map(|orders| passroad_routes::parse_routes(routes.get_ref(), &orders));
             if let Ok(Err(wrong)) = read {
                 return self.wrong(&routes.span(), format!("routes: {wrong}"));
             }
@@ -1668,8 +1669,8 @@
             at(3500, starts(4)),
         ];
         assert_eq!(plan.changes, expected);
-        let orders =
-            passroad_orders::from_value(1, &plan.settings(1)).expect("settings that can be used");
+        let orders = passroad_orders::config_from_value(1, &plan.settings(1))
+            .expect("settings that can be used");
         assert_eq!(
             (orders.own_zone, orders.classes.len(), orders.max_relays),
             (1, 2, 4)
--- a/crates/passroad-routes/src/lib.rs
+++ b/crates/passroad-routes/src/lib.rs
@@ -1,5 +1,5 @@
 //! Routes: which pool serves a command, which endpoints are in play for it, how much spills to further zones, and how
-//! a zone comes back. [`Steered`] puts a router before the decision module behind the same entry; score, draw, limits,
+//! a zone comes back. [`RoutedBalancer`] puts a router before the decision module behind the same entry; score, draw, limits,
 //! retries and passes stay the module's.
 
 mod router;
@@ -7,9 +7,9 @@
 mod text;
 mod zone;
 
-pub use router::{Router, Ruling};
-pub use text::{Place, PoolOrder, RouteOrder, RouteOrders, read};
-pub use zone::Health;
+pub use router::{Router, RoutingDecision};
+pub use text::{PoolConfig, RouteConfig, RoutesConfig, ZoneSelector, parse_routes};
+pub use zone::ZoneHealth;
 
 use passroad_choice::shadow::{ShadowCounts, ShadowedBalancer};
 use passroad_choice::{
@@ -24,7 +24,7 @@
 }
 
 /// The decision module, with routes before it where there are any.
-pub struct Steered {
+pub struct RoutedBalancer {
     balancer: ShadowedBalancer,
     router: Option<Router>,
     goals: Vec<Duration>,        // by verb, as the module numbers them
@@ -33,14 +33,14 @@
     out: Vec<Option<Out>>,
 }
 
-impl Steered {
+impl RoutedBalancer {
     /// With `watch`, a second module with those orders is asked beside the one that decides.
     pub fn new(
         orders: BalancerConfig,
         watch: Option<BalancerConfig>,
-        routes: Option<RouteOrders>,
+        routes: Option<RoutesConfig>,
     ) -> Self {
-        Steered {
+        RoutedBalancer {
             router: routes.map(|routes| Router::new(routes, &orders)),
             goals: orders.classes.iter().map(|v| v.deadline_target).collect(),
             verbs: orders
@@ -56,23 +56,23 @@
     }
 
     /// Other orders, and routes that were read against them; true if these can take the place of those in force.
-    pub fn may_retune(&self, orders: &BalancerConfig, routes: Option<&RouteOrders>) -> bool {
+    pub fn can_reconfigure(&self, orders: &BalancerConfig, routes: Option<&RoutesConfig>) -> bool {
         match (&self.router, routes) {
             (None, None) => true,
-            (Some(router), Some(routes)) => router.may_retune(orders, routes),
+            (Some(router), Some(routes)) => router.can_reconfigure(orders, routes),
             _ => false,
         }
     }
 
     /// Takes other orders; what is to be done about it, and the verb of each as commands are to name it.
-    pub fn retune(
+    pub fn reconfigure(
         &mut self,
         now: Duration,
         orders: BalancerConfig,
-        routes: Option<RouteOrders>,
+        routes: Option<RoutesConfig>,
     ) -> (Vec<Action>, Vec<usize>) {
         if let (Some(router), Some(routes)) = (&mut self.router, routes) {
-            router.retune(&orders, routes);
+            router.reconfigure(&orders, routes);
         }
         self.return_after = orders.max_retry_after;
         let told: Vec<_> = orders
@@ -108,23 +108,23 @@
     }
 
     /// What the module has learnt; `name` tells what an endpoint is called outside.
-    pub fn seems(&self, at: EndpointIndex) -> (Option<f64>, bool) {
+    pub fn endpoint_load(&self, at: EndpointIndex) -> (Option<f64>, bool) {
         self.balancer.endpoint_load(at)
     }
 
-    pub fn memory(&self, name: impl Fn(EndpointIndex) -> Option<String>) -> LearnedState {
+    pub fn learned_state(&self, name: impl Fn(EndpointIndex) -> Option<String>) -> LearnedState {
         self.balancer.learned_state(name)
     }
 
     /// What the watched orders would have made of the decisions so far, where there are any.
-    pub fn counts(&self) -> Option<ShadowCounts> {
+    pub fn shadow_counts(&self) -> Option<ShadowCounts> {
         self.balancer.counts()
     }
 
     /// What the slot of an endpoint is called outside; told before a list speaks of it.
-    pub fn name(&mut self, endpoint: EndpointIndex, id: &str, kind: &str) {
+    pub fn register_endpoint(&mut self, endpoint: EndpointIndex, id: &str, kind: &str) {
         if let Some(router) = &mut self.router {
-            router.name(endpoint, id, kind);
+            router.register_endpoint(endpoint, id, kind);
         }
     }
 
@@ -138,7 +138,7 @@
             Event::ListUpdated { kind, entries } => {
                 let whole = kind != ListUpdateKind::Delta;
                 if kind != ListUpdateKind::Failed {
-                    router.listed(whole, &entries);
+                    router.apply_list(whole, &entries);
                 }
                 // The module knows the endpoints before it is told of their weights.
                 actions = self
@@ -147,13 +147,13 @@
                 None
             }
             Event::CommandArrived(mut arrival) => {
-                let weights = router.look(now);
+                let weights = router.update_weights(now);
                 steer(&mut self.balancer, now, weights, &mut actions);
                 let cmd = arrival.command;
                 let place = self.verbs.get(arrival.class).map_or(0, |(_, place)| *place);
-                match router.rule(now, place, arrival.tenant) {
-                    Ruling::Go { play } => {
-                        arrival.weight_set = play;
+                match router.route(now, place, arrival.tenant) {
+                    RoutingDecision::Admit { weight_set } => {
+                        arrival.weight_set = weight_set;
                         let len = self.out.len().max(cmd + 1);
                         self.out.resize_with(len, || None);
                         self.out[cmd] = Some(Out {
@@ -162,7 +162,7 @@
                         });
                         Some(Event::CommandArrived(arrival))
                     }
-                    Ruling::Decline { after } => {
+                    RoutingDecision::Refuse { retry_after: after } => {
                         // Nothing of it was out, and nothing is held: the module need not hear of it.
                         let not_before = self.return_after.map(|most| most.min(after));
                         actions.push(Action::Refuse {
@@ -178,7 +178,7 @@
                 endpoint,
                 cordoned: out,
             } => {
-                router.cordoned(endpoint, out);
+                router.set_cordoned(endpoint, out);
                 Some(event)
             }
             Event::RelayFinished {
@@ -193,7 +193,7 @@
                 if let Some((held, endpoint)) = held.and_then(|h| Some((h, *h.relays.get(relay)?)))
                 {
                     let late = spent.as_secs_f64() / self.goals[held.verb].as_secs_f64().max(1e-6);
-                    router.ended(now, endpoint, outcome, Some(late), report.as_ref());
+                    router.record_outcome(now, endpoint, outcome, Some(late), report.as_ref());
                 }
                 Some(Event::RelayFinished {
                     command: cmd,
@@ -210,7 +210,7 @@
                 elapsed: spent,
                 report,
             } => {
-                router.ended(now, endpoint, outcome, None, report.as_ref());
+                router.record_outcome(now, endpoint, outcome, None, report.as_ref());
                 Some(Event::ProbeFinished {
                     endpoint,
                     outcome,
@@ -220,7 +220,7 @@
             }
             other => Some(other),
         };
-        let weights = router.look(now);
+        let weights = router.update_weights(now);
         steer(&mut self.balancer, now, weights, &mut actions);
         if let Some(event) = event {
             actions.extend(self.balancer.decide(now, event));
@@ -236,11 +236,11 @@
                     held.into_iter().for_each(|h| h.relays.push(*endpoint));
                 }
                 Action::ReleaseCommand { command: cmd } => forget(&mut self.out, *cmd),
-                Action::ReleaseEndpoint { endpoint } => router.release(*endpoint),
+                Action::ReleaseEndpoint { endpoint } => router.release_endpoint(*endpoint),
                 _ => {}
             }
         }
-        actions.extend(router.take_lines().into_iter().map(Action::Log));
+        actions.extend(router.take_log_lines().into_iter().map(Action::Log));
         actions
     }
 }
@@ -293,7 +293,7 @@
     }
 
     struct Rig {
-        steered: Steered,
+        steered: RoutedBalancer,
         next: CommandIndex,
         now: u64,
     }
@@ -309,9 +309,9 @@
     impl Rig {
         fn new(routes: &str) -> Rig {
             let orders = text::tests::orders();
-            let routes = read(routes, &orders).expect("routes");
+            let routes = parse_routes(routes, &orders).expect("routes");
             let mut rig = Rig {
-                steered: Steered::new(orders, None, Some(routes)),
+                steered: RoutedBalancer::new(orders, None, Some(routes)),
                 next: 0,
                 now: 0,
             };
@@ -549,13 +549,17 @@
         };
         let routes = "[[route]]\nverbs = [\"look\"]\npool = \"x\"\n[[route]]\npool = \"y\"\n";
         let orders = text::tests::orders();
-        let read = read(&format!("{}{}{routes}", pool("x"), pool("y")), &orders).expect("routes");
+        let read =
+            parse_routes(&format!("{}{}{routes}", pool("x"), pool("y")), &orders).expect("routes");
         let mut rig = Rig {
-            steered: Steered::new(orders, None, Some(read)),
+            steered: RoutedBalancer::new(orders, None, Some(read)),
             next: 0,
             now: 0,
         };
-        (0..12).for_each(|e| rig.steered.name(e, if e % 2 == 0 { "x" } else { "y" }, ""));
+        (0..12).for_each(|e| {
+            rig.steered
+                .register_endpoint(e, if e % 2 == 0 { "x" } else { "y" }, "")
+        });
         rig.list(
             ListUpdateKind::Full,
             (0..12)
@@ -685,10 +689,10 @@
         let routes = "[[pool]]\nname = \"e\"\nlabels = [\"e-\"]\nkinds = [\"big\"]\ntiers = [[\"own\"]]\n[[route]]\npool = \"e\"\n";
         let orders = text::tests::orders();
         let mut rig = Rig {
-            steered: Steered::new(
+            steered: RoutedBalancer::new(
                 orders.clone(),
                 None,
-                Some(read(routes, &orders).expect("routes")),
+                Some(parse_routes(routes, &orders).expect("routes")),
             ),
             next: 0,
             now: 0,
@@ -702,7 +706,7 @@
         .iter()
         .enumerate()
         {
-            rig.steered.name(endpoint, id, kind);
+            rig.steered.register_endpoint(endpoint, id, kind);
         }
         rig.list(
             ListUpdateKind::Full,
@@ -735,12 +739,12 @@
             )
         };
         let before = text::tests::orders();
-        let mut steered = Steered::new(
+        let mut steered = RoutedBalancer::new(
             before.clone(),
             None,
-            Some(read(&routes("look"), &before).unwrap()),
+            Some(parse_routes(&routes("look"), &before).unwrap()),
         );
-        (0..2).for_each(|at| steered.name(at, ["left-1", "right-1"][at], ""));
+        (0..2).for_each(|at| steered.register_endpoint(at, ["left-1", "right-1"][at], ""));
         let entries = (0..2)
             .map(|at| ListedEndpoint {
                 zone: 0,
@@ -762,9 +766,9 @@
             name: "seek".into(),
             ..before.classes[0].clone()
         });
-        let other = read(&routes("book"), &after).unwrap();
-        assert!(steered.may_retune(&after, Some(&other)));
-        let (_, numbers) = steered.retune(ms(1), after.clone(), Some(other));
+        let other = parse_routes(&routes("book"), &after).unwrap();
+        assert!(steered.can_reconfigure(&after, Some(&other)));
+        let (_, numbers) = steered.reconfigure(ms(1), after.clone(), Some(other));
         assert_eq!(numbers, [1, 2, 3]);
         let mut to = |cmd: usize, verb: usize| {
             let (budget, work) = (Duration::from_millis(990), None);
@@ -816,7 +820,9 @@
         );
         // By the orders before, a moment late.
         assert_eq!(to(3, 0), Some(1));
-        let more = read(ROUTES, &after).unwrap();
-        assert!(!steered.may_retune(&after, Some(&more)) && !steered.may_retune(&after, None));
+        let more = parse_routes(ROUTES, &after).unwrap();
+        assert!(
+            !steered.can_reconfigure(&after, Some(&more)) && !steered.can_reconfigure(&after, None)
+        );
     }
 }
--- a/crates/passroad-routes/src/router.rs
+++ b/crates/passroad-routes/src/router.rs
@@ -3,8 +3,8 @@
 //! No input or output, no clock: what is seen comes in, plays go out.
 
 use crate::spill::Spill;
-use crate::text::{Place, PoolOrder, RouteOrders};
-use crate::zone::{Health, Sum, Zone};
+use crate::text::{PoolConfig, RoutesConfig, ZoneSelector};
+use crate::zone::{Sum, Zone, ZoneHealth};
 use passroad_choice::{
     BalancerConfig, EndpointIndex, EndpointState, ListedEndpoint, LoadReport, Outcome,
 };
@@ -66,7 +66,7 @@
 }
 
 struct Pool {
-    order: PoolOrder,
+    order: PoolConfig,
     tiers: Vec<Vec<usize>>, // zones, as far as they are known
     zones: Vec<Zone>,
     rate: Rate,
@@ -79,18 +79,18 @@
 
 /// What a command may do.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Ruling {
-    Go {
-        play: usize,
+pub enum RoutingDecision {
+    Admit {
+        weight_set: usize,
     },
     /// More than may spill: the answer is now, and when to come back.
-    Decline {
-        after: Duration,
+    Refuse {
+        retry_after: Duration,
     },
 }
 
 pub struct Router {
-    orders: RouteOrders,
+    orders: RoutesConfig,
     pools: Vec<Pool>,
     members: Vec<Option<Member>>,
     out: Vec<bool>,                       // by hand, by slot
@@ -107,13 +107,13 @@
 }
 
 impl Router {
-    pub fn new(routes: RouteOrders, orders: &BalancerConfig) -> Self {
+    pub fn new(routes: RoutesConfig, orders: &BalancerConfig) -> Self {
         let best = orders
             .classes
             .iter()
             .map(|v| v.utility)
             .fold(1e-9, f64::max);
-        let pool = |order: &PoolOrder| Pool {
+        let pool = |order: &PoolConfig| Pool {
             tiers: Vec::new(),
             zones: Vec::new(),
             rate: Rate::default(),
@@ -143,11 +143,11 @@
     }
 
     /// Whether the pools and zones are those in force; only which commands go where may change.
-    pub fn may_retune(&self, orders: &BalancerConfig, routes: &RouteOrders) -> bool {
+    pub fn can_reconfigure(&self, orders: &BalancerConfig, routes: &RoutesConfig) -> bool {
         routes.pools == self.orders.pools && orders.zones == self.zone_names
     }
 
-    pub fn retune(&mut self, orders: &BalancerConfig, routes: RouteOrders) {
+    pub fn reconfigure(&mut self, orders: &BalancerConfig, routes: RoutesConfig) {
         let best = orders
             .classes
             .iter()
@@ -164,13 +164,13 @@
     }
 
     /// What the slot of an endpoint is called outside, before a list speaks of it.
-    pub fn name(&mut self, endpoint: EndpointIndex, id: &str, kind: &str) {
+    pub fn register_endpoint(&mut self, endpoint: EndpointIndex, id: &str, kind: &str) {
         self.names.resize(self.names.len().max(endpoint + 1), None);
         self.names[endpoint] = Some((id.into(), kind.into()));
     }
 
     /// The slot is another's from here on.
-    pub fn release(&mut self, endpoint: EndpointIndex) {
+    pub fn release_endpoint(&mut self, endpoint: EndpointIndex) {
         if let Some(member) = self.members.get_mut(endpoint) {
             *member = None;
             self.dirty = true;
@@ -178,14 +178,14 @@
     }
 
     /// Operators take an endpoint out or call it back.
-    pub fn cordoned(&mut self, endpoint: EndpointIndex, out: bool) {
+    pub fn set_cordoned(&mut self, endpoint: EndpointIndex, out: bool) {
         self.out.resize(self.out.len().max(endpoint + 1), false);
         self.out[endpoint] = out;
         self.dirty = true;
     }
 
     /// Takes in a list; a whole one leaves out what is gone.
-    pub fn listed(&mut self, whole: bool, entries: &[ListedEndpoint]) {
+    pub fn apply_list(&mut self, whole: bool, entries: &[ListedEndpoint]) {
         if whole {
             self.members.iter_mut().flatten().for_each(|m| m.up = false);
         }
@@ -194,7 +194,7 @@
                 .resize(self.members.len().max(entry.endpoint + 1), None);
             let name = self.names.get(entry.endpoint).and_then(Option::as_ref);
             let (id, kind) = name.map_or(("", ""), |(id, kind)| (id.as_str(), kind.as_str()));
-            let factor = |pool: &PoolOrder| {
+            let factor = |pool: &PoolConfig| {
                 let by_label = pool.labels.is_empty()
                     || pool.labels.iter().any(|l| id.starts_with(l.as_str()));
                 let by_kind = pool.kinds.is_empty() || pool.kinds.iter().any(|k| k == kind);
@@ -224,7 +224,7 @@
     }
 
     /// How a relay of a command ended, or a probe, which has no verb and no goal.
-    pub fn ended(
+    pub fn record_outcome(
         &mut self,
         now: Duration,
         endpoint: EndpointIndex,
@@ -297,21 +297,21 @@
     }
 
     /// Zones of each tier, as far as the list has named any.
-    fn tiers(&self, pool: &PoolOrder, zones: usize) -> Vec<Vec<usize>> {
+    fn tiers(&self, pool: &PoolConfig, zones: usize) -> Vec<Vec<usize>> {
         let named: Vec<usize> = pool
             .tiers
             .iter()
             .flatten()
             .filter_map(|place| match place {
-                Place::Own => Some(self.own_zone),
-                Place::Zone(zone) => Some(*zone),
-                Place::Rest => None,
+                ZoneSelector::Own => Some(self.own_zone),
+                ZoneSelector::Zone(zone) => Some(*zone),
+                ZoneSelector::Rest => None,
             })
             .collect();
-        let of = |place: &Place| match place {
-            Place::Own => vec![self.own_zone],
-            Place::Zone(zone) => vec![*zone],
-            Place::Rest => (0..zones).filter(|z| !named.contains(z)).collect(),
+        let of = |place: &ZoneSelector| match place {
+            ZoneSelector::Own => vec![self.own_zone],
+            ZoneSelector::Zone(zone) => vec![*zone],
+            ZoneSelector::Rest => (0..zones).filter(|z| !named.contains(z)).collect(),
         };
         pool.tiers
             .iter()
@@ -320,7 +320,7 @@
     }
 
     /// Looks at the zones and gives the weights that have changed: for each play, endpoints and theirs.
-    pub fn look(&mut self, now: Duration) -> Vec<(usize, EndpointIndex, f64)> {
+    pub fn update_weights(&mut self, now: Duration) -> Vec<(usize, EndpointIndex, f64)> {
         let due = self.looked.is_none_or(|at| now.saturating_sub(at) >= LOOK);
         if !self.dirty && !due {
             return Vec::new();
@@ -414,16 +414,16 @@
     }
 
     /// Where a command may go. The zones are those of the last look.
-    pub fn rule(&mut self, now: Duration, verb: usize, company: Option<usize>) -> Ruling {
+    pub fn route(&mut self, now: Duration, verb: usize, company: Option<usize>) -> RoutingDecision {
         let n = self.orders.pool_of(verb, company);
         let (draw, worth) = (self.chance(), self.worth.get(verb).copied().unwrap_or(1.0));
         let pool = &mut self.pools[n];
         pool.rate.add(now);
         let carries = pool.carries(now);
-        let go = |play| Ruling::Go {
-            play: PLAYS * n + play,
+        let go = |play| RoutingDecision::Admit {
+            weight_set: PLAYS * n + play,
         };
-        let back = pool.home().any(|z| z.health == Health::Returning);
+        let back = pool.home().any(|z| z.health == ZoneHealth::Returning);
         if carries >= 1.0 && !back || pool.tiers.len() < 2 {
             return go(HOME);
         }
@@ -445,12 +445,12 @@
             }
             // What is left at home is better than nothing; the module's limits say how much of it.
             Err(_) if carries > 0.0 && !back => go(HOME),
-            Err(after) => Ruling::Decline { after },
+            Err(after) => RoutingDecision::Refuse { retry_after: after },
         }
     }
 
     /// Lines for the log, one for each change.
-    pub fn take_lines(&mut self) -> Vec<String> {
+    pub fn take_log_lines(&mut self) -> Vec<String> {
         std::mem::take(&mut self.lines)
     }
 }
@@ -470,7 +470,7 @@
         if known.is_empty() {
             return 0.0;
         }
-        if known.iter().all(|z| z.health == Health::Whole) {
+        if known.iter().all(|z| z.health == ZoneHealth::Whole) {
             return 1.0;
         }
         // Of several zones those that are well make up for the others while there is headroom.
@@ -496,13 +496,13 @@
         }
         let z = &self.zones[zone];
         match z.health {
-            Health::Whole | Health::Thinned => [1.0, 1.0, 0.0],
-            Health::Returning => {
+            ZoneHealth::Whole | ZoneHealth::Thinned => [1.0, 1.0, 0.0],
+            ZoneHealth::Returning => {
                 let back = z.back(now).max(BEYOND);
                 [back, back, 0.0]
             }
             // Still in play where commands look whether it is back.
-            Health::Dark => [1.0, 1.0, 0.0],
+            ZoneHealth::Dark => [1.0, 1.0, 0.0],
         }
     }
 
--- a/crates/passroad-routes/src/text.rs
+++ b/crates/passroad-routes/src/text.rs
@@ -86,7 +86,7 @@
 
 /// Which zones a tier holds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Place {
+pub enum ZoneSelector {
     Own,
     Zone(usize),
     /// All that no earlier tier names.
@@ -94,13 +94,13 @@
 }
 
 #[derive(Debug, Clone, PartialEq)]
-pub struct PoolOrder {
+pub struct PoolConfig {
     pub name: String,
     /// An endpoint belongs if its id begins with one of these; with none named all do. The same for kinds.
     pub labels: Vec<String>,
     pub kinds: Vec<String>,
     pub weights: BTreeMap<String, f64>, // of kinds, on top of the list's; one if not named
-    pub tiers: Vec<Vec<Place>>,
+    pub tiers: Vec<Vec<ZoneSelector>>,
     pub headroom: f64, // a tier keeps all of its traffic while so many times its usable share is one
     pub most: f64,     // of the own rate, that may spill
     pub per_second: f64, // and no more than this
@@ -111,22 +111,22 @@
 }
 
 #[derive(Debug, Clone, PartialEq)]
-pub struct RouteOrder {
+pub struct RouteConfig {
     pub verbs: Vec<usize>, // none: all
     pub companies: Vec<usize>,
     pub pool: usize,
 }
 
 #[derive(Debug, Clone, PartialEq)]
-pub struct RouteOrders {
-    pub pools: Vec<PoolOrder>,
-    pub routes: Vec<RouteOrder>,
+pub struct RoutesConfig {
+    pub pools: Vec<PoolConfig>,
+    pub routes: Vec<RouteConfig>,
 }
 
-impl RouteOrders {
+impl RoutesConfig {
     /// The pool that serves a command: the first route that fits.
     pub fn pool_of(&self, verb: usize, company: Option<usize>) -> usize {
-        let fits = |route: &&RouteOrder| {
+        let fits = |route: &&RouteConfig| {
             (route.verbs.is_empty() || route.verbs.contains(&verb))
                 && (route.companies.is_empty()
                     || company.is_some_and(|c| route.companies.contains(&c)))
@@ -136,10 +136,10 @@
 }
 
 /// Reads a file of routes against the settings it is to work with.
-pub fn read(text: &str, orders: &BalancerConfig) -> Result<RouteOrders, ConfigError> {
+pub fn parse_routes(text: &str, orders: &BalancerConfig) -> Result<RoutesConfig, ConfigError> {
     let told: Text = toml::from_str(text)
         .map_err(|e| ConfigError::from_parser(text, e.span().map(|s| s.start), e.message()))?;
-    let mut pools: Vec<PoolOrder> = Vec::new();
+    let mut pools: Vec<PoolConfig> = Vec::new();
     for pool in &told.pool {
         let wrong = |what: String| {
             Err(ConfigError {
@@ -189,7 +189,7 @@
                 p.name
             ));
         }
-        pools.push(PoolOrder {
+        pools.push(PoolConfig {
             name: p.name.clone(),
             labels: p.labels.clone(),
             kinds: p.kinds.clone(),
@@ -204,7 +204,7 @@
             back_spread: p.way_back.spread.0,
         });
     }
-    let mut routes: Vec<RouteOrder> = Vec::new();
+    let mut routes: Vec<RouteConfig> = Vec::new();
     for route in &told.route {
         let wrong = |what: String| {
             Err(ConfigError {
@@ -237,7 +237,7 @@
             (Ok(verbs), Ok(companies)) => (verbs, companies),
             (Err(what), _) | (_, Err(what)) => return wrong(what),
         };
-        let hidden = |e: &RouteOrder| {
+        let hidden = |e: &RouteConfig| {
             let covers = |wide: &[usize], narrow: &[usize]| {
                 wide.is_empty() || (!narrow.is_empty() && narrow.iter().all(|n| wide.contains(n)))
             };
@@ -249,7 +249,7 @@
                 r.pool
             ));
         }
-        routes.push(RouteOrder {
+        routes.push(RouteConfig {
             verbs,
             companies,
             pool,
@@ -257,8 +257,9 @@
     }
     // A command of no company, or of one that no route names, needs one that names none.
     for (n, verb) in orders.classes.iter().enumerate() {
-        let takes =
-            |r: &RouteOrder| r.companies.is_empty() && (r.verbs.is_empty() || r.verbs.contains(&n));
+        let takes = |r: &RouteConfig| {
+            r.companies.is_empty() && (r.verbs.is_empty() || r.verbs.contains(&n))
+        };
         if !routes.iter().any(takes) {
             let what = format!(
                 "route: none takes {} of any company; end with a route that names none",
@@ -277,11 +278,11 @@
             message: format!("pool {}: no route leads to it", pools[n].name),
         });
     }
-    Ok(RouteOrders { pools, routes })
+    Ok(RoutesConfig { pools, routes })
 }
 
-fn tiers(pool: &PoolText, orders: &BalancerConfig) -> Result<Vec<Vec<Place>>, String> {
-    let mut seen: Vec<Place> = Vec::new();
+fn tiers(pool: &PoolText, orders: &BalancerConfig) -> Result<Vec<Vec<ZoneSelector>>, String> {
+    let mut seen: Vec<ZoneSelector> = Vec::new();
     let mut tiers = Vec::new();
     if pool.tiers.is_empty() {
         return Err("none".into());
@@ -292,16 +293,16 @@
         }
         let mut tier = Vec::new();
         for name in names {
-            if seen.contains(&Place::Rest) {
+            if seen.contains(&ZoneSelector::Rest) {
                 return Err(format!(
                     "'{name}' stands behind \"*\", which holds all the rest"
                 ));
             }
             let place = match name.as_str() {
-                "own" => Place::Own,
-                "*" => Place::Rest,
+                "own" => ZoneSelector::Own,
+                "*" => ZoneSelector::Rest,
                 name => match orders.zones.iter().position(|z| z == name) {
-                    Some(zone) => Place::Zone(zone),
+                    Some(zone) => ZoneSelector::Zone(zone),
                     None => {
                         return Err(format!(
                             "unknown zone '{name}'; there are {}",
@@ -335,7 +336,7 @@
             "dcs":["a","b","c"],"az":"a","discovery":"pushed","report":{"how":"piggyback"},
             "rules":{"cold_from":0.13,"warm_within":24000000000,"tip_multiple":2.5,"tip_after":2000000000},
             "allowed":{"max_relays":4,"may_cancel":true,"probes":true,"retry_after":true,"max_retry_after":2000000000}}"#;
-        passroad_orders::read(7, text).expect("settings")
+        passroad_orders::config_from_text(7, text).expect("settings")
     }
 
     const POOL: &str = "[[pool]]\nname = \"all\"\ntiers = [[\"own\"], [\"*\"]]\n";
@@ -365,7 +366,7 @@
         #[case] line: usize,
         #[case] what: &str,
     ) {
-        let wrong = read(&text, &orders()).expect_err("it is wrong");
+        let wrong = parse_routes(&text, &orders()).expect_err("it is wrong");
         assert!(
             wrong.line == line && wrong.message.contains(what),
             "{wrong}"
@@ -387,7 +388,7 @@
             .concat();
         let routes = "[[route]]\npool = \"look\"\nverbs = [\"look\"]\n[[route]]\npool = \"acme\"\ncompanies = [\"acme\"]\n\
                       [[route]]\npool = \"rest\"\n";
-        let read = read(&format!("{pools}{routes}"), &orders()).expect("routes");
+        let read = parse_routes(&format!("{pools}{routes}"), &orders()).expect("routes");
         assert_eq!(read.pool_of(verb, company), pool);
     }
 }
--- a/crates/passroad-routes/src/zone.rs
+++ b/crates/passroad-routes/src/zone.rs
@@ -4,7 +4,7 @@
 
 /// From first to last in order of what it can carry.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Health {
+pub enum ZoneHealth {
     Whole,
     /// Too little is left for all of its traffic.
     Thinned,
@@ -41,7 +41,7 @@
 
 #[derive(Debug, Clone)]
 pub struct Zone {
-    pub health: Health,
+    pub health: ZoneHealth,
     sum: Sum,
     usual: f64,               // weight that it has when it is whole
     smaller: Duration,        // since when it has had less
@@ -57,7 +57,7 @@
 impl Default for Zone {
     fn default() -> Self {
         Zone {
-            health: Health::Whole,
+            health: ZoneHealth::Whole,
             sum: Sum::default(),
             usual: 0.0,
             smaller: Duration::ZERO,
@@ -75,8 +75,8 @@
 /// A change of a zone's health, for the log.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Turned {
-    pub from: Health,
-    pub to: Health,
+    pub from: ZoneHealth,
+    pub to: ZoneHealth,
     pub why: Option<Why>,
     pub sum: Sum,
     pub usual: f64,
@@ -107,9 +107,9 @@
     pub fn could_carry(&self, now: Duration, headroom: f64) -> f64 {
         let able = self.able() * headroom;
         match self.health {
-            Health::Whole | Health::Thinned => able,
-            Health::Returning => able.min(self.back(now)),
-            Health::Dark => 0.0,
+            ZoneHealth::Whole | ZoneHealth::Thinned => able,
+            ZoneHealth::Returning => able.min(self.back(now)),
+            ZoneHealth::Dark => 0.0,
         }
     }
 
@@ -140,43 +140,45 @@
         let share = sum.usable / self.usual;
         let enough = |times: f64| sum.able / self.usual * headroom >= times;
         let to = match from {
-            Health::Whole | Health::Thinned if share < DARK => Health::Dark,
-            Health::Whole if !enough(1.0) => Health::Thinned,
-            Health::Thinned if enough(WELL.min(headroom)) => {
+            ZoneHealth::Whole | ZoneHealth::Thinned if share < DARK => ZoneHealth::Dark,
+            ZoneHealth::Whole if !enough(1.0) => ZoneHealth::Thinned,
+            ZoneHealth::Thinned if enough(WELL.min(headroom)) => {
                 let since = *self.better.get_or_insert(now);
                 if now.saturating_sub(since) >= STEADY {
-                    Health::Whole
+                    ZoneHealth::Whole
                 } else {
-                    Health::Thinned
+                    ZoneHealth::Thinned
                 }
             }
             // What was left when it went is no return; but what stays for a while is something.
-            Health::Dark if sum.usable > self.floor => Health::Returning,
-            Health::Dark if share > 0.0 && now.saturating_sub(self.lost) > STEADY => {
-                Health::Returning
+            ZoneHealth::Dark if sum.usable > self.floor => ZoneHealth::Returning,
+            ZoneHealth::Dark if share > 0.0 && now.saturating_sub(self.lost) > STEADY => {
+                ZoneHealth::Returning
             }
             // It goes again: at once, and what is left of a return counts for nothing.
-            Health::Returning if share <= 0.0 || sum.usable < self.peak / 2.0 => Health::Dark,
+            ZoneHealth::Returning if share <= 0.0 || sum.usable < self.peak / 2.0 => {
+                ZoneHealth::Dark
+            }
             // Cold ones open by passes only: alone they can't carry what comes, however long the ramp has been.
-            Health::Returning if self.back(now) >= 1.0 && sum.able > 0.99 * sum.usable => {
+            ZoneHealth::Returning if self.back(now) >= 1.0 && sum.able > 0.99 * sum.usable => {
                 match enough(1.0) {
-                    true => Health::Whole,
-                    false => Health::Thinned,
+                    true => ZoneHealth::Whole,
+                    false => ZoneHealth::Thinned,
                 }
             }
             same => same,
         };
-        if from != Health::Thinned || !enough(WELL.min(headroom)) {
+        if from != ZoneHealth::Thinned || !enough(WELL.min(headroom)) {
             self.better = None;
         }
-        if to == Health::Dark {
-            self.floor = if from == Health::Dark {
+        if to == ZoneHealth::Dark {
+            self.floor = if from == ZoneHealth::Dark {
                 self.floor.min(sum.usable)
             } else {
                 sum.usable
             };
         }
-        if to == Health::Returning {
+        if to == ZoneHealth::Returning {
             self.peak = self.peak.max(sum.usable);
         }
         if to == from {
@@ -184,7 +186,7 @@
         }
         self.health = to;
         match to {
-            Health::Dark => {
+            ZoneHealth::Dark => {
                 // Guards against a zone that flaps and drags the others to and fro: each loss soon after the last
                 // doubles the way back.
                 let soon = self.losses > 0 && now.saturating_sub(self.lost) < CALM;
@@ -195,15 +197,15 @@
                 };
                 self.lost = now;
             }
-            Health::Returning => {
+            ZoneHealth::Returning => {
                 self.back_since = now;
                 self.peak = sum.usable;
                 self.back_over =
                     back_over * (1 << (self.losses.saturating_sub(1)).min(MOST_DOUBLED));
             }
-            Health::Whole | Health::Thinned => {}
+            ZoneHealth::Whole | ZoneHealth::Thinned => {}
         }
-        let why = (to == Health::Dark).then_some(if sum.count > 0 {
+        let why = (to == ZoneHealth::Dark).then_some(if sum.count > 0 {
             Why::Unreached
         } else {
             Why::Gone
@@ -224,27 +226,27 @@
         let share = 100.0 * self.sum.able / self.usual.max(1e-9);
         let Sum { count, reached, .. } = self.sum;
         match (self.to, self.why) {
-            (Health::Dark, Some(Why::Unreached)) => {
+            (ZoneHealth::Dark, Some(Why::Unreached)) => {
                 write!(
                     f,
                     "is dark from here: the list has {count} up, none can be reached"
                 )
             }
-            (Health::Dark, _) => write!(f, "is dark: the list has none up"),
-            (Health::Returning, _) => {
+            (ZoneHealth::Dark, _) => write!(f, "is dark: the list has none up"),
+            (ZoneHealth::Returning, _) => {
                 write!(
                     f,
                     "returns: {reached} of {count} up can be reached; full share in {:.1?}",
                     self.back_over
                 )
             }
-            (Health::Thinned, _) => {
+            (ZoneHealth::Thinned, _) => {
                 write!(
                     f,
                     "is thinned: {reached} of {count} up can be reached, {share:.0}% of its usual weight"
                 )
             }
-            (Health::Whole, _) => {
+            (ZoneHealth::Whole, _) => {
                 write!(
                     f,
                     "is whole: {reached} of {count} up can be reached, {share:.0}% of its usual weight"
@@ -272,8 +274,8 @@
         }
     }
 
-    /// Health after each of the sums, one a second, from ten that are up; ways back take 8 s.
-    fn seen(sums: &[Sum]) -> Vec<Health> {
+    /// ZoneHealth after each of the sums, one a second, from ten that are up; ways back take 8 s.
+    fn seen(sums: &[Sum]) -> Vec<ZoneHealth> {
         let mut zone = Zone::default();
         zone.see(Duration::ZERO, sum(10, 10, 1.0), 1.4, 8 * SECOND);
         let see = |(n, sum): (usize, &Sum)| {
@@ -283,7 +285,7 @@
         sums.iter().enumerate().map(see).collect()
     }
 
-    use Health::{Dark, Returning, Thinned, Whole};
+    use ZoneHealth::{Dark, Returning, Thinned, Whole};
 
     #[rstest]
     #[case::one_less(&[sum(9, 9, 1.0)], &[Whole])]
@@ -297,7 +299,7 @@
     )]
     #[case::first_one_back(&[sum(0, 0, 1.0), sum(1, 1, 0.13), sum(10, 10, 0.2)], &[Dark, Returning, Returning])]
     #[case::goes_again(&[sum(0, 0, 1.0), sum(8, 8, 0.13), sum(3, 3, 0.2)], &[Dark, Returning, Dark])]
-    fn a_zone_turns_by_what_can_be_used_of_it(#[case] sums: &[Sum], #[case] health: &[Health]) {
+    fn a_zone_turns_by_what_can_be_used_of_it(#[case] sums: &[Sum], #[case] health: &[ZoneHealth]) {
         assert_eq!(seen(sums), health);
     }
 
--- a/crates/passroad-wirehost/src/host.rs
+++ b/crates/passroad-wirehost/src/host.rs
@@ -324,7 +324,8 @@
                 self.filling = (lines > 0).then_some((list, lines));
             }
             "HELLO" => {
-                let orders = passroad_orders::read(line.whole("prng")?, line.need("config")?)?;
+                let orders =
+                    passroad_orders::config_from_text(line.whole("prng")?, line.need("config")?)?;
                 self.instances
                     .insert(line.whole("i")?, Instance::new(orders));
             }
--- a/crates/passroad-wirehost/src/tests.rs
+++ b/crates/passroad-wirehost/src/tests.rs
@@ -117,7 +117,7 @@
 #[case(Action::Disconnect { endpoint: 0 }, "DISCONNECT i=3 endpoint=10.0.0.1:9")]
 fn actions_that_few_sites_use_are_written(#[case] action: Action, #[case] line: &str) {
     let settings = r#"{"verbs":[{"name":"v","effect":"read_like"}]}"#;
-    let mut instance = Instance::new(passroad_orders::read(1, settings).unwrap());
+    let mut instance = Instance::new(passroad_orders::config_from_text(1, settings).unwrap());
     instance.endpoints.intern(&"10.0.0.1:9".to_string());
     let mut reply = String::new();
     instance.write(3, &action, &mut reply).unwrap();
--- a/crates/passroad/src/desk.rs
+++ b/crates/passroad/src/desk.rs
@@ -9,7 +9,7 @@
     Action, BalancerConfig, CommandArrival, CommandIndex, EndpointIndex, EndpointState, Event,
     LearnedState, ListUpdateKind, ListedEndpoint, ReportMode,
 };
-use passroad_routes::{RouteOrders, Steered};
+use passroad_routes::{RoutedBalancer, RoutesConfig};
 use std::collections::{BTreeSet, HashSet, VecDeque};
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -67,7 +67,7 @@
 }
 
 struct Held {
-    balancer: Steered,
+    balancer: RoutedBalancer,
     reports: ReportMode,
     commands: Interner<u64>,
     admitted: u64,
@@ -87,7 +87,7 @@
     pub fn new(
         mut orders: BalancerConfig,
         mut watch: Option<BalancerConfig>,
-        routes: Option<RouteOrders>,
+        routes: Option<RoutesConfig>,
         dialer: Dialer,
         probe_within: Duration,
         calls: UnboundedSender<Call>,
@@ -113,7 +113,7 @@
             }),
             held: Mutex::new(Held {
                 reports: orders.report_mode,
-                balancer: Steered::new(orders, watch, routes),
+                balancer: RoutedBalancer::new(orders, watch, routes),
                 commands: Interner::new(),
                 admitted: 0,
                 seats: Vec::new(),
@@ -161,7 +161,7 @@
     pub async fn tell_watch(self: Arc<Self>, every: Duration) {
         loop {
             tokio::time::sleep(every).await;
-            if self.held().balancer.counts().is_none() {
+            if self.held().balancer.shadow_counts().is_none() {
                 return log::info!("the watch has ended");
             }
             self.say_watch();
@@ -169,7 +169,7 @@
     }
 
     pub fn say_watch(&self) {
-        if let Some(counts) = self.held().balancer.counts() {
+        if let Some(counts) = self.held().balancer.shadow_counts() {
             log::info!(
                 same = counts.same, elsewhere = counts.elsewhere, turned_away = counts.refused,
                 waited = counts.queued, no_copy = counts.hedges, taken = counts.admitted, sooner = counts.earlier,
@@ -239,7 +239,8 @@
                 continue;
             }
             let endpoint = held.endpoints.intern(&member.id);
-            held.balancer.name(endpoint, &member.id, &member.flavor);
+            held.balancer
+                .register_endpoint(endpoint, &member.id, &member.flavor);
             let len = held.members.len().max(endpoint + 1);
             held.members.resize(len, None);
             let anew = held.members[endpoint]
@@ -299,7 +300,8 @@
             open: Vec::new(),
             descriptors,
             learnt: serde_json::to_value(
-                held.balancer.memory(|at| held.endpoints.name(at).cloned()),
+                held.balancer
+                    .learned_state(|at| held.endpoints.name(at).cloned()),
             )
             .unwrap_or_default(),
         }
@@ -357,7 +359,7 @@
     pub fn machines(&self) -> Vec<(Member, Option<f64>, bool)> {
         let held = self.held();
         let all = held.members.iter().enumerate();
-        let seems = |at: usize| held.balancer.seems(at);
+        let seems = |at: usize| held.balancer.endpoint_load(at);
         all.filter_map(|(at, member)| Some((member.clone()?, seems(at).0, seems(at).1)))
             .collect()
     }
@@ -397,10 +399,10 @@
     pub fn retune(
         self: &Arc<Self>,
         mut orders: BalancerConfig,
-        routes: Option<RouteOrders>,
+        routes: Option<RoutesConfig>,
     ) -> Result<Vec<usize>, String> {
         let mut held = self.held();
-        if !held.balancer.may_retune(&orders, routes.as_ref()) {
+        if !held.balancer.can_reconfigure(&orders, routes.as_ref()) {
             return Err(
                 "routes: other pools or zones, or routes where there were none, wait for the next start"
                     .into(),
@@ -412,7 +414,7 @@
         // Connections are kept as at the start.
         orders.idle_close = self.dialer.idle();
         held.reports = orders.report_mode;
-        let (actions, verbs) = held.balancer.retune(self.now(), orders, routes);
+        let (actions, verbs) = held.balancer.reconfigure(self.now(), orders, routes);
         self.carry_out(&mut held, actions);
         Ok(verbs)
     }
--- a/crates/passroad/src/start.rs
+++ b/crates/passroad/src/start.rs
@@ -4,7 +4,7 @@
 use crate::fleet;
 use crate::members::List;
 use passroad_choice::BalancerConfig;
-use passroad_routes::RouteOrders;
+use passroad_routes::RoutesConfig;
 use serde::Deserialize;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -28,7 +28,7 @@
     pub watch: Option<Watch>,
     pub connect_within: Duration,
     /// Which pool serves what, where a file says so.
-    pub routes: Option<RouteOrders>,
+    pub routes: Option<RoutesConfig>,
     /// Its part in the fleet, where a file asks for one.
     pub fleet: Option<(fleet::FleetOrders, fleet::Place)>,
     /// The whole file.
@@ -192,9 +192,10 @@
 }
 
 /// Reads the file of routes that `LB_ROUTES` names, against the settings that it is to work with.
-fn read_routes(path: &Path, orders: &BalancerConfig) -> Result<RouteOrders, String> {
+fn read_routes(path: &Path, orders: &BalancerConfig) -> Result<RoutesConfig, String> {
     let text = std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))?;
-    passroad_routes::read(&text, orders).map_err(|wrong| format!("{}: {wrong}", path.display()))
+    passroad_routes::parse_routes(&text, orders)
+        .map_err(|wrong| format!("{}: {wrong}", path.display()))
 }
 
 /// Caught from before the sidecar says that it is ready: by default the signal would end it.
@@ -246,7 +247,7 @@
 /// The configuration in force, and what of it stays so until the process ends.
 pub struct Kept {
     told: serde_json::Value,
-    routes: Option<RouteOrders>,
+    routes: Option<RoutesConfig>,
     discovery: watch::Sender<SocketAddr>,
     at_start: [(&'static str, serde_json::Value); 6],
 }
@@ -366,8 +367,8 @@
         sockets: told.limits.sockets,
         memory: (told.limits.memory_mb.clamp(1.0, 1e6) * 1e6) as usize,
         known: told.known,
-        connect_within: passroad_orders::connect_within(&told.settings)?,
-        orders: passroad_orders::from_value(seed, &told.settings)?,
+        connect_within: passroad_orders::connect_timeout(&told.settings)?,
+        orders: passroad_orders::config_from_value(seed, &told.settings)?,
         routes: None,
         fleet: None,
         name: told
@@ -398,7 +399,7 @@
     }
     let mut whole = settings.clone();
     lay_over(&mut whole, &watch.settings);
-    let orders = passroad_orders::from_value(seed, &whole)?;
+    let orders = passroad_orders::config_from_value(seed, &whole)?;
     Ok(Watch {
         orders,
         every: Duration::from_secs_f64(watch.every_s),
--- a/crates/passroad/tests/discovery.rs
+++ b/crates/passroad/tests/discovery.rs
@@ -310,7 +310,7 @@
 
 fn balancer(seed: u64, settings: &str) -> Balancer {
     let settings = serde_json::from_str(settings).unwrap();
-    Balancer::new(passroad_orders::from_value(seed, &settings).unwrap())
+    Balancer::new(passroad_orders::config_from_value(seed, &settings).unwrap())
 }
 
 /// What the module says to a call that was refused: the wait until the next.
