--- a/crates/passroad-routes/src/router.rs
+++ b/crates/passroad-routes/src/router.rs
@@ -1,229 +1,268 @@
-//! Which endpoints are in play for a command. A pool's home tier keeps its traffic while it can; what it can't carry
-//! spills to the first further tier with something up, as far as the allowance goes, and comes back little by little.
-//! No input or output, no clock: what is seen comes in, plays go out.
+//! Chooses the weight set for each command. The home tier of a pool keeps its traffic while it can carry it. The rest
+//! spills to the first lower-priority tier with a usable endpoint, within the rate limit, and is ramped back when home
+//! recovers. Sans-I/O and without a clock: events come in, weights and decisions go out.
 
-use crate::spill::Spill;
-use crate::text::{PoolConfig, RoutesConfig, ZoneSelector};
-use crate::zone::{Sum, Zone, ZoneHealth};
+use crate::config::{PoolConfig, RoutesConfig, ZoneSelector};
+use crate::spillover::SpilloverLimiter;
+use crate::zone::{Zone, ZoneHealth, ZoneSummary};
 use passroad_choice::{
     BalancerConfig, EndpointIndex, EndpointState, ListedEndpoint, LoadReport, Outcome,
 };
 use std::time::Duration;
 
-/// Plays of a pool: three each, in this order.
+/// Weight sets of a pool, in the order of their indices. This one has the home tier only.
 const HOME: usize = 0;
-/// Home as far as it is open, and a few beyond it, for what comes back and for trials.
-const BOTH: usize = 1;
-const AWAY: usize = 2;
-const PLAYS: usize = 3;
+/// Home, and the receiving tier at [`LOW_WEIGHT`]: for recovering zones and for trials.
+const MIXED: usize = 1;
+/// The receiving tier only.
+const SPILLOVER: usize = 2;
+const WEIGHT_SETS: usize = 3;
 
-const LOOK: Duration = Duration::from_millis(100); // between two looks at the zones
-const MISSES: u32 = 2; // in a row, and an endpoint can't be reached
-const BEYOND: f64 = 0.1; // weight of a further zone where home comes first
-const TRIAL: u32 = 10; // of so many that spill one looks whether home is back
-const RATE_OVER: Duration = Duration::from_secs(4);
-const LATE: f64 = 0.85; // of a goal; an answer as late is strain, as for the module's limits
-const NOTEWORTHY: f64 = 0.02; // change of a weight that the module is told of
+const UPDATE_INTERVAL: Duration = Duration::from_millis(100);
+/// Consecutive failures to reach an endpoint after which it counts as unreachable.
+const UNREACHABLE_FAILURES: u32 = 2;
+/// Weight of the receiving tier in [`MIXED`], and the lowest weight of a recovering home zone.
+const LOW_WEIGHT: f64 = 0.1;
+/// One of so many spilled commands is a trial that may reach a home tier which is down.
+const TRIAL_INTERVAL: u32 = 10;
+const RATE_WINDOW: Duration = Duration::from_secs(4);
+/// Share of the deadline target after which an answer counts as late, as in the limits of the decision module.
+const LATE_SHARE: f64 = 0.85;
+/// Changes of a weight below this are not reported to the decision module.
+const MIN_WEIGHT_CHANGE: f64 = 0.02;
+/// Consecutive connect failures after which the decision module treats an endpoint as cold when it answers again.
+const COLD_AFTER_FAILURES: u32 = 3;
 
 #[derive(Debug, Clone)]
-struct Member {
+struct Endpoint {
     zone: usize,
-    weight: f64, // the list's
-    up: bool,
-    started: Duration,
-    misses: u32,
-    away: u32, // times in a row that the module could not reach it: from three on it takes it for cold
-    factors: Vec<f64>, // by pool, nothing where it does not belong
-    plays: Vec<f64>, // as the module was last told
+    weight: f64, // from the list
+    running: bool,
+    started_at: Duration,
+    failures: u32,              // consecutive failures to reach it
+    connect_failures: u32,      // consecutive, as counted by the decision module
+    pool_weights: Vec<f64>,     // by pool, 0 where the endpoint doesn't belong to it
+    reported_weights: Vec<f64>, // by weight set, as last reported to the decision module
 }
 
-/// Counts a second, over the last few.
+/// Rate of events per second over a decaying window.
 #[derive(Debug, Clone, Copy, Default)]
 struct Rate {
     sum: f64,
-    at: Duration,
-    from: Option<Duration>,
+    updated_at: Duration,
+    first_event: Option<Duration>,
 }
 
 impl Rate {
-    fn left(&self, now: Duration) -> f64 {
-        let spans = now.saturating_sub(self.at).as_secs_f64() / RATE_OVER.as_secs_f64();
-        (1.0 - spans / 16.0).max(0.0).powi(16)
+    /// Approximates exponential decay since the last event.
+    fn decay(&self, now: Duration) -> f64 {
+        let periods = now.saturating_sub(self.updated_at).as_secs_f64() / RATE_WINDOW.as_secs_f64();
+        (1.0 - periods / 16.0).max(0.0).powi(16)
     }
 
     fn add(&mut self, now: Duration) {
-        self.sum = self.sum * self.left(now) + 1.0;
-        self.at = now;
-        self.from.get_or_insert(now);
+        self.sum = self.sum * self.decay(now) + 1.0;
+        self.updated_at = now;
+        self.first_event.get_or_insert(now);
     }
 
-    fn read(&self, now: Duration) -> f64 {
+    fn per_second(&self, now: Duration) -> f64 {
         let age = now
-            .saturating_sub(self.from.unwrap_or(now))
-            .clamp(RATE_OVER / 16, RATE_OVER);
-        self.sum * self.left(now) / age.as_secs_f64()
+            .saturating_sub(self.first_event.unwrap_or(now))
+            .clamp(RATE_WINDOW / 16, RATE_WINDOW);
+        self.sum * self.decay(now) / age.as_secs_f64()
     }
 }
 
 struct Pool {
-    order: PoolConfig,
-    tiers: Vec<Vec<usize>>, // zones, as far as they are known
+    config: PoolConfig,
+    tiers: Vec<Vec<usize>>, // zones of each tier that the list has named so far
     zones: Vec<Zone>,
-    rate: Rate,
-    spill: Spill,
-    spilt: u32,
-    needs: bool,              // home does not carry all
-    receivers: Option<usize>, // the tier that spill goes to
-    told: Option<usize>,
+    command_rate: Rate,
+    limiter: SpilloverLimiter,
+    spilled: u32,
+    needs_spillover: bool,         // home can't carry all of its traffic
+    receiving_tier: Option<usize>, // where commands spill to
+    logged_tier: Option<usize>,
 }
 
-/// What a command may do.
+/// What happens to a command.
 #[derive(Debug, Clone, PartialEq)]
 pub enum RoutingDecision {
     Admit {
         weight_set: usize,
     },
-    /// More than may spill: the answer is now, and when to come back.
+    /// More commands than may spill: the client is told at once when to retry.
     Refuse {
         retry_after: Duration,
     },
 }
 
+/// Tracks the health of each pool's zones and routes commands to weight sets.
 pub struct Router {
-    orders: RoutesConfig,
+    config: RoutesConfig,
     pools: Vec<Pool>,
-    members: Vec<Option<Member>>,
-    out: Vec<bool>,                       // by hand, by slot
-    names: Vec<Option<(String, String)>>, // id and kind, by slot
+    endpoints: Vec<Option<Endpoint>>,
+    cordoned: Vec<bool>,                  // by endpoint
+    names: Vec<Option<(String, String)>>, // id and kind, by endpoint
     own_zone: usize,
     zone_names: Vec<String>,
-    worth: Vec<f64>, // by verb, against the one worth most
-    cold_from: f64,
-    warm_within: Duration,
-    dice: u64,
-    looked: Option<Duration>,
+    class_values: Vec<f64>, // utility by request class, relative to the highest
+    cold_capacity: f64,
+    warm_up_time: Duration,
+    rng_state: u64,
+    updated_at: Option<Duration>,
     dirty: bool,
-    lines: Vec<String>,
+    log_lines: Vec<String>,
 }
 
 impl Router {
-    pub fn new(routes: RoutesConfig, orders: &BalancerConfig) -> Self {
-        let best = orders
+    pub fn new(routes: RoutesConfig, config: &BalancerConfig) -> Self {
+        let best = config
             .classes
             .iter()
-            .map(|v| v.utility)
+            .map(|class| class.utility)
             .fold(1e-9, f64::max);
-        let pool = |order: &PoolConfig| Pool {
+        let pool = |pool: &PoolConfig| Pool {
             tiers: Vec::new(),
             zones: Vec::new(),
-            rate: Rate::default(),
-            spill: Spill::new(order.most, order.per_second, order.ceiling, order.trickle),
-            spilt: 0,
-            needs: false,
-            receivers: None,
-            told: None,
-            order: order.clone(),
+            command_rate: Rate::default(),
+            limiter: SpilloverLimiter::new(
+                pool.max_spill_share,
+                pool.max_spill_rate,
+                pool.max_receiver_load,
+                pool.min_spill_share,
+            ),
+            spilled: 0,
+            needs_spillover: false,
+            receiving_tier: None,
+            logged_tier: None,
+            config: pool.clone(),
         };
         Router {
             pools: routes.pools.iter().map(pool).collect(),
-            orders: routes,
-            members: Vec::new(),
-            out: Vec::new(),
+            config: routes,
+            endpoints: Vec::new(),
+            cordoned: Vec::new(),
             names: Vec::new(),
-            own_zone: orders.own_zone,
-            zone_names: orders.zones.clone(),
-            worth: orders.classes.iter().map(|v| v.utility / best).collect(),
-            cold_from: orders.cold_capacity.clamp(0.01, 1.0),
-            warm_within: orders.warm_up_time,
-            dice: orders.seed.rotate_left(17) | 1,
-            looked: None,
+            own_zone: config.own_zone,
+            zone_names: config.zones.clone(),
+            class_values: config
+                .classes
+                .iter()
+                .map(|class| class.utility / best)
+                .collect(),
+            cold_capacity: config.cold_capacity.clamp(0.01, 1.0),
+            warm_up_time: config.warm_up_time,
+            rng_state: config.seed.rotate_left(17) | 1,
+            updated_at: None,
             dirty: true,
-            lines: Vec::new(),
+            log_lines: Vec::new(),
         }
     }
 
-    /// Whether the pools and zones are those in force; only which commands go where may change.
-    pub fn can_reconfigure(&self, orders: &BalancerConfig, routes: &RoutesConfig) -> bool {
-        routes.pools == self.orders.pools && orders.zones == self.zone_names
+    /// Whether a configuration can replace the current one. Pools and zones must stay; only the routes may change.
+    pub fn can_reconfigure(&self, config: &BalancerConfig, routes: &RoutesConfig) -> bool {
+        routes.pools == self.config.pools && config.zones == self.zone_names
     }
 
-    pub fn reconfigure(&mut self, orders: &BalancerConfig, routes: RoutesConfig) {
-        let best = orders
+    pub fn reconfigure(&mut self, config: &BalancerConfig, routes: RoutesConfig) {
+        let best = config
             .classes
             .iter()
-            .map(|v| v.utility)
+            .map(|class| class.utility)
             .fold(1e-9, f64::max);
-        self.worth = orders.classes.iter().map(|v| v.utility / best).collect();
-        self.orders = routes;
+        self.class_values = config
+            .classes
+            .iter()
+            .map(|class| class.utility / best)
+            .collect();
+        self.config = routes;
     }
 
-    /// Multiply-with-carry, as in the decision module; a number from 0 up to 1.
-    fn chance(&mut self) -> f64 {
-        self.dice = (self.dice & 0xffff_ffff) * 4_294_957_665 + (self.dice >> 32);
-        (self.dice & 0xffff_ffff) as f64 / 4_294_967_296.0
+    /// Multiply-with-carry generator, as in the decision module; uniform in [0, 1).
+    fn random(&mut self) -> f64 {
+        self.rng_state = (self.rng_state & 0xffff_ffff) * 4_294_957_665 + (self.rng_state >> 32);
+        (self.rng_state & 0xffff_ffff) as f64 / 4_294_967_296.0
     }
 
-    /// What the slot of an endpoint is called outside, before a list speaks of it.
+    /// Records the id and kind of an endpoint index. Must precede the first list with that index.
     pub fn register_endpoint(&mut self, endpoint: EndpointIndex, id: &str, kind: &str) {
         self.names.resize(self.names.len().max(endpoint + 1), None);
         self.names[endpoint] = Some((id.into(), kind.into()));
     }
 
-    /// The slot is another's from here on.
+    /// Forgets an endpoint, as its index is about to be reused.
     pub fn release_endpoint(&mut self, endpoint: EndpointIndex) {
-        if let Some(member) = self.members.get_mut(endpoint) {
-            *member = None;
+        if let Some(slot) = self.endpoints.get_mut(endpoint) {
+            *slot = None;
             self.dirty = true;
         }
     }
 
-    /// Operators take an endpoint out or call it back.
-    pub fn set_cordoned(&mut self, endpoint: EndpointIndex, out: bool) {
-        self.out.resize(self.out.len().max(endpoint + 1), false);
-        self.out[endpoint] = out;
+    pub fn set_cordoned(&mut self, endpoint: EndpointIndex, cordoned: bool) {
+        self.cordoned
+            .resize(self.cordoned.len().max(endpoint + 1), false);
+        self.cordoned[endpoint] = cordoned;
         self.dirty = true;
     }
 
-    /// Takes in a list; a whole one leaves out what is gone.
-    pub fn apply_list(&mut self, whole: bool, entries: &[ListedEndpoint]) {
-        if whole {
-            self.members.iter_mut().flatten().for_each(|m| m.up = false);
+    /// Applies a list update. In a full list, endpoints that are missing no longer run.
+    pub fn apply_list(&mut self, full: bool, entries: &[ListedEndpoint]) {
+        if full {
+            self.endpoints
+                .iter_mut()
+                .flatten()
+                .for_each(|endpoint| endpoint.running = false);
         }
         for entry in entries {
-            self.members
-                .resize(self.members.len().max(entry.endpoint + 1), None);
+            self.endpoints
+                .resize(self.endpoints.len().max(entry.endpoint + 1), None);
             let name = self.names.get(entry.endpoint).and_then(Option::as_ref);
             let (id, kind) = name.map_or(("", ""), |(id, kind)| (id.as_str(), kind.as_str()));
-            let factor = |pool: &PoolConfig| {
+            let pool_weight = |pool: &PoolConfig| {
                 let by_label = pool.labels.is_empty()
-                    || pool.labels.iter().any(|l| id.starts_with(l.as_str()));
+                    || pool
+                        .labels
+                        .iter()
+                        .any(|label| id.starts_with(label.as_str()));
                 let by_kind = pool.kinds.is_empty() || pool.kinds.iter().any(|k| k == kind);
                 let weight = pool.weights.get(kind).copied().unwrap_or(1.0);
                 if by_label && by_kind { weight } else { 0.0 }
             };
-            let factors = self.orders.pools.iter().map(factor).collect();
-            let before = self.members[entry.endpoint].take();
-            let anew = before.as_ref().is_none_or(|m| entry.started_at > m.started);
-            self.members[entry.endpoint] = Some(Member {
+            let pool_weights = self.config.pools.iter().map(pool_weight).collect();
+            let previous = self.endpoints[entry.endpoint].take();
+            let restarted = previous
+                .as_ref()
+                .is_none_or(|endpoint| entry.started_at > endpoint.started_at);
+            self.endpoints[entry.endpoint] = Some(Endpoint {
                 zone: entry.zone,
                 weight: entry.weight.clamp(0.01, 1e6),
-                up: entry.state == EndpointState::Running,
-                started: entry.started_at.max(
-                    before
+                running: entry.state == EndpointState::Running,
+                started_at: entry.started_at.max(
+                    previous
                         .as_ref()
-                        .filter(|_| !anew)
-                        .map_or(Duration::ZERO, |m| m.started),
+                        .filter(|_| !restarted)
+                        .map_or(Duration::ZERO, |endpoint| endpoint.started_at),
                 ),
-                misses: before.as_ref().filter(|_| !anew).map_or(0, |m| m.misses),
-                away: before.as_ref().filter(|_| !anew).map_or(0, |m| m.away),
-                factors,
-                plays: before.map_or_else(Vec::new, |m| m.plays),
+                failures: previous
+                    .as_ref()
+                    .filter(|_| !restarted)
+                    .map_or(0, |endpoint| endpoint.failures),
+                connect_failures: previous
+                    .as_ref()
+                    .filter(|_| !restarted)
+                    .map_or(0, |endpoint| endpoint.connect_failures),
+                pool_weights,
+                reported_weights: previous
+                    .map_or_else(Vec::new, |endpoint| endpoint.reported_weights),
             });
         }
         self.dirty = true;
     }
 
-    /// How a relay of a command ended, or a probe, which has no verb and no goal.
+    /// Records the outcome of a relay or probe. `lateness` is the elapsed time as a share of the deadline target, none
+    /// for a probe.
     pub fn record_outcome(
         &mut self,
         now: Duration,
@@ -232,303 +271,335 @@
         lateness: Option<f64>,
         report: Option<&LoadReport>,
     ) {
-        let Some(member) = self.members.get_mut(endpoint).and_then(Option::as_mut) else {
+        let Some(endpoint) = self.endpoints.get_mut(endpoint).and_then(Option::as_mut) else {
             return;
         };
-        let before = member.misses >= MISSES;
+        let was_unreachable = endpoint.failures >= UNREACHABLE_FAILURES;
         match outcome {
-            Outcome::ConnectFailed => member.away += 1,
-            Outcome::TimedOut if lateness.is_none() => member.away += 1,
-            // As the module does: it may be another process than before, and gets its share by passes only.
+            Outcome::ConnectFailed => endpoint.connect_failures += 1,
+            Outcome::TimedOut if lateness.is_none() => endpoint.connect_failures += 1,
+            // The process may have been restarted. Like the decision module, treat it as cold, so that it gets its
+            // share of the traffic by slow-start permits only.
             Outcome::Answered
-                if std::mem::take(&mut member.away) >= 3
-                    && now.saturating_sub(member.started) > self.warm_within =>
+                if std::mem::take(&mut endpoint.connect_failures) >= COLD_AFTER_FAILURES
+                    && now.saturating_sub(endpoint.started_at) > self.warm_up_time =>
             {
-                member.started = now;
+                endpoint.started_at = now;
                 self.dirty = true;
             }
             _ => {}
         }
         match outcome {
             Outcome::Answered | Outcome::Error | Outcome::Overloaded | Outcome::Rejected => {
-                member.misses = 0
+                endpoint.failures = 0
             }
             Outcome::ConnectFailed | Outcome::TimedOut => {
-                member.misses = member.misses.saturating_add(1)
+                endpoint.failures = endpoint.failures.saturating_add(1)
             }
             Outcome::ConnectionLost | Outcome::Cancelled | Outcome::NotSent => {}
         }
-        self.dirty |= before != (member.misses >= MISSES);
-        for (pool, factor) in self.pools.iter_mut().zip(&member.factors) {
+        self.dirty |= was_unreachable != (endpoint.failures >= UNREACHABLE_FAILURES);
+        for (pool, weight) in self.pools.iter_mut().zip(&endpoint.pool_weights) {
             let receives = pool
-                .receivers
-                .is_some_and(|tier| pool.tiers[tier].contains(&member.zone));
-            // Guards against a pool that is held back by how another's endpoints in the same zone are.
-            if !receives || *factor <= 0.0 {
+                .receiving_tier
+                .is_some_and(|tier| pool.tiers[tier].contains(&endpoint.zone));
+            // Prevents a pool from being throttled by the load of another pool's endpoints in the same zone.
+            if !receives || *weight <= 0.0 {
                 continue;
             }
-            if let Some(busy) = report.and_then(|r| r.utilization) {
-                pool.spill.heard(now, busy);
+            if let Some(utilization) = report.and_then(|report| report.utilization) {
+                pool.limiter.record_load(now, utilization);
             }
-            if let Some(late) = lateness {
+            if let Some(lateness) = lateness {
                 let bad = match outcome {
-                    Outcome::Answered => late > LATE,
+                    Outcome::Answered => lateness > LATE_SHARE,
                     Outcome::TimedOut => true,
-                    // Short of connections is not short of time: what is heard of the load says which it was.
+                    // The endpoint may only be out of connections; the reported load tells whether it is overloaded.
                     Outcome::Overloaded => pool
-                        .spill
-                        .load(now)
-                        .is_none_or(|load| load > pool.order.ceiling),
+                        .limiter
+                        .receiver_load(now)
+                        .is_none_or(|load| load > pool.config.max_receiver_load),
                     Outcome::ConnectFailed | Outcome::Cancelled | Outcome::NotSent => continue,
                     Outcome::Error | Outcome::ConnectionLost | Outcome::Rejected => false,
                 };
-                pool.spill.ended(now, bad);
+                pool.limiter.record_outcome(now, bad);
             }
         }
     }
 
-    fn ramp(&self, now: Duration, member: &Member) -> f64 {
-        let age = now.saturating_sub(member.started);
-        if member.started.is_zero() || age >= self.warm_within {
+    /// Share of its full capacity that an endpoint has reached since its start.
+    fn warm_up_factor(&self, now: Duration, endpoint: &Endpoint) -> f64 {
+        let age = now.saturating_sub(endpoint.started_at);
+        if endpoint.started_at.is_zero() || age >= self.warm_up_time {
             return 1.0;
         }
-        let share = age.as_secs_f64() / self.warm_within.as_secs_f64().max(1e-3);
-        self.cold_from + (1.0 - self.cold_from) * share
+        let progress = age.as_secs_f64() / self.warm_up_time.as_secs_f64().max(1e-3);
+        self.cold_capacity + (1.0 - self.cold_capacity) * progress
     }
 
-    /// Zones of each tier, as far as the list has named any.
-    fn tiers(&self, pool: &PoolConfig, zones: usize) -> Vec<Vec<usize>> {
+    /// Zones of each tier, as far as the list has named them.
+    fn resolve_tiers(&self, pool: &PoolConfig, zone_count: usize) -> Vec<Vec<usize>> {
         let named: Vec<usize> = pool
             .tiers
             .iter()
             .flatten()
-            .filter_map(|place| match place {
+            .filter_map(|selector| match selector {
                 ZoneSelector::Own => Some(self.own_zone),
                 ZoneSelector::Zone(zone) => Some(*zone),
                 ZoneSelector::Rest => None,
             })
             .collect();
-        let of = |place: &ZoneSelector| match place {
+        let selected = |selector: &ZoneSelector| match selector {
             ZoneSelector::Own => vec![self.own_zone],
             ZoneSelector::Zone(zone) => vec![*zone],
-            ZoneSelector::Rest => (0..zones).filter(|z| !named.contains(z)).collect(),
+            ZoneSelector::Rest => (0..zone_count).filter(|z| !named.contains(z)).collect(),
         };
         pool.tiers
             .iter()
-            .map(|tier| tier.iter().flat_map(of).filter(|z| *z < zones).collect())
+            .map(|tier| {
+                tier.iter()
+                    .flat_map(selected)
+                    .filter(|z| *z < zone_count)
+                    .collect()
+            })
             .collect()
     }
 
-    /// Looks at the zones and gives the weights that have changed: for each play, endpoints and theirs.
+    /// Updates the health of all zones, if anything changed or the interval has passed, and returns the changed weights
+    /// as weight set, endpoint and weight.
     pub fn update_weights(&mut self, now: Duration) -> Vec<(usize, EndpointIndex, f64)> {
-        let due = self.looked.is_none_or(|at| now.saturating_sub(at) >= LOOK);
+        let due = self
+            .updated_at
+            .is_none_or(|at| now.saturating_sub(at) >= UPDATE_INTERVAL);
         if !self.dirty && !due {
             return Vec::new();
         }
-        (self.looked, self.dirty) = (Some(now), false);
-        let zones = self
-            .members
+        (self.updated_at, self.dirty) = (Some(now), false);
+        let zone_count = self
+            .endpoints
             .iter()
             .flatten()
-            .map(|m| m.zone + 1)
+            .map(|endpoint| endpoint.zone + 1)
             .max()
             .unwrap_or_default();
         for n in 0..self.pools.len() {
-            let mut sums = vec![Sum::default(); zones];
-            let by_hand = |at: usize| self.out.get(at).copied().unwrap_or_default();
-            let members = self
-                .members
+            let mut summaries = vec![ZoneSummary::default(); zone_count];
+            let is_cordoned = |index: usize| self.cordoned.get(index).copied().unwrap_or_default();
+            let available = self
+                .endpoints
                 .iter()
                 .enumerate()
-                .filter(|(at, _)| !by_hand(*at));
-            for member in members
-                .filter_map(|(_, m)| m.as_ref())
-                .filter(|m| m.up && m.factors[n] > 0.0)
+                .filter(|(index, _)| !is_cordoned(*index));
+            for endpoint in available
+                .filter_map(|(_, endpoint)| endpoint.as_ref())
+                .filter(|endpoint| endpoint.running && endpoint.pool_weights[n] > 0.0)
             {
-                let (sum, weight) = (&mut sums[member.zone], member.weight * member.factors[n]);
-                sum.count += 1;
-                sum.listed += weight;
-                if member.misses < MISSES {
-                    sum.reached += 1;
-                    sum.usable += weight;
-                    sum.able += weight * self.ramp(now, member);
+                let (summary, weight) = (
+                    &mut summaries[endpoint.zone],
+                    endpoint.weight * endpoint.pool_weights[n],
+                );
+                summary.listed += 1;
+                summary.listed_weight += weight;
+                if endpoint.failures < UNREACHABLE_FAILURES {
+                    summary.reachable += 1;
+                    summary.reachable_weight += weight;
+                    summary.effective_weight += weight * self.warm_up_factor(now, endpoint);
                 }
             }
-            let tiers = self.tiers(&self.pools[n].order, zones);
-            let jitter = 1.0 + self.pools[n].order.back_spread * (2.0 * self.chance() - 1.0);
+            let tiers = self.resolve_tiers(&self.pools[n].config, zone_count);
+            let jitter = 1.0 + self.pools[n].config.recovery_jitter * (2.0 * self.random() - 1.0);
             let pool = &mut self.pools[n];
             pool.tiers = tiers;
-            pool.zones.resize_with(zones, Zone::default);
-            let over = pool.order.back_over.mul_f64(jitter.max(0.0));
-            for (zone, sum) in sums.into_iter().enumerate() {
-                if let Some(turned) = pool.zones[zone].see(now, sum, pool.order.headroom, over) {
+            pool.zones.resize_with(zone_count, Zone::default);
+            let recovery_time = pool.config.recovery_time.mul_f64(jitter.max(0.0));
+            for (zone, summary) in summaries.into_iter().enumerate() {
+                if let Some(change) =
+                    pool.zones[zone].update(now, summary, pool.config.headroom, recovery_time)
+                {
                     let known = self.zone_names.get(zone);
                     let name =
                         known.map_or_else(|| format!("zone {zone}"), |name| format!("zone {name}"));
-                    self.lines
-                        .push(format!("pool {}: {name} {turned}", pool.order.name));
+                    self.log_lines
+                        .push(format!("pool {}: {name} {change}", pool.config.name));
                 }
             }
-            let rate = pool.rate.read(now);
-            pool.needs = pool.carries(now) < 1.0;
-            let up = |tier: &&Vec<usize>| tier.iter().any(|z| pool.zones[*z].usable());
-            pool.receivers = pool
+            let rate = pool.command_rate.per_second(now);
+            pool.needs_spillover = pool.home_share(now) < 1.0;
+            let usable = |tier: &&Vec<usize>| tier.iter().any(|z| pool.zones[*z].is_usable());
+            pool.receiving_tier = pool
                 .tiers
                 .iter()
                 .skip(1)
-                .position(|tier| up(&tier))
+                .position(|tier| usable(&tier))
                 .map(|n| n + 1);
-            pool.spill.turn(now, rate, pool.needs);
-            self.lines.extend(pool.line(now));
+            pool.limiter.update(now, rate, pool.needs_spillover);
+            self.log_lines.extend(pool.spillover_log_line(now));
         }
-        self.weights(now)
+        self.changed_weights(now)
     }
 
-    fn weights(&mut self, now: Duration) -> Vec<(usize, EndpointIndex, f64)> {
+    fn changed_weights(&mut self, now: Duration) -> Vec<(usize, EndpointIndex, f64)> {
         let mut changed = Vec::new();
-        for endpoint in 0..self.members.len() {
-            let Some(member) = &self.members[endpoint] else {
+        for index in 0..self.endpoints.len() {
+            let Some(endpoint) = &self.endpoints[index] else {
                 continue;
             };
-            let mut plays = Vec::with_capacity(PLAYS * self.pools.len());
-            for (pool, factor) in self.pools.iter().zip(&member.factors) {
-                plays.extend(pool.factors(now, member.zone).map(|f| f * factor));
+            let mut weights = Vec::with_capacity(WEIGHT_SETS * self.pools.len());
+            for (pool, pool_weight) in self.pools.iter().zip(&endpoint.pool_weights) {
+                weights.extend(
+                    pool.zone_weights(now, endpoint.zone)
+                        .map(|weight| weight * pool_weight),
+                );
             }
-            let Some(member) = &mut self.members[endpoint] else {
+            let Some(endpoint) = &mut self.endpoints[index] else {
                 continue;
             };
-            for (play, factor) in plays.iter().enumerate() {
-                let before = member.plays.get(play).copied().unwrap_or(-1.0);
-                let same = before == *factor
-                    || (before > 0.0 && *factor > 0.0 && (factor - before).abs() < NOTEWORTHY);
+            for (weight_set, weight) in weights.iter().enumerate() {
+                let reported = endpoint
+                    .reported_weights
+                    .get(weight_set)
+                    .copied()
+                    .unwrap_or(-1.0);
+                let same = reported == *weight
+                    || (reported > 0.0
+                        && *weight > 0.0
+                        && (weight - reported).abs() < MIN_WEIGHT_CHANGE);
                 if !same {
-                    changed.push((play, endpoint, *factor));
+                    changed.push((weight_set, index, *weight));
                 }
             }
-            member.plays.resize(plays.len(), -1.0);
-            for (play, _, factor) in changed.iter().rev().take_while(|(_, e, _)| *e == endpoint) {
-                member.plays[*play] = *factor;
+            endpoint.reported_weights.resize(weights.len(), -1.0);
+            for (weight_set, _, weight) in changed.iter().rev().take_while(|(_, e, _)| *e == index)
+            {
+                endpoint.reported_weights[*weight_set] = *weight;
             }
         }
         changed
     }
 
-    /// Where a command may go. The zones are those of the last look.
-    pub fn route(&mut self, now: Duration, verb: usize, company: Option<usize>) -> RoutingDecision {
-        let n = self.orders.pool_of(verb, company);
-        let (draw, worth) = (self.chance(), self.worth.get(verb).copied().unwrap_or(1.0));
+    /// Routes a command, by the zone health of the last update.
+    pub fn route(&mut self, now: Duration, class: usize, tenant: Option<usize>) -> RoutingDecision {
+        let n = self.config.pool_of(class, tenant);
+        let (draw, value) = (
+            self.random(),
+            self.class_values.get(class).copied().unwrap_or(1.0),
+        );
         let pool = &mut self.pools[n];
-        pool.rate.add(now);
-        let carries = pool.carries(now);
-        let go = |play| RoutingDecision::Admit {
-            weight_set: PLAYS * n + play,
+        pool.command_rate.add(now);
+        let home_share = pool.home_share(now);
+        let admit = |weight_set| RoutingDecision::Admit {
+            weight_set: WEIGHT_SETS * n + weight_set,
         };
-        let back = pool.home().any(|z| z.health == ZoneHealth::Returning);
-        if carries >= 1.0 && !back || pool.tiers.len() < 2 {
-            return go(HOME);
+        let recovering = pool
+            .home_zones()
+            .any(|zone| zone.health == ZoneHealth::Recovering);
+        if home_share >= 1.0 && !recovering || pool.tiers.len() < 2 {
+            return admit(HOME);
         }
-        if draw < carries {
-            return go(if back { BOTH } else { HOME });
+        if draw < home_share {
+            return admit(if recovering { MIXED } else { HOME });
         }
-        if pool.receivers.is_none() {
-            // Nothing is up anywhere else; whether there is anything at home is the module's to find out.
-            return go(HOME);
+        if pool.receiving_tier.is_none() {
+            // No other tier is usable, so the decision module looks for an endpoint at home.
+            return admit(HOME);
         }
-        let rate = pool.rate.read(now);
-        pool.spill.turn(now, rate, true);
-        match pool.spill.take(now, worth) {
+        let rate = pool.command_rate.per_second(now);
+        pool.limiter.update(now, rate, true);
+        match pool.limiter.try_acquire(now, value) {
             Ok(()) => {
-                pool.spilt += 1;
-                // A trial now and then: home may be back without a word of the list.
-                let tries = carries <= 0.0 && pool.spilt.is_multiple_of(TRIAL);
-                go(if tries { BOTH } else { AWAY })
+                pool.spilled += 1;
+                // Trials find out that home is reachable again even if no list update says so.
+                let trial = home_share <= 0.0 && pool.spilled.is_multiple_of(TRIAL_INTERVAL);
+                admit(if trial { MIXED } else { SPILLOVER })
             }
-            // What is left at home is better than nothing; the module's limits say how much of it.
-            Err(_) if carries > 0.0 && !back => go(HOME),
-            Err(after) => RoutingDecision::Refuse { retry_after: after },
+            // A degraded home tier is better than a refusal; the limits of the decision module protect it.
+            Err(_) if home_share > 0.0 && !recovering => admit(HOME),
+            Err(retry_after) => RoutingDecision::Refuse { retry_after },
         }
     }
 
-    /// Lines for the log, one for each change.
+    /// Takes the log lines collected since the last call, one for each change.
     pub fn take_log_lines(&mut self) -> Vec<String> {
-        std::mem::take(&mut self.lines)
+        std::mem::take(&mut self.log_lines)
     }
 }
 
 impl Pool {
-    fn home(&self) -> impl Iterator<Item = &Zone> {
+    fn home_zones(&self) -> impl Iterator<Item = &Zone> {
         self.tiers
             .first()
             .into_iter()
             .flatten()
-            .map(|z| &self.zones[*z])
+            .map(|zone| &self.zones[*zone])
     }
 
     /// Share of the traffic that the home tier gets.
-    fn carries(&self, now: Duration) -> f64 {
-        let known: Vec<&Zone> = self.home().filter(|z| z.known()).collect();
+    fn home_share(&self, now: Duration) -> f64 {
+        let known: Vec<&Zone> = self.home_zones().filter(|zone| zone.is_known()).collect();
         if known.is_empty() {
             return 0.0;
         }
-        if known.iter().all(|z| z.health == ZoneHealth::Whole) {
+        if known.iter().all(|zone| zone.health == ZoneHealth::Healthy) {
             return 1.0;
         }
-        // Of several zones those that are well make up for the others while there is headroom.
-        let could: f64 = known
+        // Healthy home zones make up for the others as far as their headroom goes.
+        let carriable: f64 = known
             .iter()
-            .map(|z| z.usual() * z.could_carry(now, self.order.headroom))
+            .map(|zone| zone.baseline_weight() * zone.carriable_share(now, self.config.headroom))
             .sum();
-        (could / known.iter().map(|z| z.usual()).sum::<f64>()).min(1.0)
+        (carriable / known.iter().map(|zone| zone.baseline_weight()).sum::<f64>()).min(1.0)
     }
 
-    /// Weights of an endpoint in a zone, for each play of this pool.
-    fn factors(&self, now: Duration, zone: usize) -> [f64; PLAYS] {
+    /// Weights of the endpoints in a zone, by weight set of this pool.
+    fn zone_weights(&self, now: Duration, zone: usize) -> [f64; WEIGHT_SETS] {
         let Some(tier) = self.tiers.iter().position(|tier| tier.contains(&zone)) else {
-            return [0.0; PLAYS];
+            return [0.0; WEIGHT_SETS];
         };
         if tier > 0 {
-            let receives = self.receivers == Some(tier);
+            let receives = self.receiving_tier == Some(tier);
             return if receives {
-                [0.0, BEYOND, 1.0]
+                [0.0, LOW_WEIGHT, 1.0]
             } else {
-                [0.0; PLAYS]
+                [0.0; WEIGHT_SETS]
             };
         }
-        let z = &self.zones[zone];
-        match z.health {
-            ZoneHealth::Whole | ZoneHealth::Thinned => [1.0, 1.0, 0.0],
-            ZoneHealth::Returning => {
-                let back = z.back(now).max(BEYOND);
-                [back, back, 0.0]
+        let zone = &self.zones[zone];
+        match zone.health {
+            ZoneHealth::Healthy | ZoneHealth::Degraded => [1.0, 1.0, 0.0],
+            ZoneHealth::Recovering => {
+                let weight = zone.recovery_progress(now).max(LOW_WEIGHT);
+                [weight, weight, 0.0]
             }
-            // Still in play where commands look whether it is back.
-            ZoneHealth::Dark => [1.0, 1.0, 0.0],
+            // Full weight even when down, so that trials can reach it.
+            ZoneHealth::Down => [1.0, 1.0, 0.0],
         }
     }
 
-    /// One line where spill begins, moves to another tier or ends.
-    fn line(&mut self, now: Duration) -> Option<String> {
-        let to = self
-            .receivers
-            .filter(|_| self.needs && self.tiers.len() > 1);
-        if self.told == to {
+    /// A log line if spill-over starts, moves to another tier or ends.
+    fn spillover_log_line(&mut self, now: Duration) -> Option<String> {
+        let receiving_tier = self
+            .receiving_tier
+            .filter(|_| self.needs_spillover && self.tiers.len() > 1);
+        if self.logged_tier == receiving_tier {
             return None;
         }
-        self.told = to;
+        self.logged_tier = receiving_tier;
         let load = self
-            .spill
-            .load(now)
-            .map_or("unknown".into(), |l| format!("{:.0}% busy", l * 100.0));
-        let name = &self.order.name;
-        Some(match to {
+            .limiter
+            .receiver_load(now)
+            .map_or("unknown".into(), |load| format!("{:.0}%", load * 100.0));
+        let name = &self.config.name;
+        Some(match receiving_tier {
             Some(tier) => format!(
-                "pool {name}: spills to tier {}, {:.1} of {:.1} commands a second at first; it is {load}",
+                "pool {name}: spill-over to tier {} starts at {:.1} of {:.1} commands/s; load of that tier: {load}",
                 tier + 1,
-                self.spill.rate,
-                self.rate.read(now)
+                self.limiter.rate,
+                self.command_rate.per_second(now)
             ),
-            None if self.needs => format!("pool {name}: no further tier has anything up"),
-            None => format!("pool {name}: spills no more"),
+            None if self.needs_spillover => {
+                format!("pool {name}: no lower-priority tier has a usable endpoint")
+            }
+            None => format!("pool {name}: spill-over ended"),
         })
     }
 }
--- a/crates/passroad-routes/src/zone.rs
+++ b/crates/passroad-routes/src/zone.rs
@@ -1,255 +1,273 @@
-//! How a zone is, as one sidecar sees it: by the share of its usual weight that can be used.
+//! Health of a zone as one sidecar sees it, by the share of its baseline weight that can be used.
 
 use std::time::Duration;
 
-/// From first to last in order of what it can carry.
+/// From the most to the least traffic that the zone can carry.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ZoneHealth {
-    Whole,
-    /// Too little is left for all of its traffic.
-    Thinned,
-    /// It was dark, and its traffic comes back little by little.
-    Returning,
-    Dark,
+    Healthy,
+    /// Too few endpoints are left to carry all of its traffic.
+    Degraded,
+    /// It was down, and its traffic is ramped up again.
+    Recovering,
+    Down,
 }
 
-/// Why nothing of a zone can be used.
+/// Why no endpoint of a zone can be used.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Why {
-    /// The list has none of its endpoints up.
-    Gone,
-    /// The list has them up, but none can be reached from here: a cut that others may not see.
-    Unreached,
+pub enum DownCause {
+    /// The list has no running endpoint in it.
+    NotListed,
+    /// The list has running endpoints, but this sidecar can't reach any. Other sidecars may not see this network fault.
+    Unreachable,
 }
 
-const DARK: f64 = 0.05; // of the usual weight; so little is none
-const WELL: f64 = 1.1; // of what it needs, to be whole again: hysteresis against a zone that wavers
-const STEADY: Duration = Duration::from_secs(2); // that a zone is better, before it counts as better
-const FORGET: Duration = Duration::from_secs(600); // after which a smaller zone is the usual one
-const CALM: Duration = Duration::from_secs(300); // without a loss, after which earlier ones are forgotten
-const MOST_DOUBLED: u32 = 3;
+/// Share of the baseline weight below which a zone counts as down.
+const DOWN_SHARE: f64 = 0.05;
+/// Hysteresis: the multiple of the required weight at which a degraded zone counts as healthy again.
+const HEALTHY_MARGIN: f64 = 1.1;
+/// How long a degraded zone must meet the margin before it counts as healthy.
+const STABLE_TIME: Duration = Duration::from_secs(2);
+/// Time after which a lower weight becomes the new baseline.
+const BASELINE_RESET_TIME: Duration = Duration::from_secs(600);
+/// Time without a loss after which earlier losses no longer lengthen the recovery.
+const LOSS_MEMORY: Duration = Duration::from_secs(300);
+const MAX_DOUBLINGS: u32 = 3;
 
-/// What the list and the relays say of a zone at present. Weights are those of the list.
+/// Current state of a zone's endpoints, from the list and from relay outcomes. Weights are those of the list.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub struct Sum {
-    pub listed: f64, // up in the list
-    pub usable: f64, // of those, the ones that can be reached
-    pub able: f64,   // of those, what they can do now: cold ones by their ramp
-    pub count: usize,
-    pub reached: usize,
+pub struct ZoneSummary {
+    pub listed_weight: f64,    // of endpoints listed as running
+    pub reachable_weight: f64, // of those, the reachable ones
+    pub effective_weight: f64, // the same, cold endpoints scaled by their warm-up ramp
+    pub listed: usize,
+    pub reachable: usize,
 }
 
 #[derive(Debug, Clone)]
 pub struct Zone {
     pub health: ZoneHealth,
-    sum: Sum,
-    usual: f64,               // weight that it has when it is whole
-    smaller: Duration,        // since when it has had less
-    better: Option<Duration>, // since when it would be whole
-    back_since: Duration,
-    back_over: Duration, // of the present return
-    peak: f64,           // most that was usable during it
-    floor: f64,          // what was usable when it went dark: no sign of a return
+    summary: ZoneSummary,
+    baseline_weight: f64, // weight of the healthy zone
+    below_baseline_since: Duration,
+    meets_margin_since: Option<Duration>, // of a degraded zone
+    recovery_started: Duration,
+    recovery_time: Duration,
+    recovery_peak: f64,   // highest reachable weight during the recovery
+    residual_weight: f64, // reachable when the zone went down, so no sign of a recovery
     losses: u32,
-    lost: Duration, // the last time that it went dark
+    last_loss: Duration,
 }
 
 impl Default for Zone {
     fn default() -> Self {
         Zone {
-            health: ZoneHealth::Whole,
-            sum: Sum::default(),
-            usual: 0.0,
-            smaller: Duration::ZERO,
-            better: None,
-            back_since: Duration::ZERO,
-            back_over: Duration::ZERO,
-            peak: 0.0,
-            floor: 0.0,
+            health: ZoneHealth::Healthy,
+            summary: ZoneSummary::default(),
+            baseline_weight: 0.0,
+            below_baseline_since: Duration::ZERO,
+            meets_margin_since: None,
+            recovery_started: Duration::ZERO,
+            recovery_time: Duration::ZERO,
+            recovery_peak: 0.0,
+            residual_weight: 0.0,
             losses: 0,
-            lost: Duration::ZERO,
+            last_loss: Duration::ZERO,
         }
     }
 }
 
 /// A change of a zone's health, for the log.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Turned {
+pub struct HealthChange {
     pub from: ZoneHealth,
     pub to: ZoneHealth,
-    pub why: Option<Why>,
-    pub sum: Sum,
-    pub usual: f64,
-    pub back_over: Duration,
+    pub cause: Option<DownCause>,
+    pub summary: ZoneSummary,
+    pub baseline_weight: f64,
+    pub recovery_time: Duration,
 }
 
 impl Zone {
-    /// Whether this zone ever had anything.
-    pub fn known(&self) -> bool {
-        self.usual > 0.0
+    /// Whether this zone has ever had a running endpoint.
+    pub fn is_known(&self) -> bool {
+        self.baseline_weight > 0.0
     }
 
-    pub fn usable(&self) -> bool {
-        self.sum.usable > 0.0
+    pub fn is_usable(&self) -> bool {
+        self.summary.reachable_weight > 0.0
     }
 
-    /// Of its usual weight, what can be used and how far it is warm.
-    pub fn able(&self) -> f64 {
-        self.sum.able / self.usual.max(1e-9)
+    /// Effective weight as a share of the baseline.
+    pub fn effective_share(&self) -> f64 {
+        self.summary.effective_weight / self.baseline_weight.max(1e-9)
     }
 
-    /// Weight that it has when it is whole.
-    pub fn usual(&self) -> f64 {
-        self.usual
+    /// Weight of the healthy zone.
+    pub fn baseline_weight(&self) -> f64 {
+        self.baseline_weight
     }
 
-    /// What it could carry, in multiples of its own traffic, so much headroom being in it.
-    pub fn could_carry(&self, now: Duration, headroom: f64) -> f64 {
-        let able = self.able() * headroom;
+    /// The multiple of its usual traffic that the zone can carry, given its headroom.
+    pub fn carriable_share(&self, now: Duration, headroom: f64) -> f64 {
+        let effective = self.effective_share() * headroom;
         match self.health {
-            ZoneHealth::Whole | ZoneHealth::Thinned => able,
-            ZoneHealth::Returning => able.min(self.back(now)),
-            ZoneHealth::Dark => 0.0,
+            ZoneHealth::Healthy | ZoneHealth::Degraded => effective,
+            ZoneHealth::Recovering => effective.min(self.recovery_progress(now)),
+            ZoneHealth::Down => 0.0,
         }
     }
 
-    /// How far a return has come, from nothing to one.
-    pub fn back(&self, now: Duration) -> f64 {
-        let over = self.back_over.as_secs_f64().max(1e-3);
-        (now.saturating_sub(self.back_since).as_secs_f64() / over).min(1.0)
+    /// Progress of the recovery, from 0 to 1.
+    pub fn recovery_progress(&self, now: Duration) -> f64 {
+        let total = self.recovery_time.as_secs_f64().max(1e-3);
+        (now.saturating_sub(self.recovery_started).as_secs_f64() / total).min(1.0)
     }
 
-    /// Takes in what is seen now. `back_over` is how long a return is to take, as this instance drew it.
-    pub fn see(
+    /// Updates the health from the current summary. `recovery_time` is the length of a recovery after a first loss,
+    /// with the jitter of this sidecar.
+    pub fn update(
         &mut self,
         now: Duration,
-        sum: Sum,
+        summary: ZoneSummary,
         headroom: f64,
-        back_over: Duration,
-    ) -> Option<Turned> {
-        self.sum = sum;
-        // What the list has up is its weight; less of it is a loss, until it has been less for long.
-        let forgets = now.saturating_sub(self.smaller) > FORGET && sum.listed > 0.0;
-        if sum.listed >= self.usual || forgets {
-            (self.usual, self.smaller) = (sum.listed, now);
+        recovery_time: Duration,
+    ) -> Option<HealthChange> {
+        self.summary = summary;
+        // The listed weight is the baseline. A lower weight is a loss, until it has lasted for the reset time.
+        let reset = now.saturating_sub(self.below_baseline_since) > BASELINE_RESET_TIME
+            && summary.listed_weight > 0.0;
+        if summary.listed_weight >= self.baseline_weight || reset {
+            (self.baseline_weight, self.below_baseline_since) = (summary.listed_weight, now);
         }
-        if self.usual <= 0.0 {
+        if self.baseline_weight <= 0.0 {
             return None;
         }
         let from = self.health;
-        let share = sum.usable / self.usual;
-        let enough = |times: f64| sum.able / self.usual * headroom >= times;
+        let share = summary.reachable_weight / self.baseline_weight;
+        let carries =
+            |factor: f64| summary.effective_weight / self.baseline_weight * headroom >= factor;
         let to = match from {
-            ZoneHealth::Whole | ZoneHealth::Thinned if share < DARK => ZoneHealth::Dark,
-            ZoneHealth::Whole if !enough(1.0) => ZoneHealth::Thinned,
-            ZoneHealth::Thinned if enough(WELL.min(headroom)) => {
-                let since = *self.better.get_or_insert(now);
-                if now.saturating_sub(since) >= STEADY {
-                    ZoneHealth::Whole
+            ZoneHealth::Healthy | ZoneHealth::Degraded if share < DOWN_SHARE => ZoneHealth::Down,
+            ZoneHealth::Healthy if !carries(1.0) => ZoneHealth::Degraded,
+            ZoneHealth::Degraded if carries(HEALTHY_MARGIN.min(headroom)) => {
+                let since = *self.meets_margin_since.get_or_insert(now);
+                if now.saturating_sub(since) >= STABLE_TIME {
+                    ZoneHealth::Healthy
                 } else {
-                    ZoneHealth::Thinned
+                    ZoneHealth::Degraded
                 }
             }
-            // What was left when it went is no return; but what stays for a while is something.
-            ZoneHealth::Dark if sum.usable > self.floor => ZoneHealth::Returning,
-            ZoneHealth::Dark if share > 0.0 && now.saturating_sub(self.lost) > STEADY => {
-                ZoneHealth::Returning
+            // What was still reachable when the zone went down is no recovery, unless it stays reachable for a while.
+            ZoneHealth::Down if summary.reachable_weight > self.residual_weight => {
+                ZoneHealth::Recovering
             }
-            // It goes again: at once, and what is left of a return counts for nothing.
-            ZoneHealth::Returning if share <= 0.0 || sum.usable < self.peak / 2.0 => {
-                ZoneHealth::Dark
+            ZoneHealth::Down if share > 0.0 && now.saturating_sub(self.last_loss) > STABLE_TIME => {
+                ZoneHealth::Recovering
             }
-            // Cold ones open by passes only: alone they can't carry what comes, however long the ramp has been.
-            ZoneHealth::Returning if self.back(now) >= 1.0 && sum.able > 0.99 * sum.usable => {
-                match enough(1.0) {
-                    true => ZoneHealth::Whole,
-                    false => ZoneHealth::Thinned,
+            // A loss during the recovery takes effect at once; the progress made so far doesn't count.
+            ZoneHealth::Recovering
+                if share <= 0.0 || summary.reachable_weight < self.recovery_peak / 2.0 =>
+            {
+                ZoneHealth::Down
+            }
+            // Cold endpoints take commands by slow-start permits only. Until they are warm they can't carry the
+            // traffic, however long the zone has been recovering.
+            ZoneHealth::Recovering
+                if self.recovery_progress(now) >= 1.0
+                    && summary.effective_weight > 0.99 * summary.reachable_weight =>
+            {
+                match carries(1.0) {
+                    true => ZoneHealth::Healthy,
+                    false => ZoneHealth::Degraded,
                 }
             }
             same => same,
         };
-        if from != ZoneHealth::Thinned || !enough(WELL.min(headroom)) {
-            self.better = None;
+        if from != ZoneHealth::Degraded || !carries(HEALTHY_MARGIN.min(headroom)) {
+            self.meets_margin_since = None;
         }
-        if to == ZoneHealth::Dark {
-            self.floor = if from == ZoneHealth::Dark {
-                self.floor.min(sum.usable)
+        if to == ZoneHealth::Down {
+            self.residual_weight = if from == ZoneHealth::Down {
+                self.residual_weight.min(summary.reachable_weight)
             } else {
-                sum.usable
+                summary.reachable_weight
             };
         }
-        if to == ZoneHealth::Returning {
-            self.peak = self.peak.max(sum.usable);
+        if to == ZoneHealth::Recovering {
+            self.recovery_peak = self.recovery_peak.max(summary.reachable_weight);
         }
         if to == from {
             return None;
         }
         self.health = to;
         match to {
-            ZoneHealth::Dark => {
-                // Guards against a zone that flaps and drags the others to and fro: each loss soon after the last
-                // doubles the way back.
-                let soon = self.losses > 0 && now.saturating_sub(self.lost) < CALM;
-                self.losses = if soon {
-                    (self.losses + 1).min(MOST_DOUBLED + 1)
+            ZoneHealth::Down => {
+                // Each loss soon after the last doubles the recovery time. Prevents a flapping zone from moving traffic
+                // to and from other zones again and again.
+                let repeated = self.losses > 0 && now.saturating_sub(self.last_loss) < LOSS_MEMORY;
+                self.losses = if repeated {
+                    (self.losses + 1).min(MAX_DOUBLINGS + 1)
                 } else {
                     1
                 };
-                self.lost = now;
+                self.last_loss = now;
             }
-            ZoneHealth::Returning => {
-                self.back_since = now;
-                self.peak = sum.usable;
-                self.back_over =
-                    back_over * (1 << (self.losses.saturating_sub(1)).min(MOST_DOUBLED));
+            ZoneHealth::Recovering => {
+                self.recovery_started = now;
+                self.recovery_peak = summary.reachable_weight;
+                self.recovery_time =
+                    recovery_time * (1 << (self.losses.saturating_sub(1)).min(MAX_DOUBLINGS));
             }
-            ZoneHealth::Whole | ZoneHealth::Thinned => {}
+            ZoneHealth::Healthy | ZoneHealth::Degraded => {}
         }
-        let why = (to == ZoneHealth::Dark).then_some(if sum.count > 0 {
-            Why::Unreached
+        let cause = (to == ZoneHealth::Down).then_some(if summary.listed > 0 {
+            DownCause::Unreachable
         } else {
-            Why::Gone
+            DownCause::NotListed
         });
-        Some(Turned {
+        Some(HealthChange {
             from,
             to,
-            why,
-            sum,
-            usual: self.usual,
-            back_over: self.back_over,
+            cause,
+            summary,
+            baseline_weight: self.baseline_weight,
+            recovery_time: self.recovery_time,
         })
     }
 }
 
-impl std::fmt::Display for Turned {
+impl std::fmt::Display for HealthChange {
     fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
-        let share = 100.0 * self.sum.able / self.usual.max(1e-9);
-        let Sum { count, reached, .. } = self.sum;
-        match (self.to, self.why) {
-            (ZoneHealth::Dark, Some(Why::Unreached)) => {
+        let share = 100.0 * self.summary.effective_weight / self.baseline_weight.max(1e-9);
+        let ZoneSummary {
+            listed, reachable, ..
+        } = self.summary;
+        match (self.to, self.cause) {
+            (ZoneHealth::Down, Some(DownCause::Unreachable)) => {
                 write!(
                     f,
-                    "is dark from here: the list has {count} up, none can be reached"
+                    "is down for this sidecar: {listed} running endpoints listed, none reachable"
                 )
             }
-            (ZoneHealth::Dark, _) => write!(f, "is dark: the list has none up"),
-            (ZoneHealth::Returning, _) => {
+            (ZoneHealth::Down, _) => write!(f, "is down: no running endpoint listed"),
+            (ZoneHealth::Recovering, _) => {
                 write!(
                     f,
-                    "returns: {reached} of {count} up can be reached; full share in {:.1?}",
-                    self.back_over
+                    "is recovering: {reachable} of {listed} running endpoints reachable; full share of traffic in {:.1?}",
+                    self.recovery_time
                 )
             }
-            (ZoneHealth::Thinned, _) => {
+            (ZoneHealth::Degraded, _) => {
                 write!(
                     f,
-                    "is thinned: {reached} of {count} up can be reached, {share:.0}% of its usual weight"
+                    "is degraded: {reachable} of {listed} running endpoints reachable, {share:.0}% of the baseline weight"
                 )
             }
-            (ZoneHealth::Whole, _) => {
+            (ZoneHealth::Healthy, _) => {
                 write!(
                     f,
-                    "is whole: {reached} of {count} up can be reached, {share:.0}% of its usual weight"
+                    "is healthy: {reachable} of {listed} running endpoints reachable, {share:.0}% of the baseline weight"
                 )
             }
         }
@@ -257,105 +275,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-    use rstest::rstest;
-
-    const SECOND: Duration = Duration::from_secs(1);
-
-    fn sum(listed: usize, usable: usize, ramp: f64) -> Sum {
-        let usable_weight = usable as f64;
-        Sum {
-            listed: listed as f64,
-            usable: usable_weight,
-            able: usable_weight * ramp,
-            count: listed,
-            reached: usable,
-        }
-    }
-
-    /// ZoneHealth after each of the sums, one a second, from ten that are up; ways back take 8 s.
-    fn seen(sums: &[Sum]) -> Vec<ZoneHealth> {
-        let mut zone = Zone::default();
-        zone.see(Duration::ZERO, sum(10, 10, 1.0), 1.4, 8 * SECOND);
-        let see = |(n, sum): (usize, &Sum)| {
-            zone.see((n as u32 + 1) * SECOND, *sum, 1.4, 8 * SECOND);
-            zone.health
-        };
-        sums.iter().enumerate().map(see).collect()
-    }
-
-    use ZoneHealth::{Dark, Returning, Thinned, Whole};
-
-    #[rstest]
-    #[case::one_less(&[sum(9, 9, 1.0)], &[Whole])]
-    #[case::three_less(&[sum(7, 7, 1.0)], &[Thinned])]
-    #[case::cold_ones_count_by_what_they_can(&[sum(10, 10, 0.5)], &[Thinned])]
-    #[case::none_listed(&[sum(0, 0, 1.0)], &[Dark])]
-    #[case::none_reached(&[sum(10, 0, 1.0)], &[Dark])]
-    #[case::better_only_when_it_lasts(
-        &[sum(6, 6, 1.0), sum(10, 10, 1.0), sum(6, 6, 1.0), sum(10, 10, 1.0), sum(10, 10, 1.0), sum(10, 10, 1.0)],
-        &[Thinned, Thinned, Thinned, Thinned, Thinned, Whole]
-    )]
-    #[case::first_one_back(&[sum(0, 0, 1.0), sum(1, 1, 0.13), sum(10, 10, 0.2)], &[Dark, Returning, Returning])]
-    #[case::goes_again(&[sum(0, 0, 1.0), sum(8, 8, 0.13), sum(3, 3, 0.2)], &[Dark, Returning, Dark])]
-    fn a_zone_turns_by_what_can_be_used_of_it(#[case] sums: &[Sum], #[case] health: &[ZoneHealth]) {
-        assert_eq!(seen(sums), health);
-    }
-
-    #[rstest]
-    fn a_return_takes_its_time_and_longer_after_each_loss() {
-        let mut zone = Zone::default();
-        let mut at = Duration::ZERO;
-        let mut see = |zone: &mut Zone, after: Duration, sum| {
-            at += after;
-            let turned = zone.see(at, sum, 1.4, 8 * SECOND);
-            (at, turned)
-        };
-        see(&mut zone, SECOND, sum(10, 10, 1.0));
-        let mut spans = Vec::new();
-        for _ in 0..6 {
-            see(&mut zone, SECOND, sum(0, 0, 1.0));
-            let (back, turned) = see(&mut zone, SECOND, sum(10, 10, 1.0));
-            spans.push(turned.map(|t| t.back_over / 8));
-            // Half way it carries half.
-            let half = back + zone.back_over / 2;
-            assert!((zone.could_carry(half, 1.4) - 0.5).abs() < 1e-9);
-        }
-        assert_eq!(spans, [1, 2, 4, 8, 8, 8].map(|n| Some(n * SECOND)));
-        // After a long calm the first loss counts as the first.
-        let (_, turned) = see(&mut zone, 100 * SECOND, sum(10, 10, 1.0));
-        assert_eq!(turned.map(|t| t.to), Some(Whole));
-        see(&mut zone, 400 * SECOND, sum(0, 0, 1.0));
-        let (_, turned) = see(&mut zone, SECOND, sum(10, 10, 1.0));
-        assert_eq!(turned.map(|t| t.back_over), Some(8 * SECOND));
-    }
-
-    #[rstest]
-    fn a_zone_that_was_made_smaller_for_good_is_whole_again_in_time() {
-        let mut zone = Zone::default();
-        zone.see(Duration::ZERO, sum(10, 10, 1.0), 1.4, SECOND);
-        zone.see(SECOND, sum(5, 5, 1.0), 1.4, SECOND);
-        assert_eq!(zone.health, Thinned);
-        zone.see(700 * SECOND, sum(5, 5, 1.0), 1.4, SECOND);
-        zone.see(703 * SECOND, sum(5, 5, 1.0), 1.4, SECOND);
-        assert_eq!(zone.health, Whole);
-    }
-
-    #[rstest]
-    #[case(sum(0, 0, 1.0), "is dark: the list has none up")]
-    #[case(
-        sum(10, 0, 1.0),
-        "is dark from here: the list has 10 up, none can be reached"
-    )]
-    #[case(
-        sum(10, 4, 1.0),
-        "is thinned: 4 of 10 up can be reached, 40% of its usual weight"
-    )]
-    fn a_cut_that_only_this_sidecar_sees_reads_otherwise(#[case] now: Sum, #[case] line: &str) {
-        let mut zone = Zone::default();
-        zone.see(Duration::ZERO, sum(10, 10, 1.0), 1.4, SECOND);
-        let turned = zone.see(SECOND, now, 1.4, SECOND).expect("it turns");
-        assert_eq!(turned.to_string(), line);
-    }
-}
+mod tests;
