--- a/crates/passroad-wirehost/src/line.rs
+++ b/crates/passroad-wirehost/src/line.rs
@@ -1,10 +1,10 @@
-//! One line of the wire: a message name and name=value pairs.
+//! One line of the protocol: a message name and name=value pairs.
 
 use passroad_choice::{LoadReport, Outcome};
 use std::time::Duration;
 
-/// Fields whose value runs to the end of the line.
-const TEXTS: [&str; 2] = ["config", "message"];
+/// Fields whose value extends to the end of the line, spaces included.
+const REST_OF_LINE_FIELDS: [&str; 2] = ["config", "message"];
 
 pub struct Line<'a> {
     pub name: &'a str,
@@ -15,15 +15,15 @@
     pub fn parse(text: &'a str) -> Result<Self, String> {
         let (name, mut rest) = text.split_once(' ').unwrap_or((text, ""));
         if name.is_empty() {
-            return Err("a line without a message name".into());
+            return Err("missing message name".into());
         }
         let mut pairs = Vec::with_capacity(8);
         while !rest.is_empty() {
             let end = rest.find(' ').unwrap_or(rest.len());
             let Some((key, value)) = rest[..end].split_once('=') else {
-                return Err(format!("'{}' is no name=value pair", &rest[..end]));
+                return Err(format!("'{}' is not a name=value pair", &rest[..end]));
             };
-            if TEXTS.contains(&key) {
+            if REST_OF_LINE_FIELDS.contains(&key) {
                 pairs.push((key, &rest[key.len() + 1..]));
                 break;
             }
@@ -34,45 +34,51 @@
     }
 
     pub fn get(&self, key: &str) -> Option<&'a str> {
-        self.pairs.iter().find(|(k, _)| *k == key).map(|(_, v)| *v)
+        self.pairs
+            .iter()
+            .find(|(name, _)| *name == key)
+            .map(|(_, value)| *value)
     }
 
-    pub fn need(&self, key: &str) -> Result<&'a str, String> {
+    pub fn required(&self, key: &str) -> Result<&'a str, String> {
         self.get(key)
-            .ok_or_else(|| format!("{} without {key}", self.name))
+            .ok_or_else(|| format!("{}: missing {key}", self.name))
     }
 
-    pub fn whole(&self, key: &str) -> Result<u64, String> {
-        let text = self.need(key)?;
+    pub fn integer(&self, key: &str) -> Result<u64, String> {
+        let text = self.required(key)?;
         text.parse()
-            .map_err(|_| format!("{}: {key}={text} is not a whole number", self.name))
+            .map_err(|_| format!("{}: {key}={text} is not an unsigned integer", self.name))
     }
 
-    pub fn whole_or(&self, key: &str, absent: u64) -> Result<u64, String> {
+    pub fn integer_or(&self, key: &str, default: u64) -> Result<u64, String> {
         if self.get(key).is_some() {
-            self.whole(key)
+            self.integer(key)
         } else {
-            Ok(absent)
+            Ok(default)
         }
     }
 
-    /// A span; negative ones count as nothing left.
-    pub fn span_or(&self, key: &str, absent: Duration) -> Result<Duration, String> {
+    /// A duration in nanoseconds; negative values count as zero.
+    pub fn duration_or(&self, key: &str, default: Duration) -> Result<Duration, String> {
         let Some(text) = self.get(key) else {
-            return Ok(absent);
+            return Ok(default);
         };
-        let n: i64 = text
-            .parse()
-            .map_err(|_| format!("{}: {key}={text} is not a span", self.name))?;
-        Ok(Duration::from_nanos(n.max(0) as u64))
+        let nanos: i64 = text.parse().map_err(|_| {
+            format!(
+                "{}: {key}={text} is not a duration in nanoseconds",
+                self.name
+            )
+        })?;
+        Ok(Duration::from_nanos(nanos.max(0) as u64))
     }
 
-    pub fn span(&self, key: &str) -> Result<Duration, String> {
-        self.need(key)?;
-        self.span_or(key, Duration::ZERO)
+    pub fn duration(&self, key: &str) -> Result<Duration, String> {
+        self.required(key)?;
+        self.duration_or(key, Duration::ZERO)
     }
 
-    pub fn flag(&self, key: &str) -> Result<bool, String> {
+    pub fn boolean(&self, key: &str) -> Result<bool, String> {
         match self.get(key) {
             None | Some("0") => Ok(false),
             Some("1") => Ok(true),
@@ -80,15 +86,15 @@
         }
     }
 
-    pub fn number_or(&self, key: &str, absent: f64) -> Result<f64, String> {
+    pub fn number_or(&self, key: &str, default: f64) -> Result<f64, String> {
         let Some(text) = self.get(key) else {
-            return Ok(absent);
+            return Ok(default);
         };
-        finite(text).ok_or_else(|| format!("{}: {key}={text} is not a number", self.name))
+        parse_finite(text).ok_or_else(|| format!("{}: {key}={text} is not a number", self.name))
     }
 
     pub fn outcome(&self) -> Result<Outcome, String> {
-        Ok(match self.need("disposition")? {
+        Ok(match self.required("disposition")? {
             "0" => Outcome::Answered,
             "1" => Outcome::Error,
             "2" => Outcome::Overloaded,
@@ -97,19 +103,27 @@
             "5" => Outcome::ConnectionLost,
             "6" => Outcome::Cancelled,
             "7" => Outcome::NotSent,
-            other => return Err(format!("{}: unknown outcome {other}", self.name)),
+            other => return Err(format!("{}: unknown disposition {other}", self.name)),
         })
     }
 
-    pub fn report(&self) -> Result<Option<LoadReport>, String> {
-        let Some(text) = self.get("telemetry").filter(|t| !t.is_empty() && *t != "-") else {
+    pub fn load_report(&self) -> Result<Option<LoadReport>, String> {
+        let Some(text) = self
+            .get("telemetry")
+            .filter(|text| !text.is_empty() && *text != "-")
+        else {
             return Ok(None);
         };
         let mut report = LoadReport::default();
         for pair in text.split(',') {
-            let bad = || format!("{}: '{pair}' in telemetry is no name:number", self.name);
-            let (key, value) = pair.split_once(':').ok_or_else(bad)?;
-            let value = Some(finite(value).ok_or_else(bad)?);
+            let invalid = || {
+                format!(
+                    "{}: '{pair}' in telemetry is not a name:number pair",
+                    self.name
+                )
+            };
+            let (key, value) = pair.split_once(':').ok_or_else(invalid)?;
+            let value = Some(parse_finite(value).ok_or_else(invalid)?);
             match key {
                 "outstanding" => report.outstanding = value,
                 "backlog" => report.backlog = value,
@@ -124,6 +138,6 @@
     }
 }
 
-fn finite(text: &str) -> Option<f64> {
-    text.parse().ok().filter(|n: &f64| n.is_finite())
+fn parse_finite(text: &str) -> Option<f64> {
+    text.parse().ok().filter(|number: &f64| number.is_finite())
 }
--- a/crates/passroad-wirehost/src/tests.rs
+++ b/crates/passroad-wirehost/src/tests.rs
@@ -17,7 +17,7 @@
 }
 
 #[rstest]
-fn a_command_is_relayed_under_its_own_id() {
+fn command_is_relayed_under_its_own_id() {
     let (out, end) = run(&format!(
         "TICK time=5 seq=1\n{HELLO}INGRESS i=0 op_id=ab profile=v budget=500000000 other=1\nEOF_BATCH\n"
     ));
@@ -30,7 +30,7 @@
 }
 
 #[rstest]
-fn an_outcome_of_a_strange_command_is_passed_over() {
+fn outcome_of_an_unknown_command_is_ignored() {
     let (out, end) = run(&format!(
         "TICK time=5 seq=1\n{HELLO}FINISHED i=0 op_id=ff trial=0 endpoint=x disposition=0 spent=1 no_more=1\nEOF_BATCH\n"
     ));
@@ -41,13 +41,16 @@
 #[case("TICK time=5 seq=1\nNONSENSE\n", "line 2: unknown message NONSENSE")]
 #[case(
     "TICK time=5 seq=1\nDUE i=0 cookie=1\n",
-    "line 2: DUE for instance 0, which has not started"
+    "line 2: DUE: unknown instance 0"
+)]
+#[case(
+    "TICK time=x seq=1\n",
+    "line 1: TICK: time=x is not a duration in nanoseconds"
 )]
-#[case("TICK time=x seq=1\n", "line 1: TICK: time=x is not a span")]
 #[case("DUE i=0 cookie=1\n", "line 1: DUE outside a batch")]
 #[case(
     "TICK time=5 seq=1\nDUE what\n",
-    "line 2: 'what' is no name=value pair"
+    "line 2: 'what' is not a name=value pair"
 )]
 #[case(
     "TICK time=5 seq=1\nHELLO i=0 prng=1 config={\n",
@@ -55,21 +58,24 @@
 )]
 #[case(
     "TICK time=5 seq=1\nCENSUS list=0 lines=2\nEOF_BATCH\n",
-    "line 3: EOF_BATCH where 2 more entries"
-)]
-#[case("TICK time=5 seq=1\n", "line 2: the input ends inside a batch")]
-#[case(
-    "TICK time=5 seq=1\nEOF_BATCH",
-    "line 2: the input ends inside a batch"
+    "line 3: EOF_BATCH: expected 2 more entries of list 0"
 )]
-fn bad_input_ends_with_its_line_and_no_reply(#[case] input: &str, #[case] fault: &str) {
+#[case("TICK time=5 seq=1\n", "line 2: input ended inside a batch")]
+#[case("TICK time=5 seq=1\nEOF_BATCH", "line 2: input ended inside a batch")]
+fn invalid_input_ends_with_its_line_number_and_no_reply(
+    #[case] input: &str,
+    #[case] expected: &str,
+) {
     let (out, end) = run(input);
-    assert!(end.as_ref().is_err_and(|e| e.starts_with(fault)), "{end:?}");
+    assert!(
+        end.as_ref().is_err_and(|e| e.starts_with(expected)),
+        "{end:?}"
+    );
     assert_eq!(out, "");
 }
 
 #[rstest]
-fn an_unknown_message_to_a_running_instance_is_a_fault() {
+fn unknown_message_to_a_running_instance_is_an_error() {
     let (_, end) = run(&format!(
         "TICK time=5 seq=1\n{HELLO}WAGGLE i=0\nEOF_BATCH\n"
     ));
@@ -77,7 +83,7 @@
 }
 
 #[rstest]
-fn an_empty_batch_is_acknowledged() {
+fn empty_batch_is_acknowledged() {
     assert_eq!(
         run("TICK time=5 seq=9\nEOF_BATCH\n"),
         ("ACK seq=9\n".into(), Ok(()))
@@ -90,7 +96,7 @@
 #[case("PEER i=0 neighbour=1 bytes=-")]
 #[case("INGRESS i=0 op_id=cd name_key=user:k hint=12000000 profile=v budget=500000000 write=1")]
 #[case("PEERS_KNOWN i=0 kind=refused revision=2")]
-fn events_that_few_sites_use_are_taken(#[case] event: &str) {
+fn rare_events_are_accepted(#[case] event: &str) {
     let command = "INGRESS i=0 op_id=ab profile=v budget=500000000\n";
     let (out, end) = run(&format!(
         "TICK time=5 seq=1\n{HELLO}{command}{event}\nEOF_BATCH\n"
@@ -100,7 +106,7 @@
 }
 
 #[rstest]
-fn a_stream_that_has_started_is_not_recalled() {
+fn started_stream_is_not_cancelled() {
     let started = "STARTED i=0 op_id=ab spent=5 endpoint=10.0.0.1:9 trial=0\nLAPSED i=0 op_id=ab\n";
     let command = "INGRESS i=0 op_id=ab profile=v budget=500000000\n";
     let (out, _) = run(&format!(
@@ -115,11 +121,11 @@
 #[case(Action::PollList, "LIST_ALL i=3")]
 #[case(Action::Subscribe { active: false }, "LISTEN i=3 active=0")]
 #[case(Action::Disconnect { endpoint: 0 }, "DISCONNECT i=3 endpoint=10.0.0.1:9")]
-fn actions_that_few_sites_use_are_written(#[case] action: Action, #[case] line: &str) {
+fn rare_actions_are_written(#[case] action: Action, #[case] line: &str) {
     let settings = r#"{"verbs":[{"name":"v","effect":"read_like"}]}"#;
     let mut instance = Instance::new(passroad_orders::config_from_text(1, settings).unwrap());
     instance.endpoints.intern(&"10.0.0.1:9".to_string());
     let mut reply = String::new();
-    instance.write(3, &action, &mut reply).unwrap();
+    instance.write_action(3, &action, &mut reply).unwrap();
     assert_eq!(reply.trim_end(), line);
 }
