--- a/crates/passroad-lease/src/explore.rs
+++ b/crates/passroad-lease/src/explore.rs
@@ -6,7 +6,7 @@
 use std::collections::HashSet;
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-const DUTY: Duty = 7;
+const DUTY: LeaseKey = 7;
 const LEASE: Duration = Duration::from_millis(800);
 /// Two of them are longer than an owner's share of a lease, three than a voter is mute.
 const STEP: Duration = Duration::from_millis(400);
@@ -17,100 +17,108 @@
     depth: usize,
     steps: u32,
     lost: u8,
-    twice: u8,
+    duplicated: u8,
     pauses: u8,
     restarts: u8,
     forgets: bool,
-    under_way: usize,
+    in_flight: usize,
     /// The system's clock stands: epochs rise by memory alone.
     clock_stands: bool,
     candidates: Member,
     /// Whether epochs have to rise.
     epochs: bool,
     /// Whether candidates look before they ask.
-    looks: bool,
+    query_round: bool,
 }
 
 #[derive(Clone, PartialEq, Eq, Hash)]
 struct World {
-    nodes: Vec<Lease>,
+    nodes: Vec<LeaseManager>,
     paused: [bool; 3],
     began: [u32; 3],
     time: u32,
-    under_way: Vec<(Member, Member, Word)>, // sorted
-    won: Epoch,                             // the highest so far
-    left: Bounds,
+    in_flight: Vec<(Member, Member, Message)>, // sorted
+    won: Epoch,                                // the highest so far
+    budget: Bounds,
 }
 
 /// Clocks of three machines, 2% apart.
 const RATES: [f64; 3] = [0.99, 1.01, 1.0];
 
 impl World {
-    fn new(bounds: Bounds, planted: Planted) -> World {
-        let planted = Planted {
-            no_chance: true,
-            no_look: !bounds.looks,
-            ..planted
+    fn new(bounds: Bounds, faults: InjectedFaults) -> World {
+        let faults = InjectedFaults {
+            no_randomness: true,
+            no_query: !bounds.query_round,
+            ..faults
         };
         let mut world = World {
             nodes: Vec::new(),
             paused: [false; 3],
             began: [0; 3],
             time: 4,
-            under_way: Vec::new(),
+            in_flight: Vec::new(),
             won: 0,
-            left: bounds,
+            budget: bounds,
         };
         for me in 0..3 {
             // The explorer begins where nobody is mute.
-            let mut node = Lease::new(terms(me), Times::default(), Some(BTreeMap::new()));
-            node.planted = planted;
-            node.stand(world.times(me), DUTY, (me < bounds.candidates).then_some(0));
+            let mut node = LeaseManager::new(config(me), Clocks::default(), Some(BTreeMap::new()));
+            node.faults = faults;
+            node.set_candidacy(
+                world.clocks(me),
+                DUTY,
+                (me < bounds.candidates).then_some(0),
+            );
             world.nodes.push(node);
         }
         world
     }
 
-    fn times(&self, me: Member) -> Times {
-        let at = usize::from(me);
-        let wall = if self.left.clock_stands { 1 } else { self.time };
-        let steady = STEP.mul_f64(f64::from(self.time - self.began[at]) * RATES[at]);
-        Times {
-            steady,
+    fn clocks(&self, me: Member) -> Clocks {
+        let index = usize::from(me);
+        let wall = if self.budget.clock_stands {
+            1
+        } else {
+            self.time
+        };
+        let monotonic = STEP.mul_f64(f64::from(self.time - self.began[index]) * RATES[index]);
+        Clocks {
+            monotonic,
             wall: STEP * wall,
         }
     }
 
     /// Carries out what a node asks for; it hears itself at once. What breaks is told.
-    fn take(&mut self, me: Member, outs: Vec<Out>) -> Result<(), String> {
-        for out in outs {
-            match out {
-                Out::Say { to, word } if to == me => {
-                    let times = self.times(me);
-                    let outs = self.nodes[usize::from(me)].hear(times, me, word);
-                    self.take(me, outs)?;
+    fn take(&mut self, me: Member, actions: Vec<Action>) -> Result<(), String> {
+        for action in actions {
+            match action {
+                Action::Send { to, message } if to == me => {
+                    let clocks = self.clocks(me);
+                    let actions = self.nodes[usize::from(me)].receive(clocks, me, message);
+                    self.take(me, actions)?;
                 }
-                Out::Say { to, word } => self.under_way.push((me, to, word)),
-                Out::Won { epoch, .. } if epoch <= self.won && self.left.epochs => {
+                Action::Send { to, message } => self.in_flight.push((me, to, message)),
+                Action::Acquired { epoch, .. } if epoch <= self.won && self.budget.epochs => {
                     return Err(format!("{me} won epoch {epoch} after {}", self.won));
                 }
-                Out::Won { epoch, .. } => self.won = self.won.max(epoch),
-                Out::Keep { .. } | Out::Lost { .. } => {}
+                Action::Acquired { epoch, .. } => self.won = self.won.max(epoch),
+                Action::Persist { .. } | Action::Lost { .. } => {}
             }
         }
-        self.under_way.sort_unstable();
+        self.in_flight.sort_unstable();
         Ok(())
     }
 
     fn check(&mut self) -> Result<(), String> {
         let mut owners = Vec::new();
         for me in 0..2 {
-            let times = self.times(me);
+            let clocks = self.clocks(me);
             // Whoever is stopped does nothing; when it wakes it looks at its clock.
             if !self.paused[usize::from(me)]
                 && self.nodes[usize::from(me)]
                     .clone()
-                    .owned(times, DUTY)
+                    .ownership(clocks, DUTY)
                     .is_some()
             {
                 owners.push(me);
@@ -127,83 +135,84 @@
         let mut all = Vec::new();
         let mut add = |what: String, change: &dyn Fn(&mut World) -> Result<(), String>| {
             let mut world = self.clone();
-            let done = change(&mut world).and_then(|()| world.check());
-            all.push((what, done.map(|()| world)));
+            let renewed = change(&mut world).and_then(|()| world.check());
+            all.push((what, renewed.map(|()| world)));
         };
         let deliver = |world: &mut World, n: usize, keep: bool| {
-            let (from, to, word) = world.under_way[n].clone();
+            let (from, to, message) = world.in_flight[n].clone();
             if !keep {
-                world.under_way.remove(n);
+                world.in_flight.remove(n);
             }
-            let times = world.times(to);
-            let outs = world.nodes[usize::from(to)].hear(times, from, word);
-            world.take(to, outs)
+            let clocks = world.clocks(to);
+            let actions = world.nodes[usize::from(to)].receive(clocks, from, message);
+            world.take(to, actions)
         };
-        for n in 0..self.under_way.len() {
-            if n > 0 && self.under_way[n] == self.under_way[n - 1] {
+        for n in 0..self.in_flight.len() {
+            if n > 0 && self.in_flight[n] == self.in_flight[n - 1] {
                 continue;
             }
-            let (from, to, word) = &self.under_way[n];
-            let name = format!("{from} to {to}: {word:?}");
+            let (from, to, message) = &self.in_flight[n];
+            let name = format!("{from} to {to}: {message:?}");
             if !self.paused[usize::from(*to)] {
                 add(name.clone(), &|world| deliver(world, n, false));
-                if self.left.twice > 0 {
+                if self.budget.duplicated > 0 {
                     add(format!("{name}, to come again"), &|world| {
-                        world.left.twice -= 1;
+                        world.budget.duplicated -= 1;
                         deliver(world, n, true)
                     });
                 }
             }
-            if self.left.lost > 0 {
+            if self.budget.lost > 0 {
                 add(format!("{name}, lost"), &|world| {
-                    world.left.lost -= 1;
-                    world.under_way.remove(n);
+                    world.budget.lost -= 1;
+                    world.in_flight.remove(n);
                     Ok(())
                 });
             }
         }
-        if self.left.steps > 0 {
+        if self.budget.steps > 0 {
             add("time".into(), &|world| {
-                world.left.steps -= 1;
+                world.budget.steps -= 1;
                 world.time += 1;
                 for me in 0..3 {
                     if !world.paused[usize::from(me)] {
-                        let times = world.times(me);
-                        let outs = world.nodes[usize::from(me)].tick(times);
-                        world.take(me, outs)?;
+                        let clocks = world.clocks(me);
+                        let actions = world.nodes[usize::from(me)].tick(clocks);
+                        world.take(me, actions)?;
                     }
                 }
                 Ok(())
             });
         }
         for me in 0..3u16 {
-            let at = usize::from(me);
-            if self.paused[at] {
+            let index = usize::from(me);
+            if self.paused[index] {
                 add(format!("{me} wakes"), &|world| {
-                    world.paused[at] = false;
+                    world.paused[index] = false;
                     Ok(())
                 });
-            } else if self.left.pauses > 0 && me < 2 {
+            } else if self.budget.pauses > 0 && me < 2 {
                 add(format!("{me} is stopped"), &|world| {
-                    world.left.pauses -= 1;
-                    world.paused[at] = true;
+                    world.budget.pauses -= 1;
+                    world.paused[index] = true;
                     Ok(())
                 });
             }
-            if self.left.restarts > 0 {
+            if self.budget.restarts > 0 {
                 add(format!("{me} starts anew"), &|world| {
-                    world.left.restarts -= 1;
-                    world.began[at] = world.time;
-                    let kept = (!world.left.forgets).then(|| world.nodes[at].votes.clone());
-                    let planted = world.nodes[at].planted;
-                    let mut node = Lease::new(terms(me), world.times(me), kept);
-                    node.planted = planted;
-                    node.stand(
-                        world.times(me),
+                    world.budget.restarts -= 1;
+                    world.began[index] = world.time;
+                    let stored_votes =
+                        (!world.budget.forgets).then(|| world.nodes[index].votes.clone());
+                    let faults = world.nodes[index].faults;
+                    let mut node = LeaseManager::new(config(me), world.clocks(me), stored_votes);
+                    node.faults = faults;
+                    node.set_candidacy(
+                        world.clocks(me),
                         DUTY,
-                        (me < world.left.candidates).then_some(0),
+                        (me < world.budget.candidates).then_some(0),
                     );
-                    world.nodes[at] = node;
+                    world.nodes[index] = node;
                     Ok(())
                 });
             }
@@ -212,8 +221,8 @@
     }
 }
 
-fn terms(me: Member) -> Terms {
-    Terms {
+fn config(me: Member) -> LeaseConfig {
+    LeaseConfig {
         me,
         members: 3,
         voters: 3,
@@ -231,8 +240,8 @@
 }
 
 /// Breadth first, so that what is found is shortest.
-fn explore(bounds: Bounds, planted: Planted) -> Seen {
-    let first = World::new(bounds, planted);
+fn explore(bounds: Bounds, faults: InjectedFaults) -> Seen {
+    let first = World::new(bounds, faults);
     let mark = |world: &World| {
         let mut hasher = DefaultHasher::new();
         world.hash(&mut hasher);
@@ -263,7 +272,7 @@
                         seen.broken = Some(told(format!("{what}: {broken}")));
                         return seen;
                     }
-                    Ok(next) if next.under_way.len() > bounds.under_way => seen.cut += 1,
+                    Ok(next) if next.in_flight.len() > bounds.in_flight => seen.cut += 1,
                     Ok(next) => {
                         if known.insert(mark(&next)) {
                             seen.states += 1;
@@ -284,34 +293,34 @@
     depth: 13,
     steps: 4,
     lost: 0,
-    twice: 0,
+    duplicated: 0,
     pauses: 0,
     restarts: 0,
     forgets: false,
-    under_way: 5,
+    in_flight: 5,
     clock_stands: false,
     candidates: 2,
     epochs: true,
-    looks: false,
+    query_round: false,
 };
 /// What each case may bring; deeper ones are for a machine that has time (`PASSROAD_EXPLORE=2`).
 const LOSSY: Bounds = Bounds {
     lost: 1,
-    twice: 1,
+    duplicated: 1,
     depth: 12,
     ..NOTHING
 };
 const STOPPED: Bounds = Bounds {
     pauses: 1,
     steps: 3,
-    under_way: 7,
+    in_flight: 7,
     ..NOTHING
 };
 const AGAIN: Bounds = Bounds {
     candidates: 1,
     steps: 6,
     depth: 13,
-    under_way: 7,
+    in_flight: 7,
     clock_stands: true,
     ..NOTHING
 };
@@ -325,8 +334,8 @@
     clock_stands: true,
     ..NOTHING
 };
-const TWICE: Bounds = Bounds {
-    twice: 1,
+const DUPLICATED: Bounds = Bounds {
+    duplicated: 1,
     clock_stands: true,
     ..NOTHING
 };
@@ -336,9 +345,9 @@
 #[case::stopped(STOPPED)]
 #[case::forgetting(FORGETTING)]
 #[case::remembering(REMEMBERING)]
-#[case::twice(TWICE)]
-#[case::again(AGAIN)]
-#[case::looking(Bounds { looks: true, restarts: 1, forgets: true, ..NOTHING })]
+#[case::duplicated(DUPLICATED)]
+#[case::next_at(AGAIN)]
+#[case::looking(Bounds { query_round: true, restarts: 1, forgets: true, ..NOTHING })]
 fn in_no_order_do_two_own_it_or_epochs_fall(#[case] bounds: Bounds) {
     let deeper = std::env::var("PASSROAD_EXPLORE")
         .ok()
@@ -348,7 +357,7 @@
         depth: bounds.depth + deeper,
         ..bounds
     };
-    let seen = explore(bounds, Planted::default());
+    let seen = explore(bounds, InjectedFaults::default());
     println!(
         "{} states, {} with a new owner, {} cut",
         seen.states, seen.won, seen.cut
@@ -363,17 +372,17 @@
 }
 
 #[rstest]
-#[case::never_mute(Bounds { epochs: false, ..FORGETTING }, Planted { never_mute: true, ..Planted::default() }, "own it at once")]
-#[case::never_mute_and_epochs(FORGETTING, Planted { never_mute: true, ..Planted::default() }, "won epoch")]
-#[case::no_own_end(STOPPED, Planted { no_own_end: true, ..Planted::default() }, "own it at once")]
-#[case::any_owner(TWICE, Planted { any_owner: true, ..Planted::default() }, "won epoch")]
-#[case::equal_epochs(AGAIN, Planted { equal_epochs: true, ..Planted::default() }, "won epoch")]
+#[case::no_recovery_period(Bounds { epochs: false, ..FORGETTING }, InjectedFaults { no_recovery_period: true, ..InjectedFaults::default() }, "own it at once")]
+#[case::never_mute_and_epochs(FORGETTING, InjectedFaults { no_recovery_period: true, ..InjectedFaults::default() }, "won epoch")]
+#[case::no_owner_expiry(STOPPED, InjectedFaults { no_owner_expiry: true, ..InjectedFaults::default() }, "own it at once")]
+#[case::any_owner(DUPLICATED, InjectedFaults { any_owner: true, ..InjectedFaults::default() }, "won epoch")]
+#[case::equal_epochs(AGAIN, InjectedFaults { equal_epochs: true, ..InjectedFaults::default() }, "won epoch")]
 fn each_planted_fault_is_found(
     #[case] bounds: Bounds,
-    #[case] planted: Planted,
+    #[case] faults: InjectedFaults,
     #[case] what: &str,
 ) {
-    let seen = explore(bounds, planted);
+    let seen = explore(bounds, faults);
     let path = seen.broken.unwrap_or_default();
     println!("{} states: {path:#?}", seen.states);
     assert!(
--- a/crates/passroad-lease/src/fence.rs
+++ b/crates/passroad-lease/src/fence.rs
@@ -1,38 +1,43 @@
-//! The fence at whoever is acted on: the highest epoch seen for a duty, and whose it was.
+//! The fence of a protected resource: the highest epoch (fencing token) seen for each key, and its owner.
 
-use crate::{Duty, Epoch, Member};
+use crate::{Epoch, LeaseKey, Member};
 use std::collections::BTreeMap;
 
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Fence {
-    seen: BTreeMap<Duty, (Epoch, Member)>,
+    seen: BTreeMap<LeaseKey, (Epoch, Member)>,
 }
 
-/// Why an act is not obeyed.
+/// Why a call is rejected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Refused {
-    /// A higher epoch was seen.
-    Lower { highest: Epoch },
-    /// The same epoch was seen of another owner.
-    OfAnother { owner: Member },
+pub enum FenceRejection {
+    /// A higher epoch has been seen.
+    StaleEpoch { highest: Epoch },
+    /// The same epoch has been seen from another owner.
+    OwnerMismatch { owner: Member },
 }
 
 impl Fence {
-    /// Lets an act in, or tells why not. What it has let in no lower one follows.
-    pub fn admit(&mut self, duty: Duty, epoch: Epoch, owner: Member) -> Result<(), Refused> {
-        match self.seen.get(&duty).copied() {
-            Some((highest, _)) if epoch < highest => Err(Refused::Lower { highest }),
+    /// Accepts or rejects a call. Once an epoch is accepted, no lower one is.
+    pub fn admit(
+        &mut self,
+        key: LeaseKey,
+        epoch: Epoch,
+        owner: Member,
+    ) -> Result<(), FenceRejection> {
+        match self.seen.get(&key).copied() {
+            Some((highest, _)) if epoch < highest => Err(FenceRejection::StaleEpoch { highest }),
             Some((highest, other)) if epoch == highest && owner != other => {
-                Err(Refused::OfAnother { owner: other })
+                Err(FenceRejection::OwnerMismatch { owner: other })
             }
             _ => {
-                self.seen.insert(duty, (epoch, owner));
+                self.seen.insert(key, (epoch, owner));
                 Ok(())
             }
         }
     }
 
-    pub fn highest(&self, duty: Duty) -> Option<(Epoch, Member)> {
-        self.seen.get(&duty).copied()
+    pub fn highest(&self, key: LeaseKey) -> Option<(Epoch, Member)> {
+        self.seen.get(&key).copied()
     }
 }
--- a/crates/passroad-lease/src/lib.rs
+++ b/crates/passroad-lease/src/lib.rs
@@ -9,18 +9,18 @@
 //!   at once the system's clock, from which epochs are made, carries them on.
 //! - no two are obeyed: by [`Fence`] alone, at whoever is acted on, whatever clocks and voters do.
 
-mod council;
 mod fence;
 mod voter;
+mod voter_selection;
 
 #[cfg(test)]
 mod explore;
 #[cfg(test)]
 mod tests;
 
-pub use council::{council, order};
-pub use fence::{Fence, Refused};
+pub use fence::{Fence, FenceRejection};
 pub use voter::{Grant, Vote};
+pub use voter_selection::{candidate_order, voters_for};
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -29,35 +29,35 @@
 /// Place of a sidecar in the list of all.
 pub type Member = u16;
 /// A duty, by a number made of its name that is the same everywhere.
-pub type Duty = u64;
+pub type LeaseKey = u64;
 /// Rises with each ownership: milliseconds since 1970, or one more than the highest seen where that is more.
 pub type Epoch = u64;
 
 /// Of its lease an owner uses so much by its own clock: clocks may run 2% apart, either way, and a little more.
-const OWN_SHARE: f64 = 0.95;
+const OWNER_LEASE_SHARE: f64 = 0.95;
 /// A voter that has forgotten is mute for so many of the longest leases.
-const MUTE: f64 = 1.05;
+const RECOVERY_LEASES: f64 = 1.05;
 /// Longest that a word is waited for, as a part of the lease.
-const ANSWER_PART: u32 = 8;
-const RENEW_PART: u32 = 3;
+const REPLY_TIMEOUT_DIVISOR: u32 = 8;
+const RENEWAL_DIVISOR: u32 = 3;
 /// A leave is said so often, as words may be lost.
-const LEAVES: u8 = 3;
+const RELEASE_REPEATS: u8 = 3;
 /// Duties that a voter keeps something of.
-const MOST_DUTIES: usize = 64;
+const MAX_KEYS: usize = 64;
 /// Who stands behind another in a duty's order gives it so long a start.
-const PLACES_APART: Duration = Duration::from_millis(20);
-const LEAVES_APART: Duration = Duration::from_millis(20);
+const RANK_DELAY: Duration = Duration::from_millis(20);
+const RELEASE_INTERVAL: Duration = Duration::from_millis(20);
 
 /// The two clocks of a machine. The steady one may stand still while the machine sleeps; the other may be set.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Times {
-    pub steady: Duration, // since the process began
-    pub wall: Duration,   // since 1970
+pub struct Clocks {
+    pub monotonic: Duration, // since the process began
+    pub wall: Duration,      // since 1970
 }
 
 /// What this sidecar goes by.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub struct Terms {
+pub struct LeaseConfig {
     pub me: Member,
     pub members: usize,
     pub voters: usize,
@@ -67,133 +67,146 @@
 
 /// What sidecars say to each other about a duty.
 #[derive(Serialize, Deserialize, Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub enum Word {
+pub enum Message {
     /// Has anybody got it? Guards against asking beside an owner: a voter that it had not would promise away its vote.
-    Look {
-        duty: Duty,
+    Query {
+        key: LeaseKey,
         round: u32,
     },
     /// Not that I know.
-    Clear {
-        duty: Duty,
+    QueryClear {
+        key: LeaseKey,
         round: u32,
     },
     /// May I have it, by this epoch? An owner asks so in place of the one that it has.
-    Ask {
-        duty: Duty,
+    Propose {
+        key: LeaseKey,
         epoch: Epoch,
-        instead: Option<Epoch>,
+        replaces: Option<Epoch>,
     },
-    Yes {
-        duty: Duty,
+    Promise {
+        key: LeaseKey,
         epoch: Epoch,
     },
     /// Somebody else has it for so long.
     Held {
-        duty: Duty,
-        asked: Epoch,
+        key: LeaseKey,
+        in_reply_to: Epoch,
         epoch: Epoch,
         owner: Member,
-        left_ms: u32,
+        remaining_ms: u32,
     },
     /// Not by that epoch: this one was promised.
-    Low {
-        duty: Duty,
-        asked: Epoch,
+    EpochTooLow {
+        key: LeaseKey,
+        in_reply_to: Epoch,
         highest: Epoch,
     },
     /// I take it, or go on having it, for so long from when you hear it.
-    Take {
-        duty: Duty,
+    Claim {
+        key: LeaseKey,
         epoch: Epoch,
         round: u32,
         lease_ms: u32,
     },
     Granted {
-        duty: Duty,
+        key: LeaseKey,
         epoch: Epoch,
         round: u32,
     },
     /// I no longer have it.
-    Leave {
-        duty: Duty,
+    Release {
+        key: LeaseKey,
         epoch: Epoch,
     },
     /// Said by a voter to whom it turned away: it is free.
-    Free {
-        duty: Duty,
+    Released {
+        key: LeaseKey,
         epoch: Epoch,
     },
 }
 
-impl Word {
-    pub fn duty(&self) -> Duty {
+impl Message {
+    pub fn key(&self) -> LeaseKey {
         match self {
-            Word::Look { duty, .. }
-            | Word::Clear { duty, .. }
-            | Word::Ask { duty, .. }
-            | Word::Yes { duty, .. }
-            | Word::Held { duty, .. }
-            | Word::Low { duty, .. }
-            | Word::Take { duty, .. }
-            | Word::Granted { duty, .. }
-            | Word::Leave { duty, .. }
-            | Word::Free { duty, .. } => *duty,
+            Message::Query { key, .. }
+            | Message::QueryClear { key, .. }
+            | Message::Propose { key, .. }
+            | Message::Promise { key, .. }
+            | Message::Held { key, .. }
+            | Message::EpochTooLow { key, .. }
+            | Message::Claim { key, .. }
+            | Message::Granted { key, .. }
+            | Message::Release { key, .. }
+            | Message::Released { key, .. } => *key,
         }
     }
 
-    pub fn bytes(&self) -> Vec<u8> {
+    pub fn encode(&self) -> Vec<u8> {
         postcard::to_stdvec(self).unwrap_or_default()
     }
 
     /// None for what is no word, or has something behind it.
-    pub fn read(bytes: &[u8]) -> Option<Word> {
+    pub fn decode(bytes: &[u8]) -> Option<Message> {
         postcard::take_from_bytes(bytes)
             .ok()
             .filter(|(_, rest)| rest.is_empty())
-            .map(|(word, _)| word)
+            .map(|(message, _)| message)
     }
 }
 
 /// What is to be done, in order: what is to be kept is kept before what comes behind it is said.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Out {
-    Say { to: Member, word: Word },
-    Keep { duty: Duty, vote: Vote },
-    Won { duty: Duty, epoch: Epoch },
-    Lost { duty: Duty, epoch: Epoch, why: Why },
+pub enum Action {
+    Send {
+        to: Member,
+        message: Message,
+    },
+    Persist {
+        key: LeaseKey,
+        vote: Vote,
+    },
+    Acquired {
+        key: LeaseKey,
+        epoch: Epoch,
+    },
+    Lost {
+        key: LeaseKey,
+        epoch: Epoch,
+        reason: LossReason,
+    },
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Why {
+pub enum LossReason {
     /// No majority renewed it in time.
-    RanOut,
+    Expired,
     /// Given up on purpose.
-    Left,
+    Released,
     /// Whoever was acted on knows a higher epoch.
-    Outrun,
+    Superseded,
 }
 
 /// How a candidate stands with a duty.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-enum Part {
+enum CandidateState {
     /// It does not stand.
-    Off,
-    Rest {
+    Idle,
+    Waiting {
         until: Duration,
     },
-    Looking {
+    Querying {
         since: Duration,
         clear: Vec<Member>,
         held: Vec<(Member, Duration)>,
     },
-    Asking {
+    Proposing {
         epoch: Epoch,
         since: Duration,
-        yes: Vec<Member>,
-        no: Vec<Member>,
+        promised: Vec<Member>,
+        rejected: Vec<Member>,
     },
-    Taking {
+    Claiming {
         epoch: Epoch,
         since: Duration,
         granted: Vec<Member>,
@@ -204,176 +217,189 @@
         since: Duration,
         round: u32,
         granted: Vec<Member>,
-        done: bool,
-        rising: Option<Rising>,
+        renewed: bool,
+        raise: Option<EpochRaise>,
     },
-    Leaving {
+    Releasing {
         epoch: Epoch,
-        again: Duration,
-        left: u8,
+        next_at: Duration,
+        remaining: u8,
     },
 }
 
 /// An owner on its way to a higher epoch, as a voter has promised what it can't renew.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-struct Rising {
+struct EpochRaise {
     epoch: Epoch,
     since: Duration,
-    yes: Vec<Member>,
+    promised: Vec<Member>,
     granted: Vec<Member>,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct Candidate {
-    council: Vec<Member>,
-    stands: bool,
-    place: u32,     // among those that stand
+    voters: Vec<Member>,
+    eligible: bool,
+    rank: u32,      // among those that stand
     highest: Epoch, // heard of anywhere
-    looks: u32,
-    part: Part,
+    query_round: u32,
+    state: CandidateState,
 }
 
 /// One sidecar's part in all duties, as voter and as candidate.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub struct Lease {
-    terms: Terms,
-    dice: u64,
-    mute_until: Duration, // steady
-    votes: BTreeMap<Duty, Vote>,
-    candidates: BTreeMap<Duty, Candidate>,
+pub struct LeaseManager {
+    config: LeaseConfig,
+    random_state: u64,
+    recovering_until: Duration, // steady
+    votes: BTreeMap<LeaseKey, Vote>,
+    candidates: BTreeMap<LeaseKey, Candidate>,
     /// The owner's clock: the faster of the two, so that a machine that slept does not think that it still owns.
-    own: Duration,
-    last: (Duration, Duration),
+    owner_clock: Duration,
+    last_reading: (Duration, Duration),
     #[cfg(test)]
-    pub(crate) planted: Planted,
+    pub(crate) faults: InjectedFaults,
 }
 
 /// Faults that the explorer has to find.
 #[cfg(test)]
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash)]
-pub(crate) struct Planted {
-    pub never_mute: bool,
+pub(crate) struct InjectedFaults {
+    pub no_recovery_period: bool,
     pub equal_epochs: bool,
-    pub no_own_end: bool,
+    pub no_owner_expiry: bool,
     pub any_owner: bool,
-    pub no_chance: bool, // no fault: fewer states
-    pub no_look: bool,   // the same; it is not safety that looking is for
+    pub no_randomness: bool, // no fault: fewer states
+    pub no_query: bool,      // the same; it is not safety that looking is for
 }
 
 /// Faults are planted in tests only.
-macro_rules! planted {
+macro_rules! injected {
     ($lease:expr, $fault:ident) => {{
         #[cfg(test)]
-        let fault = $lease.planted.$fault;
+        let fault = $lease.faults.$fault;
         #[cfg(not(test))]
         let fault = false;
         fault
     }};
 }
 
-impl Lease {
+impl LeaseManager {
     /// `kept` is what the voter had kept on disk; without it, it has forgotten, and is mute for a while.
-    pub fn new(terms: Terms, times: Times, kept: Option<BTreeMap<Duty, Vote>>) -> Lease {
-        let mute_until = match kept {
+    pub fn new(
+        config: LeaseConfig,
+        clocks: Clocks,
+        stored_votes: Option<BTreeMap<LeaseKey, Vote>>,
+    ) -> LeaseManager {
+        let recovering_until = match stored_votes {
             Some(_) => Duration::ZERO,
-            None => times.steady + terms.lease.mul_f64(MUTE),
+            None => clocks.monotonic + config.lease.mul_f64(RECOVERY_LEASES),
         };
-        let mut votes = kept.unwrap_or_default();
+        let mut votes = stored_votes.unwrap_or_default();
         // How long ago it was granted is not known: for all of its time from here.
         votes
             .values_mut()
-            .for_each(|vote| vote.read_again(times.steady));
-        Lease {
-            dice: terms.seed | 1,
-            terms,
-            mute_until,
+            .for_each(|vote| vote.restart_grant_timer(clocks.monotonic));
+        LeaseManager {
+            random_state: config.seed | 1,
+            config,
+            recovering_until,
             votes,
             candidates: BTreeMap::new(),
-            own: Duration::ZERO,
-            last: (times.steady, times.wall),
+            owner_clock: Duration::ZERO,
+            last_reading: (clocks.monotonic, clocks.wall),
             #[cfg(test)]
-            planted: Planted::default(),
+            faults: InjectedFaults::default(),
         }
     }
 
     /// Has a duty looked after; `place` is this sidecar's among those that stand for it, if it does. Standing down gives up what it owns.
-    pub fn stand(&mut self, times: Times, duty: Duty, place: Option<usize>) -> Vec<Out> {
-        let now = self.pass(times);
-        let (voters, members) = (self.terms.voters, self.terms.members);
+    pub fn set_candidacy(
+        &mut self,
+        clocks: Clocks,
+        key: LeaseKey,
+        rank: Option<usize>,
+    ) -> Vec<Action> {
+        let now = self.advance_clock(clocks);
+        let (voters, members) = (self.config.voters, self.config.members);
         let new = || Candidate {
-            council: council(duty, members, voters),
-            stands: false,
-            place: 0,
+            voters: voters_for(key, members, voters),
+            eligible: false,
+            rank: 0,
             highest: 0,
-            looks: 0,
-            part: Part::Off,
+            query_round: 0,
+            state: CandidateState::Idle,
         };
-        let c = self.candidates.entry(duty).or_insert_with(new);
-        let stands = place.is_some();
-        (c.stands, c.place) = (stands, place.unwrap_or_default() as u32);
-        if stands && c.part == Part::Off {
-            c.part = Part::Rest { until: now };
+        let candidate = self.candidates.entry(key).or_insert_with(new);
+        let eligible = rank.is_some();
+        (candidate.eligible, candidate.rank) = (eligible, rank.unwrap_or_default() as u32);
+        if eligible && candidate.state == CandidateState::Idle {
+            candidate.state = CandidateState::Waiting { until: now };
         }
-        if stands {
+        if eligible {
             Vec::new()
         } else {
-            self.leave(times, duty, Why::Left)
+            self.release(clocks, key, LossReason::Released)
         }
     }
 
     /// Gives up a duty at once, so that the next owner need not wait for the lease to run out.
-    pub fn leave(&mut self, times: Times, duty: Duty, why: Why) -> Vec<Out> {
-        let now = self.pass(times);
-        let Some(c) = self.candidates.get_mut(&duty) else {
+    pub fn release(&mut self, clocks: Clocks, key: LeaseKey, reason: LossReason) -> Vec<Action> {
+        let now = self.advance_clock(clocks);
+        let Some(candidate) = self.candidates.get_mut(&key) else {
             return Vec::new();
         };
-        let rest = if c.stands {
-            Part::Rest {
-                until: now + self.terms.lease,
+        let rest = if candidate.eligible {
+            CandidateState::Waiting {
+                until: now + self.config.lease,
             }
         } else {
-            Part::Off
+            CandidateState::Idle
         };
-        match c.part {
-            Part::Owner { epoch, .. } => {
-                c.part = Part::Leaving {
+        match candidate.state {
+            CandidateState::Owner { epoch, .. } => {
+                candidate.state = CandidateState::Releasing {
                     epoch,
-                    again: now + LEAVES_APART,
-                    left: LEAVES - 1,
+                    next_at: now + RELEASE_INTERVAL,
+                    remaining: RELEASE_REPEATS - 1,
                 };
-                let mut out = vec![Out::Lost { duty, epoch, why }];
-                out.extend(c.say(Word::Leave { duty, epoch }));
-                out
+                let mut actions = vec![Action::Lost { key, epoch, reason }];
+                actions.extend(candidate.broadcast(Message::Release { key, epoch }));
+                actions
             }
-            Part::Leaving { .. } => Vec::new(),
-            Part::Taking { epoch, .. } => {
-                c.part = rest;
-                c.say(Word::Leave { duty, epoch })
+            CandidateState::Releasing { .. } => Vec::new(),
+            CandidateState::Claiming { epoch, .. } => {
+                candidate.state = rest;
+                candidate.broadcast(Message::Release { key, epoch })
             }
             _ => {
-                c.part = rest;
+                candidate.state = rest;
                 Vec::new()
             }
         }
     }
 
     /// An epoch of this duty was heard of: what is asked for next is higher. An owner of a lower one has been outrun.
-    pub fn learn(&mut self, times: Times, duty: Duty, epoch: Epoch) -> Vec<Out> {
-        let Some(c) = self.candidates.get_mut(&duty) else {
+    pub fn observe_epoch(&mut self, clocks: Clocks, key: LeaseKey, epoch: Epoch) -> Vec<Action> {
+        let Some(candidate) = self.candidates.get_mut(&key) else {
             return Vec::new();
         };
-        c.highest = c.highest.max(epoch);
-        match c.part {
-            Part::Owner { epoch: own, .. } if own < epoch => self.leave(times, duty, Why::Outrun),
+        candidate.highest = candidate.highest.max(epoch);
+        match candidate.state {
+            CandidateState::Owner { epoch: owned, .. } if owned < epoch => {
+                self.release(clocks, key, LossReason::Superseded)
+            }
             _ => Vec::new(),
         }
     }
 
     /// Until when this sidecar owns a duty, by which epoch; asked again right before each act. None while it does not.
-    pub fn owned(&mut self, times: Times, duty: Duty) -> Option<(Epoch, Duration)> {
-        let now = self.pass(times);
-        match self.candidates.get(&duty)?.part {
-            Part::Owner { epoch, until, .. } if now < until || planted!(self, no_own_end) => {
+    pub fn ownership(&mut self, clocks: Clocks, key: LeaseKey) -> Option<(Epoch, Duration)> {
+        let now = self.advance_clock(clocks);
+        match self.candidates.get(&key)?.state {
+            CandidateState::Owner { epoch, until, .. }
+                if now < until || injected!(self, no_owner_expiry) =>
+            {
                 Some((epoch, until.saturating_sub(now)))
             }
             _ => None,
@@ -381,169 +407,191 @@
     }
 
     /// Whether this voter still waits for what it may have granted and forgotten.
-    pub fn mute(&self, times: Times) -> bool {
-        times.steady < self.mute_until && !planted!(self, never_mute)
+    pub fn is_recovering(&self, clocks: Clocks) -> bool {
+        clocks.monotonic < self.recovering_until && !injected!(self, no_recovery_period)
     }
 
     /// Votes on nothing more: a vote that ends with its process is one that the next owner can't count on.
-    pub fn retire(&mut self) {
-        self.mute_until = Duration::MAX;
+    pub fn stop_voting(&mut self) {
+        self.recovering_until = Duration::MAX;
     }
 
     pub fn voters(&self) -> usize {
-        self.terms.voters
+        self.config.voters
     }
 
     /// How long until there is something to do by time alone.
-    pub fn wait(&self) -> Option<Duration> {
-        let part = self.terms.lease / ANSWER_PART;
-        let due = |c: &Candidate| match &c.part {
-            Part::Off => None,
-            Part::Rest { until } => Some(*until),
-            Part::Looking { since, .. }
-            | Part::Asking { since, .. }
-            | Part::Taking { since, .. } => Some(*since + part),
-            Part::Owner {
-                since, until, done, ..
+    pub fn time_to_next_timer(&self) -> Option<Duration> {
+        let reply_timeout = self.config.lease / REPLY_TIMEOUT_DIVISOR;
+        let next_due = |candidate: &Candidate| match &candidate.state {
+            CandidateState::Idle => None,
+            CandidateState::Waiting { until } => Some(*until),
+            CandidateState::Querying { since, .. }
+            | CandidateState::Proposing { since, .. }
+            | CandidateState::Claiming { since, .. } => Some(*since + reply_timeout),
+            CandidateState::Owner {
+                since,
+                until,
+                renewed,
+                ..
             } => {
-                let next = if *done {
-                    self.terms.lease / RENEW_PART
+                let next = if *renewed {
+                    self.config.lease / RENEWAL_DIVISOR
                 } else {
-                    part
+                    reply_timeout
                 };
                 Some((*since + next).min(*until))
             }
-            Part::Leaving { again, .. } => Some(*again),
+            CandidateState::Releasing { next_at, .. } => Some(*next_at),
         };
         self.candidates
             .values()
-            .filter_map(due)
+            .filter_map(next_due)
             .min()
-            .map(|at| at.saturating_sub(self.own))
+            .map(|due| due.saturating_sub(self.owner_clock))
     }
 
     /// Moves the owner's clock on by what passed on the faster of the two.
-    fn pass(&mut self, times: Times) -> Duration {
-        let steady = times.steady.saturating_sub(self.last.0);
-        let wall = times.wall.saturating_sub(self.last.1);
-        self.own += steady.max(wall);
-        self.last = (self.last.0.max(times.steady), times.wall);
-        self.own
+    fn advance_clock(&mut self, clocks: Clocks) -> Duration {
+        let monotonic = clocks.monotonic.saturating_sub(self.last_reading.0);
+        let wall = clocks.wall.saturating_sub(self.last_reading.1);
+        self.owner_clock += monotonic.max(wall);
+        self.last_reading = (self.last_reading.0.max(clocks.monotonic), clocks.wall);
+        self.owner_clock
     }
 
-    fn chance(&mut self) -> f64 {
-        if planted!(self, no_chance) {
+    fn random_share(&mut self) -> f64 {
+        if injected!(self, no_randomness) {
             return 0.5;
         }
-        self.dice = (self.dice & 0xffff_ffff) * 4_294_957_665 + (self.dice >> 32);
-        (self.dice & 0xffff_ffff) as f64 / 4_294_967_296.0
+        self.random_state =
+            (self.random_state & 0xffff_ffff) * 4_294_957_665 + (self.random_state >> 32);
+        (self.random_state & 0xffff_ffff) as f64 / 4_294_967_296.0
     }
 
     /// What time alone brings.
-    pub fn tick(&mut self, times: Times) -> Vec<Out> {
-        let now = self.pass(times);
-        let mut out = Vec::new();
-        for duty in self.candidates.keys().copied().collect::<Vec<_>>() {
-            self.turn(now, times, duty, &mut out);
+    pub fn tick(&mut self, clocks: Clocks) -> Vec<Action> {
+        let now = self.advance_clock(clocks);
+        let mut actions = Vec::new();
+        for key in self.candidates.keys().copied().collect::<Vec<_>>() {
+            self.tick_key(now, clocks, key, &mut actions);
         }
-        out
+        actions
     }
 
-    fn turn(&mut self, now: Duration, times: Times, duty: Duty, out: &mut Vec<Out>) {
-        let (part, lease) = (self.terms.lease / ANSWER_PART, self.terms.lease);
-        let luck = self.chance();
-        let (no_own_end, no_look) = (planted!(self, no_own_end), planted!(self, no_look));
-        let equal = planted!(self, equal_epochs);
-        let Some(c) = self.candidates.get_mut(&duty) else {
+    fn tick_key(
+        &mut self,
+        now: Duration,
+        clocks: Clocks,
+        key: LeaseKey,
+        actions: &mut Vec<Action>,
+    ) {
+        let (reply_timeout, lease) = (self.config.lease / REPLY_TIMEOUT_DIVISOR, self.config.lease);
+        let jitter = self.random_share();
+        let (no_owner_expiry, no_query) =
+            (injected!(self, no_owner_expiry), injected!(self, no_query));
+        let equal_epochs = injected!(self, equal_epochs);
+        let Some(candidate) = self.candidates.get_mut(&key) else {
             return;
         };
-        match &mut c.part {
-            Part::Off => {}
-            Part::Rest { until } if now >= *until => {
-                if no_look {
-                    return c.ask(now, times, equal, duty, out);
+        match &mut candidate.state {
+            CandidateState::Idle => {}
+            CandidateState::Waiting { until } if now >= *until => {
+                if no_query {
+                    return candidate.propose(now, clocks, equal_epochs, key, actions);
                 }
-                c.looks = c.looks.wrapping_add(1);
-                c.part = Part::Looking {
+                candidate.query_round = candidate.query_round.wrapping_add(1);
+                candidate.state = CandidateState::Querying {
                     since: now,
                     clear: vec![],
                     held: vec![],
                 };
-                out.extend(c.say(Word::Look {
-                    duty,
-                    round: c.looks,
+                actions.extend(candidate.broadcast(Message::Query {
+                    key,
+                    round: candidate.query_round,
                 }));
             }
-            Part::Looking { since, .. } if now >= *since + part => {
-                c.part = Part::Rest {
-                    until: now + part.mul_f64(0.3 + 2.0 * luck),
+            CandidateState::Querying { since, .. } if now >= *since + reply_timeout => {
+                candidate.state = CandidateState::Waiting {
+                    until: now + reply_timeout.mul_f64(0.3 + 2.0 * jitter),
                 };
             }
-            Part::Asking { since, .. } if now >= *since + part => {
+            CandidateState::Proposing { since, .. } if now >= *since + reply_timeout => {
                 // Guards against candidates that ask in step, each in the other's way.
-                c.part = Part::Rest {
-                    until: now + part.mul_f64(0.3 + 2.0 * luck),
+                candidate.state = CandidateState::Waiting {
+                    until: now + reply_timeout.mul_f64(0.3 + 2.0 * jitter),
                 };
             }
-            Part::Taking { epoch, since, .. } if now >= *since + part => {
+            CandidateState::Claiming { epoch, since, .. } if now >= *since + reply_timeout => {
                 // What some have granted is in nobody's way for longer.
                 let epoch = *epoch;
-                c.part = Part::Rest {
-                    until: now + part.mul_f64(0.3 + 2.0 * luck),
+                candidate.state = CandidateState::Waiting {
+                    until: now + reply_timeout.mul_f64(0.3 + 2.0 * jitter),
                 };
-                out.extend(c.say(Word::Leave { duty, epoch }));
+                actions.extend(candidate.broadcast(Message::Release { key, epoch }));
             }
-            Part::Owner { epoch, until, .. } if now >= *until && !no_own_end => {
+            CandidateState::Owner { epoch, until, .. } if now >= *until && !no_owner_expiry => {
                 let epoch = *epoch;
-                c.part = if c.stands {
-                    Part::Rest { until: now }
+                candidate.state = if candidate.eligible {
+                    CandidateState::Waiting { until: now }
                 } else {
-                    Part::Off
+                    CandidateState::Idle
                 };
-                out.push(Out::Lost {
-                    duty,
+                actions.push(Action::Lost {
+                    key,
                     epoch,
-                    why: Why::RanOut,
+                    reason: LossReason::Expired,
                 });
             }
-            Part::Owner {
-                rising: rising @ Some(_),
+            CandidateState::Owner {
+                raise: raise @ Some(_),
                 ..
-            } if rising
+            } if raise
                 .as_ref()
-                .is_some_and(|rising| now >= rising.since + part) =>
+                .is_some_and(|raise| now >= raise.since + reply_timeout) =>
             {
-                *rising = None;
+                *raise = None;
             }
-            Part::Owner {
+            CandidateState::Owner {
                 epoch,
                 since,
                 round,
                 granted,
-                done,
+                renewed,
                 ..
-            } if now >= *since + if *done { lease / RENEW_PART } else { part } => {
-                (*since, *round, *done) = (now, *round + 1, false);
+            } if now
+                >= *since
+                    + if *renewed {
+                        lease / RENEWAL_DIVISOR
+                    } else {
+                        reply_timeout
+                    } =>
+            {
+                (*since, *round, *renewed) = (now, *round + 1, false);
                 granted.clear();
-                let word = Word::Take {
-                    duty,
+                let message = Message::Claim {
+                    key,
                     epoch: *epoch,
                     round: *round,
                     lease_ms: lease.as_millis() as u32,
                 };
-                out.extend(c.say(word));
+                actions.extend(candidate.broadcast(message));
             }
-            Part::Leaving { epoch, again, left } if now >= *again => {
+            CandidateState::Releasing {
+                epoch,
+                next_at,
+                remaining,
+            } if now >= *next_at => {
                 let epoch = *epoch;
-                if *left == 0 {
-                    c.part = if c.stands {
-                        Part::Rest { until: now + lease }
+                if *remaining == 0 {
+                    candidate.state = if candidate.eligible {
+                        CandidateState::Waiting { until: now + lease }
                     } else {
-                        Part::Off
+                        CandidateState::Idle
                     };
                 } else {
-                    (*again, *left) = (now + LEAVES_APART, *left - 1);
-                    out.extend(c.say(Word::Leave { duty, epoch }));
+                    (*next_at, *remaining) = (now + RELEASE_INTERVAL, *remaining - 1);
+                    actions.extend(candidate.broadcast(Message::Release { key, epoch }));
                 }
             }
             _ => {}
@@ -551,82 +599,85 @@
     }
 
     /// What a member says; `from` is who it is by its address.
-    pub fn hear(&mut self, times: Times, from: Member, word: Word) -> Vec<Out> {
-        let now = self.pass(times);
-        match word {
-            Word::Look { .. } | Word::Ask { .. } | Word::Take { .. } | Word::Leave { .. } => {
-                self.vote(times, from, word)
-            }
-            _ => self.answer(now, times, from, word),
+    pub fn receive(&mut self, clocks: Clocks, from: Member, message: Message) -> Vec<Action> {
+        let now = self.advance_clock(clocks);
+        match message {
+            Message::Query { .. }
+            | Message::Propose { .. }
+            | Message::Claim { .. }
+            | Message::Release { .. } => self.receive_as_voter(clocks, from, message),
+            _ => self.receive_as_candidate(now, clocks, from, message),
         }
     }
 
-    fn vote(&mut self, times: Times, from: Member, word: Word) -> Vec<Out> {
-        if self.mute(times) {
+    fn receive_as_voter(&mut self, clocks: Clocks, from: Member, message: Message) -> Vec<Action> {
+        if self.is_recovering(clocks) {
             return Vec::new();
         }
-        let (duty, now) = (word.duty(), times.steady);
-        let any_owner = planted!(self, any_owner);
-        let longest = self.terms.lease;
+        let (key, now) = (message.key(), clocks.monotonic);
+        let any_owner = injected!(self, any_owner);
+        let longest = self.config.lease;
         // Guards against names that nobody here has heard of, without end.
-        if self.votes.len() >= MOST_DUTIES && !self.votes.contains_key(&duty) {
+        if self.votes.len() >= MAX_KEYS && !self.votes.contains_key(&key) {
             return Vec::new();
         }
-        let vote = self.votes.entry(duty).or_default();
-        let mut out = Vec::new();
-        let mut say = |to: Member, word: Word| out.push(Out::Say { to, word });
+        let vote = self.votes.entry(key).or_default();
+        let mut actions = Vec::new();
+        let mut send = |to: Member, message: Message| actions.push(Action::Send { to, message });
         // In the way is a live grant, but not one's own that is renewed or risen from.
-        let held = |vote: &Vote, asked: Epoch, own: Option<Epoch>| {
+        let conflict = |vote: &Vote, in_reply_to: Epoch, replaced: Option<Epoch>| {
             let grant = vote
-                .live(now)
-                .filter(|g| g.owner != from || g.epoch != asked && Some(g.epoch) != own);
+                .live_grant(now)
+                .filter(|g| g.owner != from || g.epoch != in_reply_to && Some(g.epoch) != replaced);
             grant
-                .filter(|g| !any_owner || g.epoch != asked)
-                .map(|g| Word::Held {
-                    duty,
-                    asked,
+                .filter(|g| !any_owner || g.epoch != in_reply_to)
+                .map(|g| Message::Held {
+                    key,
+                    in_reply_to,
                     epoch: g.epoch,
                     owner: g.owner,
-                    left_ms: g.until.saturating_sub(now).as_millis() as u32 + 1,
+                    remaining_ms: g.until.saturating_sub(now).as_millis() as u32 + 1,
                 })
         };
         let before = vote.clone();
-        match word {
-            Word::Look { round, .. } => match held(vote, Epoch::from(round), None) {
-                Some(word) => {
-                    vote.turned_away(from);
-                    say(from, word);
+        match message {
+            Message::Query { round, .. } => match conflict(vote, Epoch::from(round), None) {
+                Some(message) => {
+                    vote.add_waiting(from);
+                    send(from, message);
                 }
-                None => say(from, Word::Clear { duty, round }),
+                None => send(from, Message::QueryClear { key, round }),
             },
-            Word::Ask { epoch, instead, .. } => match held(vote, epoch, instead) {
-                Some(word) => {
-                    vote.turned_away(from);
-                    say(from, word);
+            Message::Propose {
+                epoch, replaces, ..
+            } => match conflict(vote, epoch, replaces) {
+                Some(message) => {
+                    vote.add_waiting(from);
+                    send(from, message);
                 }
                 None if vote.promise(epoch, from, any_owner) => {
-                    say(from, Word::Yes { duty, epoch })
+                    send(from, Message::Promise { key, epoch })
                 }
-                None => say(
+                None => send(
                     from,
-                    Word::Low {
-                        duty,
-                        asked: epoch,
+                    Message::EpochTooLow {
+                        key,
+                        in_reply_to: epoch,
                         highest: vote.promised,
                     },
                 ),
             },
             // What was promised beside a grant was promised to its owner, in place of it.
-            Word::Take {
+            Message::Claim {
                 epoch,
                 round,
                 lease_ms,
                 ..
-            } => match held(vote, epoch, vote.risen(epoch, from)) {
-                Some(word) => say(from, word),
+            } => match conflict(vote, epoch, vote.replaceable_epoch(epoch, from)) {
+                Some(message) => send(from, message),
                 // Guards against leases that outlast the time for which a voter that forgot is mute.
                 None if Duration::from_millis(lease_ms.into()) > longest => {}
-                None if vote.is_for(epoch, from, any_owner) => {
+                None if vote.is_promised_to(epoch, from, any_owner) => {
                     let lease = Duration::from_millis(lease_ms.into());
                     vote.grant = Some(Grant {
                         epoch,
@@ -634,232 +685,251 @@
                         until: now + lease,
                         lease,
                     });
-                    say(from, Word::Granted { duty, epoch, round });
+                    send(from, Message::Granted { key, epoch, round });
                 }
-                None => say(
+                None => send(
                     from,
-                    Word::Low {
-                        duty,
-                        asked: epoch,
+                    Message::EpochTooLow {
+                        key,
+                        in_reply_to: epoch,
                         highest: vote.promised,
                     },
                 ),
             },
-            Word::Leave { epoch, .. } if vote.is_for(epoch, from, false) => {
-                for to in vote.free() {
-                    say(to, Word::Free { duty, epoch });
+            Message::Release { epoch, .. } if vote.is_promised_to(epoch, from, false) => {
+                for to in vote.release() {
+                    send(to, Message::Released { key, epoch });
                 }
             }
             _ => {}
         }
-        if vote.on_disk() != before.on_disk() {
-            out.insert(
+        if vote.persisted() != before.persisted() {
+            actions.insert(
                 0,
-                Out::Keep {
-                    duty,
+                Action::Persist {
+                    key,
                     vote: vote.clone(),
                 },
             );
         }
-        out
+        actions
     }
 
-    fn answer(&mut self, now: Duration, times: Times, from: Member, word: Word) -> Vec<Out> {
-        let (part, lease) = (self.terms.lease / ANSWER_PART, self.terms.lease);
-        let (luck, equal) = (self.chance(), planted!(self, equal_epochs));
-        let duty = word.duty();
-        let Some(c) = self.candidates.get_mut(&duty) else {
+    fn receive_as_candidate(
+        &mut self,
+        now: Duration,
+        clocks: Clocks,
+        from: Member,
+        message: Message,
+    ) -> Vec<Action> {
+        let (reply_timeout, lease) = (self.config.lease / REPLY_TIMEOUT_DIVISOR, self.config.lease);
+        let (jitter, equal_epochs) = (self.random_share(), injected!(self, equal_epochs));
+        let key = message.key();
+        let Some(candidate) = self.candidates.get_mut(&key) else {
             return Vec::new();
         };
         // Only voters have a say.
-        if !c.council.contains(&from) {
+        if !candidate.voters.contains(&from) {
             return Vec::new();
         }
-        let (majority, voters) = (c.council.len() / 2 + 1, c.council.len());
-        let mut out = Vec::new();
-        let add = |to: &mut Vec<Member>| {
+        let (majority, voter_count) = (candidate.voters.len() / 2 + 1, candidate.voters.len());
+        let mut actions = Vec::new();
+        let add_voter = |to: &mut Vec<Member>| {
             if !to.contains(&from) {
                 to.push(from);
             }
             to.len() >= majority
         };
-        match (&mut c.part, word) {
-            (Part::Asking { epoch, yes, .. }, Word::Yes { duty, epoch: said })
-                if said == *epoch =>
-            {
-                let enough = add(yes);
-                if enough {
+        match (&mut candidate.state, message) {
+            (
+                CandidateState::Proposing {
+                    epoch, promised, ..
+                },
+                Message::Promise {
+                    key,
+                    epoch: replied_epoch,
+                },
+            ) if replied_epoch == *epoch => {
+                let has_majority = add_voter(promised);
+                if has_majority {
                     let epoch = *epoch;
-                    c.part = Part::Taking {
+                    candidate.state = CandidateState::Claiming {
                         epoch,
                         since: now,
                         granted: vec![],
                     };
-                    out.extend(c.say(Word::Take {
-                        duty,
+                    actions.extend(candidate.broadcast(Message::Claim {
+                        key,
                         epoch,
                         round: 0,
                         lease_ms: lease.as_millis() as u32,
                     }));
                 }
             }
-            (Part::Looking { clear, .. }, Word::Clear { duty, round }) if round == c.looks => {
-                let enough = add(clear);
-                if enough {
-                    c.ask(now, times, equal, duty, &mut out);
+            (CandidateState::Querying { clear, .. }, Message::QueryClear { key, round })
+                if round == candidate.query_round =>
+            {
+                let has_majority = add_voter(clear);
+                if has_majority {
+                    candidate.propose(now, clocks, equal_epochs, key, &mut actions);
                 }
             }
             (
-                Part::Looking { held, .. },
-                Word::Held {
-                    asked,
-                    left_ms,
+                CandidateState::Querying { held, .. },
+                Message::Held {
+                    in_reply_to,
+                    remaining_ms,
                     epoch,
                     ..
                 },
-            ) if asked == Epoch::from(c.looks) => {
-                c.highest = c.highest.max(epoch);
+            ) if in_reply_to == Epoch::from(candidate.query_round) => {
+                candidate.highest = candidate.highest.max(epoch);
                 if !held.iter().any(|(who, _)| *who == from) {
-                    held.push((from, Duration::from_millis(left_ms.into())));
+                    held.push((from, Duration::from_millis(remaining_ms.into())));
                 }
-                if held.len() > voters - majority {
-                    held.sort_by_key(|(_, left)| *left);
+                if held.len() > voter_count - majority {
+                    held.sort_by_key(|(_, remaining)| *remaining);
                     // When enough of them are free, as far as they have said.
-                    let left = held[held.len() + majority - voters - 1].1;
+                    let remaining = held[held.len() + majority - voter_count - 1].1;
                     // Guards against two that stand and split the voters.
-                    c.part = Part::Rest {
-                        until: now + left + c.place * PLACES_APART,
+                    candidate.state = CandidateState::Waiting {
+                        until: now + remaining + candidate.rank * RANK_DELAY,
                     };
                 }
             }
             (
-                Part::Asking { epoch, no, .. },
-                Word::Held {
-                    asked,
+                CandidateState::Proposing {
+                    epoch, rejected, ..
+                },
+                Message::Held {
+                    in_reply_to,
                     epoch: highest,
                     ..
                 }
-                | Word::Low { asked, highest, .. },
-            ) if asked == *epoch => {
-                c.highest = c.highest.max(highest);
-                add(no);
-                if no.len() > voters - majority {
-                    c.part = Part::Rest {
-                        until: now + part.mul_f64(luck),
+                | Message::EpochTooLow {
+                    in_reply_to,
+                    highest,
+                    ..
+                },
+            ) if in_reply_to == *epoch => {
+                candidate.highest = candidate.highest.max(highest);
+                add_voter(rejected);
+                if rejected.len() > voter_count - majority {
+                    candidate.state = CandidateState::Waiting {
+                        until: now + reply_timeout.mul_f64(jitter),
                     };
                 }
             }
             (
-                Part::Taking {
+                CandidateState::Claiming {
                     epoch,
                     since,
                     granted,
                 },
-                Word::Granted {
-                    duty,
-                    epoch: said,
+                Message::Granted {
+                    key,
+                    epoch: replied_epoch,
                     round: 0,
                 },
-            ) if said == *epoch => {
-                let enough = add(granted);
-                if enough {
+            ) if replied_epoch == *epoch => {
+                let has_majority = add_voter(granted);
+                if has_majority {
                     // From when it was asked for: what is under way has run out of it.
                     let (epoch, since) = (*epoch, *since);
-                    let until = since + lease.mul_f64(OWN_SHARE);
+                    let until = since + lease.mul_f64(OWNER_LEASE_SHARE);
                     let granted = std::mem::take(granted);
-                    let rising = None;
-                    c.part = Part::Owner {
+                    let raise = None;
+                    candidate.state = CandidateState::Owner {
                         epoch,
                         until,
                         since,
                         round: 0,
                         granted,
-                        done: true,
-                        rising,
+                        renewed: true,
+                        raise,
                     };
-                    out.push(Out::Won { duty, epoch });
+                    actions.push(Action::Acquired { key, epoch });
                 }
             }
             (
-                Part::Owner {
+                CandidateState::Owner {
                     epoch,
                     until,
                     since,
                     round,
                     granted,
-                    done,
+                    renewed,
                     ..
                 },
-                Word::Granted {
-                    epoch: said,
-                    round: of,
+                Message::Granted {
+                    epoch: replied_epoch,
+                    round: replied_round,
                     ..
                 },
-            ) if (said, of) == (*epoch, *round) => {
+            ) if (replied_epoch, replied_round) == (*epoch, *round) => {
                 // What ran out before this was heard stays lost.
-                let enough = add(granted);
-                if enough && !*done && now < *until {
-                    (*until, *done) = (*since + lease.mul_f64(OWN_SHARE), true);
+                let has_majority = add_voter(granted);
+                if has_majority && !*renewed && now < *until {
+                    (*until, *renewed) = (*since + lease.mul_f64(OWNER_LEASE_SHARE), true);
                 }
             }
             // A voter that has forgotten is asked for its promise again, or it would be lost to this owner.
             (
-                Part::Owner { epoch, .. },
-                Word::Low {
-                    duty,
-                    asked,
+                CandidateState::Owner { epoch, .. },
+                Message::EpochTooLow {
+                    key,
+                    in_reply_to,
                     highest,
                 },
-            ) if asked == *epoch && highest < *epoch => {
-                let word = Word::Ask {
-                    duty,
+            ) if in_reply_to == *epoch && highest < *epoch => {
+                let message = Message::Propose {
+                    key,
                     epoch: *epoch,
-                    instead: None,
+                    replaces: None,
                 };
-                out.push(Out::Say { to: from, word });
+                actions.push(Action::Send { to: from, message });
             }
             // Guards against votes that are promised to others and lost one by one: it goes above them.
             (
-                Part::Owner {
+                CandidateState::Owner {
                     epoch,
-                    rising: rising @ None,
+                    raise: raise @ None,
                     ..
                 },
-                Word::Low {
-                    duty,
-                    asked,
+                Message::EpochTooLow {
+                    key,
+                    in_reply_to,
                     highest,
                 },
-            ) if asked == *epoch => {
-                let instead = Some(*epoch);
-                let epoch =
-                    (times.wall.as_millis() as Epoch).max(c.highest.max(highest).saturating_add(1));
-                c.highest = epoch;
-                *rising = Some(Rising {
+            ) if in_reply_to == *epoch => {
+                let replaces = Some(*epoch);
+                let epoch = (clocks.wall.as_millis() as Epoch)
+                    .max(candidate.highest.max(highest).saturating_add(1));
+                candidate.highest = epoch;
+                *raise = Some(EpochRaise {
                     epoch,
                     since: now,
-                    yes: vec![],
+                    promised: vec![],
                     granted: vec![],
                 });
-                out.extend(c.say(Word::Ask {
-                    duty,
+                actions.extend(candidate.broadcast(Message::Propose {
+                    key,
                     epoch,
-                    instead,
+                    replaces,
                 }));
             }
             (
-                Part::Owner {
-                    rising: Some(rising),
-                    ..
+                CandidateState::Owner {
+                    raise: Some(raise), ..
                 },
-                Word::Yes { duty, epoch },
-            ) if epoch == rising.epoch => {
-                let before = rising.yes.len();
-                let enough = add(&mut rising.yes);
-                if enough && before < majority {
-                    rising.since = now;
-                    out.extend(c.say(Word::Take {
-                        duty,
+                Message::Promise { key, epoch },
+            ) if epoch == raise.epoch => {
+                let before = raise.promised.len();
+                let has_majority = add_voter(&mut raise.promised);
+                if has_majority && before < majority {
+                    raise.since = now;
+                    actions.extend(candidate.broadcast(Message::Claim {
+                        key,
                         epoch,
                         round: 0,
                         lease_ms: lease.as_millis() as u32,
@@ -867,74 +937,88 @@
                 }
             }
             (
-                Part::Owner {
-                    rising: Some(rising),
+                CandidateState::Owner {
+                    raise: Some(raise),
                     until,
                     ..
                 },
-                Word::Granted { duty, epoch, .. },
-            ) if epoch == rising.epoch && rising.yes.len() >= majority => {
-                let enough = add(&mut rising.granted);
-                if enough && now < *until {
-                    let (since, granted) = (rising.since, std::mem::take(&mut rising.granted));
-                    let until = since + lease.mul_f64(OWN_SHARE);
-                    c.part = Part::Owner {
+                Message::Granted { key, epoch, .. },
+            ) if epoch == raise.epoch && raise.promised.len() >= majority => {
+                let has_majority = add_voter(&mut raise.granted);
+                if has_majority && now < *until {
+                    let (since, granted) = (raise.since, std::mem::take(&mut raise.granted));
+                    let until = since + lease.mul_f64(OWNER_LEASE_SHARE);
+                    candidate.state = CandidateState::Owner {
                         epoch,
                         until,
                         since,
                         round: 0,
                         granted,
-                        done: true,
-                        rising: None,
+                        renewed: true,
+                        raise: None,
                     };
-                    out.push(Out::Won { duty, epoch });
+                    actions.push(Action::Acquired { key, epoch });
                 }
             }
-            (Part::Rest { until }, Word::Free { epoch, .. }) => {
-                c.highest = c.highest.max(epoch);
-                *until = now + c.place * PLACES_APART;
+            (CandidateState::Waiting { until }, Message::Released { epoch, .. }) => {
+                candidate.highest = candidate.highest.max(epoch);
+                *until = now + candidate.rank * RANK_DELAY;
             }
-            (Part::Taking { epoch, .. }, Word::Low { asked, highest, .. }) if asked == *epoch => {
-                c.highest = c.highest.max(highest);
+            (
+                CandidateState::Claiming { epoch, .. },
+                Message::EpochTooLow {
+                    in_reply_to,
+                    highest,
+                    ..
+                },
+            ) if in_reply_to == *epoch => {
+                candidate.highest = candidate.highest.max(highest);
             }
             _ => {}
         }
-        if matches!(c.part, Part::Rest { until } if until <= now) {
-            self.turn(now, times, duty, &mut out);
+        if matches!(candidate.state, CandidateState::Waiting { until } if until <= now) {
+            self.tick_key(now, clocks, key, &mut actions);
         }
-        out
+        actions
     }
 }
 
 impl Candidate {
     /// Asks all voters for an epoch above all that were heard of.
-    fn ask(&mut self, now: Duration, times: Times, equal: bool, duty: Duty, out: &mut Vec<Out>) {
-        let least = if equal {
+    fn propose(
+        &mut self,
+        now: Duration,
+        clocks: Clocks,
+        equal_epochs: bool,
+        key: LeaseKey,
+        actions: &mut Vec<Action>,
+    ) {
+        let least = if equal_epochs {
             self.highest
         } else {
             self.highest.saturating_add(1)
         };
-        let epoch = (times.wall.as_millis() as Epoch).max(least);
+        let epoch = (clocks.wall.as_millis() as Epoch).max(least);
         self.highest = epoch;
-        self.part = Part::Asking {
+        self.state = CandidateState::Proposing {
             epoch,
             since: now,
-            yes: vec![],
-            no: vec![],
+            promised: vec![],
+            rejected: vec![],
         };
-        out.extend(self.say(Word::Ask {
-            duty,
+        actions.extend(self.broadcast(Message::Propose {
+            key,
             epoch,
-            instead: None,
+            replaces: None,
         }));
     }
 
-    fn say(&self, word: Word) -> Vec<Out> {
-        self.council
+    fn broadcast(&self, message: Message) -> Vec<Action> {
+        self.voters
             .iter()
-            .map(|to| Out::Say {
+            .map(|to| Action::Send {
                 to: *to,
-                word: word.clone(),
+                message: message.clone(),
             })
             .collect()
     }
--- a/crates/passroad-lease/src/tests.rs
+++ b/crates/passroad-lease/src/tests.rs
@@ -2,12 +2,12 @@
 use proptest::prelude::*;
 use rstest::rstest;
 
-const DUTY: Duty = 11;
+const DUTY: LeaseKey = 11;
 const LEASE: Duration = Duration::from_secs(1);
 const MS: Duration = Duration::from_millis(1);
 
-fn terms(me: Member) -> Terms {
-    Terms {
+fn config(me: Member) -> LeaseConfig {
+    LeaseConfig {
         me,
         members: 3,
         voters: 3,
@@ -16,23 +16,24 @@
     }
 }
 
-fn at(ms: u32) -> Times {
-    Times {
-        steady: MS * ms,
+fn clocks_at(ms: u32) -> Clocks {
+    Clocks {
+        monotonic: MS * ms,
         wall: MS * (1_000_000 + ms),
     }
 }
 
 /// A voter that remembers.
-fn voter() -> Lease {
-    Lease::new(terms(0), at(0), Some(BTreeMap::new()))
+fn voter() -> LeaseManager {
+    LeaseManager::new(config(0), clocks_at(0), Some(BTreeMap::new()))
 }
 
-fn said(outs: &[Out]) -> Vec<&Word> {
-    outs.iter()
-        .filter_map(|out| {
-            if let Out::Say { word, .. } = out {
-                Some(word)
+fn messages(actions: &[Action]) -> Vec<&Message> {
+    actions
+        .iter()
+        .filter_map(|action| {
+            if let Action::Send { message, .. } = action {
+                Some(message)
             } else {
                 None
             }
@@ -40,17 +41,17 @@
         .collect()
 }
 
-fn ask(epoch: Epoch) -> Word {
-    Word::Ask {
-        duty: DUTY,
+fn propose(epoch: Epoch) -> Message {
+    Message::Propose {
+        key: DUTY,
         epoch,
-        instead: None,
+        replaces: None,
     }
 }
 
-fn take(epoch: Epoch, round: u32) -> Word {
-    Word::Take {
-        duty: DUTY,
+fn claim(epoch: Epoch, round: u32) -> Message {
+    Message::Claim {
+        key: DUTY,
         epoch,
         round,
         lease_ms: 1000,
@@ -58,56 +59,59 @@
 }
 
 /// An owner at 100 ms, by epoch 1_000_100.
-fn owner() -> Lease {
-    let mut lease = Lease::new(terms(0), at(0), Some(BTreeMap::new()));
-    lease.stand(at(100), DUTY, Some(0));
-    lease.tick(at(100));
+fn owner() -> LeaseManager {
+    let mut lease = LeaseManager::new(config(0), clocks_at(0), Some(BTreeMap::new()));
+    lease.set_candidacy(clocks_at(100), DUTY, Some(0));
+    lease.tick(clocks_at(100));
     let epoch = 1_000_100;
     (1..3).for_each(|from| {
-        drop(lease.hear(
-            at(100),
+        drop(lease.receive(
+            clocks_at(100),
             from,
-            Word::Clear {
-                duty: DUTY,
+            Message::QueryClear {
+                key: DUTY,
                 round: 1,
             },
         ))
     });
-    lease.hear(at(101), 1, Word::Yes { duty: DUTY, epoch });
-    lease.hear(at(101), 2, Word::Yes { duty: DUTY, epoch });
-    lease.hear(
-        at(102),
+    lease.receive(clocks_at(101), 1, Message::Promise { key: DUTY, epoch });
+    lease.receive(clocks_at(101), 2, Message::Promise { key: DUTY, epoch });
+    lease.receive(
+        clocks_at(102),
         1,
-        Word::Granted {
-            duty: DUTY,
+        Message::Granted {
+            key: DUTY,
             epoch,
             round: 0,
         },
     );
-    let won = lease.hear(
-        at(102),
+    let won = lease.receive(
+        clocks_at(102),
         2,
-        Word::Granted {
-            duty: DUTY,
+        Message::Granted {
+            key: DUTY,
             epoch,
             round: 0,
         },
     );
-    assert_eq!(won, [Out::Won { duty: DUTY, epoch }]);
+    assert_eq!(won, [Action::Acquired { key: DUTY, epoch }]);
     lease
 }
 
 #[rstest]
 fn a_lease_runs_from_when_it_was_asked_for() {
     let mut lease = owner();
-    assert_eq!(lease.owned(at(1050), DUTY), Some((1_000_100, MS)));
-    assert_eq!(lease.owned(at(1052), DUTY), None);
     assert_eq!(
-        lease.tick(at(1052))[0],
-        Out::Lost {
-            duty: DUTY,
+        lease.ownership(clocks_at(1050), DUTY),
+        Some((1_000_100, MS))
+    );
+    assert_eq!(lease.ownership(clocks_at(1052), DUTY), None);
+    assert_eq!(
+        lease.tick(clocks_at(1052))[0],
+        Action::Lost {
+            key: DUTY,
             epoch: 1_000_100,
-            why: Why::RanOut
+            reason: LossReason::Expired
         }
     );
 }
@@ -116,11 +120,11 @@
 #[rstest]
 fn an_owner_whose_machine_slept_has_nothing_left() {
     let mut lease = owner();
-    let woken = Times {
-        steady: MS * 110,
+    let woken = Clocks {
+        monotonic: MS * 110,
         wall: MS * 1_005_000,
     };
-    assert_eq!(lease.owned(woken, DUTY), None);
+    assert_eq!(lease.ownership(woken, DUTY), None);
 }
 
 #[rstest]
@@ -128,9 +132,9 @@
     let mut lease = owner();
     assert!(
         lease
-            .owned(
-                Times {
-                    steady: MS * 500,
+            .ownership(
+                Clocks {
+                    monotonic: MS * 500,
                     wall: MS * 10
                 },
                 DUTY
@@ -138,9 +142,9 @@
             .is_some()
     );
     assert_eq!(
-        lease.owned(
-            Times {
-                steady: MS * 1052,
+        lease.ownership(
+            Clocks {
+                monotonic: MS * 1052,
                 wall: MS * 20
             },
             DUTY
@@ -152,25 +156,28 @@
 #[rstest]
 fn a_renewal_counts_by_its_own_round_only() {
     let mut lease = owner();
-    lease.tick(at(440));
-    let old = Word::Granted {
-        duty: DUTY,
+    lease.tick(clocks_at(440));
+    let old = Message::Granted {
+        key: DUTY,
         epoch: 1_000_100,
         round: 0,
     };
-    (1..3).for_each(|from| drop(lease.hear(at(441), from, old.clone())));
+    (1..3).for_each(|from| drop(lease.receive(clocks_at(441), from, old.clone())));
     assert_eq!(
-        lease.clone().owned(at(1049), DUTY).map(|(_, left)| left),
+        lease
+            .clone()
+            .ownership(clocks_at(1049), DUTY)
+            .map(|(_, left)| left),
         Some(2 * MS)
     );
-    let new = Word::Granted {
-        duty: DUTY,
+    let new = Message::Granted {
+        key: DUTY,
         epoch: 1_000_100,
         round: 1,
     };
-    (1..3).for_each(|from| drop(lease.hear(at(445), from, new.clone())));
+    (1..3).for_each(|from| drop(lease.receive(clocks_at(445), from, new.clone())));
     assert_eq!(
-        lease.owned(at(1049), DUTY).map(|(_, left)| left),
+        lease.ownership(clocks_at(1049), DUTY).map(|(_, left)| left),
         Some(341 * MS)
     );
 }
@@ -179,53 +186,53 @@
 #[rstest]
 fn what_has_run_out_is_not_renewed() {
     let mut lease = owner();
-    lease.tick(at(440));
-    let new = Word::Granted {
-        duty: DUTY,
+    lease.tick(clocks_at(440));
+    let new = Message::Granted {
+        key: DUTY,
         epoch: 1_000_100,
         round: 1,
     };
-    (1..3).for_each(|from| drop(lease.hear(at(1200), from, new.clone())));
-    assert_eq!(lease.owned(at(1201), DUTY), None);
+    (1..3).for_each(|from| drop(lease.receive(clocks_at(1200), from, new.clone())));
+    assert_eq!(lease.ownership(clocks_at(1201), DUTY), None);
 }
 
 #[rstest]
 fn who_is_no_voter_has_no_say() {
-    let mut lease = Lease::new(
-        Terms {
+    let mut lease = LeaseManager::new(
+        LeaseConfig {
             members: 9,
-            ..terms(0)
+            ..config(0)
         },
-        at(0),
+        clocks_at(0),
         Some(BTreeMap::new()),
     );
-    lease.stand(at(100), DUTY, Some(0));
-    lease.tick(at(100));
-    let council = council(DUTY, 9, 3);
-    let strangers = (0..9).filter(|n| !council.contains(n));
-    let outs: Vec<Out> = strangers
+    lease.set_candidacy(clocks_at(100), DUTY, Some(0));
+    lease.tick(clocks_at(100));
+    let voters = voters_for(DUTY, 9, 3);
+    let strangers = (0..9).filter(|n| !voters.contains(n));
+    let actions: Vec<Action> = strangers
         .flat_map(|n| {
-            lease.hear(
-                at(101),
+            lease.receive(
+                clocks_at(101),
                 n,
-                Word::Clear {
-                    duty: DUTY,
+                Message::QueryClear {
+                    key: DUTY,
                     round: 1,
                 },
             )
         })
         .collect();
-    assert_eq!(outs, []);
+    assert_eq!(actions, []);
 }
 
 #[rstest]
 fn a_voter_that_forgot_is_mute_until_all_it_may_have_granted_has_run_out() {
-    let mut voter = Lease::new(terms(0), at(0), None);
-    assert_eq!(voter.hear(at(1049), 1, ask(5)), []);
+    let mut voter = LeaseManager::new(config(0), clocks_at(0), None);
+    assert_eq!(voter.receive(clocks_at(1049), 1, propose(5)), []);
     assert_eq!(
-        said(&voter.hear(at(1051), 1, ask(5))),
-        [&Word::Yes {
-            duty: DUTY,
+        messages(&voter.receive(clocks_at(1051), 1, propose(5))),
+        [&Message::Promise {
+            key: DUTY,
             epoch: 5
         }]
     );
@@ -234,47 +241,55 @@
 #[rstest]
 fn a_voter_with_a_file_goes_on_and_keeps_before_it_says() {
     let mut before = voter();
-    before.hear(at(1), 1, ask(5));
-    let outs = before.hear(at(2), 1, take(5, 0));
-    let Out::Keep { duty, vote } = &outs[0] else {
-        panic!("{outs:?}")
+    before.receive(clocks_at(1), 1, propose(5));
+    let actions = before.receive(clocks_at(2), 1, claim(5, 0));
+    let Action::Persist { key, vote } = &actions[0] else {
+        panic!("{actions:?}")
     };
     // As it comes back from the disk: when it was granted is not known.
     let vote: Vote = postcard::from_bytes(&postcard::to_stdvec(vote).unwrap()).unwrap();
-    let mut after = Lease::new(terms(0), at(0), Some(BTreeMap::from([(*duty, vote)])));
+    let mut after = LeaseManager::new(
+        config(0),
+        clocks_at(0),
+        Some(BTreeMap::from([(*key, vote)])),
+    );
     assert!(matches!(
-        said(&after.hear(at(999), 2, ask(9)))[..],
-        [Word::Held {
+        messages(&after.receive(clocks_at(999), 2, propose(9)))[..],
+        [Message::Held {
             epoch: 5,
             owner: 1,
             ..
         }]
     ));
     assert!(matches!(
-        said(&after.hear(at(1001), 2, ask(5)))[..],
-        [Word::Low { highest: 5, .. }]
+        messages(&after.receive(clocks_at(1001), 2, propose(5)))[..],
+        [Message::EpochTooLow { highest: 5, .. }]
     ));
     assert!(matches!(
-        said(&after.hear(at(1001), 2, ask(9)))[..],
-        [Word::Yes { epoch: 9, .. }]
+        messages(&after.receive(clocks_at(1001), 2, propose(9)))[..],
+        [Message::Promise { epoch: 9, .. }]
     ));
 }
 
 #[rstest]
-#[case::not_promised(take(9, 0))]
-#[case::promised_to_another(take(5, 0))]
-#[case::older(take(4, 0))]
-#[case::too_long(Word::Take { duty: DUTY, epoch: 6, round: 0, lease_ms: 2000 })]
-fn what_was_not_promised_is_not_granted(#[case] word: Word) {
+#[case::not_promised(claim(9, 0))]
+#[case::promised_to_another(claim(5, 0))]
+#[case::older(claim(4, 0))]
+#[case::too_long(Message::Claim { key: DUTY, epoch: 6, round: 0, lease_ms: 2000 })]
+fn what_was_not_promised_is_not_granted(#[case] message: Message) {
     let mut voter = voter();
-    voter.hear(at(1), 1, ask(5));
-    voter.hear(at(1), 1, ask(6));
-    let outs = voter.hear(at(2), if word == take(5, 0) { 2 } else { 1 }, word);
+    voter.receive(clocks_at(1), 1, propose(5));
+    voter.receive(clocks_at(1), 1, propose(6));
+    let actions = voter.receive(
+        clocks_at(2),
+        if message == claim(5, 0) { 2 } else { 1 },
+        message,
+    );
     assert!(
-        said(&outs)
+        messages(&actions)
             .iter()
-            .all(|word| matches!(word, Word::Low { .. })),
-        "{outs:?}"
+            .all(|message| matches!(message, Message::EpochTooLow { .. })),
+        "{actions:?}"
     );
 }
 
@@ -282,140 +297,143 @@
 #[rstest]
 fn a_leave_frees_at_once_and_tells_who_was_turned_away() {
     let mut voter = voter();
-    voter.hear(at(1), 1, ask(5));
-    voter.hear(at(2), 1, take(5, 0));
+    voter.receive(clocks_at(1), 1, propose(5));
+    voter.receive(clocks_at(2), 1, claim(5, 0));
     assert!(matches!(
-        said(&voter.hear(at(3), 2, ask(7)))[..],
-        [Word::Held { .. }]
+        messages(&voter.receive(clocks_at(3), 2, propose(7)))[..],
+        [Message::Held { .. }]
     ));
-    let outs = voter.hear(
-        at(4),
+    let actions = voter.receive(
+        clocks_at(4),
         1,
-        Word::Leave {
-            duty: DUTY,
+        Message::Release {
+            key: DUTY,
             epoch: 5,
         },
     );
-    assert!(outs.contains(&Out::Say {
+    assert!(actions.contains(&Action::Send {
         to: 2,
-        word: Word::Free {
-            duty: DUTY,
+        message: Message::Released {
+            key: DUTY,
             epoch: 5
         }
     }));
     assert!(matches!(
-        said(&voter.hear(at(5), 1, take(5, 3)))[..],
-        [Word::Low { .. }]
+        messages(&voter.receive(clocks_at(5), 1, claim(5, 3)))[..],
+        [Message::EpochTooLow { .. }]
     ));
     assert!(matches!(
-        said(&voter.hear(at(6), 2, ask(7)))[..],
-        [Word::Yes { .. }]
+        messages(&voter.receive(clocks_at(6), 2, propose(7)))[..],
+        [Message::Promise { .. }]
     ));
 }
 
 #[rstest]
 fn an_owner_that_leaves_is_followed_within_a_round() {
     let mut lease = owner();
-    let outs = lease.leave(at(300), DUTY, Why::Left);
+    let actions = lease.release(clocks_at(300), DUTY, LossReason::Released);
     assert_eq!(
-        outs[0],
-        Out::Lost {
-            duty: DUTY,
+        actions[0],
+        Action::Lost {
+            key: DUTY,
             epoch: 1_000_100,
-            why: Why::Left
+            reason: LossReason::Released
         }
     );
-    assert_eq!(said(&outs).len(), 3);
-    assert_eq!(lease.owned(at(300), DUTY), None);
+    assert_eq!(messages(&actions).len(), 3);
+    assert_eq!(lease.ownership(clocks_at(300), DUTY), None);
     // Said again, as words get lost.
-    assert_eq!(said(&lease.tick(at(321))).len(), 3);
-    let mut next = Lease::new(terms(1), at(0), Some(BTreeMap::new()));
-    next.stand(at(100), DUTY, Some(0));
-    next.tick(at(100));
+    assert_eq!(messages(&lease.tick(clocks_at(321))).len(), 3);
+    let mut next = LeaseManager::new(config(1), clocks_at(0), Some(BTreeMap::new()));
+    next.set_candidacy(clocks_at(100), DUTY, Some(0));
+    next.tick(clocks_at(100));
     for from in [0, 2] {
-        let word = Word::Held {
-            duty: DUTY,
-            asked: 1,
+        let message = Message::Held {
+            key: DUTY,
+            in_reply_to: 1,
             epoch: 1_000_099,
             owner: 0,
-            left_ms: 900,
+            remaining_ms: 900,
         };
-        next.hear(at(101), from, word);
+        next.receive(clocks_at(101), from, message);
     }
-    let outs = next.hear(
-        at(301),
+    let actions = next.receive(
+        clocks_at(301),
         2,
-        Word::Free {
-            duty: DUTY,
+        Message::Released {
+            key: DUTY,
             epoch: 1_000_100,
         },
     );
     assert!(
-        matches!(said(&outs)[..], [Word::Look { .. }, ..]),
-        "{outs:?}"
+        matches!(messages(&actions)[..], [Message::Query { .. }, ..]),
+        "{actions:?}"
     );
 }
 
 // Of several duties the one that was said to be free is looked at, not the first that rests.
 #[rstest]
 fn what_comes_free_is_that_duty() {
-    let mut next = Lease::new(terms(1), at(0), Some(BTreeMap::new()));
-    next.stand(at(100), DUTY - 1, Some(0));
-    next.stand(at(100), DUTY, Some(0));
-    next.tick(at(100));
+    let mut next = LeaseManager::new(config(1), clocks_at(0), Some(BTreeMap::new()));
+    next.set_candidacy(clocks_at(100), DUTY - 1, Some(0));
+    next.set_candidacy(clocks_at(100), DUTY, Some(0));
+    next.tick(clocks_at(100));
     for from in [0, 2] {
-        let word = Word::Held {
-            duty: DUTY,
-            asked: 1,
+        let message = Message::Held {
+            key: DUTY,
+            in_reply_to: 1,
             epoch: 1_000_099,
             owner: 0,
-            left_ms: 900,
+            remaining_ms: 900,
         };
-        next.hear(at(101), from, word);
+        next.receive(clocks_at(101), from, message);
     }
     // The other one is at rest, and due, when this one comes free.
     for from in [0, 2] {
-        next.hear(
-            at(101),
+        next.receive(
+            clocks_at(101),
             from,
-            Word::Held {
-                duty: DUTY - 1,
-                asked: 1,
+            Message::Held {
+                key: DUTY - 1,
+                in_reply_to: 1,
                 epoch: 1,
                 owner: 0,
-                left_ms: 100,
+                remaining_ms: 100,
             },
         );
     }
-    let outs = next.hear(
-        at(301),
+    let actions = next.receive(
+        clocks_at(301),
         2,
-        Word::Free {
-            duty: DUTY,
+        Message::Released {
+            key: DUTY,
             epoch: 1_000_100,
         },
     );
     assert!(
-        said(&outs).iter().all(|word| word.duty() == DUTY) && !outs.is_empty(),
-        "{outs:?}"
+        messages(&actions)
+            .iter()
+            .all(|message| message.key() == DUTY)
+            && !actions.is_empty(),
+        "{actions:?}"
     );
 }
 
 #[rstest]
 fn a_renewal_writes_nothing_to_the_disk() {
     let mut voter = voter();
-    voter.hear(at(1), 1, ask(5));
+    voter.receive(clocks_at(1), 1, propose(5));
     assert!(matches!(
-        voter.hear(at(2), 1, take(5, 0))[0],
-        Out::Keep { .. }
+        voter.receive(clocks_at(2), 1, claim(5, 0))[0],
+        Action::Persist { .. }
     ));
-    let outs = voter.hear(at(300), 1, take(5, 1));
+    let actions = voter.receive(clocks_at(300), 1, claim(5, 1));
     assert_eq!(
-        outs,
-        [Out::Say {
+        actions,
+        [Action::Send {
             to: 1,
-            word: Word::Granted {
-                duty: DUTY,
+            message: Message::Granted {
+                key: DUTY,
                 epoch: 5,
                 round: 1
             }
@@ -426,25 +444,29 @@
 #[rstest]
 fn a_higher_epoch_elsewhere_ends_an_ownership_and_is_gone_over() {
     let mut lease = owner();
-    let outs = lease.learn(at(200), DUTY, 2_000_000);
+    let actions = lease.observe_epoch(clocks_at(200), DUTY, 2_000_000);
     assert_eq!(
-        outs[0],
-        Out::Lost {
-            duty: DUTY,
+        actions[0],
+        Action::Lost {
+            key: DUTY,
             epoch: 1_000_100,
-            why: Why::Outrun
+            reason: LossReason::Superseded
         }
     );
     let mut all = Vec::new();
     for ms in 200..1400 {
-        all.extend(lease.tick(at(ms)));
+        all.extend(lease.tick(clocks_at(ms)));
         for round in 2..4 {
             (1..3).for_each(|from| {
-                all.extend(lease.hear(at(ms), from, Word::Clear { duty: DUTY, round }))
+                all.extend(lease.receive(
+                    clocks_at(ms),
+                    from,
+                    Message::QueryClear { key: DUTY, round },
+                ))
             });
         }
     }
-    assert!(said(&all).contains(&&ask(2_000_001)), "{all:?}");
+    assert!(messages(&all).contains(&&propose(2_000_001)), "{all:?}");
 }
 
 // owner-roll: a candidate that asked beside the owner was promised by the one voter that the owner had not yet won, and
@@ -452,40 +474,40 @@
 #[rstest]
 fn who_looks_first_takes_no_vote_away() {
     let mut voter = voter();
-    let look = Word::Look {
-        duty: DUTY,
+    let look = Message::Query {
+        key: DUTY,
         round: 3,
     };
     assert_eq!(
-        voter.hear(at(1), 2, look.clone()),
-        [Out::Say {
+        voter.receive(clocks_at(1), 2, look.clone()),
+        [Action::Send {
             to: 2,
-            word: Word::Clear {
-                duty: DUTY,
+            message: Message::QueryClear {
+                key: DUTY,
                 round: 3
             }
         }]
     );
     assert!(matches!(
-        said(&voter.hear(at(2), 1, ask(5)))[..],
-        [Word::Yes { .. }]
+        messages(&voter.receive(clocks_at(2), 1, propose(5)))[..],
+        [Message::Promise { .. }]
     ));
-    voter.hear(at(3), 1, take(5, 0));
+    voter.receive(clocks_at(3), 1, claim(5, 0));
     assert!(matches!(
-        said(&voter.hear(at(4), 2, look))[..],
-        [Word::Held {
-            asked: 3,
+        messages(&voter.receive(clocks_at(4), 2, look))[..],
+        [Message::Held {
+            in_reply_to: 3,
             epoch: 5,
             owner: 1,
             ..
         }]
     ));
-    let mut candidate = Lease::new(terms(1), at(0), Some(BTreeMap::new()));
-    candidate.stand(at(0), DUTY, Some(0));
+    let mut candidate = LeaseManager::new(config(1), clocks_at(0), Some(BTreeMap::new()));
+    candidate.set_candidacy(clocks_at(0), DUTY, Some(0));
     assert!(
-        said(&candidate.tick(at(1)))
+        messages(&candidate.tick(clocks_at(1)))
             .iter()
-            .all(|word| matches!(word, Word::Look { .. }))
+            .all(|message| matches!(message, Message::Query { .. }))
     );
 }
 
@@ -493,48 +515,53 @@
 #[rstest]
 fn an_owner_goes_above_what_others_were_promised() {
     let mut lease = owner();
-    let outs = lease.hear(
-        at(300),
+    let actions = lease.receive(
+        clocks_at(300),
         2,
-        Word::Low {
-            duty: DUTY,
-            asked: 1_000_100,
+        Message::EpochTooLow {
+            key: DUTY,
+            in_reply_to: 1_000_100,
             highest: 1_000_100,
         },
     );
     let above = 1_000_300;
     assert!(
-        said(&outs).contains(&&Word::Ask {
-            duty: DUTY,
+        messages(&actions).contains(&&Message::Propose {
+            key: DUTY,
             epoch: above,
-            instead: Some(1_000_100)
+            replaces: Some(1_000_100)
         }),
-        "{outs:?}"
+        "{actions:?}"
     );
-    let mut outs = Vec::new();
+    let mut actions = Vec::new();
     (1..3).for_each(|from| {
-        outs.extend(lease.hear(
-            at(301),
+        actions.extend(lease.receive(
+            clocks_at(301),
             from,
-            Word::Yes {
-                duty: DUTY,
+            Message::Promise {
+                key: DUTY,
                 epoch: above,
             },
         ))
     });
-    assert_eq!(outs.len(), 3);
+    assert_eq!(actions.len(), 3);
     // Until a majority has granted it, what it has holds.
     assert_eq!(
-        lease.owned(at(301), DUTY).map(|(epoch, _)| epoch),
+        lease
+            .ownership(clocks_at(301), DUTY)
+            .map(|(epoch, _)| epoch),
         Some(1_000_100)
     );
-    let granted = Word::Granted {
-        duty: DUTY,
+    let granted = Message::Granted {
+        key: DUTY,
         epoch: above,
         round: 0,
     };
-    (1..3).for_each(|from| drop(lease.hear(at(302), from, granted.clone())));
-    assert_eq!(lease.owned(at(302), DUTY), Some((above, 949 * MS)));
+    (1..3).for_each(|from| drop(lease.receive(clocks_at(302), from, granted.clone())));
+    assert_eq!(
+        lease.ownership(clocks_at(302), DUTY),
+        Some((above, 949 * MS))
+    );
 }
 
 // A voter lets an owner rise from its own grant, and nobody else, nor from a grant that it does not know.
@@ -545,31 +572,31 @@
 #[case::anew(1, None, false)]
 fn a_voter_lets_an_owner_rise_from_its_own_grant(
     #[case] from: Member,
-    #[case] instead: Option<Epoch>,
-    #[case] yes: bool,
+    #[case] replaces: Option<Epoch>,
+    #[case] promised: bool,
 ) {
     let mut voter = voter();
-    voter.hear(at(1), 1, ask(5));
-    voter.hear(at(2), 1, take(5, 0));
-    let outs = voter.hear(
-        at(3),
+    voter.receive(clocks_at(1), 1, propose(5));
+    voter.receive(clocks_at(2), 1, claim(5, 0));
+    let actions = voter.receive(
+        clocks_at(3),
         from,
-        Word::Ask {
-            duty: DUTY,
+        Message::Propose {
+            key: DUTY,
             epoch: 9,
-            instead,
+            replaces,
         },
     );
     assert_eq!(
-        matches!(said(&outs)[..], [Word::Yes { .. }]),
-        yes,
-        "{outs:?}"
+        matches!(messages(&actions)[..], [Message::Promise { .. }]),
+        promised,
+        "{actions:?}"
     );
-    let outs = voter.hear(at(4), from, take(9, 0));
+    let actions = voter.receive(clocks_at(4), from, claim(9, 0));
     assert_eq!(
-        matches!(said(&outs)[..], [Word::Granted { .. }]),
-        yes,
-        "{outs:?}"
+        matches!(messages(&actions)[..], [Message::Granted { .. }]),
+        promised,
+        "{actions:?}"
     );
 }
 
@@ -577,17 +604,17 @@
 #[rstest]
 fn a_voter_that_forgot_is_won_back() {
     let mut lease = owner();
-    let low = Word::Low {
-        duty: DUTY,
-        asked: 1_000_100,
+    let low = Message::EpochTooLow {
+        key: DUTY,
+        in_reply_to: 1_000_100,
         highest: 0,
     };
-    let outs = lease.hear(at(500), 2, low);
+    let actions = lease.receive(clocks_at(500), 2, low);
     assert_eq!(
-        outs,
-        [Out::Say {
+        actions,
+        [Action::Send {
             to: 2,
-            word: ask(1_000_100)
+            message: propose(1_000_100)
         }]
     );
 }
@@ -598,10 +625,13 @@
     assert_eq!(fence.admit(DUTY, 5, 1), Ok(()));
     assert_eq!(
         fence.admit(DUTY, 5, 2),
-        Err(Refused::OfAnother { owner: 1 })
+        Err(FenceRejection::OwnerMismatch { owner: 1 })
     );
     assert_eq!(fence.admit(DUTY, 7, 2), Ok(()));
-    assert_eq!(fence.admit(DUTY, 5, 1), Err(Refused::Lower { highest: 7 }));
+    assert_eq!(
+        fence.admit(DUTY, 5, 1),
+        Err(FenceRejection::StaleEpoch { highest: 7 })
+    );
     assert_eq!(fence.admit(DUTY + 1, 1, 1), Ok(()));
     assert_eq!(fence.highest(DUTY), Some((7, 2)));
 }
@@ -612,10 +642,10 @@
 #[case(4, 3)]
 #[case(240, 5)]
 fn councils_are_odd_and_the_same_for_all(#[case] members: usize, #[case] voters: usize) {
-    let drawn = council(DUTY, members, 5);
+    let drawn = voters_for(DUTY, members, 5);
     assert_eq!(drawn.len(), voters);
     assert!(drawn.iter().all(|n| usize::from(*n) < members));
-    assert_eq!(order(DUTY, members).len(), members);
+    assert_eq!(candidate_order(DUTY, members).len(), members);
 }
 
 proptest! {
@@ -625,16 +655,16 @@
     fn no_words_bring_it_down(words in prop::collection::vec((0..9u16, prop::collection::vec(any::<u8>(), 0..60)), 1..9)) {
         let mut lease = owner();
         for (n, (from, bytes)) in words.into_iter().enumerate() {
-            if let Some(word) = Word::read(&bytes) {
-                lease.hear(at(200 + n as u32), from, word);
+            if let Some(message) = Message::decode(&bytes) {
+                lease.receive(clocks_at(200 + n as u32), from, message);
             }
         }
     }
 
     #[test]
-    fn a_word_comes_back_as_it_was_and_is_short(duty: u64, epoch: u64, owner: u16, left_ms: u32) {
-        let word = Word::Held { duty, asked: epoch, epoch, owner, left_ms };
-        prop_assert!(word.bytes().len() < 48);
-        prop_assert_eq!(Word::read(&word.bytes()), Some(word));
+    fn a_word_comes_back_as_it_was_and_is_short(key: u64, epoch: u64, owner: u16, remaining_ms: u32) {
+        let message = Message::Held { key, in_reply_to: epoch, epoch, owner, remaining_ms };
+        prop_assert!(message.encode().len() < 48);
+        prop_assert_eq!(Message::decode(&message.encode()), Some(message));
     }
 }
--- a/crates/passroad-lease/src/voter.rs
+++ b/crates/passroad-lease/src/voter.rs
@@ -1,17 +1,18 @@
-//! What a voter keeps for one duty.
+//! What a voter stores for one key.
 
 use crate::{Epoch, Member};
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// Those turned away whom a voter tells when it is free again.
-const MOST_TOLD: usize = 4;
+/// Rejected candidates that a voter notifies when the key is released, at most.
+const MAX_WAITING: usize = 4;
 
-/// Somebody has the duty until then, by the voter's steady clock.
+/// A member's ownership, as granted by this voter.
 #[derive(Serialize, Deserialize, Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct Grant {
     pub epoch: Epoch,
     pub owner: Member,
+    /// By the voter's monotonic clock.
     #[serde(skip)]
     pub until: Duration,
     pub lease: Duration,
@@ -19,76 +20,79 @@
 
 #[derive(Serialize, Deserialize, Debug, Clone, Default, PartialEq, Eq, Hash)]
 pub struct Vote {
-    /// The highest epoch that was promised, and to whom; to nobody once it was given up.
+    /// The highest epoch promised.
     pub promised: Epoch,
-    pub to: Option<Member>,
+    /// Whom it was promised to; none once that member has released the key.
+    pub promised_to: Option<Member>,
     pub grant: Option<Grant>,
     #[serde(skip)]
-    away: Vec<Member>,
+    waiting: Vec<Member>,
 }
 
 impl Vote {
     pub fn promised(promised: Epoch, to: Member) -> Vote {
         Vote {
             promised,
-            to: Some(to),
+            promised_to: Some(to),
             ..Vote::default()
         }
     }
 
-    pub(crate) fn live(&self, now: Duration) -> Option<Grant> {
+    pub(crate) fn live_grant(&self, now: Duration) -> Option<Grant> {
         self.grant.filter(|grant| now < grant.until)
     }
 
-    /// What a restart has to know: a grant that is renewed is the same there.
-    pub(crate) fn on_disk(&self) -> (Epoch, Option<Member>, Option<(Epoch, Member, Duration)>) {
+    /// The fields that a restart needs. Renewing a grant changes none of them.
+    pub(crate) fn persisted(&self) -> (Epoch, Option<Member>, Option<(Epoch, Member, Duration)>) {
         (
             self.promised,
-            self.to,
+            self.promised_to,
             self.grant
                 .map(|grant| (grant.epoch, grant.owner, grant.lease)),
         )
     }
 
-    /// Promises what is higher than all before, or again what was promised to the same one.
-    pub(crate) fn promise(&mut self, epoch: Epoch, to: Member, any: bool) -> bool {
-        let again = epoch == self.promised && (self.to == Some(to) || any);
-        if epoch > self.promised || again {
-            (self.promised, self.to) = (epoch, Some(to));
+    /// Promises an epoch higher than all before, or repeats a promise to the same member.
+    pub(crate) fn promise(&mut self, epoch: Epoch, to: Member, any_owner: bool) -> bool {
+        let repeated = epoch == self.promised && (self.promised_to == Some(to) || any_owner);
+        if epoch > self.promised || repeated {
+            (self.promised, self.promised_to) = (epoch, Some(to));
             return true;
         }
         false
     }
 
-    /// Guards against a take that comes late or twice, after the voter has promised otherwise or forgotten.
-    pub(crate) fn is_for(&self, epoch: Epoch, owner: Member, any: bool) -> bool {
-        self.promised == epoch && (self.to == Some(owner) || any)
+    /// Whether the current promise is this epoch, to this member. Prevents a claim that is late or duplicated from being
+    /// granted after the voter has promised another epoch or lost its state.
+    pub(crate) fn is_promised_to(&self, epoch: Epoch, owner: Member, any_owner: bool) -> bool {
+        self.promised == epoch && (self.promised_to == Some(owner) || any_owner)
     }
 
-    /// The epoch of the live grant's owner, where that was promised a higher one in its place.
-    pub(crate) fn risen(&self, epoch: Epoch, owner: Member) -> Option<Epoch> {
+    /// The epoch of the grant that the same owner may replace by the higher epoch it was promised.
+    pub(crate) fn replaceable_epoch(&self, epoch: Epoch, owner: Member) -> Option<Epoch> {
         let own = self
             .grant
-            .filter(|grant| grant.owner == owner && self.is_for(epoch, owner, false));
+            .filter(|grant| grant.owner == owner && self.is_promised_to(epoch, owner, false));
         own.map(|grant| grant.epoch)
     }
 
-    pub(crate) fn turned_away(&mut self, who: Member) {
-        self.away.retain(|other| *other != who);
-        self.away.push(who);
-        if self.away.len() > MOST_TOLD {
-            self.away.remove(0);
+    pub(crate) fn add_waiting(&mut self, candidate: Member) {
+        self.waiting.retain(|other| *other != candidate);
+        self.waiting.push(candidate);
+        if self.waiting.len() > MAX_WAITING {
+            self.waiting.remove(0);
         }
     }
 
-    /// Given up: nobody has it, and what is still under way of that epoch finds no promise. Returns whom to tell.
-    pub(crate) fn free(&mut self) -> Vec<Member> {
-        (self.to, self.grant) = (None, None);
-        std::mem::take(&mut self.away)
+    /// Drops the grant and the promise, so that messages of that epoch still in flight are rejected. Returns the members
+    /// to notify.
+    pub(crate) fn release(&mut self) -> Vec<Member> {
+        (self.promised_to, self.grant) = (None, None);
+        std::mem::take(&mut self.waiting)
     }
 
-    /// How long ago it was kept is not known.
-    pub(crate) fn read_again(&mut self, now: Duration) {
+    /// Restarts a grant that was read from disk for its full lease, as its age isn't known.
+    pub(crate) fn restart_grant_timer(&mut self, now: Duration) {
         self.grant
             .iter_mut()
             .for_each(|grant| grant.until = now + grant.lease);
--- a/crates/passroad-peers/src/frame.rs
+++ b/crates/passroad-peers/src/frame.rs
@@ -1,46 +1,47 @@
-//! The frame of a datagram between sidecars: mark, version, length of what follows, channel, incarnation, body.
+//! The frame of a datagram between sidecars: magic byte, version, length of the rest, channel, incarnation, body.
 
 use crate::Incarnation;
 
-/// A datagram holds so much at most.
-pub const LONGEST: usize = 256;
-/// Bytes ahead of the body.
-pub const HEAD: usize = 12;
-const MARK: u8 = 0xb5;
+/// The most bytes that a datagram may have.
+pub const MAX_DATAGRAM_BYTES: usize = 256;
+/// Bytes before the body.
+pub const HEADER_BYTES: usize = 12;
+const MAGIC: u8 = 0xb5;
 const VERSION: u8 = 1;
 
 /// Why a datagram is dropped.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Ill {
-    /// Not of this program.
-    Foreign,
-    /// Of a version that this one does not read.
-    Version,
-    /// Shorter or longer than it says.
-    Length,
+pub enum FrameError {
+    /// The first byte isn't the magic byte: not a datagram of this program.
+    UnknownMagic,
+    UnsupportedVersion,
+    /// Shorter or longer than its length field says.
+    LengthMismatch,
 }
 
-/// A datagram; none where the body is too long for one.
-pub fn seal(channel: u8, incarnation: Incarnation, body: &[u8]) -> Option<Vec<u8>> {
-    let whole = HEAD + body.len();
-    let rest = u8::try_from(whole - 3).ok().filter(|_| whole <= LONGEST)?;
+/// Builds a datagram; none if the body is too long for one.
+pub fn encode_frame(channel: u8, incarnation: Incarnation, body: &[u8]) -> Option<Vec<u8>> {
+    let whole = HEADER_BYTES + body.len();
+    let rest = u8::try_from(whole - 3)
+        .ok()
+        .filter(|_| whole <= MAX_DATAGRAM_BYTES)?;
     let mut bytes = Vec::with_capacity(whole);
-    bytes.extend([MARK, VERSION, rest, channel]);
+    bytes.extend([MAGIC, VERSION, rest, channel]);
     bytes.extend(incarnation.to_be_bytes());
     bytes.extend(body);
     Some(bytes)
 }
 
-/// Channel, incarnation of the sender, and body.
-pub fn open(bytes: &[u8]) -> Result<(u8, Incarnation, &[u8]), Ill> {
-    let [MARK, version, rest @ ..] = bytes else {
-        return Err(Ill::Foreign);
+/// The channel, the sender's incarnation, and the body.
+pub fn decode_frame(bytes: &[u8]) -> Result<(u8, Incarnation, &[u8]), FrameError> {
+    let [MAGIC, version, rest @ ..] = bytes else {
+        return Err(FrameError::UnknownMagic);
     };
     if *version != VERSION {
-        return Err(Ill::Version);
+        return Err(FrameError::UnsupportedVersion);
     }
     let [length, rest @ ..] = rest else {
-        return Err(Ill::Length);
+        return Err(FrameError::LengthMismatch);
     };
     let (channel, incarnation, body) = match rest {
         [channel, a, b, c, d, e, f, g, h, body @ ..] if rest.len() == usize::from(*length) => (
@@ -48,7 +49,7 @@
             Incarnation::from_be_bytes([*a, *b, *c, *d, *e, *f, *g, *h]),
             body,
         ),
-        _ => return Err(Ill::Length),
+        _ => return Err(FrameError::LengthMismatch),
     };
     Ok((channel, incarnation, body))
 }
--- a/crates/passroad-peers/src/lib.rs
+++ b/crates/passroad-peers/src/lib.rs
@@ -7,7 +7,7 @@
 
 pub mod frame;
 
-pub use frame::{Ill, LONGEST, open, seal};
+pub use frame::{FrameError, MAX_DATAGRAM_BYTES, decode_frame, encode_frame};
 
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
@@ -19,31 +19,31 @@
 pub type Incarnation = u64;
 
 /// The incarnation of a process that begins now.
-pub fn begun(wall: Duration) -> Incarnation {
+pub fn incarnation_at(wall: Duration) -> Incarnation {
     (wall.as_millis() as u64) << 8
 }
 
 /// What is the same for as long as a process lives: in milliseconds, when it began.
-pub fn life(incarnation: Incarnation) -> u64 {
+pub fn process_start_ms(incarnation: Incarnation) -> u64 {
     incarnation >> 8
 }
 
 /// Datagrams that this part sends a second, at most, and in a burst.
-pub const MOST_A_SECOND: f64 = 8.0;
-const HELPERS: usize = 3;
+pub const MAX_DATAGRAMS_PER_SECOND: f64 = 8.0;
+const INDIRECT_PINGS: usize = 3;
 /// Whom others asked for help with, at most.
-const MOST_HELPED: usize = 16;
+const MAX_FORWARDED_PINGS: usize = 16;
 /// Room that a frame leaves for what is told.
-const ROOM: usize = LONGEST - frame::HEAD - 12;
+const MAX_BODY_BYTES: usize = MAX_DATAGRAM_BYTES - frame::HEADER_BYTES - 12;
 /// Facts that are told on, at most.
-const MOST_NOTES: usize = 16;
+const MAX_FACTS: usize = 16;
 /// A fact or a change is told on so many times the logarithm of the fleet's size.
-const TELLINGS: u32 = 3;
+const GOSSIP_FACTOR: u32 = 3;
 /// So late, as a part of the period, an own timer says that this instance itself was starved.
-const LATE_PART: u32 = 4;
+const LATE_DIVISOR: u32 = 4;
 
 #[derive(Debug, Clone)]
-pub struct Terms {
+pub struct MembershipConfig {
     pub me: Member,
     pub members: usize,
     pub incarnation: Incarnation,
@@ -52,145 +52,145 @@
 }
 
 #[derive(Serialize, Deserialize, Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Standing {
-    Here,
-    Doubt,
-    Gone,
+pub enum MemberState {
+    Alive,
+    Suspect,
+    Dead,
 }
 
 /// What is known of one member.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Known {
-    pub standing: Standing,
+pub struct MemberStatus {
+    pub state: MemberState,
     pub incarnation: Incarnation,
     since: Duration,
 }
 
 /// A fact about something else than members, of which the higher number is the newer: who owns a duty, by which epoch.
 #[derive(Serialize, Deserialize, Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Note {
+pub struct GossipFact {
     pub topic: u64,
-    pub number: u64,
+    pub version: u64,
     pub holder: Option<Member>,
 }
 
 #[derive(Serialize, Deserialize, Debug, Clone, Copy, PartialEq, Eq)]
-struct Told {
+struct MemberUpdate {
     member: Member,
-    standing: Standing,
+    state: MemberState,
     incarnation: Incarnation,
 }
 
 #[derive(Serialize, Deserialize, Debug, Clone, PartialEq, Eq)]
-enum Word {
-    Ask {
-        round: u32,
+enum Message {
+    Ping {
+        sequence: u32,
     },
-    Answer {
-        round: u32,
-        of: Member,
+    Ack {
+        sequence: u32,
+        target: Member,
     },
     /// Ask that one for me.
-    Help {
-        round: u32,
-        of: Member,
+    PingRequest {
+        sequence: u32,
+        target: Member,
     },
 }
 
 #[derive(Serialize, Deserialize, Debug, Clone, PartialEq, Eq)]
-struct Letter {
-    word: Word,
-    notes: Vec<Note>,
-    told: Vec<Told>,
+struct Packet {
+    message: Message,
+    facts: Vec<GossipFact>,
+    updates: Vec<MemberUpdate>,
 }
 
 /// What is to be done.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Out {
+pub enum Action {
     /// A body for the channel of this part.
-    Say { to: Member, body: Vec<u8> },
+    Send { to: Member, body: Vec<u8> },
     /// A member is now thought of otherwise.
-    Turned { member: Member, standing: Standing },
+    StateChanged { member: Member, state: MemberState },
     /// A newer fact was heard.
-    Heard(Note),
+    FactReceived(GossipFact),
     /// This instance was itself starved, for so long past its timer; what it would have doubted is let be.
-    Starved(Duration),
+    LocalPause(Duration),
 }
 
 /// The question that is out.
 #[derive(Debug, Clone)]
-struct Open {
-    of: Member,
-    round: u32,
-    tries: u32,
+struct PendingPing {
+    target: Member,
+    sequence: u32,
+    attempts: u32,
 }
 
 /// Counts since the start.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Counts {
     pub sent: u64,
-    pub held_back: u64, // for want of the allowance
-    pub unreadable: u64,
-    pub old: u64, // of an incarnation that is over
-    pub doubts: u64,
+    pub rate_limited: u64, // for want of the allowance
+    pub undecodable: u64,
+    pub stale: u64, // of an incarnation that is over
+    pub suspicions: u64,
     pub refuted: u64, // own doubts that turned out to be wrong
 }
 
-pub struct Peers {
-    terms: Terms,
-    dice: u64,
+pub struct Membership {
+    config: MembershipConfig,
+    random_state: u64,
     incarnation: Incarnation,
-    known: Vec<Known>,
-    order: Vec<Member>, // whom to ask next, shuffled anew each time through
-    next: usize,
-    round: u32,
-    open: Option<Open>,
-    helped: VecDeque<(u32, Member, u32)>, // own round, for whom, their round
-    fresh: VecDeque<(Member, u32)>,       // to be told on, so often still
-    notes: BTreeMap<u64, (Note, u32)>,
-    rest: usize, // where the rest of the table is told on from
-    due: Duration,
-    ask_at: Duration, // the next question
-    allowance: f64,
-    allowed_at: Duration,
-    unanswered: u32, // questions in a row that nobody answered
+    members: Vec<MemberStatus>,
+    ping_order: Vec<Member>, // whom to ask next, shuffled anew each time through
+    next_ping: usize,
+    sequence: u32,
+    pending_ping: Option<PendingPing>,
+    forwarded_pings: VecDeque<(u32, Member, u32)>, // own round, for whom, their round
+    recent_updates: VecDeque<(Member, u32)>,       // to be told on, so often still
+    facts: BTreeMap<u64, (GossipFact, u32)>,
+    table_cursor: usize, // where the rest of the table is told on from
+    tick_at: Duration,
+    ping_at: Duration, // the next question
+    tokens: f64,
+    tokens_at: Duration,
+    missed_pings: u32, // questions in a row that nobody answered
     counts: Counts,
 }
 
-impl Peers {
-    pub fn new(terms: Terms, now: Duration) -> Peers {
-        let count = terms.members;
-        let start = Known {
-            standing: Standing::Here,
+impl Membership {
+    pub fn new(config: MembershipConfig, now: Duration) -> Membership {
+        let count = config.members;
+        let start = MemberStatus {
+            state: MemberState::Alive,
             incarnation: 0,
             since: now,
         };
-        let mut peers = Peers {
-            dice: terms.seed | 1,
-            incarnation: terms.incarnation,
-            known: vec![start; count],
-            order: (0..count as Member).filter(|n| *n != terms.me).collect(),
-            next: count,
-            round: 0,
-            open: None,
-            helped: VecDeque::new(),
-            fresh: VecDeque::new(),
-            notes: BTreeMap::new(),
-            rest: 0,
-            due: now,
-            ask_at: now,
-            allowance: MOST_A_SECOND,
-            allowed_at: now,
-            unanswered: 0,
+        let mut membership = Membership {
+            random_state: config.seed | 1,
+            incarnation: config.incarnation,
+            members: vec![start; count],
+            ping_order: (0..count as Member).filter(|n| *n != config.me).collect(),
+            next_ping: count,
+            sequence: 0,
+            pending_ping: None,
+            forwarded_pings: VecDeque::new(),
+            recent_updates: VecDeque::new(),
+            facts: BTreeMap::new(),
+            table_cursor: 0,
+            tick_at: now,
+            ping_at: now,
+            tokens: MAX_DATAGRAMS_PER_SECOND,
+            tokens_at: now,
+            missed_pings: 0,
             counts: Counts::default(),
-            terms,
+            config,
         };
         // Guards against a fleet that starts together and asks in step.
-        peers.due = now + peers.terms.period.mul_f64(peers.chance());
-        peers.ask_at = peers.due;
-        peers.known[usize::from(peers.terms.me)].incarnation = peers.incarnation;
-        peers.spread(peers.terms.me);
-        peers
+        membership.tick_at = now + membership.config.period.mul_f64(membership.random_share());
+        membership.ping_at = membership.tick_at;
+        membership.members[usize::from(membership.config.me)].incarnation = membership.incarnation;
+        membership.gossip(membership.config.me);
+        membership
     }
 
     pub fn incarnation(&self) -> Incarnation {
@@ -201,414 +201,453 @@
         self.counts
     }
 
-    pub fn known(&self) -> &[Known] {
-        &self.known
+    pub fn members(&self) -> &[MemberStatus] {
+        &self.members
     }
 
-    pub fn standing(&self, member: Member) -> Standing {
-        self.known
+    pub fn state_of(&self, member: Member) -> MemberState {
+        self.members
             .get(usize::from(member))
-            .map_or(Standing::Gone, |known| known.standing)
+            .map_or(MemberState::Dead, |status| status.state)
     }
 
-    pub fn note_of(&self, topic: u64) -> Option<Note> {
-        self.notes.get(&topic).map(|(note, _)| *note)
+    pub fn fact(&self, topic: u64) -> Option<GossipFact> {
+        self.facts.get(&topic).map(|(fact, _)| *fact)
     }
 
     /// How long until there is something to do by time alone.
-    pub fn wait(&self, now: Duration) -> Duration {
-        self.due.saturating_sub(now)
+    pub fn time_to_next_tick(&self, now: Duration) -> Duration {
+        self.tick_at.saturating_sub(now)
     }
 
-    fn chance(&mut self) -> f64 {
-        self.dice = (self.dice & 0xffff_ffff) * 4_294_957_665 + (self.dice >> 32);
-        (self.dice & 0xffff_ffff) as f64 / 4_294_967_296.0
+    fn random_share(&mut self) -> f64 {
+        self.random_state =
+            (self.random_state & 0xffff_ffff) * 4_294_957_665 + (self.random_state >> 32);
+        (self.random_state & 0xffff_ffff) as f64 / 4_294_967_296.0
     }
 
-    fn below(&mut self, n: usize) -> usize {
-        ((self.chance() * n as f64) as usize).min(n.saturating_sub(1))
+    fn random_below(&mut self, n: usize) -> usize {
+        ((self.random_share() * n as f64) as usize).min(n.saturating_sub(1))
     }
 
     /// How often what is new is told on.
-    fn tellings(&self) -> u32 {
-        TELLINGS * (self.known.len() + 1).ilog2().max(1)
+    fn gossip_count(&self) -> u32 {
+        GOSSIP_FACTOR * (self.members.len() + 1).ilog2().max(1)
     }
 
-    fn spread(&mut self, member: Member) {
-        self.fresh.retain(|(other, _)| *other != member);
-        self.fresh.push_front((member, self.tellings()));
+    fn gossip(&mut self, member: Member) {
+        self.recent_updates.retain(|(other, _)| *other != member);
+        self.recent_updates
+            .push_front((member, self.gossip_count()));
     }
 
     /// A fact is told on from here, if none of a higher number is known.
-    pub fn note(&mut self, note: Note) -> bool {
-        let newer = match self.notes.get(&note.topic) {
-            Some((known, _)) => {
-                note.number > known.number
-                    || note.number == known.number
-                        && note.holder.is_none()
-                        && known.holder.is_some()
+    pub fn publish_fact(&mut self, fact: GossipFact) -> bool {
+        let newer = match self.facts.get(&fact.topic) {
+            Some((current, _)) => {
+                fact.version > current.version
+                    || fact.version == current.version
+                        && fact.holder.is_none()
+                        && current.holder.is_some()
             }
-            None => self.notes.len() < MOST_NOTES,
+            None => self.facts.len() < MAX_FACTS,
         };
         if newer {
-            self.notes.insert(note.topic, (note, self.tellings()));
+            self.facts.insert(fact.topic, (fact, self.gossip_count()));
         }
         newer
     }
 
     /// Whether a datagram of this incarnation of a member is heard: not of one that is over. Hearing of a later one is
     /// hearing that it is here.
-    pub fn admit(
+    pub fn accept_sender(
         &mut self,
         now: Duration,
         from: Member,
         incarnation: Incarnation,
-    ) -> (bool, Vec<Out>) {
-        let mut out = Vec::new();
-        let Some(known) = self.known.get(usize::from(from)).copied() else {
-            return (false, out);
+    ) -> (bool, Vec<Action>) {
+        let mut actions = Vec::new();
+        let Some(status) = self.members.get(usize::from(from)).copied() else {
+            return (false, actions);
         };
         // What a process said before it was doubted it has still said.
-        if from == self.terms.me || life(incarnation) < life(known.incarnation) {
-            self.counts.old += 1;
-            return (false, out);
+        if from == self.config.me
+            || process_start_ms(incarnation) < process_start_ms(status.incarnation)
+        {
+            self.counts.stale += 1;
+            return (false, actions);
         }
-        if incarnation > known.incarnation {
-            self.believe(
+        if incarnation > status.incarnation {
+            self.apply_update(
                 now,
-                Told {
+                MemberUpdate {
                     member: from,
-                    standing: Standing::Here,
+                    state: MemberState::Alive,
                     incarnation,
                 },
-                &mut out,
+                &mut actions,
             );
         }
-        (true, out)
+        (true, actions)
     }
 
     /// A body that came on this part's channel, of a sender that [`Peers::admit`] let in.
-    pub fn hear(&mut self, now: Duration, from: Member, body: &[u8]) -> Vec<Out> {
-        let read = postcard::take_from_bytes::<Letter>(body)
+    pub fn receive(&mut self, now: Duration, from: Member, body: &[u8]) -> Vec<Action> {
+        let read = postcard::take_from_bytes::<Packet>(body)
             .ok()
             .filter(|(_, rest)| rest.is_empty());
-        let Some((letter, _)) = read else {
-            self.counts.unreadable += 1;
+        let Some((packet, _)) = read else {
+            self.counts.undecodable += 1;
             return Vec::new();
         };
-        let mut out = Vec::new();
-        for told in letter.told {
-            self.believe(now, told, &mut out);
+        let mut actions = Vec::new();
+        for update in packet.updates {
+            self.apply_update(now, update, &mut actions);
         }
-        for note in letter.notes {
-            if note
+        for fact in packet.facts {
+            if fact
                 .holder
-                .is_none_or(|holder| usize::from(holder) < self.known.len())
-                && self.note(note)
+                .is_none_or(|holder| usize::from(holder) < self.members.len())
+                && self.publish_fact(fact)
             {
-                out.push(Out::Heard(note));
+                actions.push(Action::FactReceived(fact));
             }
         }
-        match letter.word {
-            Word::Ask { round } => {
-                let word = Word::Answer {
-                    round,
-                    of: self.terms.me,
+        match packet.message {
+            Message::Ping { sequence } => {
+                let message = Message::Ack {
+                    sequence,
+                    target: self.config.me,
                 };
-                self.say(now, from, word, &mut out);
+                self.send(now, from, message, &mut actions);
             }
-            Word::Help { round, of }
-                if usize::from(of) < self.known.len() && of != self.terms.me =>
+            Message::PingRequest { sequence, target }
+                if usize::from(target) < self.members.len() && target != self.config.me =>
             {
-                self.round = self.round.wrapping_add(1);
-                self.helped.push_back((self.round, from, round));
-                if self.helped.len() > MOST_HELPED {
-                    self.helped.pop_front();
+                self.sequence = self.sequence.wrapping_add(1);
+                self.forwarded_pings
+                    .push_back((self.sequence, from, sequence));
+                if self.forwarded_pings.len() > MAX_FORWARDED_PINGS {
+                    self.forwarded_pings.pop_front();
                 }
-                let word = Word::Ask { round: self.round };
-                self.say(now, of, word, &mut out);
+                let message = Message::Ping {
+                    sequence: self.sequence,
+                };
+                self.send(now, target, message, &mut actions);
             }
-            Word::Help { .. } => {}
-            Word::Answer { round, of } => {
+            Message::PingRequest { .. } => {}
+            Message::Ack { sequence, target } => {
                 if self
-                    .open
+                    .pending_ping
                     .as_ref()
-                    .is_some_and(|open| open.round == round && open.of == of)
+                    .is_some_and(|pending| pending.sequence == sequence && pending.target == target)
                 {
-                    self.open = None;
-                    self.unanswered = 0;
-                    self.clear(now, of, &mut out);
-                } else if of == from
-                    && let Some(at) = self.helped.iter().position(|(own, ..)| *own == round)
-                    && let Some((_, whom, theirs)) = self.helped.remove(at)
+                    self.pending_ping = None;
+                    self.missed_pings = 0;
+                    self.mark_answered(now, target, &mut actions);
+                } else if target == from
+                    && let Some(at) = self
+                        .forwarded_pings
+                        .iter()
+                        .position(|(own, ..)| *own == sequence)
+                    && let Some((_, whom, theirs)) = self.forwarded_pings.remove(at)
                 {
-                    self.say(now, whom, Word::Answer { round: theirs, of }, &mut out);
+                    self.send(
+                        now,
+                        whom,
+                        Message::Ack {
+                            sequence: theirs,
+                            target,
+                        },
+                        &mut actions,
+                    );
                 }
             }
         }
-        out
+        actions
     }
 
     /// One that answered is here, whatever was thought of it.
-    fn clear(&mut self, now: Duration, member: Member, out: &mut Vec<Out>) {
-        let known = &mut self.known[usize::from(member)];
+    fn mark_answered(&mut self, now: Duration, member: Member, actions: &mut Vec<Action>) {
+        let status = &mut self.members[usize::from(member)];
         // Of one that is told of as in doubt only a higher incarnation, its own word, clears it for all.
-        if known.standing == Standing::Doubt && known.incarnation == 0 {
-            (known.standing, known.since) = (Standing::Here, now);
-            out.push(Out::Turned {
+        if status.state == MemberState::Suspect && status.incarnation == 0 {
+            (status.state, status.since) = (MemberState::Alive, now);
+            actions.push(Action::StateChanged {
                 member,
-                standing: Standing::Here,
+                state: MemberState::Alive,
             });
         }
     }
 
     /// Takes what is told of a member where it is newer: a higher incarnation, or worse of the same.
-    fn believe(&mut self, now: Duration, told: Told, out: &mut Vec<Out>) {
-        let Some(known) = self.known.get(usize::from(told.member)).copied() else {
+    fn apply_update(&mut self, now: Duration, update: MemberUpdate, actions: &mut Vec<Action>) {
+        let Some(status) = self.members.get(usize::from(update.member)).copied() else {
             return;
         };
-        let newer = told.incarnation > known.incarnation
-            || told.incarnation == known.incarnation && told.standing > known.standing;
+        let newer = update.incarnation > status.incarnation
+            || update.incarnation == status.incarnation && update.state > status.state;
         if !newer {
             return;
         }
-        if told.member == self.terms.me {
+        if update.member == self.config.me {
             // Guards against being thought gone for good: only a higher incarnation of one's own undoes it.
-            if told.standing > Standing::Here || told.incarnation > self.incarnation {
+            if update.state > MemberState::Alive || update.incarnation > self.incarnation {
                 // Of a later life than this one, where the clock was set back: it begins another, above it.
-                self.incarnation = match life(told.incarnation) > life(self.incarnation) {
-                    true => (life(told.incarnation) + 1) << 8,
-                    false => told.incarnation.max(self.incarnation) + 1,
+                self.incarnation = match process_start_ms(update.incarnation)
+                    > process_start_ms(self.incarnation)
+                {
+                    true => (process_start_ms(update.incarnation) + 1) << 8,
+                    false => update.incarnation.max(self.incarnation) + 1,
                 };
-                self.known[usize::from(self.terms.me)].incarnation = self.incarnation;
-                self.spread(self.terms.me);
+                self.members[usize::from(self.config.me)].incarnation = self.incarnation;
+                self.gossip(self.config.me);
             }
             return;
         }
-        if known.standing == Standing::Doubt && told.standing == Standing::Here {
+        if status.state == MemberState::Suspect && update.state == MemberState::Alive {
             self.counts.refuted += 1;
         }
-        self.known[usize::from(told.member)] = Known {
-            standing: told.standing,
-            incarnation: told.incarnation,
+        self.members[usize::from(update.member)] = MemberStatus {
+            state: update.state,
+            incarnation: update.incarnation,
             since: now,
         };
-        if told.standing != known.standing {
-            out.push(Out::Turned {
-                member: told.member,
-                standing: told.standing,
+        if update.state != status.state {
+            actions.push(Action::StateChanged {
+                member: update.member,
+                state: update.state,
             });
         }
-        self.spread(told.member);
+        self.gossip(update.member);
     }
 
     /// What time alone brings.
-    pub fn tick(&mut self, now: Duration) -> Vec<Out> {
-        let mut out = Vec::new();
-        if now < self.due {
-            return out;
+    pub fn tick(&mut self, now: Duration) -> Vec<Action> {
+        let mut actions = Vec::new();
+        if now < self.tick_at {
+            return actions;
         }
-        let (period, late) = (self.terms.period, now - self.due);
+        let (period, late) = (self.config.period, now - self.tick_at);
         // Guards against accusing others of one's own sleep: the answers lie unread, or came and went.
-        if late > period / LATE_PART {
-            self.open = None;
-            self.unanswered = 0;
-            self.known.iter_mut().for_each(|known| known.since += late);
-            self.due = now + period / 4;
-            out.push(Out::Starved(late));
-            return out;
+        if late > period / LATE_DIVISOR {
+            self.pending_ping = None;
+            self.missed_pings = 0;
+            self.members
+                .iter_mut()
+                .for_each(|status| status.since += late);
+            self.tick_at = now + period / 4;
+            actions.push(Action::LocalPause(late));
+            return actions;
         }
-        self.due = now + period / 4;
-        if let Some(mut open) = self.open.take() {
-            open.tries += 1;
-            if open.tries >= 4 {
-                self.unanswered += 1;
-                self.doubt(now, open.of, &mut out);
+        self.tick_at = now + period / 4;
+        if let Some(mut pending) = self.pending_ping.take() {
+            pending.attempts += 1;
+            if pending.attempts >= 4 {
+                self.missed_pings += 1;
+                self.suspect(now, pending.target, &mut actions);
             } else {
-                let (of, round) = (open.of, open.round);
-                self.open = Some(open);
-                self.say(now, of, Word::Ask { round }, &mut out);
+                let (target, sequence) = (pending.target, pending.sequence);
+                self.pending_ping = Some(pending);
+                self.send(now, target, Message::Ping { sequence }, &mut actions);
                 // Of one that is thought gone a plain question tells as much.
-                let helpers = if self.standing(of) == Standing::Here {
-                    self.helpers(of)
+                let helpers = if self.state_of(target) == MemberState::Alive {
+                    self.choose_helpers(target)
                 } else {
                     Vec::new()
                 };
                 for helper in helpers {
-                    self.say(now, helper, Word::Help { round, of }, &mut out);
+                    self.send(
+                        now,
+                        helper,
+                        Message::PingRequest { sequence, target },
+                        &mut actions,
+                    );
                 }
-                return out;
+                return actions;
             }
         }
-        self.settle(now, &mut out);
-        if now >= self.ask_at {
-            self.ask_at = (self.ask_at + period).max(now + period / 2);
-            self.ask(now, &mut out);
+        self.confirm_dead(now, &mut actions);
+        if now >= self.ping_at {
+            self.ping_at = (self.ping_at + period).max(now + period / 2);
+            self.ping_next(now, &mut actions);
         } else {
-            self.due = self.ask_at;
+            self.tick_at = self.ping_at;
         }
-        out
+        actions
     }
 
     /// The next question; with nothing open the period has passed.
-    fn ask(&mut self, now: Duration, out: &mut Vec<Out>) {
-        if self.next >= self.order.len() {
-            self.next = 0;
-            for n in (1..self.order.len()).rev() {
-                let other = self.below(n + 1);
-                self.order.swap(n, other);
+    fn ping_next(&mut self, now: Duration, actions: &mut Vec<Action>) {
+        if self.next_ping >= self.ping_order.len() {
+            self.next_ping = 0;
+            for n in (1..self.ping_order.len()).rev() {
+                let other = self.random_below(n + 1);
+                self.ping_order.swap(n, other);
             }
         }
-        let Some(of) = self.order.get(self.next).copied() else {
+        let Some(target) = self.ping_order.get(self.next_ping).copied() else {
             return;
         };
-        self.next += 1;
-        self.round = self.round.wrapping_add(1);
-        self.open = Some(Open {
-            of,
-            round: self.round,
-            tries: 0,
+        self.next_ping += 1;
+        self.sequence = self.sequence.wrapping_add(1);
+        self.pending_ping = Some(PendingPing {
+            target,
+            sequence: self.sequence,
+            attempts: 0,
         });
-        self.say(now, of, Word::Ask { round: self.round }, out);
+        self.send(
+            now,
+            target,
+            Message::Ping {
+                sequence: self.sequence,
+            },
+            actions,
+        );
     }
 
-    fn helpers(&mut self, of: Member) -> Vec<Member> {
+    fn choose_helpers(&mut self, target: Member) -> Vec<Member> {
         let mut helpers = Vec::new();
-        for _ in 0..4 * HELPERS {
-            let n = self.below(self.order.len());
-            let Some(helper) = self.order.get(n).copied() else {
+        for _ in 0..4 * INDIRECT_PINGS {
+            let n = self.random_below(self.ping_order.len());
+            let Some(helper) = self.ping_order.get(n).copied() else {
                 break;
             };
-            let fit = helper != of && self.known[usize::from(helper)].standing == Standing::Here;
+            let fit =
+                helper != target && self.members[usize::from(helper)].state == MemberState::Alive;
             if fit && !helpers.contains(&helper) {
                 helpers.push(helper);
             }
-            if helpers.len() == HELPERS {
+            if helpers.len() == INDIRECT_PINGS {
                 break;
             }
         }
         helpers
     }
 
-    fn doubt(&mut self, now: Duration, of: Member, out: &mut Vec<Out>) {
+    fn suspect(&mut self, now: Duration, target: Member, actions: &mut Vec<Action>) {
         // Guards against one that is cut off and takes all others for gone: nobody answers it, so it says nothing.
-        let alone = self.unanswered > 3 && self.order.len() > 3;
-        let known = self.known[usize::from(of)];
-        if known.standing == Standing::Here && !alone {
-            self.counts.doubts += 1;
-            self.believe(
+        let alone = self.missed_pings > 3 && self.ping_order.len() > 3;
+        let status = self.members[usize::from(target)];
+        if status.state == MemberState::Alive && !alone {
+            self.counts.suspicions += 1;
+            self.apply_update(
                 now,
-                Told {
-                    member: of,
-                    standing: Standing::Doubt,
-                    incarnation: known.incarnation,
+                MemberUpdate {
+                    member: target,
+                    state: MemberState::Suspect,
+                    incarnation: status.incarnation,
                 },
-                out,
+                actions,
             );
         }
     }
 
     /// Doubts that nothing has cleared for long enough.
-    fn settle(&mut self, now: Duration, out: &mut Vec<Out>) {
-        let rounds = 2 * (self.known.len() + 1).ilog2().max(2);
-        let gone = |known: &Known| {
-            known.standing == Standing::Doubt
-                && now.saturating_sub(known.since) > self.terms.period * rounds
+    fn confirm_dead(&mut self, now: Duration, actions: &mut Vec<Action>) {
+        let rounds = 2 * (self.members.len() + 1).ilog2().max(2);
+        let gone = |status: &MemberStatus| {
+            status.state == MemberState::Suspect
+                && now.saturating_sub(status.since) > self.config.period * rounds
         };
-        let all: Vec<Member> = (0..self.known.len())
-            .filter(|n| gone(&self.known[*n]))
+        let all: Vec<Member> = (0..self.members.len())
+            .filter(|n| gone(&self.members[*n]))
             .map(|n| n as Member)
             .collect();
         for member in all {
-            let incarnation = self.known[usize::from(member)].incarnation;
-            self.believe(
+            let incarnation = self.members[usize::from(member)].incarnation;
+            self.apply_update(
                 now,
-                Told {
+                MemberUpdate {
                     member,
-                    standing: Standing::Gone,
+                    state: MemberState::Dead,
                     incarnation,
                 },
-                out,
+                actions,
             );
         }
     }
 
-    fn allowed(&mut self, now: Duration) -> bool {
-        let since = now.saturating_sub(std::mem::replace(&mut self.allowed_at, now));
-        self.allowance = (self.allowance + since.as_secs_f64() * MOST_A_SECOND).min(MOST_A_SECOND);
-        let allowed = self.allowance >= 1.0;
-        self.allowance -= f64::from(u8::from(allowed));
+    fn take_token(&mut self, now: Duration) -> bool {
+        let since = now.saturating_sub(std::mem::replace(&mut self.tokens_at, now));
+        self.tokens = (self.tokens + since.as_secs_f64() * MAX_DATAGRAMS_PER_SECOND)
+            .min(MAX_DATAGRAMS_PER_SECOND);
+        let allowed = self.tokens >= 1.0;
+        self.tokens -= f64::from(u8::from(allowed));
         allowed
     }
 
     /// A letter with what there is room for: facts, what is new, then the rest of the table by turns.
-    fn say(&mut self, now: Duration, to: Member, word: Word, out: &mut Vec<Out>) {
-        if to == self.terms.me {
+    fn send(&mut self, now: Duration, to: Member, message: Message, actions: &mut Vec<Action>) {
+        if to == self.config.me {
             return;
         }
-        if !self.allowed(now) {
-            self.counts.held_back += 1;
+        if !self.take_token(now) {
+            self.counts.rate_limited += 1;
             return;
         }
-        let mut letter = Letter {
-            word,
-            notes: Vec::new(),
-            told: Vec::new(),
+        let mut packet = Packet {
+            message,
+            facts: Vec::new(),
+            updates: Vec::new(),
         };
-        let mut room = ROOM - 16;
-        let size = |told: &Told| 2 + told.incarnation.checked_ilog2().unwrap_or(0) as usize / 7 + 3;
-        for (note, times) in self.notes.values_mut().filter(|(_, times)| *times > 0) {
-            if room >= 26 {
+        let mut space = MAX_BODY_BYTES - 16;
+        let size = |update: &MemberUpdate| {
+            2 + update.incarnation.checked_ilog2().unwrap_or(0) as usize / 7 + 3
+        };
+        for (fact, times) in self.facts.values_mut().filter(|(_, times)| *times > 0) {
+            if space >= 26 {
                 *times -= 1;
-                letter.notes.push(*note);
-                room -= 26;
+                packet.facts.push(*fact);
+                space -= 26;
             }
         }
-        let mut fresh = std::mem::take(&mut self.fresh);
-        for (member, times) in &mut fresh {
-            let known = self.known[usize::from(*member)];
-            let told = Told {
+        let mut recent_updates = std::mem::take(&mut self.recent_updates);
+        for (member, times) in &mut recent_updates {
+            let status = self.members[usize::from(*member)];
+            let update = MemberUpdate {
                 member: *member,
-                standing: known.standing,
-                incarnation: known.incarnation,
+                state: status.state,
+                incarnation: status.incarnation,
             };
-            if size(&told) <= room {
-                room -= size(&told);
+            if size(&update) <= space {
+                space -= size(&update);
                 *times -= 1;
-                letter.told.push(told);
+                packet.updates.push(update);
             }
         }
-        fresh.retain(|(_, times)| *times > 0);
+        recent_updates.retain(|(_, times)| *times > 0);
         // What was told most often goes last.
-        let count = letter.told.len().min(fresh.len());
-        fresh.rotate_left(count);
-        self.fresh = fresh;
+        let count = packet.updates.len().min(recent_updates.len());
+        recent_updates.rotate_left(count);
+        self.recent_updates = recent_updates;
         // Guards against what was lost, and tells one that has just begun what is old news to the others.
-        for _ in 0..self.known.len().min(16) {
-            self.rest = (self.rest + 1) % self.known.len();
-            let known = self.known[self.rest];
-            let told = Told {
-                member: self.rest as Member,
-                standing: known.standing,
-                incarnation: known.incarnation,
+        for _ in 0..self.members.len().min(16) {
+            self.table_cursor = (self.table_cursor + 1) % self.members.len();
+            let status = self.members[self.table_cursor];
+            let update = MemberUpdate {
+                member: self.table_cursor as Member,
+                state: status.state,
+                incarnation: status.incarnation,
             };
-            if known.incarnation > 0 && size(&told) <= room && !letter.told.contains(&told) {
-                room -= size(&told);
-                letter.told.push(told);
+            if status.incarnation > 0 && size(&update) <= space && !packet.updates.contains(&update)
+            {
+                space -= size(&update);
+                packet.updates.push(update);
             }
         }
-        let topics: Vec<u64> = self.notes.keys().copied().collect();
-        if room >= 26 && letter.notes.is_empty() && !topics.is_empty() {
-            letter
-                .notes
-                .push(self.notes[&topics[self.round as usize % topics.len()]].0);
+        let topics: Vec<u64> = self.facts.keys().copied().collect();
+        if space >= 26 && packet.facts.is_empty() && !topics.is_empty() {
+            packet
+                .facts
+                .push(self.facts[&topics[self.sequence as usize % topics.len()]].0);
         }
-        match postcard::to_stdvec(&letter) {
-            Ok(body) if body.len() <= ROOM => {
+        match postcard::to_stdvec(&packet) {
+            Ok(body) if body.len() <= MAX_BODY_BYTES => {
                 self.counts.sent += 1;
-                out.push(Out::Say { to, body });
+                actions.push(Action::Send { to, body });
             }
-            _ => self.counts.held_back += 1,
+            _ => self.counts.rate_limited += 1,
         }
     }
 }
--- a/crates/passroad-peers/src/tests.rs
+++ b/crates/passroad-peers/src/tests.rs
@@ -4,9 +4,9 @@
 
 const PERIOD: Duration = Duration::from_secs(1);
 
-fn peers(me: Member, members: usize) -> Peers {
-    Peers::new(
-        Terms {
+fn membership(me: Member, members: usize) -> Membership {
+    Membership::new(
+        MembershipConfig {
             me,
             members,
             incarnation: 1_000_000 + u64::from(me),
@@ -19,24 +19,26 @@
 
 /// Some instances and the datagrams between them, a hundredth of a second at a time.
 struct World {
-    all: Vec<Peers>,
+    all: Vec<Membership>,
     now: Duration,
     up: Vec<bool>,
     loss: u32, // of a hundred
-    dice: u32,
+    random_state: u32,
     sent: Vec<u64>,
     starved: usize,
 }
 
 impl World {
     fn new(members: usize) -> World {
-        let all = (0..members).map(|n| peers(n as Member, members)).collect();
+        let all = (0..members)
+            .map(|n| membership(n as Member, members))
+            .collect();
         World {
             all,
             now: Duration::ZERO,
             up: vec![true; members],
             loss: 0,
-            dice: 1,
+            random_state: 1,
             sent: vec![0; members],
             starved: 0,
         }
@@ -49,48 +51,51 @@
             let mut mail = Vec::new();
             for n in 0..self.all.len() {
                 if self.up[n] {
-                    let outs = self.all[n].tick(self.now);
-                    self.post(n, outs, &mut mail);
+                    let actions = self.all[n].tick(self.now);
+                    self.post(n, actions, &mut mail);
                 }
             }
             while let Some((from, to, bytes)) = mail.pop() {
-                self.dice = self
-                    .dice
+                self.random_state = self
+                    .random_state
                     .wrapping_mul(1_664_525)
                     .wrapping_add(1_013_904_223);
-                if !self.up[to] || (self.dice >> 16) % 100 < self.loss {
+                if !self.up[to] || (self.random_state >> 16) % 100 < self.loss {
                     continue;
                 }
-                let (_, incarnation, body) = open(&bytes).unwrap();
-                let (heard, mut outs) = self.all[to].admit(self.now, from as Member, incarnation);
+                let (_, incarnation, body) = decode_frame(&bytes).unwrap();
+                let (heard, mut actions) =
+                    self.all[to].accept_sender(self.now, from as Member, incarnation);
                 if heard {
-                    outs.extend(self.all[to].hear(self.now, from as Member, body));
+                    actions.extend(self.all[to].receive(self.now, from as Member, body));
                 }
-                self.post(to, outs, &mut mail);
+                self.post(to, actions, &mut mail);
             }
         }
     }
 
-    fn post(&mut self, from: usize, outs: Vec<Out>, mail: &mut Vec<(usize, usize, Vec<u8>)>) {
-        for out in outs {
-            match out {
-                Out::Say { to, body } => {
+    fn post(&mut self, from: usize, actions: Vec<Action>, mail: &mut Vec<(usize, usize, Vec<u8>)>) {
+        for action in actions {
+            match action {
+                Action::Send { to, body } => {
                     self.sent[from] += 1;
                     mail.push((
                         from,
                         usize::from(to),
-                        seal(0, self.all[from].incarnation(), &body).unwrap(),
+                        encode_frame(0, self.all[from].incarnation(), &body).unwrap(),
                     ));
                 }
-                Out::Starved(_) => self.starved += 1,
+                Action::LocalPause(_) => self.starved += 1,
                 _ => {}
             }
         }
     }
 
-    fn thought(&self, of: usize) -> Vec<Standing> {
-        let others = (0..self.all.len()).filter(|n| *n != of && self.up[*n]);
-        others.map(|n| self.all[n].standing(of as Member)).collect()
+    fn thought(&self, target: usize) -> Vec<MemberState> {
+        let others = (0..self.all.len()).filter(|n| *n != target && self.up[*n]);
+        others
+            .map(|n| self.all[n].state_of(target as Member))
+            .collect()
     }
 }
 
@@ -100,14 +105,14 @@
     world.run(PERIOD * 8);
     world.up[3] = false;
     world.run(PERIOD * 40);
-    assert_eq!(world.thought(3), [Standing::Gone; 7]);
-    let terms = Terms {
+    assert_eq!(world.thought(3), [MemberState::Dead; 7]);
+    let config = MembershipConfig {
         incarnation: 2_000_000,
-        ..peers(3, 8).terms
+        ..membership(3, 8).config
     };
-    (world.all[3], world.up[3]) = (Peers::new(terms, world.now), true);
+    (world.all[3], world.up[3]) = (Membership::new(config, world.now), true);
     world.run(PERIOD * 12);
-    assert_eq!(world.thought(3), [Standing::Here; 7]);
+    assert_eq!(world.thought(3), [MemberState::Alive; 7]);
 }
 
 #[rstest]
@@ -115,7 +120,10 @@
     let mut world = World::new(12);
     world.loss = 5;
     world.run(PERIOD * 600);
-    assert_eq!(world.all.iter().map(|p| p.counts().doubts).sum::<u64>(), 0);
+    assert_eq!(
+        world.all.iter().map(|p| p.counts().suspicions).sum::<u64>(),
+        0
+    );
 }
 
 // It slept: what was asked before lies unanswered, and all others would be in doubt.
@@ -128,8 +136,8 @@
     world.up[2] = true;
     world.run(PERIOD * 30);
     assert!(world.starved > 0);
-    assert_eq!(world.all[2].counts().doubts, 0);
-    assert_eq!(world.thought(2), [Standing::Here; 5]);
+    assert_eq!(world.all[2].counts().suspicions, 0);
+    assert_eq!(world.thought(2), [MemberState::Alive; 5]);
 }
 
 #[rstest]
@@ -140,7 +148,7 @@
     world.up[alone] = true;
     world.run(PERIOD * 60);
     assert!(
-        world.all[alone].counts().doubts <= 4,
+        world.all[alone].counts().suspicions <= 4,
         "{:?}",
         world.all[alone].counts()
     );
@@ -149,7 +157,7 @@
     assert_eq!(
         (0..9)
             .flat_map(|n| world.thought(n))
-            .filter(|s| *s != Standing::Here)
+            .filter(|s| *s != MemberState::Alive)
             .count(),
         0
     );
@@ -163,7 +171,7 @@
     world.up[1] = false;
     world.run(PERIOD * 20);
     let most = world.sent.iter().max().unwrap();
-    assert!(*most as f64 <= MOST_A_SECOND * 21.0, "{most}");
+    assert!(*most as f64 <= MAX_DATAGRAMS_PER_SECOND * 21.0, "{most}");
     let mean = world.sent.iter().sum::<u64>() as f64 / members as f64 / 20.0;
     assert!(mean < 4.0, "{mean}");
 }
@@ -171,80 +179,85 @@
 #[rstest]
 fn a_fact_comes_to_all_and_an_older_one_does_not_undo_it() {
     let mut world = World::new(30);
-    let note = |number, holder| Note {
+    let fact = |version, holder| GossipFact {
         topic: 9,
-        number,
+        version,
         holder,
     };
-    world.all[3].note(note(5, Some(3)));
+    world.all[3].publish_fact(fact(5, Some(3)));
     world.run(PERIOD * 12);
-    world.all[7].note(note(6, Some(7)));
-    assert!(!world.all[7].note(note(5, Some(3))));
+    world.all[7].publish_fact(fact(6, Some(7)));
+    assert!(!world.all[7].publish_fact(fact(5, Some(3))));
     world.run(PERIOD * 12);
     assert!(
         world
             .all
             .iter()
-            .all(|p| p.note_of(9) == Some(note(6, Some(7))))
+            .all(|p| p.fact(9) == Some(fact(6, Some(7))))
     );
 }
 
 #[rstest]
 fn a_datagram_of_an_incarnation_that_is_over_is_not_heard() {
-    let mut peers = peers(0, 3);
-    assert!(peers.admit(PERIOD, 1, 500).0);
-    assert!(peers.admit(PERIOD, 1, 700).0);
-    assert!(!peers.admit(PERIOD, 1, 500).0);
-    assert!(!peers.admit(PERIOD, 9, 500).0);
-    assert_eq!(peers.counts().old, 1);
+    let mut membership = membership(0, 3);
+    assert!(membership.accept_sender(PERIOD, 1, 500).0);
+    assert!(membership.accept_sender(PERIOD, 1, 700).0);
+    assert!(!membership.accept_sender(PERIOD, 1, 500).0);
+    assert!(!membership.accept_sender(PERIOD, 9, 500).0);
+    assert_eq!(membership.counts().stale, 1);
 }
 
 #[rstest]
-#[case::empty(vec![], Ill::Foreign)]
-#[case::foreign(b"GET / HTTP/1.1".to_vec(), Ill::Foreign)]
-#[case::another_version(vec![0xb5, 2, 9], Ill::Version)]
-#[case::cut(seal(1, 7, b"body").unwrap()[..15].to_vec(), Ill::Length)]
-#[case::more([seal(1, 7, b"body").unwrap(), vec![0]].concat(), Ill::Length)]
-fn what_is_no_frame_is_told_apart(#[case] bytes: Vec<u8>, #[case] ill: Ill) {
-    assert_eq!(open(&bytes), Err(ill));
+#[case::empty(vec![], FrameError::UnknownMagic)]
+#[case::foreign(b"GET / HTTP/1.1".to_vec(), FrameError::UnknownMagic)]
+#[case::another_version(vec![0xb5, 2, 9], FrameError::UnsupportedVersion)]
+#[case::cut(encode_frame(1, 7, b"body").unwrap()[..15].to_vec(), FrameError::LengthMismatch)]
+#[case::more([encode_frame(1, 7, b"body").unwrap(), vec![0]].concat(), FrameError::LengthMismatch)]
+fn what_is_no_frame_is_told_apart(#[case] bytes: Vec<u8>, #[case] ill: FrameError) {
+    assert_eq!(decode_frame(&bytes), Err(ill));
 }
 
 // work-late: each doubt that one refuted voided what it had acknowledged, and no machine was ever empty.
 #[rstest]
 fn one_that_refutes_a_doubt_lives_on() {
-    let mut peers = Peers::new(
-        Terms {
-            incarnation: begun(PERIOD),
-            ..peers(0, 3).terms
+    let mut membership = Membership::new(
+        MembershipConfig {
+            incarnation: incarnation_at(PERIOD),
+            ..membership(0, 3).config
         },
         Duration::ZERO,
     );
-    let before = peers.incarnation();
-    let mut out = Vec::new();
-    peers.believe(
+    let before = membership.incarnation();
+    let mut actions = Vec::new();
+    membership.apply_update(
         PERIOD,
-        Told {
+        MemberUpdate {
             member: 0,
-            standing: Standing::Doubt,
+            state: MemberState::Suspect,
             incarnation: before,
         },
-        &mut out,
+        &mut actions,
+    );
+    assert!(
+        membership.incarnation() > before
+            && process_start_ms(membership.incarnation()) == process_start_ms(before)
     );
-    assert!(peers.incarnation() > before && life(peers.incarnation()) == life(before));
     // Another process of this name has had a later one.
-    peers.believe(
+    membership.apply_update(
         PERIOD,
-        Told {
+        MemberUpdate {
             member: 0,
-            standing: Standing::Here,
+            state: MemberState::Alive,
             incarnation: 9 << 20,
         },
-        &mut out,
+        &mut actions,
     );
-    assert!(life(peers.incarnation()) > life(9 << 20));
+    assert!(process_start_ms(membership.incarnation()) > process_start_ms(9 << 20));
     // What it said before the doubt is still heard of it elsewhere.
-    let mut other = self::peers(1, 3);
-    assert!(other.admit(PERIOD, 0, before + 1).0 && other.admit(PERIOD, 0, before).0);
+    let mut other = self::membership(1, 3);
+    assert!(
+        other.accept_sender(PERIOD, 0, before + 1).0 && other.accept_sender(PERIOD, 0, before).0
+    );
 }
 
 proptest! {
@@ -254,23 +267,23 @@
 
     #[test]
     fn no_bytes_bring_it_down(bodies in prop::collection::vec(prop::collection::vec(any::<u8>(), 0..256), 1..8)) {
-        let mut peers = peers(0, 5);
+        let mut membership = membership(0, 5);
         for body in bodies {
-            let _ = open(&body);
-            for out in peers.hear(PERIOD, 1, &body) {
-                if let Out::Say { body, .. } = out {
-                    prop_assert!(seal(0, 1, &body).is_some_and(|bytes| bytes.len() <= LONGEST));
+            let _ = decode_frame(&body);
+            for action in membership.receive(PERIOD, 1, &body) {
+                if let Action::Send { body, .. } = action {
+                    prop_assert!(encode_frame(0, 1, &body).is_some_and(|bytes| bytes.len() <= MAX_DATAGRAM_BYTES));
                 }
             }
         }
-        prop_assert_eq!(peers.known().len(), 5);
+        prop_assert_eq!(membership.members().len(), 5);
     }
 
     #[test]
     fn a_frame_comes_back_as_it_was(channel: u8, incarnation: u64, body in prop::collection::vec(any::<u8>(), 0..300)) {
-        match seal(channel, incarnation, &body) {
-            Some(bytes) => prop_assert_eq!(open(&bytes), Ok((channel, incarnation, &body[..]))),
-            None => prop_assert!(body.len() + frame::HEAD > LONGEST),
+        match encode_frame(channel, incarnation, &body) {
+            Some(bytes) => prop_assert_eq!(decode_frame(&bytes), Ok((channel, incarnation, &body[..]))),
+            None => prop_assert!(body.len() + frame::HEADER_BYTES > MAX_DATAGRAM_BYTES),
         }
     }
 }
--- a/crates/passroad-rig/src/capacity/roles.rs
+++ b/crates/passroad-rig/src/capacity/roles.rs
@@ -146,7 +146,7 @@
 const VOTER: &str = "crates/passroad-lease/src/voter.rs";
 const CALLS: &str = "crates/passroad/src/fleet/calls.rs";
 const UPKEEP: &str = "crates/passroad-upkeep/src/lib.rs";
-const BOOK: &str = "crates/passroad-upkeep/src/book.rs";
+const BOOK: &str = "crates/passroad-upkeep/src/operation_log.rs";
 const WORK: &str = "crates/passroad/src/fleet/work.rs";
 
 const GOSSIP: Mechanism = by(
--- a/crates/passroad-rig/src/capacity/simulate.rs
+++ b/crates/passroad-rig/src/capacity/simulate.rs
@@ -4,7 +4,7 @@
 use crate::experiment::{self, Plan};
 use crate::run::{Run, play_all};
 use crate::spread;
-use passroad_lease::council;
+use passroad_lease::voters_for;
 use serde_json::{Value, json};
 use std::path::Path;
 
@@ -128,7 +128,7 @@
     let voters: Vec<usize> = fleet
         .duties
         .iter()
-        .flat_map(|duty| council(duty.mark(), plan.instances, fleet.voters))
+        .flat_map(|duty| voters_for(duty.mark(), plan.instances, fleet.voters))
         .map(usize::from)
         .collect();
     let rate = |n: usize| day.datagrams[n] as f64 / day.seconds.max(1e-9);
--- a/crates/passroad-rig/src/fleet/histories.rs
+++ b/crates/passroad-rig/src/fleet/histories.rs
@@ -137,7 +137,7 @@
             day.stale_acts()
         ));
     }
-    if day.longest > passroad_peers::LONGEST {
+    if day.longest > passroad_peers::MAX_DATAGRAM_BYTES {
         return Err(format!("a datagram of {} bytes", day.longest));
     }
     if day.acts.is_empty() {
--- a/crates/passroad-rig/src/fleet/mod.rs
+++ b/crates/passroad-rig/src/fleet/mod.rs
@@ -6,7 +6,7 @@
 pub mod world;
 
 use passroad::fleet::DutyOrder;
-use passroad_lease::{council, order};
+use passroad_lease::{candidate_order, voters_for};
 use std::time::Duration;
 
 /// What an experiment says of sidecars that talk.
@@ -109,12 +109,12 @@
             Some(duty) => duty.mark(),
             None => passroad_choice::door::mark("upkeep"),
         };
-        let voters: Vec<usize> = council(mark, instances, plan.voters)
+        let voters: Vec<usize> = voters_for(mark, instances, plan.voters)
             .into_iter()
             .map(usize::from)
             .collect();
         let first = || {
-            order(mark, instances)
+            candidate_order(mark, instances)
                 .first()
                 .map_or(0, |n| usize::from(*n))
         };
--- a/crates/passroad-rig/src/fleet/world.rs
+++ b/crates/passroad-rig/src/fleet/world.rs
@@ -5,7 +5,7 @@
 use super::{Act, FleetDay, FleetPlan, RESTART, What};
 use crate::chance::Chance;
 use passroad::fleet::part::{Came, Do, Part, View, Who};
-use passroad_lease::{Duty, Epoch, Fence, Times, Vote};
+use passroad_lease::{Clocks, Epoch, Fence, LeaseKey, Vote};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 use std::time::Duration;
@@ -56,7 +56,7 @@
     turn: u64,
     paused: u32,
     missed: Vec<Ev>, // what comes to it while it is stopped
-    disk: BTreeMap<Duty, Vote>,
+    disk: BTreeMap<LeaseKey, Vote>,
     chance: Chance,
     calls: Vec<Option<usize>>,
 }
@@ -150,7 +150,7 @@
     }
     for node in &world.nodes {
         let counts = node.part.as_ref().map(Part::counts).unwrap_or_default();
-        world.day.doubts += counts.doubts;
+        world.day.doubts += counts.suspicions;
         world.day.refuted += counts.refuted;
     }
     world.day.hits += world.wires.hits;
@@ -163,10 +163,10 @@
         self.queue.push(Reverse((at, self.count, ev)));
     }
 
-    fn times(&self, node: usize) -> Times {
+    fn times(&self, node: usize) -> Clocks {
         let n = &self.nodes[node];
-        Times {
-            steady: self.now.saturating_sub(n.began).mul_f64(n.rate),
+        Clocks {
+            monotonic: self.now.saturating_sub(n.began).mul_f64(n.rate),
             wall: WALL + self.now,
         }
     }
@@ -261,7 +261,7 @@
             return;
         }
         n.began = self.now;
-        let incarnation = passroad_peers::begun(WALL + self.now);
+        let incarnation = passroad_peers::incarnation_at(WALL + self.now);
         let seed = n.chance.number();
         let who = Who {
             me: node as u16,
@@ -281,7 +281,7 @@
     fn down(&mut self, node: usize) {
         let n = &mut self.nodes[node];
         if let Some(part) = n.part.take() {
-            self.day.doubts += part.counts().doubts;
+            self.day.doubts += part.counts().suspicions;
             self.day.refuted += part.counts().refuted;
         }
         n.turn += 1;
@@ -381,7 +381,7 @@
         let Call {
             node, duty, epoch, ..
         } = self.calls[call];
-        let told = self.fence.admit(duty as Duty, epoch, node as u16);
+        let told = self.fence.admit(duty as LeaseKey, epoch, node as u16);
         let accepted = told.is_ok() || !self.plan.fence;
         self.day.acts.push(Act {
             at: self.now,
@@ -392,7 +392,7 @@
         });
         let highest = self
             .fence
-            .highest(duty as Duty)
+            .highest(duty as LeaseKey)
             .map_or(epoch, |(highest, _)| highest);
         self.calls[call].accepted = Some(if accepted { Ok(()) } else { Err(highest) });
         self.at(self.now + self.trip, Ev::Answers { call });
--- a/crates/passroad-rig/src/scale/mod.rs
+++ b/crates/passroad-rig/src/scale/mod.rs
@@ -21,7 +21,7 @@
 use measure::{Look, Roles};
 use passroad_choice::Mode;
 use passroad_choice::door::mark;
-use passroad_peers::Standing;
+use passroad_peers::MemberState;
 use plan::{Event, Kind};
 use processes::{Processes, Turn};
 use serde_json::{Value, json};
@@ -409,7 +409,7 @@
     fn false_doubts(&self, turns: &[Turn], from: Duration, to: Duration) -> usize {
         let mut last: BTreeMap<usize, Duration> = BTreeMap::new();
         let mut count = 0;
-        let wrong = |turn: &&Turn| turn.standing != Standing::Here && !self.rightly(turn);
+        let wrong = |turn: &&Turn| turn.standing != MemberState::Alive && !self.rightly(turn);
         for turn in turns
             .iter()
             .filter(wrong)
@@ -449,27 +449,28 @@
             .iter()
             .filter(|turn| whose.contains(&turn.of))
             .for_each(|turn| by.entry(turn.of).or_default().push(turn));
-        let first = |of: usize, standing: Standing, after: Duration, before: Option<Duration>| {
-            let mut seen: BTreeMap<usize, Duration> = BTreeMap::new();
-            for turn in by.get(&of).into_iter().flatten() {
-                let fits = turn.standing == standing
-                    && turn.at >= after
-                    && before.is_none_or(|b| turn.at < b);
-                if fits {
-                    seen.entry(turn.by).or_insert(turn.at - after);
+        let first =
+            |of: usize, standing: MemberState, after: Duration, before: Option<Duration>| {
+                let mut seen: BTreeMap<usize, Duration> = BTreeMap::new();
+                for turn in by.get(&of).into_iter().flatten() {
+                    let fits = turn.standing == standing
+                        && turn.at >= after
+                        && before.is_none_or(|b| turn.at < b);
+                    if fits {
+                        seen.entry(turn.by).or_insert(turn.at - after);
+                    }
                 }
-            }
-            let all = watch.iter().map(|n| seen.get(n).copied());
-            all.collect::<Option<Vec<_>>>()
-                .and_then(|all| all.into_iter().max())
-        };
+                let all = watch.iter().map(|n| seen.get(n).copied());
+                all.collect::<Option<Vec<_>>>()
+                    .and_then(|all| all.into_iter().max())
+            };
         let deaths = hit
             .iter()
-            .map(|(n, began, back)| first(*n, Standing::Gone, *began, *back))
+            .map(|(n, began, back)| first(*n, MemberState::Dead, *began, *back))
             .collect();
         let starts = hit
             .iter()
-            .filter_map(|(n, _, back)| back.map(|back| first(*n, Standing::Here, back, None)));
+            .filter_map(|(n, _, back)| back.map(|back| first(*n, MemberState::Alive, back, None)));
         [deaths, starts.collect()]
     }
 
@@ -479,7 +480,7 @@
         let mut away: BTreeSet<(usize, usize)> = BTreeSet::new();
         let mut last = end;
         for turn in turns {
-            if turn.standing == Standing::Here {
+            if turn.standing == MemberState::Alive {
                 if away.remove(&(turn.by, turn.of)) && away.is_empty() {
                     last = turn.at;
                 }
@@ -506,7 +507,7 @@
         turns.sort_by_key(|turn| turn.at);
         let voters: BTreeSet<usize> = [mark("sweep"), mark("upkeep")]
             .into_iter()
-            .flat_map(|duty| passroad_lease::council(duty, count, plan.fleet.voters))
+            .flat_map(|duty| passroad_lease::voters_for(duty, count, plan.fleet.voters))
             .map(usize::from)
             .collect();
         let owners: BTreeSet<usize> = held(&self.discovery.owners)
--- a/crates/passroad-rig/src/scale/processes.rs
+++ b/crates/passroad-rig/src/scale/processes.rs
@@ -2,7 +2,7 @@
 //! rig, and what the kernel and they themselves tell of what they use.
 
 use super::held;
-use passroad_peers::Standing;
+use passroad_peers::MemberState;
 use serde_json::Value;
 use std::collections::BTreeMap;
 use std::fs::File;
@@ -22,7 +22,7 @@
     pub at: Duration, // since 1970
     pub by: usize,
     pub of: usize,
-    pub standing: Standing,
+    pub standing: MemberState,
 }
 
 /// What hosts have told.
@@ -88,9 +88,9 @@
         "turned" => {
             let of = words.next().and_then(|n| n.parse().ok());
             let standing = match words.next() {
-                Some("Here") => Some(Standing::Here),
-                Some("Doubt") => Some(Standing::Doubt),
-                Some("Gone") => Some(Standing::Gone),
+                Some("Alive") => Some(MemberState::Alive),
+                Some("Suspect") => Some(MemberState::Suspect),
+                Some("Dead") => Some(MemberState::Dead),
                 _ => None,
             };
             let at = words
