--- a/crates/passroad-upkeep/src/lib.rs
+++ b/crates/passroad-upkeep/src/lib.rs
@@ -9,14 +9,14 @@
 //! - A machine is at work only when every sidecar has said, of this very step and since it started, that nothing of its
 //!   is on it; of one that says nothing nobody can know, so the order waits for it, or for an operator's word.
 
-mod book;
-mod room;
+mod capacity;
+mod operation_log;
 
 #[cfg(test)]
 mod tests;
 
-pub use book::{Book, Entry, Epoch, Machine, State};
-pub use room::{Limits, Seen, fits};
+pub use capacity::{Limits, ListedMachine, can_take_out};
+pub use operation_log::{Entry, Epoch, MachineId, MaintenanceState, OperationLog};
 
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
@@ -26,417 +26,465 @@
 pub type Incarnation = u64;
 
 /// Entries in one datagram.
-const IN_ONE: usize = 4;
+const ENTRIES_PER_DATAGRAM: usize = 4;
 /// Machines of one request.
-pub const MOST_ASKED: usize = 20;
+pub const MAX_MACHINES_PER_REQUEST: usize = 20;
 /// Entries that are kept; what is over goes first.
-const MOST_KEPT: usize = 500;
+const MAX_ENTRIES: usize = 500;
 /// Words that the conductor says at a turn, and how far apart turns are: its part of the datagrams.
-const SAID_AT_ONCE: usize = 5;
-pub const TURN: Duration = Duration::from_millis(50);
+const UPDATES_PER_TICK: usize = 5;
+pub const TICK_INTERVAL: Duration = Duration::from_millis(50);
 /// Rounds of questions before others than the keepers are asked.
-const KEEPERS_FIRST: u32 = 4;
+const VOTERS_ONLY_ROUNDS: u32 = 4;
 /// What is not answered is said again.
-const AGAIN: Duration = Duration::from_millis(400);
+const RESEND_INTERVAL: Duration = Duration::from_millis(400);
 
 #[derive(Serialize, Deserialize, Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub enum Word {
+pub enum Message {
     /// The conductor of this epoch: what do you know? Or a hand that has just begun, with no epoch.
-    Recall { by: Epoch, from: u32 },
+    Query {
+        coordinator_epoch: Epoch,
+        offset: u32,
+    },
     /// So much from that place on, of so many; blank where the sidecar has heard of no order since it started.
-    Known {
-        by: Epoch,
-        from: u32,
-        all: u32,
-        blank: bool,
+    QueryReply {
+        coordinator_epoch: Epoch,
+        offset: u32,
+        total: u32,
+        uninformed: bool,
         entries: Vec<Entry>,
     },
     /// The conductor of this epoch tells of steps; of so many entries that are not over.
-    Tell {
-        by: Epoch,
-        all: u32,
+    Update {
+        coordinator_epoch: Epoch,
+        open_entries: u32,
         entries: Vec<Entry>,
     },
     /// Heard, of these versions; and of each whether nothing of this sidecar's is on the machine.
     Ack {
-        by: Epoch,
-        heard: Vec<(Machine, Epoch, u32, bool)>,
+        coordinator_epoch: Epoch,
+        acks: Vec<(MachineId, Epoch, u32, bool)>,
     },
     /// An operator asks for machines.
-    Want {
+    Schedule {
         request: u64,
-        lasts: u32,
-        back: bool,
-        machines: Vec<Machine>,
+        duration_s: u32,
+        auto_return: bool,
+        machines: Vec<MachineId>,
     },
     /// An operator's word on one.
-    Order {
+    Operate {
         request: u64,
-        machine: Machine,
-        what: Order,
+        machine: MachineId,
+        action: OperatorAction,
     },
     /// The conductor has it, and so has a majority; or why not.
-    Taken {
+    Response {
         request: u64,
-        refused: Option<Refusal>,
+        rejected: Option<Rejection>,
     },
 }
 
 #[derive(Serialize, Deserialize, Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub enum Order {
+pub enum OperatorAction {
     /// Not any more, if it has not begun.
     Withdraw,
     /// The work is done: back into use.
-    Done,
+    Complete,
     /// Take it for empty, whoever has said nothing.
     Force,
     /// Begin with what is known, though a majority of the keepers has forgotten.
-    Begin,
+    Bootstrap,
 }
 
 #[derive(Serialize, Deserialize, Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub enum Refusal {
-    NoMachine,
+pub enum Rejection {
+    UnknownMachine,
     /// Its work has begun; it can only be done.
-    Begun,
-    NotAtWork,
-    NotLeaving,
+    AlreadyStarted,
+    NotUnderMaintenance,
+    NotDraining,
 }
 
-impl Word {
-    pub fn bytes(&self) -> Vec<u8> {
+impl Message {
+    pub fn encode(&self) -> Vec<u8> {
         postcard::to_stdvec(self).unwrap_or_default()
     }
 
     /// None for what is no word, or has something behind it.
-    pub fn read(bytes: &[u8]) -> Option<Word> {
+    pub fn decode(bytes: &[u8]) -> Option<Message> {
         postcard::take_from_bytes(bytes)
             .ok()
             .filter(|(_, rest)| rest.is_empty())
-            .map(|(word, _)| word)
+            .map(|(message, _)| message)
     }
 }
 
 /// What is to be done.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Out {
-    Say {
+pub enum Action {
+    Send {
         to: Member,
-        word: Word,
+        message: Message,
     },
     /// Keep off a machine, or use it again.
-    Ban {
-        machine: Machine,
-        out: bool,
+    SetExcluded {
+        machine: MachineId,
+        excluded: bool,
     },
     /// An operator's request has its answer.
-    Answer {
+    Respond {
         request: u64,
-        refused: Option<Refusal>,
+        rejected: Option<Rejection>,
     },
-    Told {
-        machine: Machine,
-        what: Line,
+    Report {
+        machine: MachineId,
+        event: MachineEvent,
     },
 }
 
 /// What is told of a machine, once each.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Line {
-    Moved(State),
+pub enum MachineEvent {
+    StateChanged(MaintenanceState),
     /// Some sidecars say nothing: the order waits for them, or for an operator.
-    Waits {
-        unheard: usize,
+    WaitingForReplies {
+        missing_replies: usize,
     },
     Forced {
-        unheard: usize,
+        not_idle: usize,
     },
     /// Its time is over, and it is still out.
     Overdue,
     /// Others are down: it goes back before its work has begun.
-    PutBack,
+    Requeued,
 }
 
 /// Where a sidecar stands.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Terms {
+pub struct MaintenanceConfig {
     pub me: Member,
     pub members: usize,
-    pub keepers: Vec<Member>,
+    pub voters: Vec<Member>,
     pub limits: Limits,
 }
 
 /// What the caller knows at a turn.
-pub struct Sight<'a> {
+pub struct Context<'a> {
     pub now: Duration, // steady
     pub wall: Duration,
     /// The epoch by which this sidecar owns the order's duty, if it does.
-    pub owned: Option<Epoch>,
+    pub owned_epoch: Option<Epoch>,
     /// Of each member the incarnation that was last heard of.
     pub incarnations: &'a [Incarnation],
     /// Whose the duty is, as far as is known.
-    pub conductor: Option<Member>,
+    pub coordinator: Option<Member>,
     /// Machines as this sidecar's list has them.
-    pub seen: &'a [Seen],
+    pub machines: &'a [ListedMachine],
     /// Whether nothing of this sidecar's is on a machine.
-    pub free: &'a dyn Fn(Machine) -> bool,
+    pub idle: &'a dyn Fn(MachineId) -> bool,
 }
 
 #[derive(Debug, Default)]
-struct Learning {
+struct Recovery {
     /// Who has told all that it knows, and was not blank.
-    whole: BTreeSet<Member>,
+    informed_replies: BTreeSet<Member>,
     /// Who has told all that it knows, much or nothing.
-    answered: BTreeSet<Member>,
+    replied: BTreeSet<Member>,
     /// Whether any of them had not forgotten.
-    knew: bool,
-    parts: BTreeMap<Member, u32>,
-    asked: Duration,
+    any_informed: bool,
+    offsets: BTreeMap<Member, u32>,
+    queried_at: Duration,
     rounds: u32,
-    next: Member,
+    next_member: Member,
 }
 
 #[derive(Debug)]
-enum Chair {
-    Hand,
-    Learning(Epoch, Learning),
-    Sits(Epoch),
+enum Role {
+    Participant,
+    Recovering(Epoch, Recovery),
+    Coordinator(Epoch),
 }
 
 /// What a member has said: by its incarnation, of each machine the version and whether it is free of it.
-type Heard = (Incarnation, BTreeMap<Machine, (Epoch, u32, bool)>);
+type MemberAcks = (Incarnation, BTreeMap<MachineId, (Epoch, u32, bool)>);
 
 /// Something an operator asked here that the conductor has not answered.
 #[derive(Debug, Clone)]
-struct Asked {
-    word: Word,
-    said: Option<Duration>,
+struct PendingRequest {
+    message: Message,
+    sent_at: Option<Duration>,
 }
 
-pub struct Upkeep {
-    terms: Terms,
-    pub book: Book,
-    blank: bool,
+pub struct MaintenanceManager {
+    config: MaintenanceConfig,
+    pub operation_log: OperationLog,
+    uninformed: bool,
     /// Whether what it knows counts: it has heard all from a conductor since it started, or was one. What it has only
     /// asked others for may be old, and they are asked themselves.
-    keeps: bool,
+    authoritative: bool,
     /// Keepers from whom it has heard all since it started.
-    heard_all: BTreeSet<Member>,
-    fence: Epoch,
-    chair: Chair,
-    heard: BTreeMap<Member, Heard>,
-    said: BTreeMap<(Member, Machine), (Duration, Epoch, u32)>,
-    said_to: BTreeMap<Member, Incarnation>,
-    banned: BTreeSet<Machine>,
+    complete_replies: BTreeSet<Member>,
+    highest_epoch: Epoch,
+    role: Role,
+    member_acks: BTreeMap<Member, MemberAcks>,
+    last_sent: BTreeMap<(Member, MachineId), (Duration, Epoch, u32)>,
+    sent_incarnations: BTreeMap<Member, Incarnation>,
+    excluded: BTreeSet<MachineId>,
     /// Bans that the caller has put into effect: those that it was handed before it turned again.
-    effective: BTreeSet<Machine>,
+    effective_exclusions: BTreeSet<MachineId>,
     /// Machines that were called back, and at which place in the order.
-    lifted: BTreeMap<Machine, u32>,
-    acked: BTreeMap<Machine, (Epoch, u32, bool)>,
-    asked: BTreeMap<u64, Asked>,
+    readmitted: BTreeMap<MachineId, u32>,
+    own_acks: BTreeMap<MachineId, (Epoch, u32, bool)>,
+    pending_requests: BTreeMap<u64, PendingRequest>,
     /// Requests whose first step is not yet with a majority, and who asked.
-    open: BTreeMap<u64, Member>,
-    forced: BTreeSet<Machine>,
-    told: BTreeSet<(Machine, Epoch, u32)>,
-    next: usize,
-    turned: Option<Duration>,
-    began: Option<Duration>,
+    open_requests: BTreeMap<u64, Member>,
+    forced: BTreeSet<MachineId>,
+    reported: BTreeSet<(MachineId, Epoch, u32)>,
+    next_member: usize,
+    last_update: Option<Duration>,
+    last_query: Option<Duration>,
 }
 
-impl Upkeep {
-    pub fn new(terms: Terms) -> Upkeep {
-        Upkeep {
-            terms,
-            book: Book::default(),
-            blank: true,
-            keeps: false,
-            heard_all: BTreeSet::new(),
-            fence: 0,
-            chair: Chair::Hand,
-            heard: BTreeMap::new(),
-            said: BTreeMap::new(),
-            said_to: BTreeMap::new(),
-            banned: BTreeSet::new(),
-            effective: BTreeSet::new(),
-            lifted: BTreeMap::new(),
-            acked: BTreeMap::new(),
-            asked: BTreeMap::new(),
-            open: BTreeMap::new(),
+impl MaintenanceManager {
+    pub fn new(config: MaintenanceConfig) -> MaintenanceManager {
+        MaintenanceManager {
+            config,
+            operation_log: OperationLog::default(),
+            uninformed: true,
+            authoritative: false,
+            complete_replies: BTreeSet::new(),
+            highest_epoch: 0,
+            role: Role::Participant,
+            member_acks: BTreeMap::new(),
+            last_sent: BTreeMap::new(),
+            sent_incarnations: BTreeMap::new(),
+            excluded: BTreeSet::new(),
+            effective_exclusions: BTreeSet::new(),
+            readmitted: BTreeMap::new(),
+            own_acks: BTreeMap::new(),
+            pending_requests: BTreeMap::new(),
+            open_requests: BTreeMap::new(),
             forced: BTreeSet::new(),
-            told: BTreeSet::new(),
-            next: 0,
-            turned: None,
-            began: None,
+            reported: BTreeSet::new(),
+            next_member: 0,
+            last_update: None,
+            last_query: None,
         }
     }
 
     /// Whether this sidecar knows of an order, or that there is none.
-    pub fn informed(&self) -> bool {
-        !self.blank
+    pub fn is_informed(&self) -> bool {
+        !self.uninformed
     }
 
     /// Whether there is something to do soon.
-    pub fn awake(&self) -> bool {
-        self.blank
-            || !self.asked.is_empty()
-            || !matches!(self.chair, Chair::Hand)
-            || self.book.in_order().iter().any(|entry| !entry.state.over())
+    pub fn is_active(&self) -> bool {
+        self.uninformed
+            || !self.pending_requests.is_empty()
+            || !matches!(self.role, Role::Participant)
+            || self
+                .operation_log
+                .ordered()
+                .iter()
+                .any(|entry| !entry.state.is_finished())
     }
 
-    pub fn conducts(&self) -> bool {
-        matches!(self.chair, Chair::Sits(_))
+    pub fn is_coordinator(&self) -> bool {
+        matches!(self.role, Role::Coordinator(_))
     }
 
     fn majority(&self) -> usize {
-        self.terms.keepers.len() / 2 + 1
+        self.config.voters.len() / 2 + 1
     }
 
     /// An operator asks here; the answer comes by [`Out::Answer`].
-    pub fn ask(&mut self, word: Word) {
-        if let Word::Want { request, .. } | Word::Order { request, .. } = word {
-            self.asked
+    pub fn submit(&mut self, message: Message) {
+        if let Message::Schedule { request, .. } | Message::Operate { request, .. } = message {
+            self.pending_requests
                 .entry(request)
-                .or_insert(Asked { word, said: None });
+                .or_insert(PendingRequest {
+                    message,
+                    sent_at: None,
+                });
         }
     }
 
-    pub fn hear(&mut self, sight: &Sight, from: Member, word: Word) -> Vec<Out> {
-        let mut out = Vec::new();
-        match word {
-            Word::Recall { by, from: at } => {
+    pub fn receive(&mut self, context: &Context, from: Member, message: Message) -> Vec<Action> {
+        let mut actions = Vec::new();
+        match message {
+            Message::Query {
+                coordinator_epoch,
+                offset,
+            } => {
                 // A hand that begins asks with no epoch; a conductor of an old one is not answered.
-                if by > 0 && by < self.fence {
-                    return out;
+                if coordinator_epoch > 0 && coordinator_epoch < self.highest_epoch {
+                    return actions;
                 }
-                self.fence = self.fence.max(by);
-                let all = self.book.in_order();
-                let entries: Vec<Entry> =
-                    all.iter().skip(at as usize).take(IN_ONE).copied().collect();
-                let word = Word::Known {
-                    by,
-                    from: at,
-                    all: all.len() as u32,
-                    blank: !self.keeps,
+                self.highest_epoch = self.highest_epoch.max(coordinator_epoch);
+                let all = self.operation_log.ordered();
+                let entries: Vec<Entry> = all
+                    .iter()
+                    .skip(offset as usize)
+                    .take(ENTRIES_PER_DATAGRAM)
+                    .copied()
+                    .collect();
+                let message = Message::QueryReply {
+                    coordinator_epoch,
+                    offset,
+                    total: all.len() as u32,
+                    uninformed: !self.authoritative,
                     entries,
                 };
-                out.push(Out::Say { to: from, word });
+                actions.push(Action::Send { to: from, message });
             }
-            Word::Known {
-                by,
-                from: at,
-                all,
-                blank,
+            Message::QueryReply {
+                coordinator_epoch,
+                offset,
+                total,
+                uninformed,
+                entries,
+            } => self.receive_query_reply(
+                context,
+                from,
+                (coordinator_epoch, offset, total, uninformed),
                 entries,
-            } => self.known(sight, from, (by, at, all, blank), entries, &mut out),
-            Word::Tell { by, all, entries } => {
-                if by < self.fence {
-                    return out;
+                &mut actions,
+            ),
+            Message::Update {
+                coordinator_epoch,
+                open_entries,
+                entries,
+            } => {
+                if coordinator_epoch < self.highest_epoch {
+                    return actions;
                 }
-                self.fence = by;
-                self.book.take_all(&entries);
+                self.highest_epoch = coordinator_epoch;
+                self.operation_log.apply_all(&entries);
                 // Guards against taking a part of the order for the whole.
                 let open = self
-                    .book
-                    .in_order()
+                    .operation_log
+                    .ordered()
                     .iter()
-                    .filter(|entry| !entry.state.over())
+                    .filter(|entry| !entry.state.is_finished())
                     .count();
-                if open >= all as usize {
-                    (self.blank, self.keeps) = (false, true);
+                if open >= open_entries as usize {
+                    (self.uninformed, self.authoritative) = (false, true);
                 }
-                self.book.forget(MOST_KEPT);
-                self.obey(&mut out);
-                let heard = entries
+                self.operation_log.prune_finished(MAX_ENTRIES);
+                self.apply_exclusions(&mut actions);
+                let acks = entries
                     .iter()
-                    .map(|entry| self.ack_of(sight, entry))
+                    .map(|entry| self.acknowledge(context, entry))
                     .collect();
-                out.push(Out::Say {
+                actions.push(Action::Send {
                     to: from,
-                    word: Word::Ack { by, heard },
+                    message: Message::Ack {
+                        coordinator_epoch,
+                        acks,
+                    },
                 });
             }
-            Word::Ack { by, heard } => {
-                if matches!(self.chair, Chair::Sits(own) if own == by) {
-                    self.note(sight, from, heard);
+            Message::Ack {
+                coordinator_epoch,
+                acks,
+            } => {
+                if matches!(self.role, Role::Coordinator(own) if own == coordinator_epoch) {
+                    self.record_acks(context, from, acks);
                 }
             }
-            Word::Want {
+            Message::Schedule {
                 request,
-                lasts,
-                back,
+                duration_s,
+                auto_return,
                 machines,
-            } => self.want(sight, from, (request, lasts, back), &machines, &mut out),
-            Word::Order {
+            } => self.schedule(
+                context,
+                from,
+                (request, duration_s, auto_return),
+                &machines,
+                &mut actions,
+            ),
+            Message::Operate {
                 request,
                 machine,
-                what,
-            } => self.order(sight, from, request, machine, what, &mut out),
-            Word::Taken { request, refused } => {
-                if self.asked.remove(&request).is_some() {
-                    out.push(Out::Answer { request, refused });
+                action,
+            } => self.operate(context, from, request, machine, action, &mut actions),
+            Message::Response { request, rejected } => {
+                if self.pending_requests.remove(&request).is_some() {
+                    actions.push(Action::Respond { request, rejected });
                 }
             }
         }
-        out
+        actions
     }
 
     /// What time brings; the caller turns every [`TURN`].
-    pub fn turn(&mut self, sight: &Sight) -> Vec<Out> {
-        let mut out = Vec::new();
-        self.effective.clone_from(&self.banned);
-        self.take_chair(sight);
-        if self.blank && self.began.is_none_or(|at| sight.now >= at + AGAIN) {
-            self.began = Some(sight.now);
+    pub fn tick(&mut self, context: &Context) -> Vec<Action> {
+        let mut actions = Vec::new();
+        self.effective_exclusions.clone_from(&self.excluded);
+        self.update_role(context);
+        if self.uninformed
+            && self
+                .last_query
+                .is_none_or(|at| context.now >= at + RESEND_INTERVAL)
+        {
+            self.last_query = Some(context.now);
             // One that has just begun learns what is out, from some of the keepers.
-            let others = self.terms.keepers.iter().filter(|k| **k != self.terms.me);
-            out.extend(others.map(|to| Out::Say {
+            let others = self.config.voters.iter().filter(|k| **k != self.config.me);
+            actions.extend(others.map(|to| Action::Send {
                 to: *to,
-                word: Word::Recall { by: 0, from: 0 },
+                message: Message::Query {
+                    coordinator_epoch: 0,
+                    offset: 0,
+                },
             }));
-            if self.terms.members <= 1 {
-                (self.blank, self.keeps) = (false, true);
+            if self.config.members <= 1 {
+                (self.uninformed, self.authoritative) = (false, true);
             }
         }
-        self.obey(&mut out);
-        self.report(sight, &mut out);
-        self.pass_on(sight, &mut out);
-        match &self.chair {
-            Chair::Hand => {}
-            Chair::Learning(..) => self.learn(sight, &mut out),
-            Chair::Sits(epoch) => {
+        self.apply_exclusions(&mut actions);
+        self.report_idle(context, &mut actions);
+        self.forward_requests(context, &mut actions);
+        match &self.role {
+            Role::Participant => {}
+            Role::Recovering(..) => self.recover(context, &mut actions),
+            Role::Coordinator(epoch) => {
                 let epoch = *epoch;
-                self.conduct(sight, epoch, &mut out);
-                self.tell(sight, epoch, &mut out);
+                self.coordinate(context, epoch, &mut actions);
+                self.send_updates(context, epoch, &mut actions);
             }
         }
-        out
+        actions
     }
 
     /// Sits down, stands up, or begins anew by another epoch.
-    fn take_chair(&mut self, sight: &Sight) {
-        let epoch = match &self.chair {
-            Chair::Hand => None,
-            Chair::Learning(epoch, _) | Chair::Sits(epoch) => Some(*epoch),
+    fn update_role(&mut self, context: &Context) {
+        let epoch = match &self.role {
+            Role::Participant => None,
+            Role::Recovering(epoch, _) | Role::Coordinator(epoch) => Some(*epoch),
         };
         // One that was outrun has nothing more to say.
-        let owned = sight.owned.filter(|epoch| *epoch >= self.fence);
+        let owned = context
+            .owned_epoch
+            .filter(|epoch| *epoch >= self.highest_epoch);
         if epoch == owned {
             return;
         }
-        self.heard.clear();
-        self.said.clear();
-        self.open.clear();
+        self.member_acks.clear();
+        self.last_sent.clear();
+        self.open_requests.clear();
         self.forced.clear();
-        self.chair = match owned {
-            None => Chair::Hand,
+        self.role = match owned {
+            None => Role::Participant,
             Some(epoch) => {
-                self.fence = epoch;
-                let asked = sight.now.saturating_sub(AGAIN);
-                Chair::Learning(
+                self.highest_epoch = epoch;
+                let queried_at = context.now.saturating_sub(RESEND_INTERVAL);
+                Role::Recovering(
                     epoch,
-                    Learning {
-                        asked,
-                        ..Learning::default()
+                    Recovery {
+                        queried_at,
+                        ..Recovery::default()
                     },
                 )
             }
@@ -445,121 +493,133 @@
 
     /// Asks the keepers what they know, again and again until a majority has told all. Where a majority of them has
     /// forgotten all sidecars are asked: what none of them knows is in effect nowhere.
-    fn learn(&mut self, sight: &Sight, out: &mut Vec<Out>) {
-        let (majority, me, members) =
-            (self.majority(), self.terms.me, self.terms.members as Member);
-        let Chair::Learning(epoch, learning) = &mut self.chair else {
+    fn recover(&mut self, context: &Context, actions: &mut Vec<Action>) {
+        let (majority, me, members) = (
+            self.majority(),
+            self.config.me,
+            self.config.members as Member,
+        );
+        let Role::Recovering(epoch, recovery) = &mut self.role else {
             return;
         };
-        if self.keeps && self.terms.keepers.contains(&me) {
-            learning.whole.insert(me);
+        if self.authoritative && self.config.voters.contains(&me) {
+            recovery.informed_replies.insert(me);
         }
-        learning.answered.insert(me);
-        learning.knew |= self.keeps;
-        if learning.whole.len() >= majority
-            || learning.knew && learning.answered.len() == self.terms.members
+        recovery.replied.insert(me);
+        recovery.any_informed |= self.authoritative;
+        if recovery.informed_replies.len() >= majority
+            || recovery.any_informed && recovery.replied.len() == self.config.members
         {
             let epoch = *epoch;
-            (self.blank, self.keeps) = (false, true);
-            self.chair = Chair::Sits(epoch);
+            (self.uninformed, self.authoritative) = (false, true);
+            self.role = Role::Coordinator(epoch);
             return;
         }
-        if sight.now < learning.asked + AGAIN {
+        if context.now < recovery.queried_at + RESEND_INTERVAL {
             return;
         }
-        learning.asked = sight.now;
-        let keepers = self
-            .terms
-            .keepers
+        recovery.queried_at = context.now;
+        let voters = self
+            .config
+            .voters
             .iter()
             .copied()
-            .filter(|k| *k != me && !learning.whole.contains(k));
-        let mut ask: Vec<Member> = keepers.collect();
-        if learning.rounds > KEEPERS_FIRST {
-            let others = (0..members).map(|n| (n + learning.next) % members);
-            let left = others.filter(|n| !learning.answered.contains(n) && !ask.contains(n));
-            let left: Vec<Member> = left.take(2 * SAID_AT_ONCE).collect();
-            learning.next = left.last().map_or(0, |last| last + 1);
+            .filter(|k| *k != me && !recovery.informed_replies.contains(k));
+        let mut ask: Vec<Member> = voters.collect();
+        if recovery.rounds > VOTERS_ONLY_ROUNDS {
+            let others = (0..members).map(|n| (n + recovery.next_member) % members);
+            let left = others.filter(|n| !recovery.replied.contains(n) && !ask.contains(n));
+            let left: Vec<Member> = left.take(2 * UPDATES_PER_TICK).collect();
+            recovery.next_member = left.last().map_or(0, |last| last + 1);
             ask.extend(left);
         }
-        learning.rounds += 1;
+        recovery.rounds += 1;
         for to in ask {
-            let from = learning.parts.get(&to).copied().unwrap_or(0);
-            out.push(Out::Say {
+            let offset = recovery.offsets.get(&to).copied().unwrap_or(0);
+            actions.push(Action::Send {
                 to,
-                word: Word::Recall { by: *epoch, from },
+                message: Message::Query {
+                    coordinator_epoch: *epoch,
+                    offset,
+                },
             });
         }
     }
 
-    fn known(
+    fn receive_query_reply(
         &mut self,
-        sight: &Sight,
+        context: &Context,
         from: Member,
-        (by, at, all, blank): (Epoch, u32, u32, bool),
+        (coordinator_epoch, offset, total, uninformed): (Epoch, u32, u32, bool),
         entries: Vec<Entry>,
-        out: &mut Vec<Out>,
+        actions: &mut Vec<Action>,
     ) {
-        let next = at.saturating_add(entries.len() as u32);
-        let more = !entries.is_empty() && next < all;
-        if by == 0 {
+        let next = offset.saturating_add(entries.len() as u32);
+        let more = !entries.is_empty() && next < total;
+        if coordinator_epoch == 0 {
             // For a hand that begins: what a majority of the keepers knows holds all that is at work.
-            if !blank && self.blank {
-                self.book.take_all(&entries);
+            if !uninformed && self.uninformed {
+                self.operation_log.apply_all(&entries);
                 if more {
-                    out.push(Out::Say {
+                    actions.push(Action::Send {
                         to: from,
-                        word: Word::Recall { by: 0, from: next },
+                        message: Message::Query {
+                            coordinator_epoch: 0,
+                            offset: next,
+                        },
                     });
                 } else {
-                    self.heard_all.insert(from);
-                    self.blank = self.heard_all.len() < self.majority();
+                    self.complete_replies.insert(from);
+                    self.uninformed = self.complete_replies.len() < self.majority();
                 }
-                self.obey(out);
+                self.apply_exclusions(actions);
             }
             return;
         }
-        let Chair::Learning(epoch, learning) = &mut self.chair else {
+        let Role::Recovering(epoch, recovery) = &mut self.role else {
             return;
         };
-        if *epoch != by || learning.whole.contains(&from) {
+        if *epoch != coordinator_epoch || recovery.informed_replies.contains(&from) {
             return;
         }
-        self.book.take_all(&entries);
+        self.operation_log.apply_all(&entries);
         if more {
-            learning.parts.insert(from, next);
-            out.push(Out::Say {
+            recovery.offsets.insert(from, next);
+            actions.push(Action::Send {
                 to: from,
-                word: Word::Recall { by, from: next },
+                message: Message::Query {
+                    coordinator_epoch,
+                    offset: next,
+                },
             });
         } else {
-            learning.answered.insert(from);
-            learning.knew |= !blank;
-            if self.terms.keepers.contains(&from) && (!blank || self.fresh(sight)) {
-                self.learned(from);
+            recovery.replied.insert(from);
+            recovery.any_informed |= !uninformed;
+            if self.config.voters.contains(&from) && (!uninformed || self.is_fresh_fleet(context)) {
+                self.mark_informed(from);
             }
         }
     }
 
-    fn learned(&mut self, from: Member) {
-        if let Chair::Learning(_, learning) = &mut self.chair {
-            learning.whole.insert(from);
+    fn mark_informed(&mut self, from: Member) {
+        if let Role::Recovering(_, recovery) = &mut self.role {
+            recovery.informed_replies.insert(from);
         }
     }
 
     /// Whether nobody can have forgotten an order: none of the keepers has begun anew since the first of them did.
-    fn fresh(&self, sight: &Sight) -> bool {
+    fn is_fresh_fleet(&self, context: &Context) -> bool {
         // A whole fleet that starts for the first time starts together; who is alone in being young may have forgotten.
         let of = |member: &Member| {
-            sight
+            context
                 .incarnations
                 .get(usize::from(*member))
                 .copied()
                 .unwrap_or(0)
         };
         let known: Vec<Incarnation> = self
-            .terms
-            .keepers
+            .config
+            .voters
             .iter()
             .map(of)
             .filter(|n| *n > 0)
@@ -569,258 +629,304 @@
             known.iter().max().copied().unwrap_or(0),
         );
         known.len() >= self.majority()
-            && most - least < self.terms.limits.together.as_millis() as u64
+            && most - least < self.config.limits.fleet_start_window.as_millis() as u64
     }
 
     /// Puts bans into effect.
-    fn obey(&mut self, out: &mut Vec<Out>) {
-        let now: BTreeSet<Machine> = self.book.out().map(|entry| entry.machine).collect();
-        for machine in now.difference(&self.banned) {
-            out.push(Out::Ban {
+    fn apply_exclusions(&mut self, actions: &mut Vec<Action>) {
+        let now: BTreeSet<MachineId> = self
+            .operation_log
+            .out()
+            .map(|entry| entry.machine)
+            .collect();
+        for machine in now.difference(&self.excluded) {
+            actions.push(Action::SetExcluded {
                 machine: *machine,
-                out: true,
+                excluded: true,
             });
         }
-        for machine in self.banned.difference(&now) {
-            out.push(Out::Ban {
+        for machine in self.excluded.difference(&now) {
+            actions.push(Action::SetExcluded {
                 machine: *machine,
-                out: false,
+                excluded: false,
             });
         }
-        self.banned = now;
+        self.excluded = now;
         // Guards against a ban that was taken over from the process before, and ended before this one had heard of it.
-        let back: Vec<Entry> = self
-            .book
-            .in_order()
+        let auto_return: Vec<Entry> = self
+            .operation_log
+            .ordered()
             .into_iter()
-            .filter(|e| e.state == State::Returning)
+            .filter(|e| e.state == MaintenanceState::WarmingUp)
             .collect();
-        for entry in back {
-            if self.lifted.insert(entry.machine, entry.place) != Some(entry.place) {
-                out.push(Out::Ban {
+        for entry in auto_return {
+            if self.readmitted.insert(entry.machine, entry.position) != Some(entry.position) {
+                actions.push(Action::SetExcluded {
                     machine: entry.machine,
-                    out: false,
+                    excluded: false,
                 });
             }
         }
     }
 
     /// Guards against a command that goes out between the look and the ban: free is only what is looked at behind it.
-    fn ack_of(&mut self, sight: &Sight, entry: &Entry) -> (Machine, Epoch, u32, bool) {
-        let free = self.effective.contains(&entry.machine) && (sight.free)(entry.machine);
-        let ack = (entry.epoch, entry.step, free);
-        self.acked.insert(entry.machine, ack);
+    fn acknowledge(&mut self, context: &Context, entry: &Entry) -> (MachineId, Epoch, u32, bool) {
+        let idle =
+            self.effective_exclusions.contains(&entry.machine) && (context.idle)(entry.machine);
+        let ack = (entry.epoch, entry.step, idle);
+        self.own_acks.insert(entry.machine, ack);
         (entry.machine, ack.0, ack.1, ack.2)
     }
 
     /// Says by itself when a machine that leaves has come free.
-    fn report(&mut self, sight: &Sight, out: &mut Vec<Out>) {
+    fn report_idle(&mut self, context: &Context, actions: &mut Vec<Action>) {
         let leaving: Vec<Entry> = self
-            .book
+            .operation_log
             .out()
-            .filter(|e| e.state == State::Leaving)
+            .filter(|e| e.state == MaintenanceState::Draining)
             .copied()
             .collect();
-        let mut heard = Vec::new();
+        let mut acks = Vec::new();
         for entry in leaving {
-            let before = self.acked.get(&entry.machine).copied();
+            let before = self.own_acks.get(&entry.machine).copied();
             let said =
                 matches!(before, Some((epoch, step, true)) if (epoch, step) == entry.version());
-            let free = self.effective.contains(&entry.machine) && (sight.free)(entry.machine);
-            if !said && free && heard.len() < IN_ONE {
-                heard.push(self.ack_of(sight, &entry));
+            let idle =
+                self.effective_exclusions.contains(&entry.machine) && (context.idle)(entry.machine);
+            if !said && idle && acks.len() < ENTRIES_PER_DATAGRAM {
+                acks.push(self.acknowledge(context, &entry));
             }
         }
-        if let Some(to) = sight.conductor.filter(|_| !heard.is_empty()) {
-            let word = Word::Ack {
-                by: self.fence,
-                heard,
+        if let Some(to) = context.coordinator.filter(|_| !acks.is_empty()) {
+            let message = Message::Ack {
+                coordinator_epoch: self.highest_epoch,
+                acks,
             };
-            if to == self.terms.me {
-                if let Word::Ack { heard, .. } = word {
-                    self.note(sight, to, heard);
+            if to == self.config.me {
+                if let Message::Ack { acks, .. } = message {
+                    self.record_acks(context, to, acks);
                 }
             } else {
-                out.push(Out::Say { to, word });
+                actions.push(Action::Send { to, message });
             }
         }
     }
 
     /// Operators' requests go to the conductor until it answers.
-    fn pass_on(&mut self, sight: &Sight, out: &mut Vec<Out>) {
-        let Some(to) = sight.conductor else { return };
+    fn forward_requests(&mut self, context: &Context, actions: &mut Vec<Action>) {
+        let Some(to) = context.coordinator else {
+            return;
+        };
         let mut own = Vec::new();
-        for asked in self.asked.values_mut() {
-            if asked.said.is_none_or(|at| sight.now >= at + AGAIN) {
-                asked.said = Some(sight.now);
-                if to == self.terms.me {
-                    own.push(asked.word.clone());
+        for pending in self.pending_requests.values_mut() {
+            if pending
+                .sent_at
+                .is_none_or(|at| context.now >= at + RESEND_INTERVAL)
+            {
+                pending.sent_at = Some(context.now);
+                if to == self.config.me {
+                    own.push(pending.message.clone());
                 } else {
-                    out.push(Out::Say {
+                    actions.push(Action::Send {
                         to,
-                        word: asked.word.clone(),
+                        message: pending.message.clone(),
                     });
                 }
             }
         }
-        for word in own {
-            let outs = self.hear(sight, to, word);
-            self.hear_own(sight, outs, out);
+        for message in own {
+            let replies = self.receive(context, to, message);
+            self.receive_own(context, replies, actions);
         }
     }
 
-    fn hear_own(&mut self, sight: &Sight, outs: Vec<Out>, out: &mut Vec<Out>) {
-        for what in outs {
+    fn receive_own(&mut self, context: &Context, replies: Vec<Action>, actions: &mut Vec<Action>) {
+        for what in replies {
             match what {
-                Out::Say { to, word } if to == self.terms.me => {
-                    let outs = self.hear(sight, to, word);
-                    self.hear_own(sight, outs, out);
+                Action::Send { to, message } if to == self.config.me => {
+                    let replies = self.receive(context, to, message);
+                    self.receive_own(context, replies, actions);
                 }
-                what => out.push(what),
+                what => actions.push(what),
             }
         }
     }
 
-    fn note(&mut self, sight: &Sight, from: Member, heard: Vec<(Machine, Epoch, u32, bool)>) {
-        let incarnation = sight
+    fn record_acks(
+        &mut self,
+        context: &Context,
+        from: Member,
+        acks: Vec<(MachineId, Epoch, u32, bool)>,
+    ) {
+        let incarnation = context
             .incarnations
             .get(usize::from(from))
             .copied()
             .unwrap_or(0);
-        let (of, acks) = self.heard.entry(from).or_default();
+        let (of, stored) = self.member_acks.entry(from).or_default();
         // What one said before it began anew says nothing of it now.
         if *of != incarnation {
-            (*of, *acks) = (incarnation, BTreeMap::new());
+            (*of, *stored) = (incarnation, BTreeMap::new());
         }
-        for (machine, epoch, step, free) in heard {
-            let known = acks.entry(machine).or_insert((0, 0, false));
+        for (machine, epoch, step, idle) in acks {
+            let known = stored.entry(machine).or_insert((0, 0, false));
             if (epoch, step) >= (known.0, known.1) {
                 // Free once is free: nothing new goes there.
-                let free = free || (epoch, step) == (known.0, known.1) && known.2;
-                *known = (epoch, step, free);
+                let idle = idle || (epoch, step) == (known.0, known.1) && known.2;
+                *known = (epoch, step, idle);
             }
         }
     }
 
-    fn want(
+    fn schedule(
         &mut self,
-        sight: &Sight,
+        context: &Context,
         from: Member,
-        (request, lasts, back): (u64, u32, bool),
-        machines: &[Machine],
-        out: &mut Vec<Out>,
+        (request, duration_s, auto_return): (u64, u32, bool),
+        machines: &[MachineId],
+        actions: &mut Vec<Action>,
     ) {
-        let Chair::Sits(epoch) = self.chair else {
+        let Role::Coordinator(epoch) = self.role else {
             return;
         };
-        let taken = |word| Out::Say { to: from, word };
-        let known = |machine: &Machine| sight.seen.iter().any(|seen| seen.machine == *machine);
-        if machines.is_empty() || machines.len() > MOST_ASKED || !machines.iter().all(known) {
-            return out.push(taken(Word::Taken {
+        let taken = |message| Action::Send { to: from, message };
+        let known = |machine: &MachineId| {
+            context
+                .machines
+                .iter()
+                .any(|machines| machines.machine == *machine)
+        };
+        if machines.is_empty()
+            || machines.len() > MAX_MACHINES_PER_REQUEST
+            || !machines.iter().all(known)
+        {
+            return actions.push(taken(Message::Response {
                 request,
-                refused: Some(Refusal::NoMachine),
+                rejected: Some(Rejection::UnknownMachine),
             }));
         }
         for machine in machines {
             // Each machine once: asked twice, or at two sidecars, it stays where it is.
             if self
-                .book
+                .operation_log
                 .get(*machine)
-                .is_some_and(|entry| !entry.state.over())
+                .is_some_and(|entry| !entry.state.is_finished())
             {
                 continue;
             }
             // What is over and was this very request has been done.
             if self
-                .book
+                .operation_log
                 .get(*machine)
                 .is_some_and(|entry| entry.request == request)
             {
                 continue;
             }
             let step = self
-                .book
+                .operation_log
                 .get(*machine)
                 .filter(|e| e.epoch == epoch)
                 .map_or(0, |e| e.step.saturating_add(1));
-            let place = self.book.last_place().saturating_add(1);
-            let (machine, state) = (*machine, State::Queued);
-            self.book.take(Entry {
+            let position = self.operation_log.last_position().saturating_add(1);
+            let (machine, state) = (*machine, MaintenanceState::Queued);
+            self.operation_log.apply(Entry {
                 machine,
                 request,
-                place,
+                position,
                 state,
                 epoch,
                 step,
-                lasts,
-                ends: 0,
-                back,
+                duration_s,
+                ends_at_s: 0,
+                auto_return,
             });
         }
-        self.open.insert(request, from);
+        self.open_requests.insert(request, from);
     }
 
     /// An operator's word that nothing is out but what is known.
-    fn begin(&mut self) {
-        if let Chair::Learning(epoch, _) = self.chair {
-            (self.blank, self.keeps) = (false, true);
-            self.chair = Chair::Sits(epoch);
+    fn bootstrap(&mut self) {
+        if let Role::Recovering(epoch, _) = self.role {
+            (self.uninformed, self.authoritative) = (false, true);
+            self.role = Role::Coordinator(epoch);
         }
     }
 
-    fn order(
+    fn operate(
         &mut self,
-        sight: &Sight,
+        context: &Context,
         from: Member,
         request: u64,
-        machine: Machine,
-        what: Order,
-        out: &mut Vec<Out>,
+        machine: MachineId,
+        action: OperatorAction,
+        actions: &mut Vec<Action>,
     ) {
-        if what == Order::Begin {
-            self.begin();
+        if action == OperatorAction::Bootstrap {
+            self.bootstrap();
         }
-        let Chair::Sits(epoch) = self.chair else {
+        let Role::Coordinator(epoch) = self.role else {
             return;
         };
-        let state = self.book.get(machine).map(|entry| entry.state);
-        let refused = match (what, state) {
-            (Order::Withdraw, Some(State::Queued | State::Leaving)) => {
-                self.step(sight, epoch, machine, State::Withdrawn, out);
+        let state = self.operation_log.get(machine).map(|entry| entry.state);
+        let rejected = match (action, state) {
+            (
+                OperatorAction::Withdraw,
+                Some(MaintenanceState::Queued | MaintenanceState::Draining),
+            ) => {
+                self.advance(
+                    context,
+                    epoch,
+                    machine,
+                    MaintenanceState::Withdrawn,
+                    actions,
+                );
                 None
             }
-            (Order::Withdraw, Some(State::Withdrawn))
-            | (Order::Done, Some(State::Done | State::Returning | State::Warm)) => None,
-            (Order::Withdraw, Some(_)) => Some(Refusal::Begun),
-            (Order::Done, Some(State::AtWork)) => {
-                self.step(sight, epoch, machine, State::Done, out);
+            (OperatorAction::Withdraw, Some(MaintenanceState::Withdrawn))
+            | (
+                OperatorAction::Complete,
+                Some(
+                    MaintenanceState::Completed
+                    | MaintenanceState::WarmingUp
+                    | MaintenanceState::Warm,
+                ),
+            ) => None,
+            (OperatorAction::Withdraw, Some(_)) => Some(Rejection::AlreadyStarted),
+            (OperatorAction::Complete, Some(MaintenanceState::UnderMaintenance)) => {
+                self.advance(
+                    context,
+                    epoch,
+                    machine,
+                    MaintenanceState::Completed,
+                    actions,
+                );
                 None
             }
-            (Order::Done, Some(_)) => Some(Refusal::NotAtWork),
-            (Order::Force, Some(State::Leaving)) => {
+            (OperatorAction::Complete, Some(_)) => Some(Rejection::NotUnderMaintenance),
+            (OperatorAction::Force, Some(MaintenanceState::Draining)) => {
                 self.forced.insert(machine);
                 None
             }
-            (Order::Force, Some(State::AtWork)) => None,
-            (Order::Force, Some(_)) => Some(Refusal::NotLeaving),
-            (Order::Begin, _) => None,
-            (_, None) => Some(Refusal::NoMachine),
+            (OperatorAction::Force, Some(MaintenanceState::UnderMaintenance)) => None,
+            (OperatorAction::Force, Some(_)) => Some(Rejection::NotDraining),
+            (OperatorAction::Bootstrap, _) => None,
+            (_, None) => Some(Rejection::UnknownMachine),
         };
-        out.push(Out::Say {
+        actions.push(Action::Send {
             to: from,
-            word: Word::Taken { request, refused },
+            message: Message::Response { request, rejected },
         });
     }
 
-    fn step(
+    fn advance(
         &mut self,
-        sight: &Sight,
+        context: &Context,
         epoch: Epoch,
-        machine: Machine,
-        state: State,
-        out: &mut Vec<Out>,
+        machine: MachineId,
+        state: MaintenanceState,
+        actions: &mut Vec<Action>,
     ) {
-        let Some(entry) = self.book.get(machine).copied() else {
+        let Some(entry) = self.operation_log.get(machine).copied() else {
             return;
         };
         let step = if entry.epoch == epoch {
@@ -828,110 +934,155 @@
         } else {
             0
         };
-        let ends = match state {
-            State::AtWork => (sight.wall.as_secs() as u32).saturating_add(entry.lasts),
+        let ends_at_s = match state {
+            MaintenanceState::UnderMaintenance => {
+                (context.wall.as_secs() as u32).saturating_add(entry.duration_s)
+            }
             // Until it is warm.
-            State::Returning => (sight.wall + self.terms.limits.warm).as_secs() as u32 + 1,
+            MaintenanceState::WarmingUp => {
+                (context.wall + self.config.limits.warm_up_time).as_secs() as u32 + 1
+            }
             _ => 0,
         };
-        self.book.take(Entry {
+        self.operation_log.apply(Entry {
             state,
             epoch,
             step,
-            ends,
+            ends_at_s,
             ..entry
         });
-        out.push(Out::Told {
+        actions.push(Action::Report {
             machine,
-            what: Line::Moved(state),
+            event: MachineEvent::StateChanged(state),
         });
-        self.obey(out);
+        self.apply_exclusions(actions);
         let entry = Entry {
             state,
             epoch,
             step,
-            ends,
+            ends_at_s,
             ..entry
         };
-        let own = self.ack_of(sight, &entry);
-        self.note(sight, self.terms.me, vec![own]);
+        let own = self.acknowledge(context, &entry);
+        self.record_acks(context, self.config.me, vec![own]);
     }
 
     /// Of a version of a machine's entry: how many keepers have it, and how many sidecars have not said that they are free.
-    fn count(&self, sight: &Sight, entry: &Entry) -> (usize, usize) {
+    fn count_acks(&self, context: &Context, entry: &Entry) -> (usize, usize) {
         let (mut keep, mut unfree) = (0, 0);
-        for member in 0..self.terms.members as Member {
-            let incarnation = sight
+        for member in 0..self.config.members as Member {
+            let incarnation = context
                 .incarnations
                 .get(usize::from(member))
                 .copied()
                 .unwrap_or(0);
-            let said = self.heard.get(&member).filter(|(of, _)| *of == incarnation);
+            let said = self
+                .member_acks
+                .get(&member)
+                .filter(|(of, _)| *of == incarnation);
             let said = said.and_then(|(_, acks)| acks.get(&entry.machine));
-            let has = member == self.terms.me
+            let has = member == self.config.me
                 || said.is_some_and(|(epoch, step, _)| (*epoch, *step) >= entry.version());
-            let free =
-                said.is_some_and(|(epoch, step, free)| (*epoch, *step) == entry.version() && *free);
-            keep += usize::from(has && self.terms.keepers.contains(&member));
-            unfree += usize::from(!free);
+            let idle =
+                said.is_some_and(|(epoch, step, idle)| (*epoch, *step) == entry.version() && *idle);
+            keep += usize::from(has && self.config.voters.contains(&member));
+            unfree += usize::from(!idle);
         }
         (keep, unfree)
     }
 
     /// Moves each machine on by a step, where a majority has the one before.
-    fn conduct(&mut self, sight: &Sight, epoch: Epoch, out: &mut Vec<Out>) {
+    fn coordinate(&mut self, context: &Context, epoch: Epoch, actions: &mut Vec<Action>) {
         let majority = self.majority();
-        let order = self.book.in_order();
+        let order = self.operation_log.ordered();
         // Entries of an earlier conductor become this one's, so that all hear them again by its epoch.
-        for entry in order.iter().filter(|e| e.epoch != epoch && !e.state.over()) {
-            self.book.take(Entry {
+        for entry in order
+            .iter()
+            .filter(|e| e.epoch != epoch && !e.state.is_finished())
+        {
+            self.operation_log.apply(Entry {
                 epoch,
                 step: 0,
                 ..*entry
             });
         }
-        let order = self.book.in_order();
-        let mut settled = Vec::new();
-        for entry in order.iter().filter(|e| !e.state.over()) {
-            let (keep, unfree) = self.count(sight, entry);
+        let order = self.operation_log.ordered();
+        let mut replicated = Vec::new();
+        for entry in order.iter().filter(|e| !e.state.is_finished()) {
+            let (keep, unfree) = self.count_acks(context, entry);
             if keep < majority {
                 continue;
             }
-            settled.push(entry.machine);
+            replicated.push(entry.machine);
             match entry.state {
-                State::Leaving if unfree == 0 || self.forced.contains(&entry.machine) => {
+                MaintenanceState::Draining
+                    if unfree == 0 || self.forced.contains(&entry.machine) =>
+                {
                     if unfree > 0 {
-                        let what = Line::Forced { unheard: unfree };
-                        out.push(Out::Told {
+                        let event = MachineEvent::Forced { not_idle: unfree };
+                        actions.push(Action::Report {
                             machine: entry.machine,
-                            what,
+                            event,
                         });
                     }
                     self.forced.remove(&entry.machine);
-                    self.step(sight, epoch, entry.machine, State::AtWork, out);
+                    self.advance(
+                        context,
+                        epoch,
+                        entry.machine,
+                        MaintenanceState::UnderMaintenance,
+                        actions,
+                    );
                 }
-                State::Leaving => {
-                    let silent = self.silent(sight, entry);
-                    if silent > 0 && self.told.insert((entry.machine, entry.epoch, entry.step)) {
-                        out.push(Out::Told {
+                MaintenanceState::Draining => {
+                    let missing_replies = self.missing_replies(context, entry);
+                    if missing_replies > 0
+                        && self
+                            .reported
+                            .insert((entry.machine, entry.epoch, entry.step))
+                    {
+                        actions.push(Action::Report {
                             machine: entry.machine,
-                            what: Line::Waits { unheard: silent },
+                            event: MachineEvent::WaitingForReplies { missing_replies },
                         });
                     }
                 }
-                State::AtWork if sight.wall.as_secs() as u32 >= entry.ends => {
-                    if entry.back {
-                        self.step(sight, epoch, entry.machine, State::Done, out);
-                    } else if self.told.insert((entry.machine, entry.epoch, entry.step)) {
-                        out.push(Out::Told {
+                MaintenanceState::UnderMaintenance
+                    if context.wall.as_secs() as u32 >= entry.ends_at_s =>
+                {
+                    if entry.auto_return {
+                        self.advance(
+                            context,
+                            epoch,
+                            entry.machine,
+                            MaintenanceState::Completed,
+                            actions,
+                        );
+                    } else if self
+                        .reported
+                        .insert((entry.machine, entry.epoch, entry.step))
+                    {
+                        actions.push(Action::Report {
                             machine: entry.machine,
-                            what: Line::Overdue,
+                            event: MachineEvent::Overdue,
                         });
                     }
                 }
-                State::Done => self.step(sight, epoch, entry.machine, State::Returning, out),
-                State::Returning if sight.wall.as_secs() as u32 >= entry.ends => {
-                    self.step(sight, epoch, entry.machine, State::Warm, out);
+                MaintenanceState::Completed => self.advance(
+                    context,
+                    epoch,
+                    entry.machine,
+                    MaintenanceState::WarmingUp,
+                    actions,
+                ),
+                MaintenanceState::WarmingUp if context.wall.as_secs() as u32 >= entry.ends_at_s => {
+                    self.advance(
+                        context,
+                        epoch,
+                        entry.machine,
+                        MaintenanceState::Warm,
+                        actions,
+                    );
                 }
                 _ => {}
             }
@@ -939,145 +1090,175 @@
         // A request has its answer once a majority has all of it.
         let done = |request: &u64| {
             let mut of = order.iter().filter(|e| e.request == *request);
-            of.all(|entry| entry.state.over() || settled.contains(&entry.machine))
+            of.all(|entry| entry.state.is_finished() || replicated.contains(&entry.machine))
         };
         let answered: Vec<(u64, Member)> = self
-            .open
+            .open_requests
             .iter()
             .filter(|(r, _)| done(r))
             .map(|(r, to)| (*r, *to))
             .collect();
         for (request, to) in answered {
-            self.open.remove(&request);
-            let word = Word::Taken {
+            self.open_requests.remove(&request);
+            let message = Message::Response {
                 request,
-                refused: None,
+                rejected: None,
             };
-            if to == self.terms.me {
-                let outs = self.hear(sight, to, word);
-                out.extend(outs);
+            if to == self.config.me {
+                let replies = self.receive(context, to, message);
+                actions.extend(replies);
             } else {
-                out.push(Out::Say { to, word });
+                actions.push(Action::Send { to, message });
             }
         }
-        self.next_one(sight, epoch, &settled, out);
+        self.start_next(context, epoch, &replicated, actions);
     }
 
     /// How many have not said anything of a step.
-    fn silent(&self, sight: &Sight, entry: &Entry) -> usize {
+    fn missing_replies(&self, context: &Context, entry: &Entry) -> usize {
         let has = |member: &Member| {
-            let incarnation = sight
+            let incarnation = context
                 .incarnations
                 .get(usize::from(*member))
                 .copied()
                 .unwrap_or(0);
-            let said = self.heard.get(member).filter(|(of, _)| *of == incarnation);
+            let said = self
+                .member_acks
+                .get(member)
+                .filter(|(of, _)| *of == incarnation);
             said.and_then(|(_, acks)| acks.get(&entry.machine))
                 .is_some_and(|(e, s, _)| (*e, *s) >= entry.version())
         };
-        (0..self.terms.members as Member)
-            .filter(|member| *member != self.terms.me && !has(member))
+        (0..self.config.members as Member)
+            .filter(|member| *member != self.config.me && !has(member))
             .count()
     }
 
     /// The first of the queue leaves, if there is room; strictly in order, so that nobody waits behind a later one.
-    fn next_one(&mut self, sight: &Sight, epoch: Epoch, settled: &[Machine], out: &mut Vec<Out>) {
-        let order = self.book.in_order();
-        let away: BTreeSet<Machine> = order
+    fn start_next(
+        &mut self,
+        context: &Context,
+        epoch: Epoch,
+        replicated: &[MachineId],
+        actions: &mut Vec<Action>,
+    ) {
+        let order = self.operation_log.ordered();
+        let away: BTreeSet<MachineId> = order
             .iter()
-            .filter(|e| e.state.out() || e.state == State::Returning)
+            .filter(|e| e.state.is_out() || e.state == MaintenanceState::WarmingUp)
             .map(|e| e.machine)
             .collect();
-        let leaving = order.iter().rev().find(|e| e.state == State::Leaving);
+        let leaving = order
+            .iter()
+            .rev()
+            .find(|e| e.state == MaintenanceState::Draining);
         // Others have failed meanwhile: what has not begun goes back, and its turn comes again.
-        if let Some(entry) =
-            leaving.filter(|_| room::too_many(&self.terms.limits, sight.seen, &away))
+        if let Some(entry) = leaving
+            .filter(|_| capacity::exceeds_limit(&self.config.limits, context.machines, &away))
         {
             let machine = entry.machine;
-            out.push(Out::Told {
+            actions.push(Action::Report {
                 machine,
-                what: Line::PutBack,
+                event: MachineEvent::Requeued,
             });
-            return self.step(sight, epoch, machine, State::Queued, out);
+            return self.advance(context, epoch, machine, MaintenanceState::Queued, actions);
         }
-        let first = order.iter().find(|e| e.state == State::Queued);
-        if let Some(entry) = first.filter(|e| settled.contains(&e.machine))
-            && fits(&self.terms.limits, sight.seen, &away, entry.machine)
+        let first = order.iter().find(|e| e.state == MaintenanceState::Queued);
+        if let Some(entry) = first.filter(|e| replicated.contains(&e.machine))
+            && can_take_out(&self.config.limits, context.machines, &away, entry.machine)
         {
-            self.step(sight, epoch, entry.machine, State::Leaving, out);
+            self.advance(
+                context,
+                epoch,
+                entry.machine,
+                MaintenanceState::Draining,
+                actions,
+            );
         }
     }
 
     /// Tells each sidecar what it has not acknowledged, some at a turn.
-    fn tell(&mut self, sight: &Sight, epoch: Epoch, out: &mut Vec<Out>) {
-        if self.turned.is_some_and(|at| sight.now < at + TURN) {
+    fn send_updates(&mut self, context: &Context, epoch: Epoch, actions: &mut Vec<Action>) {
+        if self
+            .last_update
+            .is_some_and(|at| context.now < at + TICK_INTERVAL)
+        {
             return;
         }
-        self.turned = Some(sight.now);
-        let order = self.book.in_order();
+        self.last_update = Some(context.now);
+        let order = self.operation_log.ordered();
         // What is over is told to those who may still keep off it.
-        let all = order.iter().filter(|entry| !entry.state.over()).count() as u32;
+        let open_entries = order
+            .iter()
+            .filter(|entry| !entry.state.is_finished())
+            .count() as u32;
         let news: Vec<Entry> = order.into_iter().filter(|e| e.epoch == epoch).collect();
-        let members = self.terms.members as Member;
+        let members = self.config.members as Member;
         let mut said = 0;
         for n in 0..members {
-            let to = ((self.next + usize::from(n)) % usize::from(members)) as Member;
-            if to == self.terms.me || said >= SAID_AT_ONCE {
+            let to = ((self.next_member + usize::from(n)) % usize::from(members)) as Member;
+            if to == self.config.me || said >= UPDATES_PER_TICK {
                 continue;
             }
-            let incarnation = sight
+            let incarnation = context
                 .incarnations
                 .get(usize::from(to))
                 .copied()
                 .unwrap_or(0);
             // What was said to one before it began anew is to be said again at once.
-            if self.said_to.insert(to, incarnation) != Some(incarnation) {
-                self.said.retain(|(member, _), _| *member != to);
+            if self.sent_incarnations.insert(to, incarnation) != Some(incarnation) {
+                self.last_sent.retain(|(member, _), _| *member != to);
             }
             let acks = self
-                .heard
+                .member_acks
                 .get(&to)
                 .filter(|(of, _)| *of == incarnation)
                 .map(|(_, acks)| acks);
             let unheard = |entry: &&Entry| {
                 let has = acks.and_then(|acks| acks.get(&entry.machine));
                 let lately =
-                    self.said
+                    self.last_sent
                         .get(&(to, entry.machine))
                         .is_some_and(|(at, epoch, step)| {
-                            sight.now < *at + AGAIN && (*epoch, *step) == entry.version()
+                            context.now < *at + RESEND_INTERVAL
+                                && (*epoch, *step) == entry.version()
                         });
                 // That one has come free may have been lost on its way.
-                let leaving = entry.state == State::Leaving;
+                let leaving = entry.state == MaintenanceState::Draining;
                 !lately
-                    && has.is_none_or(|(epoch, step, free)| {
-                        (*epoch, *step) < entry.version() || leaving && !*free
+                    && has.is_none_or(|(epoch, step, idle)| {
+                        (*epoch, *step) < entry.version() || leaving && !*idle
                     })
             };
-            let entries: Vec<Entry> = news.iter().filter(unheard).take(IN_ONE).copied().collect();
+            let entries: Vec<Entry> = news
+                .iter()
+                .filter(unheard)
+                .take(ENTRIES_PER_DATAGRAM)
+                .copied()
+                .collect();
             // Also that there is nothing: who has heard of a conductor has not forgotten an order.
             let first = acks.is_none()
                 && self
-                    .said
+                    .last_sent
                     .get(&(to, 0))
-                    .is_none_or(|(at, ..)| sight.now >= *at + AGAIN);
+                    .is_none_or(|(at, ..)| context.now >= *at + RESEND_INTERVAL);
             if entries.is_empty() && !first {
                 continue;
             }
-            self.said.insert((to, 0), (sight.now, epoch, 0));
+            self.last_sent.insert((to, 0), (context.now, epoch, 0));
             for entry in &entries {
-                self.said
-                    .insert((to, entry.machine), (sight.now, entry.epoch, entry.step));
+                self.last_sent
+                    .insert((to, entry.machine), (context.now, entry.epoch, entry.step));
             }
-            out.push(Out::Say {
+            actions.push(Action::Send {
                 to,
-                word: Word::Tell {
-                    by: epoch,
-                    all,
+                message: Message::Update {
+                    coordinator_epoch: epoch,
+                    open_entries,
                     entries,
                 },
             });
-            (said, self.next) = (said + 1, usize::from(to) + 1);
+            (said, self.next_member) = (said + 1, usize::from(to) + 1);
         }
     }
 }
--- a/crates/passroad-upkeep/src/tests.rs
+++ b/crates/passroad-upkeep/src/tests.rs
@@ -7,92 +7,96 @@
 
 fn limits() -> Limits {
     Limits {
-        at_once: 1,
-        at_once_in_a_zone: 1,
-        at_once_in_a_cell: 1,
-        reserve: 0.1,
-        warm: Duration::from_secs(2),
-        together: Duration::from_secs(60),
+        max_out: 1,
+        max_out_per_zone: 1,
+        max_out_per_cell: 1,
+        capacity_reserve: 0.1,
+        warm_up_time: Duration::from_secs(2),
+        fleet_start_window: Duration::from_secs(60),
     }
 }
 
-fn seen(machine: Machine) -> Seen {
-    Seen {
+fn machines(machine: MachineId) -> ListedMachine {
+    ListedMachine {
         machine,
         zone: 0,
         cell: 0,
         kind: 0,
         size: 1.0,
-        sound: true,
-        busy: Some(0.3),
+        healthy: true,
+        utilization: Some(0.3),
     }
 }
 
 /// Some sidecars, machines 1 to 6, and the words between them, which may be lost.
 struct World {
-    hands: Vec<Option<Upkeep>>,
+    nodes: Vec<Option<MaintenanceManager>>,
     incarnations: Vec<Incarnation>,
     now: Duration,
     owner: Option<(Member, Epoch)>,
-    busy: RefCell<BTreeSet<(Member, Machine)>>, // what is on a machine of whose
-    banned: Vec<BTreeSet<Machine>>,
+    busy: RefCell<BTreeSet<(Member, MachineId)>>, // what is on a machine of whose
+    excluded: Vec<BTreeSet<MachineId>>,
     cut: BTreeSet<Member>,
     lost: u32, // of a hundred
     dice: u32,
-    seen: Vec<Seen>,
-    answers: Vec<(u64, Option<Refusal>)>,
-    lines: Vec<(Machine, Line)>,
+    machines: Vec<ListedMachine>,
+    answers: Vec<(u64, Option<Rejection>)>,
+    events: Vec<(MachineId, MachineEvent)>,
     broken: Vec<String>,
 }
 
 impl World {
     fn new(members: usize) -> World {
         let mut world = World {
-            hands: Vec::new(),
+            nodes: Vec::new(),
             incarnations: vec![1000; members],
             now: Duration::from_secs(100),
             owner: Some((0, 1)),
             busy: RefCell::default(),
-            banned: vec![BTreeSet::new(); members],
+            excluded: vec![BTreeSet::new(); members],
             cut: BTreeSet::new(),
             lost: 0,
             dice: 7,
-            seen: (1..7).map(seen).collect(),
+            machines: (1..7).map(machines).collect(),
             answers: Vec::new(),
-            lines: Vec::new(),
+            events: Vec::new(),
             broken: Vec::new(),
         };
-        world.hands = (0..members).map(|n| Some(world.hand(n))).collect();
+        world.nodes = (0..members).map(|n| Some(world.node(n))).collect();
         world
     }
 
-    fn hand(&self, me: usize) -> Upkeep {
+    fn node(&self, me: usize) -> MaintenanceManager {
         let members = self.incarnations.len();
-        let keepers = (0..members.min(3) as Member).collect();
-        Upkeep::new(Terms {
+        let voters = (0..members.min(3) as Member).collect();
+        MaintenanceManager::new(MaintenanceConfig {
             me: me as Member,
             members,
-            keepers,
+            voters,
             limits: limits(),
         })
     }
 
-    fn with<T>(&mut self, me: usize, act: impl FnOnce(&mut Upkeep, &Sight) -> T) -> Option<T> {
+    fn with<T>(
+        &mut self,
+        me: usize,
+        act: impl FnOnce(&mut MaintenanceManager, &Context) -> T,
+    ) -> Option<T> {
         let (owner, busy) = (self.owner, self.busy.borrow().clone());
-        let free = |machine: Machine| !busy.contains(&(me as Member, machine));
+        let idle = |machine: MachineId| !busy.contains(&(me as Member, machine));
         let cut = self.cut.contains(&(me as Member));
-        let sight = Sight {
+        let context = Context {
             now: self.now,
             wall: self.now,
-            owned: owner
+            owned_epoch: owner
                 .filter(|(who, _)| usize::from(*who) == me)
                 .map(|(_, epoch)| epoch),
             incarnations: &self.incarnations,
-            conductor: owner.map(|(who, _)| who).filter(|_| !cut),
-            seen: &self.seen,
-            free: &free,
+            coordinator: owner.map(|(who, _)| who).filter(|_| !cut),
+            machines: &self.machines,
+            idle: &idle,
         };
-        self.hands[me].as_mut().map(|hand| act(hand, &sight))
+        self.nodes[me].as_mut().map(|node| act(node, &context))
     }
 
     fn run(&mut self, span: Duration) {
@@ -100,13 +104,13 @@
         while self.now < end {
             self.now += 10 * MS;
             let mut mail = Vec::new();
-            for me in 0..self.hands.len() {
-                let outs = self
-                    .with(me, |hand, sight| hand.turn(sight))
+            for me in 0..self.nodes.len() {
+                let actions = self
+                    .with(me, |node, context| node.tick(context))
                     .unwrap_or_default();
-                self.post(me, outs, &mut mail);
+                self.post(me, actions, &mut mail);
             }
-            while let Some((from, to, word)) = mail.pop() {
+            while let Some((from, to, message)) = mail.pop() {
                 let (from, at) = (from as Member, usize::from(to));
                 self.dice = self
                     .dice
@@ -118,37 +122,40 @@
                 {
                     continue;
                 }
-                let word = Word::read(&word).unwrap();
-                let outs = self
-                    .with(at, |hand, sight| hand.hear(sight, from, word))
+                let message = Message::decode(&message).unwrap();
+                let actions = self
+                    .with(at, |node, context| node.receive(context, from, message))
                     .unwrap_or_default();
-                self.post(at, outs, &mut mail);
+                self.post(at, actions, &mut mail);
             }
             self.check();
         }
     }
 
-    fn post(&mut self, me: usize, outs: Vec<Out>, mail: &mut Vec<(usize, Member, Vec<u8>)>) {
-        for out in outs {
-            match out {
-                Out::Say { to, word } => {
-                    let bytes = word.bytes();
+    fn post(&mut self, me: usize, actions: Vec<Action>, mail: &mut Vec<(usize, Member, Vec<u8>)>) {
+        for action in actions {
+            match action {
+                Action::Send { to, message } => {
+                    let bytes = message.encode();
                     if bytes.len() > 244 {
                         self.broken.push(format!("a word of {} bytes", bytes.len()));
                     }
                     mail.push((me, to, bytes));
                 }
-                Out::Ban { machine, out: true } => {
-                    self.banned[me].insert(machine);
+                Action::SetExcluded {
+                    machine,
+                    excluded: true,
+                } => {
+                    self.excluded[me].insert(machine);
                 }
-                Out::Ban {
+                Action::SetExcluded {
                     machine,
-                    out: false,
+                    excluded: false,
                 } => {
-                    self.banned[me].remove(&machine);
+                    self.excluded[me].remove(&machine);
                 }
-                Out::Answer { request, refused } => self.answers.push((request, refused)),
-                Out::Told { machine, what } => self.lines.push((machine, what)),
+                Action::Respond { request, rejected } => self.answers.push((request, rejected)),
+                Action::Report { machine, event } => self.events.push((machine, event)),
             }
         }
     }
@@ -156,32 +163,34 @@
     /// What must never be: a machine at work to which a sidecar that has not been forced past may send, or two at once.
     fn check(&mut self) {
         let Some((owner, _)) = self.owner else { return };
-        let Some(hand) = self.hands[usize::from(owner)]
+        let Some(node) = self.nodes[usize::from(owner)]
             .as_ref()
-            .filter(|hand| hand.conducts())
+            .filter(|node| node.is_coordinator())
         else {
             return;
         };
-        let at_work: Vec<Machine> = hand
-            .book
-            .in_order()
+        let at_work: Vec<MachineId> = node
+            .operation_log
+            .ordered()
             .iter()
-            .filter(|e| e.state == State::AtWork)
+            .filter(|e| e.state == MaintenanceState::UnderMaintenance)
             .map(|e| e.machine)
             .collect();
-        if at_work.len() > limits().at_once {
+        if at_work.len() > limits().max_out {
             self.broken.push(format!("{at_work:?} at work at once"));
         }
-        let forced: Vec<Machine> = self
-            .lines
+        let forced: Vec<MachineId> = self
+            .events
             .iter()
-            .filter(|(_, l)| matches!(l, Line::Forced { .. }))
+            .filter(|(_, l)| matches!(l, MachineEvent::Forced { .. }))
             .map(|(m, _)| *m)
             .collect();
         for machine in at_work.iter().filter(|m| !forced.contains(m)) {
-            for me in 0..self.hands.len() {
-                let informed = self.hands[me].as_ref().is_some_and(Upkeep::informed);
-                if informed && !self.banned[me].contains(machine) {
+            for me in 0..self.nodes.len() {
+                let informed = self.nodes[me]
+                    .as_ref()
+                    .is_some_and(MaintenanceManager::is_informed);
+                if informed && !self.excluded[me].contains(machine) {
                     self.broken.push(format!(
                         "sidecar {me} may send to {machine}, which is at work"
                     ));
@@ -191,48 +200,48 @@
     }
 
     /// Work of a second, after which the machine comes back by itself.
-    fn ask(&mut self, at: usize, request: u64, machines: &[Machine]) {
-        let word = Word::Want {
+    fn request(&mut self, at: usize, request: u64, machines: &[MachineId]) {
+        let message = Message::Schedule {
             request,
-            lasts: 1,
-            back: true,
+            duration_s: 1,
+            auto_return: true,
             machines: machines.to_vec(),
         };
-        self.hands[at].as_mut().unwrap().ask(word);
+        self.nodes[at].as_mut().unwrap().submit(message);
     }
 
     /// Work of an hour.
-    fn ask_long(&mut self, at: usize, request: u64, machines: &[Machine]) {
-        let word = Word::Want {
+    fn request_long(&mut self, at: usize, request: u64, machines: &[MachineId]) {
+        let message = Message::Schedule {
             request,
-            lasts: 3600,
-            back: false,
+            duration_s: 3600,
+            auto_return: false,
             machines: machines.to_vec(),
         };
-        self.hands[at].as_mut().unwrap().ask(word);
+        self.nodes[at].as_mut().unwrap().submit(message);
     }
 
-    fn order(&mut self, at: usize, request: u64, machine: Machine, what: Order) {
-        self.hands[at].as_mut().unwrap().ask(Word::Order {
+    fn order(&mut self, at: usize, request: u64, machine: MachineId, action: OperatorAction) {
+        self.nodes[at].as_mut().unwrap().submit(Message::Operate {
             request,
             machine,
-            what,
+            action,
         });
     }
 
-    fn state(&self, machine: Machine) -> Option<State> {
+    fn state(&self, machine: MachineId) -> Option<MaintenanceState> {
         let (owner, _) = self.owner?;
-        self.hands[usize::from(owner)]
+        self.nodes[usize::from(owner)]
             .as_ref()?
-            .book
+            .operation_log
             .get(machine)
             .map(|entry| entry.state)
     }
 
-    fn moved(&self, state: State) -> Vec<Machine> {
-        self.lines
+    fn moved(&self, state: MaintenanceState) -> Vec<MachineId> {
+        self.events
             .iter()
-            .filter(|(_, line)| *line == Line::Moved(state))
+            .filter(|(_, event)| *event == MachineEvent::StateChanged(state))
             .map(|(machine, _)| *machine)
             .collect()
     }
@@ -240,25 +249,28 @@
     /// Starts from nothing.
     fn restart(&mut self, me: usize) {
         self.incarnations[me] += 100_000;
-        self.banned[me].clear();
-        self.hands[me] = Some(self.hand(me));
+        self.excluded[me].clear();
+        self.nodes[me] = Some(self.node(me));
         // What it owned by its epoch it owns no more.
         if let Some((owner, epoch)) = self.owner.filter(|(owner, _)| usize::from(*owner) == me) {
-            self.owner = Some(((owner + 1) % self.hands.len() as Member, epoch + 1));
+            self.owner = Some(((owner + 1) % self.nodes.len() as Member, epoch + 1));
         }
     }
 }
 
 #[rstest]
-#[case::sound(0)]
+#[case::healthy(0)]
 #[case::lossy(30)]
 fn three_go_out_one_after_the_other_and_come_back_warm(#[case] lost: u32) {
     let mut world = World::new(5);
     world.lost = lost;
-    world.ask(4, 77, &[3, 5, 2]);
+    world.request(4, 77, &[3, 5, 2]);
     world.run(Duration::from_secs(40));
     assert_eq!(
-        (world.moved(State::AtWork), world.moved(State::Warm)),
+        (
+            world.moved(MaintenanceState::UnderMaintenance),
+            world.moved(MaintenanceState::Warm)
+        ),
         (vec![3, 5, 2], vec![3, 5, 2])
     );
     assert_eq!(
@@ -271,15 +283,15 @@
 fn one_is_at_work_only_when_all_have_nothing_on_it() {
     let mut world = World::new(4);
     world.busy.borrow_mut().insert((2, 3));
-    world.ask_long(1, 5, &[3]);
+    world.request_long(1, 5, &[3]);
     world.run(Duration::from_secs(5));
-    assert_eq!(world.state(3), Some(State::Leaving));
-    assert!(world.banned.iter().all(|banned| banned.contains(&3)));
+    assert_eq!(world.state(3), Some(MaintenanceState::Draining));
+    assert!(world.excluded.iter().all(|excluded| excluded.contains(&3)));
     world.busy.borrow_mut().clear();
     world.run(Duration::from_secs(1));
     assert_eq!(
         (world.state(3), world.broken),
-        (Some(State::AtWork), vec![])
+        (Some(MaintenanceState::UnderMaintenance), vec![])
     );
 }
 
@@ -291,47 +303,47 @@
     let entry = Entry {
         machine: 3,
         request: 1,
-        place: 1,
-        state: State::Leaving,
+        position: 1,
+        state: MaintenanceState::Draining,
         epoch: 1,
         step: 5,
-        lasts: 1,
-        ends: 0,
-        back: false,
+        duration_s: 1,
+        ends_at_s: 0,
+        auto_return: false,
     };
-    let tell = Word::Tell {
-        by: 1,
-        all: 1,
+    let tell = Message::Update {
+        coordinator_epoch: 1,
+        open_entries: 1,
         entries: vec![entry],
     };
-    let outs = world
-        .with(2, |hand, sight| hand.hear(sight, 0, tell))
+    let actions = world
+        .with(2, |node, context| node.receive(context, 0, tell))
         .unwrap();
     assert_eq!(
-        outs[0],
-        Out::Ban {
+        actions[0],
+        Action::SetExcluded {
             machine: 3,
-            out: true
+            excluded: true
         }
     );
     assert_eq!(
-        outs[1],
-        Out::Say {
+        actions[1],
+        Action::Send {
             to: 0,
-            word: Word::Ack {
-                by: 1,
-                heard: vec![(3, 1, 5, false)]
+            message: Message::Ack {
+                coordinator_epoch: 1,
+                acks: vec![(3, 1, 5, false)]
             }
         }
     );
-    let outs = world.with(2, |hand, sight| hand.turn(sight)).unwrap();
+    let actions = world.with(2, |node, context| node.tick(context)).unwrap();
     assert_eq!(
-        outs,
-        [Out::Say {
+        actions,
+        [Action::Send {
             to: 0,
-            word: Word::Ack {
-                by: 1,
-                heard: vec![(3, 1, 5, true)]
+            message: Message::Ack {
+                coordinator_epoch: 1,
+                acks: vec![(3, 1, 5, true)]
             }
         }]
     );
@@ -342,18 +354,24 @@
 fn who_is_cut_off_is_waited_for_or_forced_past() {
     let mut world = World::new(4);
     world.cut.insert(3);
-    world.ask_long(1, 5, &[3]);
+    world.request_long(1, 5, &[3]);
     world.run(Duration::from_secs(20));
-    assert_eq!(world.state(3), Some(State::Leaving));
+    assert_eq!(world.state(3), Some(MaintenanceState::Draining));
     assert!(
-        world.lines.contains(&(3, Line::Waits { unheard: 1 })),
+        world
+            .events
+            .contains(&(3, MachineEvent::WaitingForReplies { missing_replies: 1 })),
         "{:?}",
-        world.lines
+        world.events
     );
-    world.order(2, 6, 3, Order::Force);
+    world.order(2, 6, 3, OperatorAction::Force);
     world.run(Duration::from_secs(1));
-    assert_eq!(world.state(3), Some(State::AtWork));
-    assert!(world.lines.contains(&(3, Line::Forced { unheard: 1 })));
+    assert_eq!(world.state(3), Some(MaintenanceState::UnderMaintenance));
+    assert!(
+        world
+            .events
+            .contains(&(3, MachineEvent::Forced { not_idle: 1 }))
+    );
     assert_eq!(world.answers, [(5, None), (6, None)]);
 }
 
@@ -363,7 +381,7 @@
     #[values(150, 300, 800, 1500, 2500, 4000, 6000)] after: u32,
 ) {
     let mut world = World::new(5);
-    world.ask(4, 77, &[3, 5]);
+    world.request(4, 77, &[3, 5]);
     world.run(MS * after);
     world.restart(0);
     world.owner = None;
@@ -372,7 +390,7 @@
     world.run(Duration::from_secs(30));
     assert_eq!(
         (world.state(3), world.state(5)),
-        (Some(State::Warm), Some(State::Warm))
+        (Some(MaintenanceState::Warm), Some(MaintenanceState::Warm))
     );
     assert_eq!(world.broken, Vec::<String>::new());
 }
@@ -381,29 +399,37 @@
 #[rstest]
 fn a_conductor_that_wakes_late_is_not_obeyed() {
     let mut world = World::new(5);
-    world.ask(4, 77, &[3, 5]);
+    world.request(4, 77, &[3, 5]);
     world.run(Duration::from_secs(1));
-    let late = Word::Tell {
-        by: 1,
-        all: 2,
+    let late = Message::Update {
+        coordinator_epoch: 1,
+        open_entries: 2,
         entries: vec![Entry {
-            state: State::Returning,
+            state: MaintenanceState::WarmingUp,
             step: 90,
-            ..*world.hands[0].as_ref().unwrap().book.get(3).unwrap()
+            ..*world.nodes[0]
+                .as_ref()
+                .unwrap()
+                .operation_log
+                .get(3)
+                .unwrap()
         }],
     };
     world.cut.insert(0);
     world.owner = Some((1, 2));
     world.run(Duration::from_secs(2));
     for me in 1..5 {
-        let outs = world
-            .with(me, |hand, sight| hand.hear(sight, 0, late.clone()))
+        let actions = world
+            .with(me, |node, context| node.receive(context, 0, late.clone()))
             .unwrap();
-        assert_eq!(outs, []);
+        assert_eq!(actions, []);
     }
     world.cut.clear();
     world.run(Duration::from_secs(30));
-    assert_eq!((world.state(5), world.broken), (Some(State::Warm), vec![]));
+    assert_eq!(
+        (world.state(5), world.broken),
+        (Some(MaintenanceState::Warm), vec![])
+    );
 }
 
 // An upgrade: the next process has the ban from the one before, and hears of the machine only when it is back.
@@ -413,22 +439,31 @@
     let entry = Entry {
         machine: 3,
         request: 1,
-        place: 1,
-        state: State::Returning,
+        position: 1,
+        state: MaintenanceState::WarmingUp,
         epoch: 1,
         step: 5,
-        lasts: 1,
-        ends: 0,
-        back: false,
+        duration_s: 1,
+        ends_at_s: 0,
+        auto_return: false,
     };
-    let tell = |step| Word::Tell {
-        by: 1,
-        all: 1,
+    let tell = |step| Message::Update {
+        coordinator_epoch: 1,
+        open_entries: 1,
         entries: vec![Entry { step, ..entry }],
     };
-    let lifts = |outs: Vec<Out>| {
-        outs.iter()
-            .filter(|out| matches!(out, Out::Ban { out: false, .. }))
+    let lifts = |actions: Vec<Action>| {
+        actions
+            .iter()
+            .filter(|action| {
+                matches!(
+                    action,
+                    Action::SetExcluded {
+                        excluded: false,
+                        ..
+                    }
+                )
+            })
             .count()
     };
     let counts: Vec<usize> = [5, 6]
@@ -436,7 +471,7 @@
         .map(|step| {
             lifts(
                 world
-                    .with(2, |hand, sight| hand.hear(sight, 0, tell(*step)))
+                    .with(2, |node, context| node.receive(context, 0, tell(*step)))
                     .unwrap(),
             )
         })
@@ -448,32 +483,32 @@
 #[rstest]
 fn one_that_starts_from_nothing_learns_what_is_out() {
     let mut world = World::new(5);
-    world.ask_long(4, 77, &[3]);
+    world.request_long(4, 77, &[3]);
     world.run(Duration::from_secs(1));
-    assert_eq!(world.state(3), Some(State::AtWork));
+    assert_eq!(world.state(3), Some(MaintenanceState::UnderMaintenance));
     world.restart(4);
-    assert!(!world.hands[4].as_ref().unwrap().informed());
+    assert!(!world.nodes[4].as_ref().unwrap().is_informed());
     world.run(MS * 20);
-    assert!(world.hands[4].as_ref().unwrap().informed() && world.banned[4].contains(&3));
+    assert!(world.nodes[4].as_ref().unwrap().is_informed() && world.excluded[4].contains(&3));
 }
 
 // A majority of the keepers forgets at once: nothing is done on what they say, until those that know have told it again.
 #[rstest]
 fn a_majority_that_forgot_does_not_count() {
     let mut world = World::new(5);
-    world.ask(4, 77, &[3, 5]);
+    world.request(4, 77, &[3, 5]);
     world.run(Duration::from_secs(1));
     world.restart(0);
     world.restart(1);
     world.cut.insert(2);
     world.owner = Some((1, 2));
     world.run(Duration::from_secs(5));
-    assert!(!world.hands[1].as_ref().unwrap().conducts());
+    assert!(!world.nodes[1].as_ref().unwrap().is_coordinator());
     world.cut.clear();
     world.run(Duration::from_secs(30));
     assert_eq!(
         (world.state(3), world.state(5)),
-        (Some(State::Warm), Some(State::Warm))
+        (Some(MaintenanceState::Warm), Some(MaintenanceState::Warm))
     );
     assert_eq!(world.broken, Vec::<String>::new());
 }
@@ -482,16 +517,16 @@
 #[rstest]
 fn where_all_forgot_an_operator_is_asked() {
     let mut world = World::new(3);
-    world.ask_long(2, 7, &[3]);
+    world.request_long(2, 7, &[3]);
     world.run(Duration::from_secs(1));
     (0..3).for_each(|me| world.restart(me));
     world.incarnations[0] += 100_000;
     world.owner = Some((1, 2));
     world.run(Duration::from_secs(10));
-    assert!(!world.hands[1].as_ref().unwrap().conducts());
-    world.order(0, 8, 0, Order::Begin);
+    assert!(!world.nodes[1].as_ref().unwrap().is_coordinator());
+    world.order(0, 8, 0, OperatorAction::Bootstrap);
     world.run(Duration::from_secs(1));
-    assert!(world.hands[1].as_ref().unwrap().conducts());
+    assert!(world.nodes[1].as_ref().unwrap().is_coordinator());
     assert_eq!(world.answers.last(), Some(&(8, None)));
 }
 
@@ -503,22 +538,22 @@
     let entry = Entry {
         machine: 3,
         request: 1,
-        place: 1,
-        state: State::Queued,
+        position: 1,
+        state: MaintenanceState::Queued,
         epoch: 1,
         step: 0,
-        lasts: 1,
-        ends: 0,
-        back: false,
+        duration_s: 1,
+        ends_at_s: 0,
+        auto_return: false,
     };
     for (machine, informed) in [(3, false), (5, true)] {
-        let word = Word::Tell {
-            by: 1,
-            all: 2,
+        let message = Message::Update {
+            coordinator_epoch: 1,
+            open_entries: 2,
             entries: vec![Entry { machine, ..entry }],
         };
-        world.with(2, |hand, sight| hand.hear(sight, 0, word));
-        assert_eq!(world.hands[2].as_ref().unwrap().informed(), informed);
+        world.with(2, |node, context| node.receive(context, 0, message));
+        assert_eq!(world.nodes[2].as_ref().unwrap().is_informed(), informed);
     }
 }
 
@@ -526,81 +561,90 @@
 #[rstest]
 fn a_keeper_that_has_only_asked_does_not_count() {
     let mut world = World::new(3);
-    world.ask_long(2, 7, &[3]);
+    world.request_long(2, 7, &[3]);
     world.run(Duration::from_secs(1));
     world.restart(1);
     world.owner = None;
     world.run(Duration::from_secs(1));
-    assert!(world.hands[1].as_ref().unwrap().informed());
-    let recall = Word::Recall { by: 9, from: 0 };
-    let outs = world
-        .with(1, |hand, sight| hand.hear(sight, 2, recall))
+    assert!(world.nodes[1].as_ref().unwrap().is_informed());
+    let recall = Message::Query {
+        coordinator_epoch: 9,
+        offset: 0,
+    };
+    let actions = world
+        .with(1, |node, context| node.receive(context, 2, recall))
         .unwrap();
     assert!(
         matches!(
-            outs[..],
-            [Out::Say {
-                word: Word::Known { blank: true, .. },
+            actions[..],
+            [Action::Send {
+                message: Message::QueryReply {
+                    uninformed: true,
+                    ..
+                },
                 ..
             }]
         ),
-        "{outs:?}"
+        "{actions:?}"
     );
 }
 
 #[rstest]
 fn what_is_asked_twice_or_in_two_places_is_one_order() {
     let mut world = World::new(5);
-    world.ask(4, 77, &[3, 5]);
-    world.ask(2, 78, &[5, 3, 6]);
-    world.ask(3, 77, &[3, 5]);
+    world.request(4, 77, &[3, 5]);
+    world.request(2, 78, &[5, 3, 6]);
+    world.request(3, 77, &[3, 5]);
     world.run(Duration::from_secs(40));
-    let mut at_work = world.moved(State::AtWork);
+    let mut at_work = world.moved(MaintenanceState::UnderMaintenance);
     at_work.sort_unstable();
     assert_eq!((at_work, world.broken), (vec![3, 5, 6], vec![]));
     assert_eq!(world.answers.len(), 3);
 }
 
 #[rstest]
-#[case::unknown(Word::Want { request: 9, lasts: 1, back: true, machines: vec![99] }, Some(Refusal::NoMachine))]
-#[case::done_too_soon(Word::Order { request: 9, machine: 5, what: Order::Done }, Some(Refusal::NotAtWork))]
-#[case::not_queued(Word::Order { request: 9, machine: 6, what: Order::Withdraw }, Some(Refusal::NoMachine))]
-#[case::begun(Word::Order { request: 9, machine: 3, what: Order::Withdraw }, Some(Refusal::Begun))]
-#[case::withdrawn(Word::Order { request: 9, machine: 5, what: Order::Withdraw }, None)]
-#[case::done(Word::Order { request: 9, machine: 3, what: Order::Done }, None)]
-fn operators_are_told_what_can_not_be(#[case] word: Word, #[case] refused: Option<Refusal>) {
+#[case::unknown(Message::Schedule { request: 9, duration_s: 1, auto_return: true, machines: vec![99] }, Some(Rejection::UnknownMachine))]
+#[case::done_too_soon(Message::Operate { request: 9, machine: 5, action: OperatorAction::Complete }, Some(Rejection::NotUnderMaintenance))]
+#[case::not_queued(Message::Operate { request: 9, machine: 6, action: OperatorAction::Withdraw }, Some(Rejection::UnknownMachine))]
+#[case::begun(Message::Operate { request: 9, machine: 3, action: OperatorAction::Withdraw }, Some(Rejection::AlreadyStarted))]
+#[case::withdrawn(Message::Operate { request: 9, machine: 5, action: OperatorAction::Withdraw }, None)]
+#[case::done(Message::Operate { request: 9, machine: 3, action: OperatorAction::Complete }, None)]
+fn operators_are_told_what_can_not_be(
+    #[case] message: Message,
+    #[case] rejected: Option<Rejection>,
+) {
     let mut world = World::new(3);
-    let want = Word::Want {
+    let want = Message::Schedule {
         request: 7,
-        lasts: 3600,
-        back: false,
+        duration_s: 3600,
+        auto_return: false,
         machines: vec![3, 5],
     };
-    world.hands[2].as_mut().unwrap().ask(want);
+    world.nodes[2].as_mut().unwrap().submit(want);
     world.run(Duration::from_secs(2));
-    world.hands[1].as_mut().unwrap().ask(word);
+    world.nodes[1].as_mut().unwrap().submit(message);
     world.run(Duration::from_secs(1));
-    assert_eq!(world.answers.last(), Some(&(9, refused)));
+    assert_eq!(world.answers.last(), Some(&(9, rejected)));
 }
 
 // Nothing stays out in silence: its time is told, and it comes back only where the request said so.
 #[rstest]
 fn work_that_takes_too_long_is_told_and_stays_out() {
     let mut world = World::new(3);
-    let want = Word::Want {
+    let want = Message::Schedule {
         request: 7,
-        lasts: 2,
-        back: false,
+        duration_s: 2,
+        auto_return: false,
         machines: vec![3],
     };
-    world.hands[2].as_mut().unwrap().ask(want);
+    world.nodes[2].as_mut().unwrap().submit(want);
     world.run(Duration::from_secs(10));
-    assert_eq!(world.state(3), Some(State::AtWork));
+    assert_eq!(world.state(3), Some(MaintenanceState::UnderMaintenance));
     assert_eq!(
         world
-            .lines
+            .events
             .iter()
-            .filter(|line| **line == (3, Line::Overdue))
+            .filter(|event| **event == (3, MachineEvent::Overdue))
             .count(),
         1
     );
@@ -610,18 +654,18 @@
 fn what_has_not_begun_goes_back_when_another_fails() {
     let mut world = World::new(3);
     world.busy.borrow_mut().insert((1, 3));
-    world.ask_long(2, 7, &[3]);
+    world.request_long(2, 7, &[3]);
     world.run(Duration::from_secs(1));
-    world.seen[5].sound = false;
+    world.machines[5].healthy = false;
     world.run(Duration::from_secs(1));
-    assert_eq!(world.state(3), Some(State::Queued));
-    assert!(world.banned.iter().all(|banned| banned.is_empty()));
-    world.seen[5].sound = true;
+    assert_eq!(world.state(3), Some(MaintenanceState::Queued));
+    assert!(world.excluded.iter().all(|excluded| excluded.is_empty()));
+    world.machines[5].healthy = true;
     world.busy.borrow_mut().clear();
     world.run(Duration::from_secs(1));
     assert_eq!(
         (world.state(3), world.broken),
-        (Some(State::AtWork), vec![])
+        (Some(MaintenanceState::UnderMaintenance), vec![])
     );
 }
 
@@ -638,32 +682,32 @@
     #[case] cell: usize,
     #[case] may: bool,
 ) {
-    let mut all: Vec<Seen> = (1..7).map(seen).collect();
+    let mut all: Vec<ListedMachine> = (1..7).map(machines).collect();
     (all[1].zone, all[1].cell) = (zone, cell);
     let limits = Limits {
-        at_once: 2,
-        at_once_in_a_zone: zone_most,
-        at_once_in_a_cell: cell_most,
+        max_out: 2,
+        max_out_per_zone: zone_most,
+        max_out_per_cell: cell_most,
         ..limits()
     };
-    assert_eq!(fits(&limits, &all, &BTreeSet::from([1]), 2), may);
+    assert_eq!(can_take_out(&limits, &all, &BTreeSet::from([1]), 2), may);
 }
 
 #[rstest]
-#[case::room(|_: &mut Vec<Seen>, _: &mut BTreeSet<Machine>| {}, true)]
-#[case::one_is_out(|_: &mut Vec<Seen>, away: &mut BTreeSet<Machine>| { away.insert(2); }, false)]
-#[case::one_is_down(|seen: &mut Vec<Seen>, _: &mut BTreeSet<Machine>| seen[4].sound = false, false)]
-#[case::itself_is_down(|seen: &mut Vec<Seen>, _: &mut BTreeSet<Machine>| seen[0].sound = false, true)]
-#[case::last_of_its_kind(|seen: &mut Vec<Seen>, _: &mut BTreeSet<Machine>| seen[0].kind = 1, false)]
-#[case::no_room(|seen: &mut Vec<Seen>, _: &mut BTreeSet<Machine>| seen.iter_mut().for_each(|s| s.busy = Some(0.8)), false)]
-#[case::not_there(|seen: &mut Vec<Seen>, _: &mut BTreeSet<Machine>| { seen.remove(0); }, false)]
+#[case::room(|_: &mut Vec<ListedMachine>, _: &mut BTreeSet<MachineId>| {}, true)]
+#[case::one_is_out(|_: &mut Vec<ListedMachine>, away: &mut BTreeSet<MachineId>| { away.insert(2); }, false)]
+#[case::one_is_down(|machines: &mut Vec<ListedMachine>, _: &mut BTreeSet<MachineId>| machines[4].healthy = false, false)]
+#[case::itself_is_down(|machines: &mut Vec<ListedMachine>, _: &mut BTreeSet<MachineId>| machines[0].healthy = false, true)]
+#[case::last_of_its_kind(|machines: &mut Vec<ListedMachine>, _: &mut BTreeSet<MachineId>| machines[0].kind = 1, false)]
+#[case::no_room(|machines: &mut Vec<ListedMachine>, _: &mut BTreeSet<MachineId>| machines.iter_mut().for_each(|s| s.utilization = Some(0.8)), false)]
+#[case::not_there(|machines: &mut Vec<ListedMachine>, _: &mut BTreeSet<MachineId>| { machines.remove(0); }, false)]
 fn one_more_may_be_out_only_where_the_rest_bears_it(
-    #[case] turn: fn(&mut Vec<Seen>, &mut BTreeSet<Machine>),
+    #[case] turn: fn(&mut Vec<ListedMachine>, &mut BTreeSet<MachineId>),
     #[case] may: bool,
 ) {
-    let (mut all, mut away) = ((1..7).map(seen).collect(), BTreeSet::new());
+    let (mut all, mut away) = ((1..7).map(machines).collect(), BTreeSet::new());
     turn(&mut all, &mut away);
-    assert_eq!(fits(&limits(), &all, &away, 1), may);
+    assert_eq!(can_take_out(&limits(), &all, &away, 1), may);
 }
 
 proptest! {
@@ -679,7 +723,7 @@
     ) {
         let mut world = World::new(5);
         world.lost = lost;
-        world.ask(4, 77, &[3, 5, 2]);
+        world.request(4, 77, &[3, 5, 2]);
         let mut epoch = 1;
         for (after, what, whom) in turns {
             world.run(MS * after);
@@ -705,11 +749,11 @@
     #[test]
     fn no_words_bring_it_down(words in prop::collection::vec(prop::collection::vec(any::<u8>(), 0..80), 1..9)) {
         let mut world = World::new(3);
-        world.ask(0, 77, &[3]);
+        world.request(0, 77, &[3]);
         world.run(MS * 100);
         for bytes in words {
-            if let Some(word) = Word::read(&bytes) {
-                world.with(0, |hand, sight| drop(hand.hear(sight, 1, word)));
+            if let Some(message) = Message::decode(&bytes) {
+                world.with(0, |node, context| drop(node.receive(context, 1, message)));
             }
         }
     }
--- a/crates/passroad/src/fleet/kept.rs
+++ b/crates/passroad/src/fleet/kept.rs
@@ -1,6 +1,6 @@
 //! What a voter keeps on disk, where a file is named: so a restart has forgotten nothing and need not be mute.
 
-use passroad_lease::{Duty, Vote};
+use passroad_lease::{LeaseKey, Vote};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::fs::File;
@@ -13,13 +13,13 @@
 struct Whole {
     version: u32,
     name: String,
-    votes: BTreeMap<Duty, Vote>,
+    votes: BTreeMap<LeaseKey, Vote>,
 }
 
 pub struct Kept {
     path: PathBuf,
     name: String,
-    pub votes: BTreeMap<Duty, Vote>,
+    pub votes: BTreeMap<LeaseKey, Vote>,
     /// Whether there was a file: without one the voter has forgotten.
     pub found: bool,
 }
@@ -45,7 +45,7 @@
         Ok(kept)
     }
 
-    pub fn keep(&mut self, duty: Duty, vote: Vote) -> std::io::Result<()> {
+    pub fn keep(&mut self, duty: LeaseKey, vote: Vote) -> std::io::Result<()> {
         self.votes.insert(duty, vote);
         self.write()
     }
@@ -74,7 +74,7 @@
     }
 }
 
-fn read(bytes: &[u8], name: &str) -> Result<BTreeMap<Duty, Vote>, String> {
+fn read(bytes: &[u8], name: &str) -> Result<BTreeMap<LeaseKey, Vote>, String> {
     let (sum, body) = bytes.split_first_chunk::<4>().ok_or("cut short")?;
     if crc32fast::hash(body).to_be_bytes() != *sum {
         return Err("cut short or changed: its sum is wrong".into());
--- a/crates/passroad/src/fleet/mod.rs
+++ b/crates/passroad/src/fleet/mod.rs
@@ -28,7 +28,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Turned {
     pub member: u16,
-    pub standing: passroad_peers::Standing,
+    pub standing: passroad_peers::MemberState,
 }
 
 /// A sidecar's part that can begin; its socket is not open yet.
--- a/crates/passroad/src/fleet/part.rs
+++ b/crates/passroad/src/fleet/part.rs
@@ -3,9 +3,13 @@
 
 use super::orders::{DutyOrder, UPKEEP, UpkeepOrder};
 use log::Level;
-use passroad_lease::{self as lease, Duty, Epoch, Lease, Times, Vote, Why, Word};
-use passroad_peers::{self as peers, Note, Peers, Standing};
-use passroad_upkeep::{self as upkeep, Line, Machine, Refusal, Seen, Sight, Upkeep};
+use passroad_lease::{
+    self as lease, Clocks, Epoch, LeaseKey, LeaseManager, LossReason, Message, Vote,
+};
+use passroad_peers::{self as peers, GossipFact, MemberState, Membership};
+use passroad_upkeep::{
+    self as upkeep, Context, ListedMachine, MachineEvent, MachineId, MaintenanceManager, Rejection,
+};
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -33,7 +37,7 @@
     },
     /// What comes behind it is done only once it is kept.
     Keep {
-        duty: Duty,
+        duty: LeaseKey,
         vote: Vote,
     },
     /// The call of the nth duty, by this epoch, ended within.
@@ -53,31 +57,31 @@
     /// A member is thought of otherwise from now on.
     Turned {
         member: u16,
-        standing: Standing,
+        standing: MemberState,
     },
     /// A datagram was not heard.
     Unheard(&'static str),
     /// Keep off a machine, or use it again.
     Ban {
-        machine: Machine,
+        machine: MachineId,
         out: bool,
     },
     /// An operator's request has its answer.
     Answer {
         request: u64,
-        refused: Option<Refusal>,
+        refused: Option<Rejection>,
     },
     /// What is told of a machine.
     Machine {
-        machine: Machine,
-        what: Line,
+        machine: MachineId,
+        what: MachineEvent,
     },
 }
 
 /// What the caller sees of machines.
 pub struct View<'a> {
-    pub seen: &'a [Seen],
-    pub free: &'a dyn Fn(Machine) -> bool,
+    pub seen: &'a [ListedMachine],
+    pub free: &'a dyn Fn(MachineId) -> bool,
 }
 
 /// What became of a call.
@@ -93,9 +97,9 @@
 pub struct Part {
     me: u16,
     duties: Vec<DutyOrder>,
-    peers: Peers,
-    lease: Lease,
-    work: Option<Upkeep>,
+    peers: Membership,
+    lease: LeaseManager,
+    work: Option<MaintenanceManager>,
     out: Vec<bool>,
     next: Vec<Duration>,
     told: Vec<Option<Duration>>, // of each duty's calls, the last fault
@@ -122,8 +126,8 @@
         lease: Duration,
         period: Duration,
         duties: Vec<DutyOrder>,
-        times: Times,
-        votes: Option<BTreeMap<Duty, Vote>>,
+        clocks: Clocks,
+        votes: Option<BTreeMap<LeaseKey, Vote>>,
     ) -> Part {
         let &Who {
             me,
@@ -131,14 +135,14 @@
             incarnation,
             seed,
         } = who;
-        let terms = peers::Terms {
+        let terms = peers::MembershipConfig {
             me,
             members,
             incarnation,
             period,
             seed,
         };
-        let own = lease::Terms {
+        let own = lease::LeaseConfig {
             me,
             members,
             voters,
@@ -149,123 +153,134 @@
         let mut part = Part {
             me,
             duties,
-            peers: Peers::new(terms, times.steady),
-            lease: Lease::new(own, times, votes),
+            peers: Membership::new(terms, clocks.monotonic),
+            lease: LeaseManager::new(own, clocks, votes),
             work: None,
             out: vec![false; count],
-            next: vec![times.steady; count],
+            next: vec![clocks.monotonic; count],
             told: vec![None; count],
             stops: false,
             counted: (members, 0, 0),
-            counted_at: times.steady,
+            counted_at: clocks.monotonic,
             sent: 0,
             heard: 0,
         };
-        part.choose(times, &mut Vec::new());
+        part.choose(clocks, &mut Vec::new());
         part
     }
 
     /// Has this part take its share in the order of work on machines.
     pub fn with_upkeep(mut self, order: &UpkeepOrder) -> Part {
-        let members = self.peers.known().len();
+        let members = self.peers.members().len();
         let mark = passroad_choice::door::mark(UPKEEP);
         let limits = upkeep::Limits {
-            at_once: order.at_once,
-            at_once_in_a_zone: order.at_once_in_a_zone,
-            at_once_in_a_cell: order.at_once_in_a_cell,
-            reserve: order.reserve,
-            warm: order.warm,
-            together: TOGETHER,
+            max_out: order.at_once,
+            max_out_per_zone: order.at_once_in_a_zone,
+            max_out_per_cell: order.at_once_in_a_cell,
+            capacity_reserve: order.reserve,
+            warm_up_time: order.warm,
+            fleet_start_window: TOGETHER,
         };
-        let keepers = lease::council(mark, members, self.lease.voters());
-        self.work = Some(Upkeep::new(upkeep::Terms {
+        let voters = lease::voters_for(mark, members, self.lease.voters());
+        self.work = Some(MaintenanceManager::new(upkeep::MaintenanceConfig {
             me: self.me,
             members,
-            keepers,
+            voters,
             limits,
         }));
         self
     }
 
-    pub fn upkeep(&self) -> Option<&Upkeep> {
+    pub fn upkeep(&self) -> Option<&MaintenanceManager> {
         self.work.as_ref()
     }
 
     /// An operator's word, for the conductor.
-    pub fn operator(&mut self, word: upkeep::Word) {
-        self.work.iter_mut().for_each(|work| work.ask(word.clone()));
+    pub fn operator(&mut self, word: upkeep::Message) {
+        self.work
+            .iter_mut()
+            .for_each(|work| work.submit(word.clone()));
     }
 
     /// The order of work: with a word that was heard, or for time alone.
     pub fn work(
         &mut self,
-        times: Times,
+        clocks: Clocks,
         view: &View,
-        heard: Option<(u16, upkeep::Word)>,
+        heard: Option<(u16, upkeep::Message)>,
     ) -> Vec<Do> {
         let mut todo = Vec::new();
         let Some(mut work) = self.work.take() else {
             return todo;
         };
         let mark = passroad_choice::door::mark(UPKEEP);
-        let owned = self.lease.owned(times, mark).map(|(epoch, _)| epoch);
-        let note = self.peers.note_of(mark).and_then(|note| note.holder);
+        let owned = self.lease.ownership(clocks, mark).map(|(epoch, _)| epoch);
+        let note = self.peers.fact(mark).and_then(|note| note.holder);
         let incarnations: Vec<u64> = self
             .peers
-            .known()
+            .members()
             .iter()
-            .map(|known| peers::life(known.incarnation))
+            .map(|known| peers::process_start_ms(known.incarnation))
             .collect();
-        let sight = Sight {
-            now: times.steady,
-            wall: times.wall,
-            owned: owned.filter(|_| !self.stops),
+        let sight = Context {
+            now: clocks.monotonic,
+            wall: clocks.wall,
+            owned_epoch: owned.filter(|_| !self.stops),
             incarnations: &incarnations,
-            conductor: owned
+            coordinator: owned
                 .map(|_| self.me)
                 .or(note.filter(|holder| *holder != self.me)),
-            seen: view.seen,
-            free: view.free,
+            machines: view.seen,
+            idle: view.free,
         };
         let outs = match heard {
-            Some((from, word)) => work.hear(&sight, from, word),
-            None => work.turn(&sight),
+            Some((from, word)) => work.receive(&sight, from, word),
+            None => work.tick(&sight),
         };
         self.work = Some(work);
         for out in outs {
             match out {
-                upkeep::Out::Say { to, word } => self.send(to, WORK, &word.bytes(), &mut todo),
-                upkeep::Out::Ban { machine, out } => todo.push(Do::Ban { machine, out }),
-                upkeep::Out::Answer { request, refused } => {
-                    todo.push(Do::Answer { request, refused })
+                upkeep::Action::Send { to, message } => {
+                    self.send(to, WORK, &message.encode(), &mut todo)
                 }
-                upkeep::Out::Told { machine, what } => todo.push(Do::Machine { machine, what }),
+                upkeep::Action::SetExcluded { machine, excluded } => todo.push(Do::Ban {
+                    machine,
+                    out: excluded,
+                }),
+                upkeep::Action::Respond { request, rejected } => todo.push(Do::Answer {
+                    request,
+                    refused: rejected,
+                }),
+                upkeep::Action::Report { machine, event } => todo.push(Do::Machine {
+                    machine,
+                    what: event,
+                }),
             }
         }
         todo
     }
 
     /// What time has brought, and calls that are due.
-    pub fn turn(&mut self, times: Times) -> Vec<Do> {
+    pub fn turn(&mut self, clocks: Clocks) -> Vec<Do> {
         let mut todo = Vec::new();
-        let outs = self.peers.tick(times.steady);
-        self.listen(times, outs, &mut todo);
-        let outs = self.lease.tick(times);
-        self.carry_out(times, outs, &mut todo);
+        let outs = self.peers.tick(clocks.monotonic);
+        self.listen(clocks, outs, &mut todo);
+        let outs = self.lease.tick(clocks);
+        self.carry_out(clocks, outs, &mut todo);
         for n in 0..self.duties.len() {
             if self.stops
                 || self.out[n]
-                || times.steady < self.next[n]
+                || clocks.monotonic < self.next[n]
                 || self.duties[n].call.is_none()
             {
                 continue;
             }
             let duty = &self.duties[n];
             // Asked again right before each act: what slept past its lease acts on nothing.
-            if let Some((epoch, left)) = self.lease.owned(times, duty.mark)
+            if let Some((epoch, left)) = self.lease.ownership(clocks, duty.mark)
                 && left > duty.within
             {
-                (self.out[n], self.next[n]) = (true, times.steady + duty.every);
+                (self.out[n], self.next[n]) = (true, clocks.monotonic + duty.every);
                 todo.push(Do::Begin {
                     n,
                     epoch,
@@ -273,22 +288,22 @@
                 });
             }
         }
-        self.count(times.steady, &mut todo);
+        self.count(clocks.monotonic, &mut todo);
         todo
     }
 
     /// How long until the next turn, if nothing comes.
-    pub fn wait(&mut self, times: Times) -> Duration {
+    pub fn wait(&mut self, clocks: Clocks) -> Duration {
         let mut wait = self
             .peers
-            .wait(times.steady)
-            .min(self.lease.wait().unwrap_or(LONGEST_WAIT));
+            .time_to_next_tick(clocks.monotonic)
+            .min(self.lease.time_to_next_timer().unwrap_or(LONGEST_WAIT));
         for n in 0..self.duties.len() {
             if self.stops || self.out[n] || self.duties[n].call.is_none() {
                 continue;
             }
-            if let Some((_, left)) = self.lease.owned(times, self.duties[n].mark) {
-                let due = self.next[n].saturating_sub(times.steady);
+            if let Some((_, left)) = self.lease.ownership(clocks, self.duties[n].mark) {
+                let due = self.next[n].saturating_sub(clocks.monotonic);
                 wait = wait.min(if left > self.duties[n].within {
                     due
                 } else {
@@ -296,8 +311,12 @@
                 });
             }
         }
-        let wait = if self.work.as_ref().is_some_and(Upkeep::awake) {
-            wait.min(upkeep::TURN)
+        let wait = if self
+            .work
+            .as_ref()
+            .is_some_and(MaintenanceManager::is_active)
+        {
+            wait.min(upkeep::TICK_INTERVAL)
         } else {
             wait
         };
@@ -305,16 +324,22 @@
     }
 
     /// A datagram from a member, by its address.
-    pub fn hear(&mut self, times: Times, from: u16, bytes: &[u8], view: &View) -> Vec<Do> {
+    pub fn hear(&mut self, clocks: Clocks, from: u16, bytes: &[u8], view: &View) -> Vec<Do> {
         let mut todo = Vec::new();
-        let (channel, incarnation, body) = match peers::open(bytes) {
+        let (channel, incarnation, body) = match peers::decode_frame(bytes) {
             Ok(opened) => opened,
-            Err(peers::Ill::Foreign) => return vec![Do::Unheard("of no passroad")],
-            Err(peers::Ill::Version) => return vec![Do::Unheard("of another version")],
-            Err(peers::Ill::Length) => return vec![Do::Unheard("cut short or too long")],
+            Err(peers::FrameError::UnknownMagic) => return vec![Do::Unheard("of no passroad")],
+            Err(peers::FrameError::UnsupportedVersion) => {
+                return vec![Do::Unheard("of another version")];
+            }
+            Err(peers::FrameError::LengthMismatch) => {
+                return vec![Do::Unheard("cut short or too long")];
+            }
         };
-        let (heard, outs) = self.peers.admit(times.steady, from, incarnation);
-        self.listen(times, outs, &mut todo);
+        let (heard, outs) = self
+            .peers
+            .accept_sender(clocks.monotonic, from, incarnation);
+        self.listen(clocks, outs, &mut todo);
         if !heard {
             todo.push(Do::Unheard("of an incarnation that is over"));
             return todo;
@@ -322,23 +347,23 @@
         self.heard += 1;
         match channel {
             PEERS => {
-                let before = self.peers.counts().unreadable;
-                let outs = self.peers.hear(times.steady, from, body);
-                self.listen(times, outs, &mut todo);
-                if self.peers.counts().unreadable > before {
+                let before = self.peers.counts().undecodable;
+                let outs = self.peers.receive(clocks.monotonic, from, body);
+                self.listen(clocks, outs, &mut todo);
+                if self.peers.counts().undecodable > before {
                     todo.push(Do::Unheard("unreadable"));
                 }
             }
-            LEASES => match Word::read(body) {
+            LEASES => match Message::decode(body) {
                 Some(word) => {
-                    let outs = self.lease.hear(times, from, word);
-                    self.carry_out(times, outs, &mut todo);
+                    let outs = self.lease.receive(clocks, from, word);
+                    self.carry_out(clocks, outs, &mut todo);
                 }
                 None => todo.push(Do::Unheard("unreadable")),
             },
-            WORK => match upkeep::Word::read(body) {
+            WORK => match upkeep::Message::decode(body) {
                 Some(word) if self.work.is_some() => {
-                    todo.extend(self.work(times, view, Some((from, word))))
+                    todo.extend(self.work(clocks, view, Some((from, word))))
                 }
                 Some(_) => todo.push(Do::Unheard(
                     "of work on machines, which the file does not ask for",
@@ -351,7 +376,7 @@
     }
 
     /// A call that had begun has ended.
-    pub fn ended(&mut self, times: Times, n: usize, epoch: Epoch, came: Came) -> Vec<Do> {
+    pub fn ended(&mut self, clocks: Clocks, n: usize, epoch: Epoch, came: Came) -> Vec<Do> {
         let mut todo = Vec::new();
         self.out[n] = false;
         let duty = &self.duties[n];
@@ -366,12 +391,12 @@
                         duty.name
                     ),
                 );
-                let outs = self.lease.learn(times, duty.mark, highest);
-                self.carry_out(times, outs, &mut todo);
+                let outs = self.lease.observe_epoch(clocks, duty.mark, highest);
+                self.carry_out(clocks, outs, &mut todo);
             }
             Came::Open(why) => {
-                if self.told[n].is_none_or(|at| times.steady.saturating_sub(at) >= TOLD_EVERY) {
-                    self.told[n] = Some(times.steady);
+                if self.told[n].is_none_or(|at| clocks.monotonic.saturating_sub(at) >= TOLD_EVERY) {
+                    self.told[n] = Some(clocks.monotonic);
                     say(
                         Level::Warn,
                         format!(
@@ -392,7 +417,7 @@
 
     /// Its voter is mute until the process starts anew.
     pub fn vote_no_more(&mut self) {
-        self.lease.retire();
+        self.lease.stop_voting();
     }
 
     pub fn any_out(&self) -> bool {
@@ -400,21 +425,21 @@
     }
 
     /// The planned end: what is owned here is given up, so that the next owner need not wait for the lease to run out.
-    pub fn leave(&mut self, times: Times) -> Vec<Do> {
+    pub fn leave(&mut self, clocks: Clocks) -> Vec<Do> {
         let mut todo = Vec::new();
         self.stops = true;
         for n in 0..self.duties.len() {
-            let outs = self.lease.stand(times, self.duties[n].mark, None);
-            self.carry_out(times, outs, &mut todo);
+            let outs = self.lease.set_candidacy(clocks, self.duties[n].mark, None);
+            self.carry_out(clocks, outs, &mut todo);
         }
-        self.lease.retire();
+        self.lease.stop_voting();
         todo
     }
 
     /// Whether this sidecar takes itself for the owner, and by which epoch.
-    pub fn owned(&mut self, times: Times, n: usize) -> Option<Epoch> {
+    pub fn owned(&mut self, clocks: Clocks, n: usize) -> Option<Epoch> {
         self.lease
-            .owned(times, self.duties[n].mark)
+            .ownership(clocks, self.duties[n].mark)
             .map(|(epoch, _)| epoch)
     }
 
@@ -423,26 +448,29 @@
     }
 
     fn send(&mut self, to: u16, channel: u8, body: &[u8], todo: &mut Vec<Do>) {
-        if let Some(bytes) = peers::seal(channel, self.peers.incarnation(), body) {
+        if let Some(bytes) = peers::encode_frame(channel, self.peers.incarnation(), body) {
             self.sent += 1;
             todo.push(Do::Send { to, bytes });
         }
     }
 
-    fn listen(&mut self, times: Times, outs: Vec<peers::Out>, todo: &mut Vec<Do>) {
+    fn listen(&mut self, clocks: Clocks, outs: Vec<peers::Action>, todo: &mut Vec<Do>) {
         let mut turned = false;
         for out in outs {
             match out {
-                peers::Out::Say { to, body } => self.send(to, PEERS, &body, todo),
-                peers::Out::Turned { member, standing } => {
-                    todo.push(Do::Turned { member, standing });
+                peers::Action::Send { to, body } => self.send(to, PEERS, &body, todo),
+                peers::Action::StateChanged { member, state } => {
+                    todo.push(Do::Turned {
+                        member,
+                        standing: state,
+                    });
                     turned = true;
                 }
-                peers::Out::Heard(note) => {
-                    let outs = self.lease.learn(times, note.topic, note.number);
-                    self.carry_out(times, outs, todo);
+                peers::Action::FactReceived(fact) => {
+                    let outs = self.lease.observe_epoch(clocks, fact.topic, fact.version);
+                    self.carry_out(clocks, outs, todo);
                 }
-                peers::Out::Starved(late) => {
+                peers::Action::LocalPause(late) => {
                     let line = format!(
                         "this sidecar stood still for {late:.1?}; it doubts nobody for that time"
                     );
@@ -454,74 +482,77 @@
             }
         }
         if turned {
-            self.choose(times, todo);
+            self.choose(clocks, todo);
         }
     }
 
     /// Who stands for a duty: the first of its order that are here. Whoever owns it stays.
-    fn choose(&mut self, times: Times, todo: &mut Vec<Do>) {
+    fn choose(&mut self, clocks: Clocks, todo: &mut Vec<Do>) {
         for n in 0..self.duties.len() {
             let duty = self.duties[n].mark;
-            let order = lease::order(duty, self.peers.known().len());
-            let here =
-                |member: &u16| *member == self.me || self.peers.standing(*member) == Standing::Here;
+            let order = lease::candidate_order(duty, self.peers.members().len());
+            let here = |member: &u16| {
+                *member == self.me || self.peers.state_of(*member) == MemberState::Alive
+            };
             let place = order
                 .into_iter()
                 .filter(here)
                 .take(STAND)
                 .position(|member| member == self.me);
-            if !self.stops && (place.is_some() || self.lease.owned(times, duty).is_none()) {
-                let outs = self.lease.stand(times, duty, place);
-                self.carry_out(times, outs, todo);
+            if !self.stops && (place.is_some() || self.lease.ownership(clocks, duty).is_none()) {
+                let outs = self.lease.set_candidacy(clocks, duty, place);
+                self.carry_out(clocks, outs, todo);
             }
         }
     }
 
-    fn carry_out(&mut self, times: Times, outs: Vec<lease::Out>, todo: &mut Vec<Do>) {
+    fn carry_out(&mut self, clocks: Clocks, outs: Vec<lease::Action>, todo: &mut Vec<Do>) {
         for out in outs {
             match out {
-                lease::Out::Say { to, word } if to == self.me => {
-                    let outs = self.lease.hear(times, to, word);
-                    self.carry_out(times, outs, todo);
+                lease::Action::Send { to, message } if to == self.me => {
+                    let outs = self.lease.receive(clocks, to, message);
+                    self.carry_out(clocks, outs, todo);
+                }
+                lease::Action::Send { to, message } => {
+                    self.send(to, LEASES, &message.encode(), todo)
                 }
-                lease::Out::Say { to, word } => self.send(to, LEASES, &word.bytes(), todo),
-                lease::Out::Keep { duty, vote } => todo.push(Do::Keep { duty, vote }),
-                lease::Out::Won { duty, epoch } => {
-                    self.peers.note(Note {
-                        topic: duty,
-                        number: epoch,
+                lease::Action::Persist { key, vote } => todo.push(Do::Keep { duty: key, vote }),
+                lease::Action::Acquired { key, epoch } => {
+                    self.peers.publish_fact(GossipFact {
+                        topic: key,
+                        version: epoch,
                         holder: Some(self.me),
                     });
                     let line = format!(
                         "duty {} is owned here from now, by epoch {epoch}",
-                        self.name(duty)
+                        self.name(key)
                     );
                     todo.push(Do::Say {
                         level: Level::Info,
                         line,
                     });
                 }
-                lease::Out::Lost { duty, epoch, why } => {
-                    if let Some(n) = self.duties.iter().position(|d| d.mark == duty)
+                lease::Action::Lost { key, epoch, reason } => {
+                    if let Some(n) = self.duties.iter().position(|d| d.mark == key)
                         && std::mem::take(&mut self.out[n])
                     {
                         todo.push(Do::Drop { n });
                     }
-                    if why == Why::Left {
-                        self.peers.note(Note {
-                            topic: duty,
-                            number: epoch,
+                    if reason == LossReason::Released {
+                        self.peers.publish_fact(GossipFact {
+                            topic: key,
+                            version: epoch,
                             holder: None,
                         });
                     }
-                    let why = match why {
-                        Why::RanOut => "no majority renewed it in time",
-                        Why::Left => "given up",
-                        Why::Outrun => "a higher epoch is known elsewhere",
+                    let why = match reason {
+                        LossReason::Expired => "no majority renewed it in time",
+                        LossReason::Released => "given up",
+                        LossReason::Superseded => "a higher epoch is known elsewhere",
                     };
                     let line = format!(
                         "duty {} is no longer owned here (epoch {epoch}): {why}",
-                        self.name(duty)
+                        self.name(key)
                     );
                     todo.push(Do::Say {
                         level: Level::Info,
@@ -532,7 +563,7 @@
         }
     }
 
-    fn name(&self, duty: Duty) -> &str {
+    fn name(&self, duty: LeaseKey) -> &str {
         self.duties
             .iter()
             .find(|d| d.mark == duty)
@@ -547,15 +578,15 @@
         self.counted_at = now;
         let count = |standing| {
             self.peers
-                .known()
+                .members()
                 .iter()
-                .filter(|k| k.standing == standing)
+                .filter(|k| k.state == standing)
                 .count()
         };
         let counted = (
-            count(Standing::Here),
-            count(Standing::Doubt),
-            count(Standing::Gone),
+            count(MemberState::Alive),
+            count(MemberState::Suspect),
+            count(MemberState::Dead),
         );
         if counted != self.counted {
             self.counted = counted;
@@ -570,34 +601,34 @@
         }
     }
 
-    pub fn status(&mut self, times: Times) -> Value {
+    pub fn status(&mut self, clocks: Clocks) -> Value {
         let standing = |standing| match standing {
-            Standing::Here => "here",
-            Standing::Doubt => "doubt",
-            Standing::Gone => "gone",
+            MemberState::Alive => "here",
+            MemberState::Suspect => "doubt",
+            MemberState::Dead => "gone",
         };
-        let known = self.peers.known().iter().enumerate();
+        let known = self.peers.members().iter().enumerate();
         let members: Vec<Value> = known
-            .map(|(n, known)| json!({ "n": n, "standing": standing(known.standing), "incarnation": known.incarnation }))
+            .map(|(n, known)| json!({ "n": n, "standing": standing(known.state), "incarnation": known.incarnation }))
             .collect();
         let mut duties = Vec::new();
         for duty in &self.duties {
-            let owned = self.lease.owned(times, duty.mark);
-            let note = self.peers.note_of(duty.mark);
+            let owned = self.lease.ownership(clocks, duty.mark);
+            let note = self.peers.fact(duty.mark);
             let owner = owned.map(|_| self.me).or(note.and_then(|note| note.holder));
             duties.push(json!({
                 "name": duty.name, "owner": owner, "here": owned.is_some(),
-                "epoch": owned.map(|(epoch, _)| epoch).or(note.map(|note| note.number)),
+                "epoch": owned.map(|(epoch, _)| epoch).or(note.map(|note| note.version)),
                 "left_ms": owned.map(|(_, left)| left.as_millis() as u64),
-                "voters": lease::council(duty.mark, members.len(), self.lease.voters()),
+                "voters": lease::voters_for(duty.mark, members.len(), self.lease.voters()),
             }));
         }
         let counts = self.peers.counts();
         json!({
-            "me": self.me, "incarnation": self.peers.incarnation(), "mute": self.lease.mute(times),
+            "me": self.me, "incarnation": self.peers.incarnation(), "mute": self.lease.is_recovering(clocks),
             "members": members, "duties": duties,
-            "datagrams": { "sent": self.sent, "heard": self.heard, "held_back": counts.held_back },
-            "doubts": counts.doubts, "doubts_refuted": counts.refuted, "seconds": times.steady.as_secs_f64(),
+            "datagrams": { "sent": self.sent, "heard": self.heard, "held_back": counts.rate_limited },
+            "doubts": counts.suspicions, "doubts_refuted": counts.refuted, "seconds": clocks.monotonic.as_secs_f64(),
         })
     }
 }
--- a/crates/passroad/src/fleet/part/tests.rs
+++ b/crates/passroad/src/fleet/part/tests.rs
@@ -4,9 +4,9 @@
 const MS: Duration = Duration::from_millis(1);
 const LEASE: Duration = Duration::from_secs(1);
 
-fn at(ms: u32) -> Times {
-    Times {
-        steady: MS * ms,
+fn at(ms: u32) -> Clocks {
+    Clocks {
+        monotonic: MS * ms,
         wall: MS * (1_000_000 + ms),
     }
 }
@@ -66,10 +66,10 @@
 #[rstest]
 #[case::both_clocks(8000, 8000)]
 #[case::wall_clock_alone(1, 8000)]
-fn what_slept_past_its_lease_drops_what_was_out(#[case] steady: u32, #[case] wall: u32) {
+fn what_slept_past_its_lease_drops_what_was_out(#[case] monotonic: u32, #[case] wall: u32) {
     let (mut part, ms, epoch) = owning();
-    let woken = Times {
-        steady: at(ms + steady).steady,
+    let woken = Clocks {
+        monotonic: at(ms + monotonic).monotonic,
         wall: at(ms + wall).wall,
     };
     assert_eq!(part.owned(woken, 0), None);
--- a/crates/passroad/src/fleet/status.rs
+++ b/crates/passroad/src/fleet/status.rs
@@ -1,7 +1,7 @@
 //! What operators are told of the fleet: asked for at their door, answered by the fleet's thread.
 
 use super::work::Those;
-use passroad_upkeep::{Refusal, Word};
+use passroad_upkeep::{Message, Rejection};
 use serde_json::Value;
 use std::fmt::Write as _;
 use std::io::{Read, Write as _};
@@ -24,8 +24,8 @@
     Those(Those, oneshot::Sender<Vec<String>>),
     /// An operator asks for machines, or gives a word on one; answered once the conductor has it.
     Operator {
-        word: Word,
-        answer: oneshot::Sender<Option<Refusal>>,
+        word: Message,
+        answer: oneshot::Sender<Option<Rejection>>,
     },
     /// Answered once this sidecar knows what is out for work.
     Informed(oneshot::Sender<()>),
@@ -68,7 +68,7 @@
     }
 
     /// None where no conductor has answered yet: the request stands, and goes on being said.
-    pub async fn operator(&self, word: Word) -> Option<Option<Refusal>> {
+    pub async fn operator(&self, word: Message) -> Option<Option<Rejection>> {
         self.answer(|answer| Ask::Operator { word, answer }, ANSWER_WITHIN)
             .await
     }
--- a/crates/passroad/src/fleet/talk.rs
+++ b/crates/passroad/src/fleet/talk.rs
@@ -10,8 +10,8 @@
 use super::status::{Ask, Asked};
 use super::work::{self, Machines};
 use crate::stop::{Stage, Stages, reached};
-use passroad_lease::{Epoch, Times};
-use passroad_upkeep::{Machine, Refusal, Upkeep, Word};
+use passroad_lease::{Clocks, Epoch};
+use passroad_upkeep::{MachineId, MaintenanceManager, Message, Rejection};
 use std::collections::{BTreeSet, HashMap};
 use std::net::SocketAddr;
 use std::time::{Duration, SystemTime};
@@ -42,10 +42,10 @@
     machines: Option<Machines>,
     looked: Instant,
     /// Operators who wait for the conductor's answer.
-    operators: HashMap<u64, oneshot::Sender<Option<Refusal>>>,
+    operators: HashMap<u64, oneshot::Sender<Option<Rejection>>>,
     informed: Vec<oneshot::Sender<()>>,
     /// Bans on what was never listed here.
-    unlisted: BTreeSet<Machine>,
+    unlisted: BTreeSet<MachineId>,
     /// Who else is told what is thought of members.
     turns: Option<UnboundedSender<Turned>>,
 }
@@ -65,7 +65,7 @@
         machines: Option<Machines>,
     ) -> Talk {
         // The time of the start: later processes of this name have a higher one.
-        let incarnation = passroad_peers::begun(wall());
+        let incarnation = passroad_peers::incarnation_at(wall());
         let seed = incarnation.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ (u64::from(place.me) << 32);
         let who = Who {
             me: place.me,
@@ -73,8 +73,8 @@
             incarnation,
             seed,
         };
-        let times = Times {
-            steady: Duration::ZERO,
+        let clocks = Clocks {
+            monotonic: Duration::ZERO,
             wall: wall(),
         };
         let votes = kept
@@ -89,7 +89,7 @@
             orders.lease,
             orders.period,
             duties,
-            times,
+            clocks,
             votes,
         );
         let part = match &orders.upkeep {
@@ -125,9 +125,9 @@
         Talk { turns, ..self }
     }
 
-    fn times(&self) -> Times {
-        Times {
-            steady: self.began.elapsed(),
+    fn clocks(&self) -> Clocks {
+        Clocks {
+            monotonic: self.began.elapsed(),
             wall: wall(),
         }
     }
@@ -137,13 +137,13 @@
             return;
         };
         // One more than a datagram may hold, so that a longer one is seen to be.
-        let mut bytes = [0; passroad_peers::LONGEST + 1];
+        let mut bytes = [0; passroad_peers::MAX_DATAGRAM_BYTES + 1];
         let mut leaves: Option<Instant> = None;
         loop {
-            let todo = self.part.turn(self.times());
+            let todo = self.part.turn(self.clocks());
             self.carry_out(todo);
             self.work();
-            let due = Instant::now() + self.part.wait(self.times());
+            let due = Instant::now() + self.part.wait(self.clocks());
             tokio::select! {
                 got = self.socket.recv_from(&mut bytes) => {
                     let mut got = got;
@@ -159,7 +159,7 @@
                 () = sleep_until(leaves.unwrap_or(due).min(due)) => {}
                 Some((n, epoch, what)) = came.recv() => {
                     self.calls.ended(n);
-                    let todo = self.part.ended(self.times(), n, epoch, what);
+                    let todo = self.part.ended(self.clocks(), n, epoch, what);
                     self.carry_out(todo);
                 }
                 Some(ask) = asked.recv() => self.asked(ask),
@@ -177,7 +177,7 @@
     fn asked(&mut self, ask: Ask) {
         match ask {
             Ask::Status(tell) => {
-                let mut said = self.part.status(self.times());
+                let mut said = self.part.status(self.clocks());
                 said["datagrams"]["not_heard"] = self.drops.counts();
                 drop(tell.send(said));
             }
@@ -191,7 +191,7 @@
                 drop(tell.send(those.unwrap_or_default()));
             }
             Ask::Operator { word, answer } => {
-                if let Word::Want { request, .. } | Word::Order { request, .. } = word {
+                if let Message::Schedule { request, .. } | Message::Operate { request, .. } = word {
                     self.operators.retain(|_, waits| !waits.is_closed());
                     self.operators.insert(request, answer);
                     self.part.operator(word);
@@ -203,21 +203,23 @@
 
     /// The order of work, some twenty times a second while there is one.
     fn work(&mut self) {
-        let times = self.times();
+        let clocks = self.clocks();
         let Some(machines) = &mut self.machines else {
             return;
         };
         // Guards against a fleet that starts together and has each sidecar go through the whole list twenty times a
         // second: one that is not informed yet has nothing to do with machines.
-        let busy = |upkeep: &Upkeep| upkeep.awake() && (upkeep.informed() || upkeep.conducts());
+        let busy = |upkeep: &MaintenanceManager| {
+            upkeep.is_active() && (upkeep.is_informed() || upkeep.is_coordinator())
+        };
         let every = if self.part.upkeep().is_some_and(busy) {
-            passroad_upkeep::TURN
+            passroad_upkeep::TICK_INTERVAL
         } else {
             LOOK
         };
         if self.looked.elapsed() >= every {
             self.looked = Instant::now();
-            machines.look(times.wall);
+            machines.look(clocks.wall);
             // What was banned before it was listed here.
             let machines = &*machines;
             self.unlisted
@@ -230,9 +232,13 @@
             seen: &machines.seen,
             free: &|machine| machines.free(machine),
         };
-        let todo = self.part.work(times, &view, None);
+        let todo = self.part.work(clocks, &view, None);
         self.carry_out(todo);
-        if self.part.upkeep().is_some_and(Upkeep::informed) {
+        if self
+            .part
+            .upkeep()
+            .is_some_and(MaintenanceManager::is_informed)
+        {
             for tell in self.informed.drain(..) {
                 let _ = tell.send(());
             }
@@ -241,11 +247,11 @@
 
     async fn leave(mut self) {
         let end = Instant::now() + LAST_WORDS;
-        let todo = self.part.leave(self.times());
+        let todo = self.part.leave(self.clocks());
         self.carry_out(todo);
         while Instant::now() < end {
             sleep(Duration::from_millis(10)).await;
-            let todo = self.part.turn(self.times());
+            let todo = self.part.turn(self.clocks());
             self.carry_out(todo);
         }
     }
@@ -253,17 +259,17 @@
     fn hear(&mut self, from: SocketAddr, bytes: &[u8]) {
         match self.numbers.get(&from).copied() {
             Some(member) => {
-                let times = self.times();
+                let clocks = self.clocks();
                 let todo = match &self.machines {
                     Some(machines) => {
                         let view = View {
                             seen: &machines.seen,
                             free: &|machine| machines.free(machine),
                         };
-                        self.part.hear(times, member, bytes, &view)
+                        self.part.hear(clocks, member, bytes, &view)
                     }
                     None => self.part.hear(
-                        times,
+                        clocks,
                         member,
                         bytes,
                         &View {
--- a/crates/passroad/src/fleet/work.rs
+++ b/crates/passroad/src/fleet/work.rs
@@ -4,7 +4,9 @@
 use crate::desk::Desk;
 use crate::members::Member;
 use passroad_choice::Mode;
-use passroad_upkeep::{Line, Machine, Order, Refusal, Seen, State};
+use passroad_upkeep::{
+    ListedMachine, MachineEvent, MachineId, MaintenanceState, OperatorAction, Rejection,
+};
 use serde::Deserialize;
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
@@ -23,8 +25,8 @@
 pub struct Machines {
     desk: Arc<Desk>,
     warm: Duration,
-    names: BTreeMap<Machine, String>,
-    pub seen: Vec<Seen>,
+    names: BTreeMap<MachineId, String>,
+    pub seen: Vec<ListedMachine>,
 }
 
 impl Machines {
@@ -52,16 +54,16 @@
         for (member, busy, fails) in self.desk.machines() {
             let machine = passroad_choice::door::mark(&member.id);
             let warm_at = Duration::from_millis(member.up_since_ms) + self.warm;
-            self.seen.push(Seen {
+            self.seen.push(ListedMachine {
                 machine,
                 zone: number(&mut zones, &member.locality),
                 kind: number(&mut kinds, &member.flavor),
                 size: member.size,
-                sound: member.mode() == Mode::Running
+                healthy: member.mode() == Mode::Running
                     && !fails
                     && (member.up_since_ms == 0 || wall >= warm_at),
                 cell: member.cell,
-                busy,
+                utilization: busy,
             });
             self.names.entry(machine).or_insert(member.id);
         }
@@ -83,94 +85,96 @@
     }
 
     /// Whether nothing of this sidecar's is on it now. What was never listed here got nothing from here.
-    pub fn free(&self, machine: Machine) -> bool {
+    pub fn free(&self, machine: MachineId) -> bool {
         self.names
             .get(&machine)
             .is_none_or(|id| !self.desk.uses(id))
     }
 
     /// Puts a ban into effect; false where the machine was never listed here: there is nothing to keep off yet.
-    pub fn turn(&self, machine: Machine, out: bool) -> bool {
+    pub fn turn(&self, machine: MachineId, out: bool) -> bool {
         let id = self.names.get(&machine);
         id.into_iter().for_each(|id| self.desk.turn(id, out));
         id.is_some()
     }
 
-    pub fn name(&self, machine: Machine) -> String {
+    pub fn name(&self, machine: MachineId) -> String {
         self.names
             .get(&machine)
             .cloned()
             .unwrap_or_else(|| format!("#{machine:016x}"))
     }
 
-    pub fn status(&self, upkeep: &passroad_upkeep::Upkeep) -> Value {
+    pub fn status(&self, upkeep: &passroad_upkeep::MaintenanceManager) -> Value {
         let entry = |entry: &passroad_upkeep::Entry| {
             json!({
-                "machine": self.name(entry.machine), "state": word(entry.state), "place": entry.place,
-                "epoch": entry.epoch, "step": entry.step, "ends": entry.ends, "back": entry.back,
+                "machine": self.name(entry.machine), "state": word(entry.state), "place": entry.position,
+                "epoch": entry.epoch, "step": entry.step, "ends": entry.ends_at_s, "back": entry.auto_return,
                 "request": format!("{:016x}", entry.request), "free_here": self.free(entry.machine),
             })
         };
-        let order: Vec<Value> = upkeep.book.in_order().iter().map(entry).collect();
-        json!({ "conducts": upkeep.conducts(), "informed": upkeep.informed(), "order": order })
+        let order: Vec<Value> = upkeep.operation_log.ordered().iter().map(entry).collect();
+        json!({ "conducts": upkeep.is_coordinator(), "informed": upkeep.is_informed(), "order": order })
     }
 }
 
-pub fn word(state: State) -> &'static str {
+pub fn word(state: MaintenanceState) -> &'static str {
     match state {
-        State::Queued => "queued",
-        State::Leaving => "leaving",
-        State::AtWork => "at work",
-        State::Done => "done",
-        State::Returning => "returning",
-        State::Warm => "warm",
-        State::Withdrawn => "withdrawn",
+        MaintenanceState::Queued => "queued",
+        MaintenanceState::Draining => "leaving",
+        MaintenanceState::UnderMaintenance => "at work",
+        MaintenanceState::Completed => "done",
+        MaintenanceState::WarmingUp => "returning",
+        MaintenanceState::Warm => "warm",
+        MaintenanceState::Withdrawn => "withdrawn",
     }
 }
 
 /// One line of the log, and whether somebody should look.
-pub fn line(id: &str, what: Line) -> (log::Level, String) {
+pub fn line(id: &str, what: MachineEvent) -> (log::Level, String) {
     match what {
-        Line::Moved(state) => (log::Level::Info, format!("work: {id} is {}", word(state))),
-        Line::Waits { unheard } => (
+        MachineEvent::StateChanged(state) => {
+            (log::Level::Info, format!("work: {id} is {}", word(state)))
+        }
+        MachineEvent::WaitingForReplies { missing_replies } => (
             log::Level::Warn,
             format!(
-                "work: {id} waits for {unheard} sidecars that say nothing; `passroad work force {id}` goes past them"
+                "work: {id} waits for {missing_replies} sidecars that say nothing; `passroad work force {id}` goes past them"
             ),
         ),
-        Line::Forced { unheard } => (
+        MachineEvent::Forced { not_idle } => (
             log::Level::Warn,
             format!(
-                "work: {id} is taken for empty by an operator's word; {unheard} sidecars have not said that they are off it"
+                "work: {id} is taken for empty by an operator's word; {not_idle} sidecars have not said that they are off it"
             ),
         ),
-        Line::Overdue => (
+        MachineEvent::Overdue => (
             log::Level::Warn,
             format!("work: {id} is out for longer than was asked; `passroad work done {id}`"),
         ),
-        Line::PutBack => (
+        MachineEvent::Requeued => (
             log::Level::Warn,
             format!("work: {id} goes back into the queue, as others have failed"),
         ),
     }
 }
 
-pub fn refusal(refused: Refusal) -> &'static str {
+pub fn refusal(refused: Rejection) -> &'static str {
     match refused {
-        Refusal::NoMachine => "no such machine is listed, or none was named",
-        Refusal::Begun => "its work has begun; it can only be done",
-        Refusal::NotAtWork => "it is not at work",
-        Refusal::NotLeaving => "it is not leaving",
+        Rejection::UnknownMachine => "no such machine is listed, or none was named",
+        Rejection::AlreadyStarted => "its work has begun; it can only be done",
+        Rejection::NotUnderMaintenance => "it is not at work",
+        Rejection::NotDraining => "it is not leaving",
     }
 }
 
 /// What an operator may say of a machine.
-pub fn order(word: &str) -> Option<Order> {
+pub fn order(word: &str) -> Option<OperatorAction> {
     match word {
-        "withdraw" => Some(Order::Withdraw),
-        "done" => Some(Order::Done),
-        "force" => Some(Order::Force),
-        "begin" => Some(Order::Begin),
+        "withdraw" => Some(OperatorAction::Withdraw),
+        "done" => Some(OperatorAction::Complete),
+        "force" => Some(OperatorAction::Force),
+        "begin" => Some(OperatorAction::Bootstrap),
         _ => None,
     }
 }
--- a/crates/passroad/src/management.rs
+++ b/crates/passroad/src/management.rs
@@ -235,10 +235,13 @@
         None => {}
     }
     if request.machines.is_empty()
-        || request.machines.len() > passroad_upkeep::MOST_ASKED
+        || request.machines.len() > passroad_upkeep::MAX_MACHINES_PER_REQUEST
         || !(1..=LONGEST_WORK).contains(&request.for_s)
     {
-        let (count, most) = (request.machines.len(), passroad_upkeep::MOST_ASKED);
+        let (count, most) = (
+            request.machines.len(),
+            passroad_upkeep::MAX_MACHINES_PER_REQUEST,
+        );
         let what =
             format!("from 1 to {most} machines, for a second to thirty days; these are {count}");
         return said(StatusCode::BAD_REQUEST, &what);
@@ -247,10 +250,10 @@
     let name = request
         .name
         .unwrap_or_else(|| format!("{:?}", std::time::SystemTime::now()));
-    let word = passroad_upkeep::Word::Want {
+    let word = passroad_upkeep::Message::Schedule {
         request: mark(&name),
-        lasts: request.for_s,
-        back: request.back,
+        duration_s: request.for_s,
+        auto_return: request.back,
         machines: request.machines.iter().map(|id| mark(id)).collect(),
     };
     told(fleet.operator(word).await, "taken into the order")
@@ -281,16 +284,16 @@
     if word == "force" || word == "begin" {
         log::warn!("fleet: work: an operator says {word} {}", of.machine);
     }
-    let word = passroad_upkeep::Word::Order {
+    let word = passroad_upkeep::Message::Operate {
         request,
         machine: mark(&of.machine),
-        what,
+        action: what,
     };
     told(fleet.operator(word).await, "done")
 }
 
 /// The conductor's answer to an operator.
-fn told(answer: Option<Option<passroad_upkeep::Refusal>>, yes: &str) -> Response {
+fn told(answer: Option<Option<passroad_upkeep::Rejection>>, yes: &str) -> Response {
     match answer {
         Some(None) => said(StatusCode::OK, yes),
         Some(Some(refused)) => said(StatusCode::CONFLICT, fleet::refusal(refused)),
