--- a/crates/passroad/src/body.rs
+++ b/crates/passroad/src/body.rs
@@ -1,6 +1,6 @@
 //! Bodies on their way: held whole where they are short, else passed on as they come, each with its own clock.
 
-use crate::relay::{Link, Open};
+use crate::relay::{EndpointPool, ExchangeGuard};
 use axum::body::Body;
 use bytes::Bytes;
 use hyper::body::{Body as _, Frame, Incoming, SizeHint};
@@ -15,10 +15,10 @@
 use tokio::time::{Instant, Sleep, sleep, sleep_until};
 
 /// Of an answer that is held whole.
-pub const LONGEST_HELD: usize = 64 << 10;
+pub const MAX_BUFFERED_RESPONSE_BYTES: usize = 64 << 10;
 /// Of a command's body, as long as there is room: so its endpoint is chosen when it is there, and it can be sent again.
-pub const LONGEST_KEPT: usize = 1 << 20;
-pub const LONGEST_BODY: usize = 32 << 20;
+pub const MAX_BUFFERED_REQUEST_BYTES: usize = 1 << 20;
+pub const MAX_BODY_BYTES: usize = 32 << 20;
 /// Clients send at least 64 kB a second; a fifth less is not held against one.
 const SLOWEST: f64 = 0.8 * 64_000.0; // bytes a second
 const BODY_GRACE: Duration = Duration::from_secs(1);
@@ -28,7 +28,7 @@
 type Fault = Box<dyn Error + Send + Sync>;
 
 /// Counts the time that is spent waiting for a client against the bytes that came.
-pub struct Patience {
+pub struct MinRateTimer {
     waited: Duration,
     since: Option<Instant>,
     least: Duration, // of the wait, whatever comes
@@ -36,10 +36,10 @@
     timer: Option<Pin<Box<Sleep>>>,
 }
 
-impl Patience {
+impl MinRateTimer {
     pub fn new(least: Duration) -> Self {
         let least = least.max(BODY_GRACE);
-        Patience {
+        MinRateTimer {
             waited: Duration::ZERO,
             since: None,
             least,
@@ -79,15 +79,15 @@
         &mut self,
         body: &mut Body,
         cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Bytes, Ill>>> {
+    ) -> Poll<Option<Result<Bytes, BodyError>>> {
         loop {
             return match Pin::new(&mut *body).poll_frame(cx) {
                 Poll::Pending => {
                     ready!(self.poll_over(cx));
-                    Poll::Ready(Some(Err(Ill::Slow)))
+                    Poll::Ready(Some(Err(BodyError::Slow)))
                 }
                 Poll::Ready(None) => Poll::Ready(None),
-                Poll::Ready(Some(Err(_))) => Poll::Ready(Some(Err(Ill::Broken))),
+                Poll::Ready(Some(Err(_))) => Poll::Ready(Some(Err(BodyError::Broken))),
                 Poll::Ready(Some(Ok(frame))) => match frame.into_data() {
                     Ok(data) => {
                         self.came(data.len());
@@ -103,7 +103,7 @@
 
 /// What is wrong with a client's body.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Ill {
+pub enum BodyError {
     Slow,
     TooLong,
     Broken,
@@ -111,13 +111,13 @@
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum State {
-    Coming,
-    Whole(Instant),
-    Ill(Ill),
+    Receiving,
+    Complete(Instant),
+    Failed(BodyError),
 }
 
 /// A client's long body, of which one relay is given all; what no relay takes is read and dropped.
-pub struct Coming {
+pub struct StreamedUpload {
     rest: Mutex<Rest>,
     hint: SizeHint,
     came: AtomicUsize,
@@ -129,18 +129,18 @@
 struct Rest {
     first: Option<Bytes>,
     body: Body,
-    patience: Patience,
+    patience: MinRateTimer,
 }
 
-impl Coming {
+impl StreamedUpload {
     /// `first` is what has been read of it.
-    pub fn new(first: Bytes, body: Body, patience: Patience) -> Arc<Self> {
+    pub fn new(first: Bytes, body: Body, patience: MinRateTimer) -> Arc<Self> {
         let mut hint = SizeHint::new();
         if let Some(left) = body.size_hint().exact() {
             hint.set_exact(left + first.len() as u64);
         }
         let first = Some(first).filter(|first| !first.is_empty());
-        Arc::new(Coming {
+        Arc::new(StreamedUpload {
             rest: Mutex::new(Rest {
                 first,
                 body,
@@ -150,11 +150,11 @@
             came: AtomicUsize::new(0),
             spent: AtomicBool::new(false),
             drains: AtomicBool::new(false),
-            state: watch::channel(State::Coming).0,
+            state: watch::channel(State::Receiving).0,
         })
     }
 
-    fn poll_next(&self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, Ill>>> {
+    fn poll_next(&self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, BodyError>>> {
         let mut rest = self.rest.lock().unwrap_or_else(PoisonError::into_inner);
         let Rest {
             first,
@@ -167,24 +167,24 @@
         };
         let next = match next {
             Some(Ok(data))
-                if self.came.fetch_add(data.len(), Relaxed) + data.len() > LONGEST_BODY =>
+                if self.came.fetch_add(data.len(), Relaxed) + data.len() > MAX_BODY_BYTES =>
             {
-                Some(Err(Ill::TooLong))
+                Some(Err(BodyError::TooLong))
             }
             next => next,
         };
         match &next {
             // Of a stated length the end is not asked for.
             Some(Ok(_)) if self.hint.exact() == Some(self.came.load(Relaxed) as u64) => {
-                self.state.send_replace(State::Whole(Instant::now()));
+                self.state.send_replace(State::Complete(Instant::now()));
             }
             Some(Ok(_)) => {}
-            Some(Err(ill)) => drop(self.state.send_replace(State::Ill(*ill))),
+            Some(Err(ill)) => drop(self.state.send_replace(State::Failed(*ill))),
             None => {
                 self.state.send_if_modified(|state| {
-                    let new = *state == State::Coming;
+                    let new = *state == State::Receiving;
                     *state = if new {
-                        State::Whole(Instant::now())
+                        State::Complete(Instant::now())
                     } else {
                         *state
                     };
@@ -196,19 +196,19 @@
     }
 
     /// Whether part of it has gone out and is gone.
-    pub fn spent(&self) -> bool {
+    pub fn is_partly_sent(&self) -> bool {
         self.spent.load(Relaxed)
     }
 
     /// So many bytes at least are on the wire once it is written; none as long as it is not whole.
-    pub fn least(&self) -> Option<usize> {
-        self.since().map(|_| self.came.load(Relaxed))
+    pub fn complete_len(&self) -> Option<usize> {
+        self.completed_at().map(|_| self.came.load(Relaxed))
     }
 
     /// Since when it is whole.
-    pub fn since(&self) -> Option<Instant> {
+    pub fn completed_at(&self) -> Option<Instant> {
         match *self.state.borrow() {
-            State::Whole(since) => Some(since),
+            State::Complete(since) => Some(since),
             _ => None,
         }
     }
@@ -219,29 +219,30 @@
         state
             .wait_for(|state| wanted(*state))
             .await
-            .map_or(State::Coming, |state| *state)
+            .map_or(State::Receiving, |state| *state)
     }
 
     /// Ends when all of it has come.
-    pub async fn whole(&self) {
-        self.turned(|state| matches!(state, State::Whole(_))).await;
+    pub async fn completed(&self) {
+        self.turned(|state| matches!(state, State::Complete(_)))
+            .await;
     }
 
     /// Ends when it turns out that it can't be used.
-    pub async fn ill(&self) -> Ill {
-        match self.turned(|state| matches!(state, State::Ill(_))).await {
-            State::Ill(ill) => ill,
-            _ => Ill::Broken,
+    pub async fn failed(&self) -> BodyError {
+        match self.turned(|state| matches!(state, State::Failed(_))).await {
+            State::Failed(ill) => ill,
+            _ => BodyError::Broken,
         }
     }
 
     /// Ends when nothing has been taken of it for long, though it is not whole. Guards against an endpoint that stops
     /// reading: nothing else would end its relay.
-    pub async fn stuck(&self) {
+    pub async fn stalled(&self) {
         loop {
             let before = self.came.load(Relaxed);
             sleep(LONG_STALL).await;
-            if self.came.load(Relaxed) == before && *self.state.borrow() == State::Coming {
+            if self.came.load(Relaxed) == before && *self.state.borrow() == State::Receiving {
                 return;
             }
         }
@@ -254,59 +255,59 @@
         while let Some(Ok(_)) = std::future::poll_fn(|cx| self.poll_next(cx)).await {}
     }
 
-    pub fn ended(&self) -> bool {
-        *self.state.borrow() != State::Coming
+    pub fn is_finished(&self) -> bool {
+        *self.state.borrow() != State::Receiving
     }
 
-    pub fn is_ill(&self) -> Option<Ill> {
+    pub fn failure(&self) -> Option<BodyError> {
         match *self.state.borrow() {
-            State::Ill(ill) => Some(ill),
+            State::Failed(ill) => Some(ill),
             _ => None,
         }
     }
 }
 
 /// A body as it goes out to an endpoint, or back to a client.
-pub enum Load {
-    Held(Option<Bytes>),
-    Upload(Arc<Coming>),
-    Long(Box<Long>),
+pub enum RelayBody {
+    Buffered(Option<Bytes>),
+    Upload(Arc<StreamedUpload>),
+    Streamed(Box<StreamedResponse>),
 }
 
-impl From<Bytes> for Load {
+impl From<Bytes> for RelayBody {
     fn from(bytes: Bytes) -> Self {
-        Load::Held(Some(bytes).filter(|bytes| !bytes.is_empty()))
+        RelayBody::Buffered(Some(bytes).filter(|bytes| !bytes.is_empty()))
     }
 }
 
-impl Default for Load {
+impl Default for RelayBody {
     fn default() -> Self {
-        Load::Held(None)
+        RelayBody::Buffered(None)
     }
 }
 
-impl Load {
+impl RelayBody {
     /// What is held of it.
-    pub fn held(self) -> Bytes {
+    pub fn into_buffered(self) -> Bytes {
         match self {
-            Load::Held(Some(bytes)) => bytes,
+            RelayBody::Buffered(Some(bytes)) => bytes,
             _ => Bytes::new(),
         }
     }
 }
 
 /// The rest of a long answer. Its client can tell when it is cut off: the length or the last chunk is missing.
-pub struct Long {
+pub struct StreamedResponse {
     pub first: Option<Bytes>,
     pub rest: Incoming,
-    pub way: Open,
+    pub guard: ExchangeGuard,
     pub left: usize, // that may still come
     pub stall: Option<Pin<Box<Sleep>>>,
     /// Its endpoint counts as in use until it has ended.
-    pub link: Option<Link>,
+    pub link: Option<EndpointPool>,
 }
 
-impl Long {
+impl StreamedResponse {
     fn poll_next(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, Fault>>> {
         if let Some(first) = self.first.take() {
             return Poll::Ready(Some(Ok(first)));
@@ -321,7 +322,7 @@
             };
             self.stall = None;
             let Some(frame) = frame else {
-                self.way.answered();
+                self.guard.response_complete();
                 return Poll::Ready(None);
             };
             let Ok(data) = frame?.into_data() else {
@@ -333,14 +334,14 @@
             self.left = left;
             // Of a stated length the end is not asked for.
             if self.rest.is_end_stream() {
-                self.way.answered();
+                self.guard.response_complete();
             }
             return Poll::Ready(Some(Ok(data)));
         }
     }
 }
 
-impl hyper::body::Body for Load {
+impl hyper::body::Body for RelayBody {
     type Data = Bytes;
     type Error = Fault;
 
@@ -349,30 +350,34 @@
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, Fault>>> {
         let next = match self.get_mut() {
-            Load::Held(held) => held.take().map(Ok),
-            Load::Upload(coming) if coming.drains.load(Relaxed) => Some(Err("given up".into())),
-            Load::Upload(coming) => {
+            RelayBody::Buffered(held) => held.take().map(Ok),
+            RelayBody::Upload(coming) if coming.drains.load(Relaxed) => {
+                Some(Err("given up".into()))
+            }
+            RelayBody::Upload(coming) => {
                 let next = ready!(coming.poll_next(cx));
                 coming.spent.fetch_or(next.is_some(), Relaxed);
                 next.map(|data| data.map_err(|ill| format!("the client's body: {ill:?}").into()))
             }
-            Load::Long(long) => ready!(long.poll_next(cx)),
+            RelayBody::Streamed(long) => ready!(long.poll_next(cx)),
         };
         Poll::Ready(next.map(|data| data.map(Frame::data)))
     }
 
     fn is_end_stream(&self) -> bool {
         match self {
-            Load::Held(held) => held.is_none(),
+            RelayBody::Buffered(held) => held.is_none(),
             _ => false,
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            Load::Held(held) => SizeHint::with_exact(held.as_ref().map_or(0, Bytes::len) as u64),
-            Load::Upload(coming) => coming.hint,
-            Load::Long(long) => {
+            RelayBody::Buffered(held) => {
+                SizeHint::with_exact(held.as_ref().map_or(0, Bytes::len) as u64)
+            }
+            RelayBody::Upload(coming) => coming.hint,
+            RelayBody::Streamed(long) => {
                 let (first, mut hint) = (
                     long.first.as_ref().map_or(0, Bytes::len) as u64,
                     SizeHint::new(),
@@ -387,12 +392,12 @@
 }
 
 /// An answer's body on its way to a client; `then` is called once it has been handed over, or dropped.
-pub struct Passing<F: FnOnce()> {
+pub struct NotifyOnDrop<F: FnOnce()> {
     pub body: Body,
     pub then: Option<F>,
 }
 
-impl<F: FnOnce() + Unpin> hyper::body::Body for Passing<F> {
+impl<F: FnOnce() + Unpin> hyper::body::Body for NotifyOnDrop<F> {
     type Data = Bytes;
     type Error = axum::Error;
 
@@ -412,7 +417,7 @@
     }
 }
 
-impl<F: FnOnce()> Drop for Passing<F> {
+impl<F: FnOnce()> Drop for NotifyOnDrop<F> {
     fn drop(&mut self) {
         if let Some(then) = self.then.take() {
             then();
--- a/crates/passroad/src/desk.rs
+++ b/crates/passroad/src/desk.rs
@@ -2,7 +2,7 @@
 //! here, and each action goes from here to its owner: commands, links, discovery, timers.
 
 use crate::members::{Call, Known, List, Member};
-use crate::relay::{Dialer, Link};
+use crate::relay::{Dialer, EndpointPool};
 use crate::{probe, relay};
 use passroad_choice::interner::{Interner, stable_hash};
 use passroad_choice::{
@@ -31,7 +31,7 @@
 /// What the module decides about one command.
 pub enum Order {
     Relay {
-        link: Box<Link>,
+        link: Box<EndpointPool>,
         within: Duration,
         begin: Duration,
     },
@@ -77,7 +77,7 @@
     members: Vec<Option<Member>>, // as listed last, by slot
     left: Left,
     banned: BTreeSet<String>,
-    links: Vec<Option<Link>>,
+    links: Vec<Option<EndpointPool>>,
     told_used_up: Option<Instant>,
     zones: Interner<String>,
     kinds: Interner<String>,
@@ -254,15 +254,15 @@
                 .as_mut()
                 .filter(|_| anew || member.mode() != EndpointState::Running)
             {
-                link.call_off();
+                link.cancel_unsent();
             }
             let address = member
                 .host_port
                 .filter(|_| member.mode() != EndpointState::Removed);
             if link.as_ref().map(|l| l.address) != address {
                 *link = address.map(|address| match link.take() {
-                    Some(mut link) => link.anew(address),
-                    None => Link::new(address, &self.dialer),
+                    Some(mut link) => link.replace(address),
+                    None => EndpointPool::new(address, &self.dialer),
                 });
                 match address {
                     Some(address) => log::info!(
@@ -369,7 +369,7 @@
         let link = at
             .and_then(|at| held.links.get(at))
             .and_then(Option::as_ref);
-        link.is_some_and(|link| !link.nothing_out())
+        link.is_some_and(|link| !link.is_unused())
     }
 
     /// The same for an id that another process knows.
@@ -410,7 +410,7 @@
         let Held { zones, kinds, .. } = &mut *held;
         orders.intern_names(zones, kinds);
         // Connections are kept as at the start.
-        orders.idle_close = self.dialer.idle();
+        orders.idle_close = self.dialer.idle_timeout();
         held.reports = orders.report_mode;
         let (actions, verbs) = held.balancer.retune(self.now(), orders, routes);
         self.carry_out(&mut held, actions);
@@ -469,7 +469,7 @@
                 }
                 Action::Disconnect { endpoint } => {
                     if let Some(link) = held.links.get_mut(endpoint).and_then(Option::as_mut) {
-                        *link = link.anew(link.address);
+                        *link = link.replace(link.address);
                     }
                 }
                 Action::Subscribe { active } => drop(self.calls.send(Call::Watch(active))),
@@ -490,11 +490,11 @@
         }
     }
 
-    async fn probe(self: Arc<Self>, endpoint: EndpointIndex, link: Option<Link>) {
+    async fn probe(self: Arc<Self>, endpoint: EndpointIndex, link: Option<EndpointPool>) {
         let (began, reports) = (Instant::now(), self.held().reports);
         let ended = match link {
             Some(link) => probe::run(link, reports, self.probe_within).await,
-            None => relay::Ended::from(passroad_choice::Outcome::ConnectFailed),
+            None => relay::ExchangeResult::from(passroad_choice::Outcome::ConnectFailed),
         };
         let spent = began.elapsed();
         log::debug!(
@@ -534,17 +534,17 @@
 }
 
 impl Held {
-    fn link(&mut self, endpoint: EndpointIndex, dialer: &Dialer) -> Option<Link> {
+    fn link(&mut self, endpoint: EndpointIndex, dialer: &Dialer) -> Option<EndpointPool> {
         // Guards against connections kept to some endpoints that leave none for others: where the last is
         // taken, those to endpoints with nothing out are given up.
-        if dialer.used_up() {
+        if dialer.is_exhausted() {
             let idle = self
                 .links
                 .iter_mut()
                 .flatten()
-                .filter(|link| link.nothing_out());
+                .filter(|link| link.is_unused());
             let count = idle
-                .map(|link| *link = Link::new(link.address, dialer))
+                .map(|link| *link = EndpointPool::new(link.address, dialer))
                 .count();
             if count > 0
                 && self
@@ -575,7 +575,7 @@
         {
             self.members.get_mut(at).map(Option::take);
             if let Some(mut link) = link.take() {
-                link.call_off();
+                link.cancel_unsent();
                 let id = self.endpoints.name(at).map_or("?", String::as_str);
                 log::info!("endpoint {at} ({id}) has left the list");
             }
@@ -640,7 +640,7 @@
     pub fn finished(
         &mut self,
         relay: usize,
-        ended: &relay::Ended,
+        ended: &relay::ExchangeResult,
         spent: Duration,
         concluded: bool,
     ) {
@@ -670,7 +670,7 @@
             self.out
                 .extend(matches!(order, Order::Relay { .. }).then_some(true));
         }
-        let recalled = relay::Ended::from(passroad_choice::Outcome::Cancelled);
+        let recalled = relay::ExchangeResult::from(passroad_choice::Outcome::Cancelled);
         for relay in 0..self.out.len() {
             if self.out[relay] {
                 self.finished(relay, &recalled, Duration::ZERO, true);
--- a/crates/passroad/src/fleet/calls.rs
+++ b/crates/passroad/src/fleet/calls.rs
@@ -2,8 +2,8 @@
 
 use super::orders::DutyOrder;
 use super::part::Came;
-use crate::body::Load;
-use crate::relay::{Client, Dialer};
+use crate::body::RelayBody;
+use crate::relay::{Dialer, PooledClient};
 use hyper::{Request, StatusCode};
 use passroad_lease::Epoch;
 use std::time::Duration;
@@ -16,7 +16,7 @@
 const SOCKETS: usize = 8;
 
 pub struct Calls {
-    client: Client,
+    client: PooledClient,
     out: Vec<Option<AbortHandle>>,
     done: mpsc::UnboundedSender<(usize, Epoch, Came)>,
 }
@@ -24,7 +24,9 @@
 impl Calls {
     pub fn new(duties: usize) -> (Calls, mpsc::UnboundedReceiver<(usize, Epoch, Came)>) {
         let (done, came) = mpsc::unbounded_channel();
-        let client = Dialer::new(CONNECT, IDLE, SOCKETS).unbounded().client();
+        let client = Dialer::new(CONNECT, IDLE, SOCKETS)
+            .without_size_limit()
+            .new_client();
         let out = (0..duties).map(|_| None).collect();
         (Calls { client, out, done }, came)
     }
@@ -35,7 +37,7 @@
             .header("Epoch", epoch)
             .header("Owner", me)
             .header("Content-Length", 0)
-            .body(Load::default());
+            .body(RelayBody::default());
         let (client, done) = (self.client.clone(), self.done.clone());
         let call = async move {
             let came = match request {
@@ -63,7 +65,7 @@
     }
 }
 
-async fn exchange(client: &Client, request: Request<Load>) -> Came {
+async fn exchange(client: &PooledClient, request: Request<RelayBody>) -> Came {
     match client.request(request).await {
         Err(fault) => Came::Open(fault.to_string()),
         Ok(answer) if answer.status().is_success() => Came::Done,
--- a/crates/passroad/src/frame.rs
+++ b/crates/passroad/src/framing.rs
@@ -1,7 +1,7 @@
 //! A client's connection as its bytes come. The HTTP library tells what it made of a head and hides the rest; where a
 //! request ends must not be open to two readings, here and at an endpoint, so it is looked at here as well.
 
-use crate::front::Talk;
+use crate::listener::ClientConnection;
 use std::io;
 use std::pin::Pin;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -11,7 +11,7 @@
 use tokio::net::TcpStream;
 use tokio::sync::Notify;
 
-pub const LONGEST_HEAD: usize = 16 << 10;
+pub const MAX_HEAD_BYTES: usize = 16 << 10;
 const MOST_HEADERS: usize = 100;
 
 /// Where in a request the next byte belongs.
@@ -30,12 +30,12 @@
 }
 
 /// How far a connection's present request has come.
-pub struct Frame {
+pub struct RequestFraming {
     reading: Mutex<Reading>,
     comes: Notify,
 }
 
-impl Default for Frame {
+impl Default for RequestFraming {
     fn default() -> Self {
         let reading = Reading {
             part: Part::Head(Vec::new()),
@@ -43,66 +43,66 @@
             head_since: None,
             ahead: false,
         };
-        Frame {
+        RequestFraming {
             reading: Mutex::new(reading),
             comes: Notify::new(),
         }
     }
 }
 
-impl Frame {
+impl RequestFraming {
     fn reading(&self) -> MutexGuard<'_, Reading> {
         self.reading.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn saw(&self, bytes: &[u8]) {
+    fn record(&self, bytes: &[u8]) {
         let mut reading = self.reading();
-        reading.saw(bytes);
+        reading.record(bytes);
         if reading.ahead {
             self.comes.notify_one();
         }
     }
 
     /// Whether the length is stated more than once, or beside chunks.
-    pub fn two_lengths(&self) -> bool {
+    pub fn has_ambiguous_length(&self) -> bool {
         self.reading().two_lengths
     }
 
     /// Whether part of a head has come, and no more.
-    pub fn in_head(&self) -> bool {
+    pub fn has_partial_head(&self) -> bool {
         matches!(&self.reading().part, Part::Head(head) if !head.is_empty())
     }
 
     /// Where a head is awaited: since when a part of it has been there.
-    pub fn awaits_head(&self) -> Option<Option<Instant>> {
+    pub fn awaiting_head(&self) -> Option<Option<Instant>> {
         let reading = self.reading();
         matches!(reading.part, Part::Head(_)).then_some(reading.head_since)
     }
 
     /// Whether the request said that more would come.
-    pub fn unread(&self) -> bool {
+    pub fn expects_body(&self) -> bool {
         matches!(&self.reading().part, Part::Body(_) | Part::Chunks)
     }
 
     /// Whether nothing that comes after the present request may be taken for the next.
-    pub fn ends_here(&self) -> bool {
+    pub fn must_close(&self) -> bool {
         let reading = self.reading();
         reading.ahead || !matches!(reading.part, Part::Over)
     }
 
-    pub fn came_ahead(&self) -> bool {
+    pub fn has_early_bytes(&self) -> bool {
         self.reading().ahead
     }
 
     /// Ends when something comes where nothing is due.
-    pub async fn ahead(&self) {
+    pub async fn early_bytes(&self) {
         while !self.reading().ahead {
             self.comes.notified().await;
         }
     }
 
     /// The answer is there: what comes now is the next head.
-    pub fn answered(&self) {
+    pub fn response_sent(&self) {
         let mut reading = self.reading();
         if matches!(reading.part, Part::Over) && !reading.ahead {
             (reading.part, reading.head_since) = (Part::Head(Vec::new()), None);
@@ -111,7 +111,7 @@
 }
 
 impl Reading {
-    fn saw(&mut self, mut bytes: &[u8]) {
+    fn record(&mut self, mut bytes: &[u8]) {
         while !bytes.is_empty() {
             match &mut self.part {
                 Part::Head(head) => {
@@ -120,7 +120,7 @@
                     head.extend_from_slice(bytes);
                     let (size, part, two) = match heads_end(head) {
                         Some(read) => read,
-                        None if head.len() <= LONGEST_HEAD => return,
+                        None if head.len() <= MAX_HEAD_BYTES => return,
                         // The library turns it away.
                         None => (head.len(), Part::Over, false),
                     };
@@ -175,21 +175,21 @@
 }
 
 /// A client's stream. The look before a relay asks the system about it; nobody else reads or writes.
-pub type Shared = Arc<Mutex<TcpStream>>;
+pub type SharedStream = Arc<Mutex<TcpStream>>;
 
 /// The stream, each byte shown to its frame.
-pub struct Watched {
-    pub stream: Shared,
-    pub talk: Arc<Talk>,
+pub struct FramedStream {
+    pub stream: SharedStream,
+    pub talk: Arc<ClientConnection>,
 }
 
-impl Watched {
+impl FramedStream {
     fn stream(&self) -> MutexGuard<'_, TcpStream> {
         self.stream.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-impl AsyncRead for Watched {
+impl AsyncRead for FramedStream {
     fn poll_read(
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -197,12 +197,12 @@
     ) -> Poll<io::Result<()>> {
         let before = buf.filled().len();
         let read = Pin::new(&mut *self.stream()).poll_read(cx, buf);
-        self.talk.frame.saw(&buf.filled()[before..]);
+        self.talk.framing.record(&buf.filled()[before..]);
         read
     }
 }
 
-impl AsyncWrite for Watched {
+impl AsyncWrite for FramedStream {
     fn poll_write(
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
--- a/crates/passroad/src/handover.rs
+++ b/crates/passroad/src/handover.rs
@@ -1,8 +1,8 @@
 //! An upgrade: a process that starts takes the listening socket and what is known from the one beside it, and the two
 //! tell each other of bans until the old one ends.
 
-use crate::claims::{Claims, Turned};
 use crate::desk::Desk;
+use crate::in_flight::{IdChange, InFlightIds};
 use crate::members::Known;
 use crate::stop::{Stage, Stages};
 use rustix::fd::OwnedFd;
@@ -172,7 +172,7 @@
 /// The process's part in upgrades, before and after it.
 pub struct Handover {
     desk: Arc<Desk>,
-    claims: Arc<Claims>,
+    claims: Arc<InFlightIds>,
     stages: Stages,
     listen: SocketAddr,
     socket: OwnedFd, // a copy, to be handed on
@@ -184,7 +184,7 @@
 impl Handover {
     pub fn new(
         desk: Arc<Desk>,
-        claims: Arc<Claims>,
+        claims: Arc<InFlightIds>,
         stages: Stages,
         socket: TcpListener,
         room: Box<dyn Room>,
@@ -313,7 +313,7 @@
                 .unwrap_or_else(PoisonError::into_inner)
                 .push(tell);
             // So are ids that turn; those that are open now go along.
-            let ids = self.claims.follow();
+            let ids = self.claims.subscribe();
             self.give(&mut stream).await?;
             Ok::<_, io::Error>((told, ids))
         });
@@ -321,7 +321,7 @@
             Ok(Ok((told, ids))) => {
                 log::info!("the next process was handed the listening socket");
                 self.run(stream, told, ids, true).await;
-                self.claims.alone();
+                self.claims.clear_other_process();
                 if self.away.send_replace(false) {
                     self.room.give_way(false);
                     log::info!("the next process has ended; clients are taken here again");
@@ -340,7 +340,7 @@
         let known = self.desk.known(VERSION, self.listen, descriptors());
         // Guards against an id that is taken there before the first line of the link is read.
         let known = Known {
-            open: self.claims.open(),
+            open: self.claims.open_ids(),
             ..known
         };
         let state = serde_json::to_vec(&known).map_err(io::Error::other)?;
@@ -374,8 +374,8 @@
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
             .push(tell);
-        self.run(stream, told, self.claims.follow(), old).await;
-        self.claims.alone();
+        self.run(stream, told, self.claims.subscribe(), old).await;
+        self.claims.clear_other_process();
         self.links
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
@@ -387,7 +387,7 @@
         &self,
         stream: UnixStream,
         mut told: mpsc::UnboundedReceiver<Told>,
-        mut ids: mpsc::UnboundedReceiver<Turned>,
+        mut ids: mpsc::UnboundedReceiver<IdChange>,
         old: bool,
     ) {
         let (from, mut to) = stream.into_split();
@@ -407,11 +407,11 @@
                         Ok(Line::Out(id)) => self.desk.turn(&id, true),
                         Ok(Line::Back(id)) => self.desk.turn(&id, false),
                         Ok(Line::Taken(id)) => {
-                            self.claims.beside(true, id);
+                            self.claims.set_in_other_process(true, id);
                             continue;
                         }
                         Ok(Line::Given(id)) => {
-                            self.claims.beside(false, id);
+                            self.claims.set_in_other_process(false, id);
                             continue;
                         }
                         Ok(Line::Done) => {
--- a/crates/passroad/src/hollow.rs
+++ b/crates/passroad/src/hollow.rs
@@ -122,7 +122,7 @@
             let _ = calls.send(members::Call::Watch(true));
         }
         let dialer = Dialer::new(start.connect_within, start.orders.idle_close, start.sockets);
-        start.orders.idle_close = dialer.idle();
+        start.orders.idle_close = dialer.idle_timeout();
         let (moves, at) = watch::channel(start.discovery);
         let kept = Kept::of(&start, moves);
         let within = start.connect_within / 5;
--- a/crates/passroad/src/claims.rs
+++ b/crates/passroad/src/in_flight.rs
@@ -7,28 +7,28 @@
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
 
 /// What the process beside this one is told of an id: taken, or given back.
-pub type Turned = (bool, String);
+pub type IdChange = (bool, String);
 
 #[derive(Default)]
 struct Ids {
     here: HashSet<HeaderValue>,
     beside: HashSet<String>,
-    tell: Vec<UnboundedSender<Turned>>,
+    tell: Vec<UnboundedSender<IdChange>>,
 }
 
 #[derive(Default)]
-pub struct Claims(Mutex<Ids>);
+pub struct InFlightIds(Mutex<Ids>);
 
 /// An id for as long as its command is open.
-pub struct Claim(HeaderValue, Arc<Claims>);
+pub struct InFlightId(HeaderValue, Arc<InFlightIds>);
 
-impl Claims {
+impl InFlightIds {
     fn ids(&self) -> MutexGuard<'_, Ids> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// None where it is taken.
-    pub fn claim(self: &Arc<Self>, id: &HeaderValue) -> Option<Claim> {
+    pub fn claim(self: &Arc<Self>, id: &HeaderValue) -> Option<InFlightId> {
         let mut ids = self.ids();
         if !ids.beside.is_empty() && id.to_str().is_ok_and(|id| ids.beside.contains(id)) {
             return None;
@@ -36,12 +36,12 @@
         let new = ids.here.insert(id.clone());
         new.then(|| {
             ids.say(true, id);
-            Claim(id.clone(), Arc::clone(self))
+            InFlightId(id.clone(), Arc::clone(self))
         })
     }
 
     /// From here on all that turns is told; what is open first.
-    pub fn follow(&self) -> UnboundedReceiver<Turned> {
+    pub fn subscribe(&self) -> UnboundedReceiver<IdChange> {
         let (tell, told) = unbounded_channel();
         let mut ids = self.ids();
         ids.tell.retain(|tell| !tell.is_closed());
@@ -53,7 +53,7 @@
     }
 
     /// What is open here.
-    pub fn open(&self) -> Vec<String> {
+    pub fn open_ids(&self) -> Vec<String> {
         self.ids()
             .here
             .iter()
@@ -62,7 +62,7 @@
             .collect()
     }
 
-    pub fn beside(&self, taken: bool, id: String) {
+    pub fn set_in_other_process(&self, taken: bool, id: String) {
         let mut ids = self.ids();
         if taken {
             ids.beside.insert(id);
@@ -72,7 +72,7 @@
     }
 
     /// The process beside this one has ended.
-    pub fn alone(&self) {
+    pub fn clear_other_process(&self) {
         let mut ids = self.ids();
         ids.beside.clear();
         ids.tell.retain(|tell| !tell.is_closed());
@@ -89,7 +89,7 @@
     }
 }
 
-impl Drop for Claim {
+impl Drop for InFlightId {
     fn drop(&mut self) {
         let mut ids = self.1.ids();
         ids.here.remove(&self.0);
--- a/crates/passroad/src/claims/tests.rs
+++ b/crates/passroad/src/in_flight/tests.rs
@@ -3,13 +3,13 @@
 
 #[rstest]
 fn an_id_that_is_open_beside_is_not_taken_here() {
-    let (here, there) = (Arc::<Claims>::default(), Arc::<Claims>::default());
+    let (here, there) = (Arc::<InFlightIds>::default(), Arc::<InFlightIds>::default());
     let id = HeaderValue::from_static("a");
     let open = there.claim(&id).unwrap();
-    let mut told = there.follow();
+    let mut told = there.subscribe();
     let mut hear = || {
         while let Ok((taken, id)) = told.try_recv() {
-            here.beside(taken, id);
+            here.set_in_other_process(taken, id);
         }
     };
     hear();
@@ -20,6 +20,6 @@
     let _open = there.claim(&id).unwrap();
     hear();
     assert!(here.claim(&id).is_none());
-    here.alone();
+    here.clear_other_process();
     assert!(here.claim(&id).is_some());
 }
--- a/crates/passroad/src/lib.rs
+++ b/crates/passroad/src/lib.rs
@@ -2,23 +2,23 @@
 //! how the endpoints are; `desk` holds the decision module and hands what it decides to its owners.
 
 mod body;
-mod claims;
 mod command;
 mod desk;
 pub mod fleet;
-mod frame;
-mod front;
+mod framing;
 mod handover;
 pub mod hollow;
-mod intake;
+mod in_flight;
 mod list;
+mod listener;
 mod logging;
-mod look;
 mod management;
 mod members;
 mod probe;
 mod relay;
+mod request_handler;
 mod room;
+mod send_guard;
 mod start;
 mod stop;
 
@@ -304,8 +304,8 @@
     let limits = room::Limits::of(&start, before.as_ref());
     let (most_in, most_out) = (limits.now.clients, limits.now.endpoints);
     let listener = match before.as_mut().map(|before| before.listener.try_clone()) {
-        Some(Ok(listener)) => front::adopt(listener)?,
-        _ => once_free(|| front::listen(start.listen, start.management.is_some())).await?,
+        Some(Ok(listener)) => listener::adopt_socket(listener)?,
+        _ => once_free(|| listener::bind(start.listen, start.management.is_some())).await?,
     };
     // Clients don't wait for the operators' door: it opens once the process before has given it up. In an upgrade each process
     // has a door of its own.
@@ -330,12 +330,12 @@
     }
     let dialer = relay::Dialer::new(start.connect_within, start.orders.idle_close, most_out);
     // The module is to count on a connection only as long as it is kept here.
-    start.orders.idle_close = dialer.idle();
+    start.orders.idle_close = dialer.idle_timeout();
     let (moves, at) = tokio::sync::watch::channel(start.discovery);
     let kept = start::Kept::of(&start, moves);
     let orders = start.orders.clone();
     let watch = start.watch.map(|mut watch| {
-        watch.orders.idle_close = dialer.idle();
+        watch.orders.idle_close = dialer.idle_timeout();
         watch
     });
     let (every, watch) = watch.map(|watch| (watch.every, watch.orders)).unzip();
@@ -352,12 +352,13 @@
     }
     let revision = start.known.as_ref().map(|list| list.revision);
     let mut known = before.as_mut().and_then(|before| before.known.take());
-    let claims = Arc::<claims::Claims>::default();
+    let claims = Arc::<in_flight::InFlightIds>::default();
     let open = known
         .as_mut()
         .map(|known| std::mem::take(&mut known.open))
         .unwrap_or_default();
-    open.into_iter().for_each(|id| claims.beside(true, id));
+    open.into_iter()
+        .for_each(|id| claims.set_in_other_process(true, id));
     let revision = match known {
         Some(known) => desk.inherit(known),
         // An empty one, too: the module calls discovery from there on.
@@ -378,7 +379,7 @@
         called,
     ));
     let taken = Arc::clone(&claims);
-    let intake = Arc::new(intake::Intake::new(
+    let intake = Arc::new(request_handler::RequestHandler::new(
         Arc::clone(&desk),
         &orders,
         start.memory,
@@ -389,7 +390,7 @@
         let (desk, intake) = (Arc::clone(&desk), Arc::clone(&intake));
         move |start: &start::Start| {
             let numbers = desk.retune(start.orders.clone(), start.routes.clone())?;
-            intake.retune(&start.orders, &numbers);
+            intake.reconfigure(&start.orders, &numbers);
             pace.send_modify(|pace| *pace = pace.then(start::Pace::of(&start.orders)));
             Ok(())
         }
@@ -407,12 +408,12 @@
             "fleet: work: nobody has said within {INFORMED_WITHIN:?} what is out; the list alone is gone by until then"
         );
     }
-    let front = front::Front::new(most_in, start.sockets / 6, stages.clone());
+    let front = listener::ClientConnections::new(most_in, start.sockets / 6, stages.clone());
     if let Some((at, door)) = door {
         if before.is_some() {
-            intake.share(true);
+            intake.share_body_budget(true);
         }
-        let (held_back, socket) = (Mutex::default(), front::copy(&listener)?);
+        let (held_back, socket) = (Mutex::default(), listener::duplicate_socket(&listener)?);
         let (front, intake) = (Arc::clone(&front), Arc::clone(&intake));
         let room = Box::new(room::Room {
             limits,
@@ -442,7 +443,7 @@
             })),
         }
     }
-    front::serve(listener, front, intake, paces).await;
+    listener::serve(listener, front, intake, paces).await;
     desk.say_watch();
     Ok(())
 }
--- a/crates/passroad/src/list.rs
+++ b/crates/passroad/src/list.rs
@@ -1,9 +1,9 @@
 //! Discovery: one watch, renewed at once; when it breaks the module says when to call again.
 
-use crate::body::Load;
+use crate::body::RelayBody;
 use crate::desk::Desk;
 use crate::members::{Call, List, read};
-use crate::relay::{Client, Dialer};
+use crate::relay::{Dialer, PooledClient};
 use crate::start::Pace;
 use futures_util::future::{BoxFuture, select_all};
 use http_body_util::{BodyExt, Limited};
@@ -55,7 +55,7 @@
 
 impl Out {
     fn ask(
-        client: &Client,
+        client: &PooledClient,
         at: SocketAddr,
         from: Option<(u64, Duration)>,
         grace: Duration,
@@ -124,8 +124,8 @@
     mut revision: Option<u64>,
     mut calls: UnboundedReceiver<Call>,
 ) {
-    let dialer = Dialer::new(GRACE, KEPT, MOST_OVERTAKEN + 2).unbounded();
-    let mut client = dialer.client();
+    let dialer = Dialer::new(GRACE, KEPT, MOST_OVERTAKEN + 2).without_size_limit();
+    let mut client = dialer.new_client();
     let (mut watching, mut whole, mut sure) = (false, false, false);
     let (mut discovery, mut again) = (*at.borrow_and_update(), 0);
     let (mut out, mut overtaken): (Option<Out>, Vec<Out>) = (None, Vec::new());
@@ -187,7 +187,7 @@
             // Guards against a list that stays behind where discovery has moved: its revisions there may be any.
             Ok(()) = at.changed() => {
                 overtake(&mut overtaken, out.take());
-                (client, discovery, again) = (dialer.client(), *at.borrow_and_update(), 0);
+                (client, discovery, again) = (dialer.new_client(), *at.borrow_and_update(), 0);
                 (watching, whole, sure, revision) = (true, true, false, None);
                 continue;
             }
@@ -303,12 +303,16 @@
     });
 }
 
-async fn ask(client: Client, at: SocketAddr, from: Option<(u64, Duration)>) -> Result<List, Fault> {
+async fn ask(
+    client: PooledClient,
+    at: SocketAddr,
+    from: Option<(u64, Duration)>,
+) -> Result<List, Fault> {
     let query = match from {
         Some((from, hold)) => format!("?from={from}&hold_ms={}", hold.as_millis()),
         None => String::new(),
     };
-    let request = Request::get(format!("http://{at}/v1/servers{query}")).body(Load::default());
+    let request = Request::get(format!("http://{at}/v1/servers{query}")).body(RelayBody::default());
     let request = request.map_err(|e| Fault::Refused(e.to_string()))?;
     let refused = |e: &legacy::Error| e.is_connect();
     let fault = |e: legacy::Error| if refused(&e) { Fault::Refused } else { Fault::Lost }(e.to_string());
--- a/crates/passroad/src/front.rs
+++ b/crates/passroad/src/listener.rs
@@ -1,9 +1,9 @@
 //! The connections of clients: let in, watched, given back. What comes over them is read in `intake`.
 
-use crate::body::Passing;
-use crate::frame::{Frame, LONGEST_HEAD, Shared, Watched};
-use crate::intake::{Intake, ready, take};
-use crate::look::hung_up;
+use crate::body::NotifyOnDrop;
+use crate::framing::{FramedStream, MAX_HEAD_BYTES, RequestFraming, SharedStream};
+use crate::request_handler::{RequestHandler, handle_command, health};
+use crate::send_guard::peer_closed;
 use crate::start::Pace;
 use crate::stop::{Stage, Stages, reached};
 use axum::Router;
@@ -53,7 +53,7 @@
 const RESERVE: usize = 16;
 const SHORT_FOR: Duration = Duration::from_secs(10);
 
-pub struct Front {
+pub struct ClientConnections {
     most: AtomicUsize,           // connections of clients
     short: Mutex<Option<Short>>, // descriptors have run out lately
     taking: watch::Sender<bool>, // no longer once another process does
@@ -90,7 +90,7 @@
 
 /// Listens; waits a little for a process that still has the address.
 /// With `beside`, another process may have the address, too.
-pub async fn listen(at: SocketAddr, beside: bool) -> Result<TcpListener, String> {
+pub async fn bind(at: SocketAddr, beside: bool) -> Result<TcpListener, String> {
     let began = Instant::now();
     loop {
         let socket = if at.is_ipv4() {
@@ -118,7 +118,7 @@
 }
 
 /// The socket that another process listens on, too.
-pub fn adopt(socket: std::net::TcpListener) -> Result<TcpListener, String> {
+pub fn adopt_socket(socket: std::net::TcpListener) -> Result<TcpListener, String> {
     let adopted = socket
         .set_nonblocking(true)
         .and_then(|()| TcpListener::from_std(socket));
@@ -126,16 +126,16 @@
 }
 
 /// The same socket once more.
-pub fn copy(listener: &TcpListener) -> Result<std::net::TcpListener, String> {
+pub fn duplicate_socket(listener: &TcpListener) -> Result<std::net::TcpListener, String> {
     let copy = socket2::SockRef::from(listener)
         .try_clone()
         .map_err(|e| format!("listen: {e}"))?;
     Ok(copy.into())
 }
 
-impl Front {
+impl ClientConnections {
     pub fn new(most: usize, most_kept: usize, stages: Stages) -> Arc<Self> {
-        Arc::new(Front {
+        Arc::new(ClientConnections {
             most: AtomicUsize::new(most),
             short: Mutex::new(None),
             taking: watch::channel(true).0,
@@ -150,11 +150,11 @@
     }
 
     /// Takes connections, or leaves them to another process: those that there are end with their next answer.
-    pub fn take(&self, taking: bool) {
+    pub fn set_accepting(&self, taking: bool) {
         self.taking.send_replace(taking);
     }
 
-    pub fn widen(&self, most: usize) {
+    pub fn raise_limit(&self, most: usize) {
         self.most.store(most, Relaxed);
         self.left.notify_one();
     }
@@ -210,13 +210,13 @@
 /// Accepts and serves until the stop is through.
 pub async fn serve(
     listener: TcpListener,
-    front: Arc<Front>,
-    intake: Arc<Intake>,
+    front: Arc<ClientConnections>,
+    intake: Arc<RequestHandler>,
     paces: watch::Receiver<Pace>,
 ) {
     let router = Router::new()
-        .route("/healthz", get(ready))
-        .fallback(take)
+        .route("/healthz", get(health))
+        .fallback(handle_command)
         .with_state(Arc::clone(&intake));
     let (mut stages, mut taking) = (front.stages.clone(), front.taking.subscribe());
     let mut full = None; // since when some may wait in the backlog
@@ -264,7 +264,7 @@
     let mut over = stages.clone();
     tokio::spawn(async move {
         reached(&mut over, Stage::Over).await;
-        intake.out_of_time();
+        intake.expire_open_commands();
     });
     let longest = paces.borrow().longest;
     match timeout(longest + Duration::from_secs(1), all_closed).await {
@@ -274,10 +274,10 @@
 }
 
 /// Counts a connection for as long as it is open.
-struct Place(Arc<Front>);
+struct Place(Arc<ClientConnections>);
 
 impl Place {
-    fn take(front: &Arc<Front>) -> Self {
+    fn take(front: &Arc<ClientConnections>) -> Self {
         front.open.fetch_add(1, Relaxed);
         Place(Arc::clone(front))
     }
@@ -291,11 +291,11 @@
 }
 
 /// Counts a connection for as long as it is kept for a next command.
-struct Kept(Arc<Front>);
+struct Kept(Arc<ClientConnections>);
 
 impl Kept {
     /// None where enough are kept.
-    fn one_more(front: &Arc<Front>) -> Option<Self> {
+    fn one_more(front: &Arc<ClientConnections>) -> Option<Self> {
         let few = front.kept.load(Relaxed) < front.most_kept;
         few.then(|| {
             front.kept.fetch_add(1, Relaxed);
@@ -311,8 +311,8 @@
 }
 
 /// What is known of a connection's client.
-pub struct Talk {
-    pub frame: Frame,
+pub struct ClientConnection {
+    pub framing: RequestFraming,
     stream: Weak<Mutex<TcpStream>>,
     came: Instant,
     waited: Duration,              // outside, at most
@@ -321,10 +321,10 @@
     turned: Notify,                // that has changed
 }
 
-impl Talk {
-    pub fn new(stream: &Shared, came: Instant, waited: Duration) -> Self {
-        Talk {
-            frame: Frame::default(),
+impl ClientConnection {
+    pub fn new(stream: &SharedStream, came: Instant, waited: Duration) -> Self {
+        ClientConnection {
+            framing: RequestFraming::default(),
             stream: Arc::downgrade(stream),
             came,
             waited,
@@ -340,7 +340,7 @@
             .is_ok_and(|since| since.is_some_and(|at| at.elapsed() >= span))
     }
 
-    pub fn set_quiet(&self, since: Option<Instant>) {
+    pub fn set_idle_since(&self, since: Option<Instant>) {
         self.quiet
             .lock()
             .iter_mut()
@@ -349,7 +349,7 @@
     }
 
     /// How long a command read now may have waited for its connection to be let in.
-    pub fn may_have_waited(&self) -> Duration {
+    pub fn backlog_wait(&self) -> Duration {
         if self.came.elapsed() < AT_ONCE {
             self.waited
         } else {
@@ -359,40 +359,42 @@
 
     /// Whether the client of the command in hand still waits for its answer. The system is asked: the end of a connection
     /// may have come that nobody has read yet. What comes where nothing is due is the end of it, too.
-    pub fn waits(&self) -> bool {
-        match self.lies() {
-            Some(Lies::Nothing) => !self.frame.came_ahead(),
-            Some(Lies::Bytes) => self.frame.unread() && !self.hung_up(),
-            Some(Lies::Ended) | None => false,
+    pub fn is_waiting(&self) -> bool {
+        match self.socket_input() {
+            Some(SocketInput::Empty) => !self.framing.has_early_bytes(),
+            Some(SocketInput::Bytes) => self.framing.expects_body() && !self.peer_closed(),
+            Some(SocketInput::Closed) | None => false,
         }
     }
 
     /// Whether the client has gone, behind bytes that nobody has read.
-    fn hung_up(&self) -> bool {
+    fn peer_closed(&self) -> bool {
         let stream = self.stream.upgrade();
-        stream.is_none_or(|stream| hung_up(&stream.lock().unwrap_or_else(PoisonError::into_inner)))
+        stream.is_none_or(|stream| {
+            peer_closed(&stream.lock().unwrap_or_else(PoisonError::into_inner))
+        })
     }
 
     /// Whether something lies there that nobody has read.
     fn unread(&self) -> bool {
-        self.lies() == Some(Lies::Bytes)
+        self.socket_input() == Some(SocketInput::Bytes)
     }
 
-    fn lies(&self) -> Option<Lies> {
+    fn socket_input(&self) -> Option<SocketInput> {
         let stream = self.stream.upgrade()?;
         let stream = stream.lock().unwrap_or_else(PoisonError::into_inner);
-        Some(lies(&stream))
+        Some(peek_socket(&stream))
     }
 
     /// How long the rest of a request may take at least.
-    pub fn patience(&self) -> Duration {
+    pub fn min_read_time(&self) -> Duration {
         FIRST_WITHIN.saturating_sub(self.came.elapsed())
     }
 
     /// When there is to be a whole head; none while there is one.
-    fn due(&self, front: &Front) -> Option<Instant> {
+    fn due(&self, front: &ClientConnections) -> Option<Instant> {
         let quiet = self.quiet.lock().ok().and_then(|since| *since)?;
-        match self.frame.awaits_head()? {
+        match self.framing.awaiting_head()? {
             // Guards against one that begins late and goes on for long: its client is owed a word in time.
             Some(since) if quiet == self.came => {
                 Some((since + HEAD_WITHIN).min(self.came + FIRST_WITHIN))
@@ -407,7 +409,7 @@
 
     /// Ends when a head has not come in time, or nothing has come for long. Guards against a connection that is ended
     /// though a command has come over it that is not read yet: what the system holds is looked at once more before.
-    async fn late(&self, front: &Front) {
+    async fn late(&self, front: &ClientConnections) {
         let mut looked = false;
         loop {
             match self.due(front) {
@@ -433,31 +435,31 @@
 
 /// What the system holds of a connection that nobody has read, as it is now: what was last heard of it may be older.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Lies {
-    Nothing,
+pub enum SocketInput {
+    Empty,
     Bytes,
-    Ended,
+    Closed,
 }
 
-pub fn lies(stream: &TcpStream) -> Lies {
+pub fn peek_socket(stream: &TcpStream) -> SocketInput {
     match socket2::SockRef::from(stream).peek(&mut [MaybeUninit::uninit()]) {
-        Ok(0) => Lies::Ended,
-        Ok(_) => Lies::Bytes,
+        Ok(0) => SocketInput::Closed,
+        Ok(_) => SocketInput::Bytes,
         Err(fault) if matches!(fault.kind(), ErrorKind::WouldBlock | ErrorKind::Interrupted) => {
-            Lies::Nothing
+            SocketInput::Empty
         }
-        Err(_) => Lies::Ended,
+        Err(_) => SocketInput::Closed,
     }
 }
 
-fn open(stream: TcpStream, router: &Router, front: &Arc<Front>, full: Option<Instant>) {
+fn open(stream: TcpStream, router: &Router, front: &Arc<ClientConnections>, full: Option<Instant>) {
     let (place, router) = (Place::take(front), router.clone());
     let _ = stream.set_nodelay(true);
     tokio::spawn(async move {
         let (front, mut stages, came) = (&place.0, place.0.stages.clone(), Instant::now());
-        let stream: Shared = Arc::new(Mutex::new(stream));
+        let stream: SharedStream = Arc::new(Mutex::new(stream));
         let waited = full.map_or(Duration::ZERO, |since| since.elapsed());
-        let talk = Arc::new(Talk::new(&stream, came, waited));
+        let talk = Arc::new(ClientConnection::new(&stream, came, waited));
         let kept = Mutex::new(None);
         let service =
             hyper::service::service_fn(|mut request: hyper::Request<hyper::body::Incoming>| {
@@ -472,7 +474,7 @@
                     // sidecar stops.
                     let usable = !answer.status().is_client_error();
                     let stays = front.stage() == Stage::Serving && *front.taking.borrow();
-                    let on = usable && !talk.frame.ends_here() && stays;
+                    let on = usable && !talk.framing.must_close() && stays;
                     // Guards against clients that ask once and stay: what they may hold is soon taken up by connections
                     // that nobody uses. Past half of it each goes with its answer.
                     let mut keep = on.then(|| Kept::one_more(front)).flatten();
@@ -486,11 +488,11 @@
                     let talk = Arc::clone(talk);
                     // Guards against a client that reads slowly taken for one that says nothing.
                     let then = move || {
-                        talk.frame.answered();
-                        talk.set_quiet(Some(Instant::now()));
+                        talk.framing.response_sent();
+                        talk.set_idle_since(Some(Instant::now()));
                     };
                     let passing = |body| {
-                        Body::new(Passing {
+                        Body::new(NotifyOnDrop {
                             body,
                             then: Some(then),
                         })
@@ -501,9 +503,9 @@
         let mut connection = http1::Builder::new()
             .timer(TokioTimer::new())
             .header_read_timeout(LIBRARY_WITHIN)
-            .max_buf_size(LONGEST_HEAD)
+            .max_buf_size(MAX_HEAD_BYTES)
             .serve_connection(
-                TokioIo::new(Watched {
+                TokioIo::new(FramedStream {
                     stream,
                     talk: Arc::clone(&talk),
                 }),
@@ -528,7 +530,7 @@
                     next = Stage::Ending;
                     // One that was never answered may have its first command on the way, another its next: its answer ends
                     // the connection.
-                    let sends = talk.frame.in_head() || talk.unread();
+                    let sends = talk.framing.has_partial_head() || talk.unread();
                     if talk.answered.load(Relaxed) && !sends {
                         Pin::new(&mut connection).graceful_shutdown();
                     }
@@ -536,7 +538,7 @@
             }
         };
         let late = ended.is_none()
-            && talk.frame.in_head()
+            && talk.framing.has_partial_head()
             && talk.due(front).is_some_and(|at| at <= Instant::now());
         if ended.is_none() && !late {
             Pin::new(&mut connection).graceful_shutdown();
@@ -557,7 +559,7 @@
                     .unwrap_or_else(PoisonError::into_inner)
                     .try_write(TOO_SLOW),
             ),
-            Some(Ok(())) if talk.frame.unread() => sleep(LINGER).await,
+            Some(Ok(())) if talk.framing.expects_body() => sleep(LINGER).await,
             _ => {}
         }
     });
@@ -566,7 +568,7 @@
 /// Guards against slow or forgotten clients that hold all there is: where places run short a connection that has
 /// been quiet for a while is given up, where there are none after a moment; one on which nothing useful ever came
 /// goes sooner than one that has had an answer.
-async fn crowded_out(front: &Front, talk: &Talk) {
+async fn crowded_out(front: &ClientConnections, talk: &ClientConnection) {
     loop {
         front.crowd.notified().await;
         let none_left = front.open.load(Relaxed) >= front.most();
--- a/crates/passroad/src/front/tests.rs
+++ b/crates/passroad/src/listener/tests.rs
@@ -11,7 +11,7 @@
     let address = listener.local_addr().unwrap();
     let (_serving, stages) = watch::channel(Stage::Serving);
     // So few may be kept that none is for long.
-    let front = Front::new(100, 10, stages);
+    let front = ClientConnections::new(100, 10, stages);
     let router = Router::new().fallback(async || "ok");
     let request = b"GET / HTTP/1.1\r\nHost: b\r\n\r\n";
     let mut clients = Vec::new();
--- a/crates/passroad/src/probe/tests.rs
+++ b/crates/passroad/src/probe/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
-use crate::front::Talk;
-use crate::look::Look;
-use crate::relay::{Cargo, Dialer, run as relay};
+use crate::listener::ClientConnection;
+use crate::relay::{CommandRequest, Dialer, run as relay};
+use crate::send_guard::SendGuard;
 use rstest::rstest;
 use std::future::Future;
 use std::sync::Arc;
@@ -29,13 +29,13 @@
     address
 }
 
-fn command() -> Arc<Cargo> {
+fn command() -> Arc<CommandRequest> {
     let (parts, ()) = Request::get("/look")
         .header("req-id", "a")
         .body(())
         .unwrap()
         .into_parts();
-    Arc::new(Cargo::of(parts, Bytes::new(), None).unwrap())
+    Arc::new(CommandRequest::new(parts, Bytes::new(), None).unwrap())
 }
 
 /// Runs with a clock that stands still, as the runtime is never idle: whoever waits for a time waits for good.
@@ -63,14 +63,14 @@
 async fn a_command_does_not_wait_behind_the_probe_that_was_made_for_it(#[case] probed: bool) {
     let second = Duration::from_secs(1);
     let dialer = Dialer::new(4 * second, 60 * second, 1);
-    let link = Link::new(endpoint().await, &dialer);
+    let link = EndpointPool::new(endpoint().await, &dialer);
     pause();
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
     let _waits = tokio::net::TcpStream::connect(listener.local_addr().unwrap())
         .await
         .unwrap();
     let stream = Arc::new(std::sync::Mutex::new(listener.accept().await.unwrap().0));
-    let client = Arc::new(Talk::new(
+    let client = Arc::new(ClientConnection::new(
         &stream,
         std::time::Instant::now(),
         Duration::ZERO,
@@ -78,9 +78,9 @@
     let send = || {
         let (recall, recalled) = oneshot::channel();
         let (link, cargo) = (link.clone(), command());
-        let look = Look::new(
+        let look = SendGuard::new(
             CancellationToken::new(),
-            link.out.clone(),
+            link.invalidated.clone(),
             None,
             Arc::clone(&client),
         );
--- a/crates/passroad/src/relay.rs
+++ b/crates/passroad/src/relay.rs
@@ -1,8 +1,10 @@
 //! One relay to one endpoint, and the connections that relays and probes go over.
 
-use crate::body::{Coming, LONGEST_BODY, LONGEST_HELD, Load, Long};
-use crate::front::{Lies, lies};
-use crate::look::{Barred, Look};
+use crate::body::{
+    MAX_BODY_BYTES, MAX_BUFFERED_RESPONSE_BYTES, RelayBody, StreamedResponse, StreamedUpload,
+};
+use crate::listener::{SocketInput, peek_socket};
+use crate::send_guard::{SendBlocked, SendGuard};
 use bytes::{Bytes, BytesMut};
 use http_body_util::BodyExt;
 use hyper::body::{Body, Incoming};
@@ -35,8 +37,8 @@
 const MOST_IDLE: usize = 16; // connections kept to one endpoint
 /// Of the time after which endpoints close: the pool looks once in so long, so none stays for twice that.
 const IDLE_SHARE: f64 = 0.45;
-const LONGEST_HEAD: usize = 32 << 10; // of an answer, and what is buffered at once
-const LONGEST_AHEAD: usize = 4 * LONGEST_HEAD; // of all that comes until its head is read
+const MAX_HEAD_BYTES: usize = 32 << 10; // of an answer, and what is buffered at once
+const LONGEST_AHEAD: usize = 4 * MAX_HEAD_BYTES; // of all that comes until its head is read
 /// An endpoint writes an answer at once: one that stops halfway for so long is spoilt.
 const STALL: Duration = Duration::from_millis(100);
 /// A connection rests behind an answer, so that what does not belong there shows before the next command is sent.
@@ -48,99 +50,99 @@
 /// An answer of no stated length that is this old is passed on as it comes: only its end would tell how long it is.
 const MOMENT: Duration = Duration::from_millis(10);
 const ID: HeaderName = HeaderName::from_static("req-id");
-pub const KEY: HeaderName = HeaderName::from_static("idempotency-key");
+pub const IDEMPOTENCY_KEY: HeaderName = HeaderName::from_static("idempotency-key");
 const MARK: HeaderName = HeaderName::from_static("req-deadline-ms");
 const LOAD: &str = "srv-load";
 const BEHIND: &str = "something came behind an answer";
 const NEVER_RAN: &str = "srv-declined";
 
-pub type Client = legacy::Client<Dialer, Load>;
+pub type PooledClient = legacy::Client<Dialer, RelayBody>;
 type Fault = Box<dyn Error + Send + Sync>;
 
 /// Where an endpoint listens and the connections kept to it; they close with the last clone.
 #[derive(Clone)]
-pub struct Link {
+pub struct EndpointPool {
     pub address: SocketAddr,
-    pub client: Client,
+    pub client: PooledClient,
     dialer: Dialer,
     users: Arc<()>,
     /// Turns when the endpoint is no longer as it was when this was handed out.
-    pub out: CancellationToken,
+    pub invalidated: CancellationToken,
 }
 
-impl Link {
+impl EndpointPool {
     pub fn new(address: SocketAddr, dialer: &Dialer) -> Self {
-        let (client, dialer) = (dialer.client(), dialer.clone());
-        Link {
+        let (client, dialer) = (dialer.new_client(), dialer.clone());
+        EndpointPool {
             address,
             client,
             dialer,
             users: Arc::default(),
-            out: CancellationToken::new(),
+            invalidated: CancellationToken::new(),
         }
     }
 
     /// In place of this one, with connections of its own; what is out counts on.
-    pub fn anew(&mut self, address: SocketAddr) -> Self {
-        self.call_off();
+    pub fn replace(&mut self, address: SocketAddr) -> Self {
+        self.cancel_unsent();
         let users = Arc::clone(&self.users);
-        Link {
+        EndpointPool {
             users,
-            ..Link::new(address, &self.dialer)
+            ..EndpointPool::new(address, &self.dialer)
         }
     }
 
     /// What has not sent its first byte yet does not send it.
-    pub fn call_off(&mut self) {
-        std::mem::take(&mut self.out).cancel();
+    pub fn cancel_unsent(&mut self) {
+        std::mem::take(&mut self.invalidated).cancel();
     }
 
     /// Whether nobody else has a clone.
-    pub fn nothing_out(&self) -> bool {
+    pub fn is_unused(&self) -> bool {
         Arc::strong_count(&self.users) == 1
     }
 }
 
 /// What a relay or a probe came to.
-pub struct Ended {
+pub struct ExchangeResult {
     pub outcome: Outcome,
     pub report: Option<LoadReport>,
-    pub answer: Option<Response<Load>>,
+    pub response: Option<Response<RelayBody>>,
 }
 
-impl From<Barred> for Ended {
-    fn from(barred: Barred) -> Self {
-        Ended::from(match barred {
-            Barred::Over | Barred::Left => Outcome::Cancelled,
-            Barred::Out | Barred::Late => Outcome::NotSent,
+impl From<SendBlocked> for ExchangeResult {
+    fn from(barred: SendBlocked) -> Self {
+        ExchangeResult::from(match barred {
+            SendBlocked::CommandFinished | SendBlocked::ClientGone => Outcome::Cancelled,
+            SendBlocked::EndpointChanged | SendBlocked::TooLate => Outcome::NotSent,
         })
     }
 }
 
-impl From<Outcome> for Ended {
+impl From<Outcome> for ExchangeResult {
     fn from(outcome: Outcome) -> Self {
-        Ended {
+        ExchangeResult {
             outcome,
             report: None,
-            answer: None,
+            response: None,
         }
     }
 }
 
 /// The parts of a command that go on to an endpoint, as they came. No other header does: an odd one could spoil a
 /// connection that others use.
-pub struct Cargo {
+pub struct CommandRequest {
     method: hyper::Method,
     target: String,
     pub id: HeaderValue,
     key: Option<HeaderValue>, // by which endpoints drop a repeat
     body: Bytes,
-    coming: Option<Arc<Coming>>,         // in place of it, if it is long
+    upload: Option<Arc<StreamedUpload>>, // in place of it, if it is long
     _room: Option<OwnedSemaphorePermit>, // of a long body
 }
 
-impl Cargo {
-    pub fn of(
+impl CommandRequest {
+    pub fn new(
         parts: request::Parts,
         body: Bytes,
         room: Option<OwnedSemaphorePermit>,
@@ -152,46 +154,46 @@
             .to_string();
         let (id, key) = (
             parts.headers.get(ID)?.clone(),
-            parts.headers.get(KEY).cloned(),
+            parts.headers.get(IDEMPOTENCY_KEY).cloned(),
         );
-        Some(Cargo {
+        Some(CommandRequest {
             method: parts.method,
             target,
             id,
             key,
             body,
-            coming: None,
+            upload: None,
             _room: room,
         })
     }
 
     /// The same with a body that still comes.
-    pub fn with(self, coming: Arc<Coming>) -> Self {
-        Cargo {
-            coming: Some(coming),
+    pub fn with_upload(self, upload: Arc<StreamedUpload>) -> Self {
+        CommandRequest {
+            upload: Some(upload),
             ..self
         }
     }
 
-    pub fn coming(&self) -> Option<&Arc<Coming>> {
-        self.coming.as_ref()
+    pub fn upload(&self) -> Option<&Arc<StreamedUpload>> {
+        self.upload.as_ref()
     }
 
     /// A length that it surely has on the wire; none as long as that is not known.
     fn least(&self) -> Option<usize> {
         let body = self
-            .coming
+            .upload
             .as_ref()
-            .map_or(Some(self.body.len()), |coming| coming.least());
+            .map_or(Some(self.body.len()), |upload| upload.complete_len());
         body.map(|body| self.target.len() + body)
     }
 
     /// None if it can't be sent, or not once more.
-    fn request(&self, to: SocketAddr, within: Duration) -> Option<Request<Load>> {
+    fn request(&self, to: SocketAddr, within: Duration) -> Option<Request<RelayBody>> {
         let uri: Uri = format!("http://{to}{}", self.target).parse().ok()?;
-        let load = match &self.coming {
+        let load = match &self.upload {
             None => self.body.clone().into(),
-            Some(coming) if !coming.spent() => Load::Upload(Arc::clone(coming)),
+            Some(upload) if !upload.is_partly_sent() => RelayBody::Upload(Arc::clone(upload)),
             Some(_) => return None,
         };
         let mut request = Request::new(load);
@@ -202,7 +204,7 @@
         // Guards against a receipted command that its endpoint can't tell from a new one.
         self.key
             .iter()
-            .for_each(|key| drop(request.headers_mut().insert(KEY, key.clone())));
+            .for_each(|key| drop(request.headers_mut().insert(IDEMPOTENCY_KEY, key.clone())));
         request.headers_mut().insert(MARK, left.into());
         Some(request)
     }
@@ -236,20 +238,20 @@
 /// Sends a command to an endpoint and waits for its whole answer. Ends early on recall: what it holds is
 /// dropped, and that closes its connection.
 pub async fn run(
-    link: Link,
-    cargo: Arc<Cargo>,
-    look: Arc<Look>,
+    link: EndpointPool,
+    cargo: Arc<CommandRequest>,
+    look: Arc<SendGuard>,
     within: Duration,
     recall: oneshot::Receiver<()>,
-) -> Ended {
+) -> ExchangeResult {
     // A connection of its own for a long body: a kept one that is of no use would have taken a part of it.
     let client = cargo
-        .coming()
-        .map_or_else(|| link.client.clone(), |_| link.dialer.client());
+        .upload()
+        .map_or_else(|| link.client.clone(), |_| link.dialer.new_client());
     let exchanged = async {
         // A kept connection that turns out to be of no use has taken nothing: the next one, or a new one, does.
         loop {
-            if let Some(barred) = look.barred() {
+            if let Some(barred) = look.check() {
                 return barred.into();
             }
             let Some(request) = cargo.request(link.address, within) else {
@@ -257,15 +259,17 @@
             };
             let mut ended = exchange(&client, request, &|| cargo.least(), Some(&look)).await;
             // An answer that can't be read, as against one that says it is an error.
-            if ended.outcome == Outcome::Error && ended.answer.is_none() {
+            if ended.outcome == Outcome::Error && ended.response.is_none() {
                 link.dialer.spoilt.note();
             }
-            if let Some(Load::Long(long)) = ended.answer.as_mut().map(hyper::Response::body_mut) {
+            if let Some(RelayBody::Streamed(long)) =
+                ended.response.as_mut().map(hyper::Response::body_mut)
+            {
                 long.link = Some(link.clone());
             }
             if cargo
-                .coming()
-                .is_some_and(|coming| coming.is_ill().is_some())
+                .upload()
+                .is_some_and(|upload| upload.failure().is_some())
             {
                 return Outcome::NotSent.into();
             }
@@ -279,8 +283,8 @@
         biased;
         _ = recall => Outcome::Cancelled.into(),
         // Guards against a wait for a connection that nobody needs any more, where relays must not be recalled.
-        barred = look.called_off() => barred.into(),
-        () = over(&cargo, within) => match look.begun() {
+        barred = look.cancelled_before_start() => barred.into(),
+        () = over(&cargo, within) => match look.has_started() {
             true => Outcome::TimedOut.into(),
             false => Outcome::ConnectFailed.into(),
         },
@@ -291,16 +295,16 @@
 }
 
 /// Its time runs from when all of it has come.
-async fn over(cargo: &Cargo, within: Duration) {
-    if let Some(coming) = cargo.coming() {
-        coming.whole().await;
+async fn over(cargo: &CommandRequest, within: Duration) {
+    if let Some(upload) = cargo.upload() {
+        upload.completed().await;
     }
     tokio::time::sleep(within).await;
 }
 
-async fn stuck(cargo: &Cargo) {
-    match cargo.coming() {
-        Some(coming) => coming.stuck().await,
+async fn stuck(cargo: &CommandRequest) {
+    match cargo.upload() {
+        Some(upload) => upload.stalled().await,
         None => std::future::pending().await,
     }
 }
@@ -310,11 +314,11 @@
 /// `look` is taken right before its first byte; a probe has none. Behind a probe's answer the connection does not rest,
 /// since the command that the probe was for goes out next, and most go where a probe has just been.
 pub async fn exchange(
-    client: &Client,
-    mut request: Request<Load>,
+    client: &PooledClient,
+    mut request: Request<RelayBody>,
     least: Least<'_>,
-    look: Option<&Arc<Look>>,
-) -> Ended {
+    look: Option<&Arc<SendGuard>>,
+) -> ExchangeResult {
     let way = capture_connection(&mut request);
     let ahead = Arc::new(Mutex::new(None));
     let told = Arc::clone(&ahead);
@@ -325,7 +329,7 @@
             .for_each(|at| **at = Some(Instant::now()));
     });
     let (chosen, rests) = (way.clone(), look.is_some());
-    let way = Open(way);
+    let way = ExchangeGuard(way);
     let (mut ended, rest) = tokio::select! {
         biased;
         ended = whole(client, request, &way, least, rests) => ended,
@@ -333,14 +337,14 @@
         () = stalled(&way, &ahead) => (spoilt("it stops halfway"), None),
     };
     if let Some(rest) = rest {
-        ended.answer = ended.answer.map(|answer| {
+        ended.response = ended.response.map(|answer| {
             answer.map(|first| {
-                let first = first.held();
-                let left = LONGEST_BODY.saturating_sub(first.len());
-                Load::Long(Box::new(Long {
+                let first = first.into_buffered();
+                let left = MAX_BODY_BYTES.saturating_sub(first.len());
+                RelayBody::Streamed(Box::new(StreamedResponse {
                     first: Some(first),
                     rest,
-                    way,
+                    guard: way,
                     left,
                     stall: None,
                     link: None,
@@ -355,18 +359,18 @@
 
 /// The connection of a request for as long as its outcome is awaited. Given up earlier, the connection writes nothing
 /// more: what still rests in it must not go out after the command has its final answer.
-pub struct Open(CaptureConnection);
+pub struct ExchangeGuard(CaptureConnection);
 
-impl Open {
+impl ExchangeGuard {
     /// The answer is read whole.
-    pub fn answered(&self) {
+    pub fn response_complete(&self) {
         if let Some(meter) = meter(self) {
             meter.ends(true);
         }
     }
 }
 
-impl std::ops::Deref for Open {
+impl std::ops::Deref for ExchangeGuard {
     type Target = CaptureConnection;
 
     fn deref(&self) -> &CaptureConnection {
@@ -374,7 +378,7 @@
     }
 }
 
-impl Drop for Open {
+impl Drop for ExchangeGuard {
     fn drop(&mut self) {
         meter(self)
             .iter()
@@ -384,12 +388,12 @@
 }
 
 async fn whole(
-    client: &Client,
-    request: Request<Load>,
+    client: &PooledClient,
+    request: Request<RelayBody>,
     way: &CaptureConnection,
     least: Least<'_>,
     rests: bool,
-) -> (Ended, Option<Incoming>) {
+) -> (ExchangeResult, Option<Incoming>) {
     let (parts, body) = match client.request(request).await {
         Ok(answer) => answer.into_parts(),
         Err(fault) => return (broke(&fault, way, least()), None),
@@ -398,10 +402,10 @@
         .headers
         .get(LOAD)
         .and_then(|v| v.to_str().ok())
-        .and_then(read_load);
-    if body.size_hint().lower() > LONGEST_BODY as u64 {
+        .and_then(parse_load_report);
+    if body.size_hint().lower() > MAX_BODY_BYTES as u64 {
         return (
-            Ended {
+            ExchangeResult {
                 report,
                 ..spoilt("it says that it is too long")
             },
@@ -409,13 +413,15 @@
         );
     }
     if let Some(meter) = meter(way) {
-        meter.may_hear.store(LONGEST_BODY + LONGEST_AHEAD, Relaxed);
+        meter
+            .may_hear
+            .store(MAX_BODY_BYTES + LONGEST_AHEAD, Relaxed);
     }
     let (held, rest) = match first_of(body).await {
         Ok(read) => read,
         Err(fault) if !fault.is_parse() => {
             return (
-                Ended {
+                ExchangeResult {
                     report,
                     ..Outcome::ConnectionLost.into()
                 },
@@ -424,7 +430,7 @@
         }
         Err(fault) => {
             return (
-                Ended {
+                ExchangeResult {
                     report,
                     ..spoilt(&fault)
                 },
@@ -451,7 +457,7 @@
     // Only what serves a command is passed on as it comes.
     if rest.is_some() && outcome != Outcome::Answered {
         return (
-            Ended {
+            ExchangeResult {
                 report,
                 ..outcome.into()
             },
@@ -462,10 +468,10 @@
     *answer.status_mut() = parts.status;
     *answer.headers_mut() = end_to_end(parts.headers);
     (
-        Ended {
+        ExchangeResult {
             outcome,
             report,
-            answer: Some(answer),
+            response: Some(answer),
         },
         rest,
     )
@@ -476,10 +482,10 @@
 async fn first_of(mut body: Incoming) -> Result<(Bytes, Option<Incoming>), hyper::Error> {
     let mut held = BytesMut::new();
     let stated = body.size_hint().exact();
-    let most = if stated.is_some_and(|length| length > LONGEST_HELD as u64) {
+    let most = if stated.is_some_and(|length| length > MAX_BUFFERED_RESPONSE_BYTES as u64) {
         0
     } else {
-        LONGEST_HELD
+        MAX_BUFFERED_RESPONSE_BYTES
     };
     let mut moment = std::pin::pin!(tokio::time::sleep(MOMENT));
     loop {
@@ -502,13 +508,13 @@
 }
 
 /// What came back is no answer, but the endpoint was reached and the command may have run.
-fn spoilt(why: impl std::fmt::Display) -> Ended {
+fn spoilt(why: impl std::fmt::Display) -> ExchangeResult {
     log::debug!("spoilt answer: {why}");
     Outcome::Error.into()
 }
 
 /// What a request that failed proves.
-fn broke(fault: &legacy::Error, way: &CaptureConnection, least: Option<usize>) -> Ended {
+fn broke(fault: &legacy::Error, way: &CaptureConnection, least: Option<usize>) -> ExchangeResult {
     let below = fault
         .source()
         .and_then(|s| s.downcast_ref::<hyper::Error>());
@@ -532,7 +538,7 @@
 }
 
 /// Shows a connection what to look at before the request, as soon as the request has it. Until then it writes nothing.
-async fn shown(mut chosen: CaptureConnection, look: Option<&Arc<Look>>) -> Infallible {
+async fn shown(mut chosen: CaptureConnection, look: Option<&Arc<SendGuard>>) -> Infallible {
     drop(chosen.wait_for_connection_metadata().await);
     if let Some(meter) = meter(&chosen) {
         meter.show(look.cloned());
@@ -561,7 +567,7 @@
 }
 
 /// A load report, `TEXT name=value, name=value`; none if any of it is malformed.
-pub fn read_load(text: &str) -> Option<LoadReport> {
+pub fn parse_load_report(text: &str) -> Option<LoadReport> {
     let mut report = LoadReport::default();
     for pair in text.trim().strip_prefix("TEXT ")?.split(',') {
         let (name, value) = pair.trim().split_once('=')?;
@@ -640,7 +646,7 @@
     }
 
     /// For whoever bounds by itself what it reads.
-    pub fn unbounded(self) -> Self {
+    pub fn without_size_limit(self) -> Self {
         Dialer {
             bounded: false,
             ..self
@@ -648,33 +654,33 @@
     }
 
     /// How long an idle connection is kept at least.
-    pub fn idle(&self) -> Duration {
+    pub fn idle_timeout(&self) -> Duration {
         self.idle
     }
 
     /// Keeps to the connections that are open and a few more, as another process needs the rest; how many fewer.
-    pub fn hold_back(&self) -> usize {
+    pub fn release_unused(&self) -> usize {
         let spare = self.permits.available_permits().saturating_sub(HELD_BACK);
         self.permits.forget_permits(spare)
     }
 
     /// May open so many more.
-    pub fn widen(&self, by: usize) {
+    pub fn add_permits(&self, by: usize) {
         self.permits.add_permits(by);
     }
 
-    pub fn used_up(&self) -> bool {
+    pub fn is_exhausted(&self) -> bool {
         self.permits.available_permits() == 0
     }
 
     /// A pool of its own.
-    pub fn client(&self) -> Client {
+    pub fn new_client(&self) -> PooledClient {
         legacy::Client::builder(TokioExecutor::new())
             .retry_canceled_requests(false)
             .pool_idle_timeout(self.idle)
             .pool_timer(TokioTimer::new())
             .pool_max_idle_per_host(MOST_IDLE)
-            .http1_max_buf_size(LONGEST_HEAD)
+            .http1_max_buf_size(MAX_HEAD_BYTES)
             .build(self.clone())
     }
 }
@@ -722,7 +728,7 @@
 
 #[derive(Default)]
 struct Shown {
-    look: Option<Option<Arc<Look>>>, // none before the request has its connection
+    look: Option<Option<Arc<SendGuard>>>, // none before the request has its connection
     waits: Option<Waker>,
 }
 
@@ -737,7 +743,7 @@
 
     /// Guards against a long answer whose end has been read here but not by its client, who is slow: its connection is given
     /// the next request, which nothing on it is ready for. It carries none.
-    fn show(&self, look: Option<Arc<Look>>) {
+    fn show(&self, look: Option<Arc<SendGuard>>) {
         if self.written.load(Relaxed) > 0 && !self.done.load(Relaxed) {
             self.worn.store(true, Relaxed);
         }
@@ -760,7 +766,7 @@
     fn looked(&self, cx: &mut Context<'_>) -> Poll<bool> {
         let mut shown = self.shown.lock().unwrap_or_else(PoisonError::into_inner);
         match &shown.look {
-            Some(look) => Poll::Ready(look.as_ref().is_none_or(|look| look.begins())),
+            Some(look) => Poll::Ready(look.as_ref().is_none_or(|look| look.try_start())),
             None => {
                 shown.waits = Some(cx.waker().clone());
                 Poll::Pending
@@ -839,17 +845,17 @@
                 .get_or_insert_with(|| Box::pin(tokio::time::sleep_until(until)));
             ready!(rest.as_mut().poll(cx));
         }
-        match lies(&self.stream) {
-            Lies::Nothing => {
+        match peek_socket(&self.stream) {
+            SocketInput::Empty => {
                 self.rest = None;
                 self.meter.begins();
                 Poll::Ready(Ok(()))
             }
-            Lies::Bytes => {
+            SocketInput::Bytes => {
                 self.spoilt.note();
                 Poll::Ready(Err(self.wear_out(BEHIND)))
             }
-            Lies::Ended => Poll::Ready(Err(self.wear_out(BEHIND))),
+            SocketInput::Closed => Poll::Ready(Err(self.wear_out(BEHIND))),
         }
     }
 
--- a/crates/passroad/src/relay/tests.rs
+++ b/crates/passroad/src/relay/tests.rs
@@ -42,5 +42,5 @@
         utilization: Some(utilization),
         ..LoadReport::default()
     });
-    assert_eq!(read_load(text), read);
+    assert_eq!(parse_load_report(text), read);
 }
--- a/crates/passroad/src/intake.rs
+++ b/crates/passroad/src/request_handler.rs
@@ -1,11 +1,13 @@
 //! One command off its connection and its answer back: what can't be used is turned away here.
 
-use crate::body::{Coming, Ill, LONGEST_BODY, LONGEST_KEPT, Patience};
-use crate::claims::Claims;
-use crate::command::{self, Answer, Need};
+use crate::body::{
+    BodyError, MAX_BODY_BYTES, MAX_BUFFERED_REQUEST_BYTES, MinRateTimer, StreamedUpload,
+};
+use crate::command::{self, CommandParams, FinalResponse};
 use crate::desk::Desk;
-use crate::front::Talk;
-use crate::relay::{Cargo, KEY};
+use crate::in_flight::InFlightIds;
+use crate::listener::ClientConnection;
+use crate::relay::{CommandRequest, IDEMPOTENCY_KEY};
 use crate::stop::{Stage, Stages};
 use axum::body::{Body, HttpBody};
 use axum::extract::{Extension, Request, State};
@@ -26,12 +28,12 @@
 const ROOM_SHARE: usize = 4; // of the memory, for bodies that are not small
 const ROOM: usize = 4 << 10; // one step of it
 
-pub struct Intake {
+pub struct RequestHandler {
     desk: Arc<Desk>,
     table: Mutex<Arc<Table>>,
     stages: Stages,
     room: Arc<Semaphore>, // for bodies that are held, in steps
-    claims: Arc<Claims>,
+    claims: Arc<InFlightIds>,
     half: usize,       // of the room
     left: AtomicUsize, // of it, to another process
 }
@@ -85,7 +87,7 @@
     }
 }
 
-pub async fn ready(State(intake): State<Arc<Intake>>) -> StatusCode {
+pub async fn health(State(intake): State<Arc<RequestHandler>>) -> StatusCode {
     if intake.serving() {
         StatusCode::OK
     } else {
@@ -93,9 +95,9 @@
     }
 }
 
-pub async fn take(
-    State(intake): State<Arc<Intake>>,
-    Extension(talk): Extension<Arc<Talk>>,
+pub async fn handle_command(
+    State(intake): State<Arc<RequestHandler>>,
+    Extension(talk): Extension<Arc<ClientConnection>>,
     request: Request,
 ) -> Response {
     let (need, cargo) = match intake.read(request, &talk).await {
@@ -106,50 +108,50 @@
     let Some(_claim) = intake.claims.claim(&cargo.id) else {
         return StatusCode::CONFLICT.into_response();
     };
-    if need.last.is_zero() {
-        return word(Answer::OutOfTime);
+    if need.time_limit.is_zero() {
+        return word(FinalResponse::DeadlineExceeded);
     }
-    talk.set_quiet(None);
+    talk.set_idle_since(None);
     let (tell, told) = oneshot::channel();
-    let coming = cargo.coming().cloned();
+    let upload = cargo.upload().cloned();
     tokio::spawn(command::run(Arc::clone(&intake.desk), need, cargo, tell));
     let answer = tokio::select! {
         biased;
         // Dropped with its connection, this tells the command that its client is gone.
         answer = told => match answer {
             // Given up, as something lay behind the request.
-            Err(_) if talk.frame.came_ahead() => StatusCode::BAD_REQUEST.into_response(),
-            answer => word(answer.unwrap_or(Answer::Terminated)),
+            Err(_) if talk.framing.has_early_bytes() => StatusCode::BAD_REQUEST.into_response(),
+            answer => word(answer.unwrap_or(FinalResponse::Failed)),
         },
         // Guards against a request hidden behind another: clients send one at a time.
-        () = talk.frame.ahead() => StatusCode::BAD_REQUEST.into_response(),
-        ill = ill(&coming) => status(ill).into_response(),
+        () = talk.framing.early_bytes() => StatusCode::BAD_REQUEST.into_response(),
+        ill = ill(&upload) => status(ill).into_response(),
     };
     // Whatever its command came to by then: that was the client's doing.
-    if let Some(ill) = coming.as_ref().and_then(|coming| coming.is_ill()) {
+    if let Some(ill) = upload.as_ref().and_then(|upload| upload.failure()) {
         return status(ill).into_response();
     }
-    if let Some(coming) = coming.filter(|coming| !coming.ended()) {
-        tokio::spawn(async move { coming.drain().await });
+    if let Some(upload) = upload.filter(|upload| !upload.is_finished()) {
+        tokio::spawn(async move { upload.drain().await });
     }
     answer
 }
 
 /// Ends when a long body turns out to be of no use.
-async fn ill(coming: &Option<Arc<Coming>>) -> Ill {
-    match coming {
-        Some(coming) => coming.ill().await,
+async fn ill(upload: &Option<Arc<StreamedUpload>>) -> BodyError {
+    match upload {
+        Some(upload) => upload.failed().await,
         None => std::future::pending().await,
     }
 }
 
-impl Intake {
+impl RequestHandler {
     /// `memory` in bytes, of which a share may hold bodies.
     pub fn new(
         desk: Arc<Desk>,
         orders: &BalancerConfig,
         memory: usize,
-        claims: Arc<Claims>,
+        claims: Arc<InFlightIds>,
         stages: Stages,
     ) -> Self {
         // At the start the module numbers verbs as the orders do.
@@ -157,7 +159,7 @@
         let table = Mutex::new(Arc::new(Table::of(orders, &numbers, Vec::new())));
         let steps = memory / ROOM_SHARE / ROOM;
         let (room, half) = (Arc::new(Semaphore::new(steps)), steps / 2);
-        Intake {
+        RequestHandler {
             desk,
             table,
             stages,
@@ -169,19 +171,19 @@
     }
 
     /// Has every open command answered.
-    pub fn out_of_time(&self) {
+    pub fn expire_open_commands(&self) {
         self.desk.out_of_time();
     }
 
     /// Takes other orders, whose verbs the module has numbered.
-    pub fn retune(&self, orders: &BalancerConfig, numbers: &[usize]) {
+    pub fn reconfigure(&self, orders: &BalancerConfig, numbers: &[usize]) {
         let mut table = self.table.lock().unwrap_or_else(PoisonError::into_inner);
         let before = table.verbs.clone();
         *table = Arc::new(Table::of(orders, numbers, before));
     }
 
     /// Leaves half of the room to another process, or has all of it again. What is taken already stays so.
-    pub fn share(&self, shared: bool) {
+    pub fn share_body_budget(&self, shared: bool) {
         match shared {
             true => drop(
                 self.left
@@ -199,18 +201,22 @@
         *self.stages.borrow() == Stage::Serving
     }
 
-    async fn read(&self, request: Request, talk: &Arc<Talk>) -> Result<(Need, Cargo), StatusCode> {
+    async fn read(
+        &self,
+        request: Request,
+        talk: &Arc<ClientConnection>,
+    ) -> Result<(CommandParams, CommandRequest), StatusCode> {
         let (parts, body) = request.into_parts();
         let name = parts.uri.path().split('/').nth(1).unwrap_or_default();
         let table = self.table();
         let length = body.size_hint();
-        if length.lower() > LONGEST_BODY as u64 {
+        if length.lower() > MAX_BODY_BYTES as u64 {
             return Err(StatusCode::PAYLOAD_TOO_LARGE);
         }
         // Guards against a request that an endpoint may read in another way.
         let framing = [header::CONTENT_LENGTH, header::TRANSFER_ENCODING];
         let told = framing.iter().any(|name| parts.headers.contains_key(name));
-        let keyed = parts.headers.contains_key(KEY);
+        let keyed = parts.headers.contains_key(IDEMPOTENCY_KEY);
         let carries = |verb: &RequestClassConfig| match verb.effect {
             Effect::Safe => {
                 parts.method == Method::GET && length.exact().is_none_or(|length| length == 0)
@@ -221,30 +227,36 @@
         let verb = table.verb(name, carries).ok_or(StatusCode::NOT_FOUND)?;
         let verb = verb.map_err(|()| StatusCode::BAD_REQUEST)?;
         let need = need(verb, &table.companies, &parts.headers, talk)
-            .filter(|_| !talk.frame.two_lengths());
+            .filter(|_| !talk.framing.has_ambiguous_length());
         let mut need = need.ok_or(StatusCode::BAD_REQUEST)?;
         let pure = verb.0.effect == Effect::Safe;
-        let mut patience = Patience::new(talk.patience());
+        let mut patience = MinRateTimer::new(talk.min_read_time());
         let (body, room) = match length.exact() {
             Some(0) => (Read::Whole(Bytes::new()), None),
             _ => self.first_of(body, &mut patience).await?,
         };
-        if talk.frame.came_ahead() {
+        if talk.framing.has_early_bytes() {
             return Err(StatusCode::BAD_REQUEST);
         }
-        let waited = self.desk.may_have_waited().max(talk.may_have_waited());
+        let waited = self.desk.may_have_waited().max(talk.backlog_wait());
         if !waited.is_zero() {
             // Only here: to the module an odd budget tells that a client's earlier tries have spent the rest.
-            need.last = need.budget.saturating_sub(waited);
+            need.time_limit = need.budget.saturating_sub(waited);
         }
         let (held, rest) = match body {
             Read::Whole(body) if pure && !body.is_empty() => return Err(StatusCode::BAD_REQUEST),
             Read::Part(..) if pure => return Err(StatusCode::BAD_REQUEST),
             Read::Whole(body) => (body, None),
-            Read::Part(first, rest) => (Bytes::new(), Some(Coming::new(first, rest, patience))),
+            Read::Part(first, rest) => (
+                Bytes::new(),
+                Some(StreamedUpload::new(first, rest, patience)),
+            ),
         };
-        let cargo = Cargo::of(parts, held, room).ok_or(StatusCode::BAD_REQUEST)?;
-        Ok((need, rest.into_iter().fold(cargo, Cargo::with)))
+        let cargo = CommandRequest::new(parts, held, room).ok_or(StatusCode::BAD_REQUEST)?;
+        Ok((
+            need,
+            rest.into_iter().fold(cargo, CommandRequest::with_upload),
+        ))
     }
 
     /// A body whole, with its room if it is more than small; or as much of it as there is room for. Guards against
@@ -252,7 +264,7 @@
     async fn first_of(
         &self,
         mut body: Body,
-        patience: &mut Patience,
+        patience: &mut MinRateTimer,
     ) -> Result<(Read, Option<OwnedSemaphorePermit>), StatusCode> {
         let (mut held, mut room) = (BytesMut::new(), None);
         let stated = body.size_hint().exact().map(|length| length as usize);
@@ -276,7 +288,7 @@
     fn room_for(&self, length: usize, room: &mut Option<OwnedSemaphorePermit>) -> bool {
         let taken = room.as_ref().map_or(0, OwnedSemaphorePermit::num_permits);
         let more = length.div_ceil(ROOM).saturating_sub(taken) as u32;
-        if length > LONGEST_KEPT {
+        if length > MAX_BUFFERED_REQUEST_BYTES {
             return false;
         }
         let Ok(more) = Arc::clone(&self.room).try_acquire_many_owned(more) else {
@@ -296,11 +308,11 @@
     Part(Bytes, Body),
 }
 
-fn status(ill: Ill) -> StatusCode {
+fn status(ill: BodyError) -> StatusCode {
     match ill {
-        Ill::Slow => StatusCode::REQUEST_TIMEOUT,
-        Ill::TooLong => StatusCode::PAYLOAD_TOO_LARGE,
-        Ill::Broken => StatusCode::BAD_REQUEST,
+        BodyError::Slow => StatusCode::REQUEST_TIMEOUT,
+        BodyError::TooLong => StatusCode::PAYLOAD_TOO_LARGE,
+        BodyError::Broken => StatusCode::BAD_REQUEST,
     }
 }
 
@@ -309,8 +321,8 @@
     (order, verb): &(RequestClassConfig, usize),
     companies: &[String],
     headers: &HeaderMap,
-    client: &Arc<Talk>,
-) -> Option<Need> {
+    client: &Arc<ClientConnection>,
+) -> Option<CommandParams> {
     let id = single(headers, "req-id")??;
     let limit = single(headers, "req-deadline-ms")??;
     let digits = limit.len() <= MOST_DIGITS && limit.bytes().all(|b| b.is_ascii_digit());
@@ -318,7 +330,7 @@
     let limit = Duration::from_millis(limit.parse().ok().filter(|_| digits)?).min(order.time_limit);
     let company = single(headers, "req-owner")?;
     // Without a key nobody could drop a repeat, which for a receipted command is counted on.
-    let key = single(headers, KEY.as_str())?.map(str::len);
+    let key = single(headers, IDEMPOTENCY_KEY.as_str())?.map(str::len);
     let marked = key.map_or(order.effect != Effect::Keyed, |len| len > 0);
     let again = match single(headers, "req-retry")? {
         None | Some("0") => false,
@@ -331,12 +343,12 @@
         .split(',')
         .find_map(|pair| pair.trim().strip_prefix("name_key="));
     let margin = MARGIN.min(limit / 20);
-    (!id.is_empty() && !limit.is_zero() && marked).then(|| Need {
-        verb: *verb,
-        company: company.and_then(|c| companies.iter().position(|known| known == c)),
+    (!id.is_empty() && !limit.is_zero() && marked).then(|| CommandParams {
+        class: *verb,
+        tenant: company.and_then(|c| companies.iter().position(|known| known == c)),
         budget: limit - margin,
-        last: limit - margin / 2,
-        again,
+        time_limit: limit - margin / 2,
+        is_retry: again,
         key: about
             .filter(|about| !about.is_empty() && *about != "-")
             .map(stable_hash),
@@ -355,10 +367,12 @@
 }
 
 /// The answer as the client reads it.
-fn word(answer: Answer) -> Response {
+fn word(answer: FinalResponse) -> Response {
     match answer {
-        Answer::Answered(answer) => answer.map(Body::new),
-        Answer::Declined { not_before } => {
+        FinalResponse::FromEndpoint(answer) => answer.map(Body::new),
+        FinalResponse::Refused {
+            retry_after: not_before,
+        } => {
             let mut answer = StatusCode::SERVICE_UNAVAILABLE.into_response();
             let after = not_before.map(|wait| format!("{:.3}", wait.as_secs_f64()));
             if let Some(after) = after.and_then(|text| HeaderValue::from_str(&text).ok()) {
@@ -366,7 +380,7 @@
             }
             answer
         }
-        Answer::Terminated => StatusCode::BAD_GATEWAY.into_response(),
-        Answer::OutOfTime => StatusCode::GATEWAY_TIMEOUT.into_response(),
+        FinalResponse::Failed => StatusCode::BAD_GATEWAY.into_response(),
+        FinalResponse::DeadlineExceeded => StatusCode::GATEWAY_TIMEOUT.into_response(),
     }
 }
--- a/crates/passroad/src/room.rs
+++ b/crates/passroad/src/room.rs
@@ -1,11 +1,11 @@
 //! What the process may hold: its descriptors by use, and how it shares them, and room for bodies, with another process
 //! beside it.
 
-use crate::front::Front;
 use crate::handover::{self, Inherited};
-use crate::intake::Intake;
+use crate::listener::ClientConnections;
 use crate::management;
 use crate::relay::Dialer;
+use crate::request_handler::RequestHandler;
 use crate::start::Start;
 use std::sync::{Arc, Mutex, PoisonError};
 
@@ -78,31 +78,31 @@
 
 pub struct Room {
     pub limits: Limits,
-    pub front: Arc<Front>,
+    pub front: Arc<ClientConnections>,
     pub dialer: Dialer,
-    pub intake: Arc<Intake>,
+    pub intake: Arc<RequestHandler>,
     pub held_back: Mutex<usize>, // connections to endpoints, for the next process
 }
 
 impl handover::Room for Room {
     fn give_way(&self, away: bool) {
-        self.front.take(!away);
-        self.intake.share(away);
+        self.front.set_accepting(!away);
+        self.intake.share_body_budget(away);
         let mut held_back = self
             .held_back
             .lock()
             .unwrap_or_else(PoisonError::into_inner);
         if away {
-            *held_back += self.dialer.hold_back();
+            *held_back += self.dialer.release_unused();
         } else {
-            self.dialer.widen(std::mem::take(&mut *held_back));
+            self.dialer.add_permits(std::mem::take(&mut *held_back));
         }
     }
 
     fn whole(&self) {
         let Limits { now, alone } = &self.limits;
-        self.front.widen(alone.clients);
-        self.intake.share(false);
-        self.dialer.widen(alone.endpoints - now.endpoints);
+        self.front.raise_limit(alone.clients);
+        self.intake.share_body_budget(false);
+        self.dialer.add_permits(alone.endpoints - now.endpoints);
     }
 }
