--- a/crates/passroad-rig/src/capacity/roles.rs
+++ b/crates/passroad-rig/src/capacity/roles.rs
@@ -136,7 +136,7 @@
 const RELAY: &str = "crates/passroad/src/relay.rs";
 const PROBE: &str = "crates/passroad/src/probe.rs";
 const LIST: &str = "crates/passroad/src/list.rs";
-const FRONT: &str = "crates/passroad/src/front.rs";
+const FRONT: &str = "crates/passroad/src/listener.rs";
 const ROOM: &str = "crates/passroad/src/room.rs";
 const CHOICE: &str = "crates/passroad-choice/src/choice.rs";
 const STATE: &str = "crates/passroad-choice/src/state.rs";
@@ -146,7 +146,7 @@
 const VOTER: &str = "crates/passroad-lease/src/voter.rs";
 const CALLS: &str = "crates/passroad/src/fleet/calls.rs";
 const UPKEEP: &str = "crates/passroad-upkeep/src/lib.rs";
-const BOOK: &str = "crates/passroad-upkeep/src/book.rs";
+const BOOK: &str = "crates/passroad-upkeep/src/operation_log.rs";
 const WORK: &str = "crates/passroad/src/fleet/work.rs";
 
 const GOSSIP: Mechanism = by(
