--- a/crates/passroad-routes/src/balancer/tests.rs
+++ b/crates/passroad-routes/src/balancer/tests.rs
@@ -185,7 +185,8 @@
     fixture.send_commands(200, 0.3);
     let actions = fixture.set_zone(0, state);
     assert!(
-        log_lines(&actions).contains(&"pool all: zone a is down: no running endpoint listed"),
+        log_lines(&actions)
+            .contains(&"pool all: zone a is down: no running, uncordoned endpoint listed"),
         "{actions:?}"
     );
     fixture.send_commands(200, 0.3);
--- a/crates/passroad-routes/src/router.rs
+++ b/crates/passroad-routes/src/router.rs
@@ -28,7 +28,7 @@
 const RATE_WINDOW: Duration = Duration::from_secs(4);
 /// Share of the deadline target after which an answer counts as late, as in the limits of the decision module.
 const LATE_SHARE: f64 = 0.85;
-/// Changes of a weight below this are not reported to the decision module.
+/// Smaller changes of a weight are not reported to the decision module, unless they are from or to zero.
 const MIN_WEIGHT_CHANGE: f64 = 0.02;
 /// Consecutive connect failures after which the decision module treats an endpoint as cold when it answers again.
 const COLD_AFTER_FAILURES: u32 = 3;
--- a/crates/passroad-routes/src/zone.rs
+++ b/crates/passroad-routes/src/zone.rs
@@ -16,9 +16,9 @@
 /// Why no endpoint of a zone can be used.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DownCause {
-    /// The list has no running endpoint in it.
-    NotListed,
-    /// The list has running endpoints, but this sidecar can't reach any. Other sidecars may not see this network fault.
+    /// All of its endpoints are stopped, removed from the list or cordoned.
+    NoneAvailable,
+    /// It has available endpoints, but this sidecar can't reach any. Other sidecars may not see this network fault.
     Unreachable,
 }
 
@@ -34,7 +34,8 @@
 const LOSS_MEMORY: Duration = Duration::from_secs(300);
 const MAX_DOUBLINGS: u32 = 3;
 
-/// Current state of a zone's endpoints, from the list and from relay outcomes. Weights are those of the list.
+/// Current state of a zone's endpoints, from the list and from relay outcomes. Weights are those of the list. Cordoned
+/// endpoints don't count.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct ZoneSummary {
     pub listed_weight: f64,    // of endpoints listed as running
@@ -224,7 +225,7 @@
         let cause = (to == ZoneHealth::Down).then_some(if summary.listed > 0 {
             DownCause::Unreachable
         } else {
-            DownCause::NotListed
+            DownCause::NoneAvailable
         });
         Some(HealthChange {
             from,
@@ -250,7 +251,7 @@
                     "is down for this sidecar: {listed} running endpoints listed, none reachable"
                 )
             }
-            (ZoneHealth::Down, _) => write!(f, "is down: no running endpoint listed"),
+            (ZoneHealth::Down, _) => write!(f, "is down: no running, uncordoned endpoint listed"),
             (ZoneHealth::Recovering, _) => {
                 write!(
                     f,
--- a/crates/passroad-routes/src/zone/tests.rs
+++ b/crates/passroad-routes/src/zone/tests.rs
@@ -86,7 +86,7 @@
 }
 
 #[rstest]
-#[case(summary(0, 0, 1.0), "is down: no running endpoint listed")]
+#[case(summary(0, 0, 1.0), "is down: no running, uncordoned endpoint listed")]
 #[case(
     summary(10, 0, 1.0),
     "is down for this sidecar: 10 running endpoints listed, none reachable"
