--- a/crates/passroad/src/desk.rs
+++ b/crates/passroad/src/desk.rs
@@ -2,14 +2,14 @@
 //! here, and each action goes from here to its owner: commands, links, discovery, timers.
 
 use crate::members::{Call, Known, List, Member};
-use crate::relay::{Dialer, Link};
+use crate::relay::{Dialer, EndpointPool};
 use crate::{probe, relay};
 use passroad_choice::interner::{Interner, stable_hash};
 use passroad_choice::{
     Action, BalancerConfig, CommandArrival, CommandIndex, EndpointIndex, EndpointState, Event,
     LearnedState, ListUpdateKind, ListedEndpoint, ReportMode,
 };
-use passroad_routes::{RouteOrders, Steered};
+use passroad_routes::{RoutedBalancer, RoutesConfig};
 use std::collections::{BTreeSet, HashSet, VecDeque};
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -31,7 +31,7 @@
 /// What the module decides about one command.
 pub enum Order {
     Relay {
-        link: Box<Link>,
+        link: Box<EndpointPool>,
         within: Duration,
         begin: Duration,
     },
@@ -67,7 +67,7 @@
 }
 
 struct Held {
-    balancer: Steered,
+    balancer: RoutedBalancer,
     reports: ReportMode,
     commands: Interner<u64>,
     admitted: u64,
@@ -77,7 +77,7 @@
     members: Vec<Option<Member>>, // as listed last, by slot
     left: Left,
     banned: BTreeSet<String>,
-    links: Vec<Option<Link>>,
+    links: Vec<Option<EndpointPool>>,
     told_used_up: Option<Instant>,
     zones: Interner<String>,
     kinds: Interner<String>,
@@ -87,7 +87,7 @@
     pub fn new(
         mut orders: BalancerConfig,
         mut watch: Option<BalancerConfig>,
-        routes: Option<RouteOrders>,
+        routes: Option<RoutesConfig>,
         dialer: Dialer,
         probe_within: Duration,
         calls: UnboundedSender<Call>,
@@ -113,7 +113,7 @@
             }),
             held: Mutex::new(Held {
                 reports: orders.report_mode,
-                balancer: Steered::new(orders, watch, routes),
+                balancer: RoutedBalancer::new(orders, watch, routes),
                 commands: Interner::new(),
                 admitted: 0,
                 seats: Vec::new(),
@@ -161,7 +161,7 @@
     pub async fn tell_watch(self: Arc<Self>, every: Duration) {
         loop {
             tokio::time::sleep(every).await;
-            if self.held().balancer.counts().is_none() {
+            if self.held().balancer.shadow_counts().is_none() {
                 return log::info!("the watch has ended");
             }
             self.say_watch();
@@ -169,7 +169,7 @@
     }
 
     pub fn say_watch(&self) {
-        if let Some(counts) = self.held().balancer.counts() {
+        if let Some(counts) = self.held().balancer.shadow_counts() {
             log::info!(
                 same = counts.same, elsewhere = counts.elsewhere, turned_away = counts.refused,
                 waited = counts.queued, no_copy = counts.hedges, taken = counts.admitted, sooner = counts.earlier,
@@ -239,7 +239,8 @@
                 continue;
             }
             let endpoint = held.endpoints.intern(&member.id);
-            held.balancer.name(endpoint, &member.id, &member.flavor);
+            held.balancer
+                .register_endpoint(endpoint, &member.id, &member.flavor);
             let len = held.members.len().max(endpoint + 1);
             held.members.resize(len, None);
             let anew = held.members[endpoint]
@@ -254,15 +255,15 @@
                 .as_mut()
                 .filter(|_| anew || member.mode() != EndpointState::Running)
             {
-                link.call_off();
+                link.cancel_unsent();
             }
             let address = member
                 .host_port
                 .filter(|_| member.mode() != EndpointState::Removed);
             if link.as_ref().map(|l| l.address) != address {
                 *link = address.map(|address| match link.take() {
-                    Some(mut link) => link.anew(address),
-                    None => Link::new(address, &self.dialer),
+                    Some(mut link) => link.replace(address),
+                    None => EndpointPool::new(address, &self.dialer),
                 });
                 match address {
                     Some(address) => log::info!(
@@ -299,7 +300,8 @@
             open: Vec::new(),
             descriptors,
             learnt: serde_json::to_value(
-                held.balancer.memory(|at| held.endpoints.name(at).cloned()),
+                held.balancer
+                    .learned_state(|at| held.endpoints.name(at).cloned()),
             )
             .unwrap_or_default(),
         }
@@ -357,7 +359,7 @@
     pub fn machines(&self) -> Vec<(Member, Option<f64>, bool)> {
         let held = self.held();
         let all = held.members.iter().enumerate();
-        let seems = |at: usize| held.balancer.seems(at);
+        let seems = |at: usize| held.balancer.endpoint_load(at);
         all.filter_map(|(at, member)| Some((member.clone()?, seems(at).0, seems(at).1)))
             .collect()
     }
@@ -369,7 +371,7 @@
         let link = at
             .and_then(|at| held.links.get(at))
             .and_then(Option::as_ref);
-        link.is_some_and(|link| !link.nothing_out())
+        link.is_some_and(|link| !link.is_unused())
     }
 
     /// The same for an id that another process knows.
@@ -397,10 +399,10 @@
     pub fn retune(
         self: &Arc<Self>,
         mut orders: BalancerConfig,
-        routes: Option<RouteOrders>,
+        routes: Option<RoutesConfig>,
     ) -> Result<Vec<usize>, String> {
         let mut held = self.held();
-        if !held.balancer.may_retune(&orders, routes.as_ref()) {
+        if !held.balancer.can_reconfigure(&orders, routes.as_ref()) {
             return Err(
                 "routes: other pools or zones, or routes where there were none, wait for the next start"
                     .into(),
@@ -410,9 +412,9 @@
         let Held { zones, kinds, .. } = &mut *held;
         orders.intern_names(zones, kinds);
         // Connections are kept as at the start.
-        orders.idle_close = self.dialer.idle();
+        orders.idle_close = self.dialer.idle_timeout();
         held.reports = orders.report_mode;
-        let (actions, verbs) = held.balancer.retune(self.now(), orders, routes);
+        let (actions, verbs) = held.balancer.reconfigure(self.now(), orders, routes);
         self.carry_out(&mut held, actions);
         Ok(verbs)
     }
@@ -469,7 +471,7 @@
                 }
                 Action::Disconnect { endpoint } => {
                     if let Some(link) = held.links.get_mut(endpoint).and_then(Option::as_mut) {
-                        *link = link.anew(link.address);
+                        *link = link.replace(link.address);
                     }
                 }
                 Action::Subscribe { active } => drop(self.calls.send(Call::Watch(active))),
@@ -490,11 +492,11 @@
         }
     }
 
-    async fn probe(self: Arc<Self>, endpoint: EndpointIndex, link: Option<Link>) {
+    async fn probe(self: Arc<Self>, endpoint: EndpointIndex, link: Option<EndpointPool>) {
         let (began, reports) = (Instant::now(), self.held().reports);
         let ended = match link {
             Some(link) => probe::run(link, reports, self.probe_within).await,
-            None => relay::Ended::from(passroad_choice::Outcome::ConnectFailed),
+            None => relay::ExchangeResult::from(passroad_choice::Outcome::ConnectFailed),
         };
         let spent = began.elapsed();
         log::debug!(
@@ -534,17 +536,17 @@
 }
 
 impl Held {
-    fn link(&mut self, endpoint: EndpointIndex, dialer: &Dialer) -> Option<Link> {
+    fn link(&mut self, endpoint: EndpointIndex, dialer: &Dialer) -> Option<EndpointPool> {
         // Guards against connections kept to some endpoints that leave none for others: where the last is
         // taken, those to endpoints with nothing out are given up.
-        if dialer.used_up() {
+        if dialer.is_exhausted() {
             let idle = self
                 .links
                 .iter_mut()
                 .flatten()
-                .filter(|link| link.nothing_out());
+                .filter(|link| link.is_unused());
             let count = idle
-                .map(|link| *link = Link::new(link.address, dialer))
+                .map(|link| *link = EndpointPool::new(link.address, dialer))
                 .count();
             if count > 0
                 && self
@@ -575,7 +577,7 @@
         {
             self.members.get_mut(at).map(Option::take);
             if let Some(mut link) = link.take() {
-                link.call_off();
+                link.cancel_unsent();
                 let id = self.endpoints.name(at).map_or("?", String::as_str);
                 log::info!("endpoint {at} ({id}) has left the list");
             }
@@ -640,7 +642,7 @@
     pub fn finished(
         &mut self,
         relay: usize,
-        ended: &relay::Ended,
+        ended: &relay::ExchangeResult,
         spent: Duration,
         concluded: bool,
     ) {
@@ -670,7 +672,7 @@
             self.out
                 .extend(matches!(order, Order::Relay { .. }).then_some(true));
         }
-        let recalled = relay::Ended::from(passroad_choice::Outcome::Cancelled);
+        let recalled = relay::ExchangeResult::from(passroad_choice::Outcome::Cancelled);
         for relay in 0..self.out.len() {
             if self.out[relay] {
                 self.finished(relay, &recalled, Duration::ZERO, true);
