--- a/crates/passroad-choice/src/choice.rs
+++ b/crates/passroad-choice/src/choice.rs
@@ -134,6 +134,7 @@
 }
 
 impl Balancer {
+    /// A balancer that has seen nothing yet.
     pub fn new(config: BalancerConfig) -> Self {
         let seed = config.seed | 1;
         let parameters = Parameters::from_config(config);
@@ -144,7 +145,7 @@
         }
     }
 
-    /// A balancer that has seen nothing yet.
+    /// As [`Balancer::new`], but for the initial limits.
     pub(crate) fn with_parameters(parameters: Parameters, random_state: u64) -> Self {
         Balancer {
             tenant_arrivals: vec![DecayingCount::default(); parameters.tenant_shares.len()],
@@ -238,6 +239,7 @@
         std::mem::take(&mut self.actions)
     }
 
+    /// A timer fired that was set with this token.
     fn on_timer(&mut self, token: u64) {
         let command = (token >> 2) as usize;
         match token & 3 {
@@ -256,6 +258,7 @@
         }
     }
 
+    /// Sets a timer, no earlier than the next tick.
     fn set_timer(&mut self, after: Duration, token: u64) {
         self.actions.push(Action::SetTimer {
             after: after.max(self.parameters.tick),
@@ -270,6 +273,7 @@
         (self.random_state & 0xffff_ffff) as f64 / 4_294_967_296.0
     }
 
+    /// Has a line written to the log of the sidecar.
     pub(crate) fn log(&mut self, line: String) {
         self.actions.push(Action::Log(line));
     }
--- a/crates/passroad-choice/src/choice/admission.rs
+++ b/crates/passroad-choice/src/choice/admission.rs
@@ -13,6 +13,7 @@
 const EXTRA_PROBE_ROUNDS: u32 = 1;
 
 impl Balancer {
+    /// Values a command, queues it and sends probes for it.
     pub(super) fn on_command_arrived(&mut self, arrival: CommandArrival) {
         let class = &self.parameters.classes[arrival.class];
         let target = (class.deadline_target
@@ -109,6 +110,7 @@
             .min(self.now + class.deadline_target / 4)
     }
 
+    /// Queues a command, for its first relay or a retry.
     pub(super) fn enqueue(&mut self, command_index: CommandIndex) {
         let Some(queue_deadline) = self
             .open_command(command_index)
--- a/crates/passroad-choice/src/choice/command.rs
+++ b/crates/passroad-choice/src/choice/command.rs
@@ -20,6 +20,7 @@
 }
 
 impl Relay {
+    /// Whether its outcome does not prove that it had no effect.
     pub fn may_have_run(&self) -> bool {
         !self.outcome.is_some_and(Outcome::never_ran)
     }
@@ -59,6 +60,7 @@
 }
 
 impl Command {
+    /// A command that has just arrived. Its value and key are set by the caller.
     pub fn new(arrival: &CommandArrival, now: Duration, target_deadline: Duration) -> Self {
         Command {
             class: arrival.class,
--- a/crates/passroad-choice/src/choice/concurrency_limit.rs
+++ b/crates/passroad-choice/src/choice/concurrency_limit.rs
@@ -26,6 +26,7 @@
                 * decay(self.now, endpoint.limit_changed_at, 4 * SMOOTHING)
     }
 
+    /// Sets the limit of an endpoint, and moves the usual limit toward it.
     pub(super) fn set_limit(&mut self, index: EndpointIndex, limit: f64) {
         self.usual_limit = (self.usual_limit
             + USUAL_LIMIT_SHARE * (limit - self.current_limit(&self.endpoints[index])))
--- a/crates/passroad-choice/src/choice/endpoint_list.rs
+++ b/crates/passroad-choice/src/choice/endpoint_list.rs
@@ -10,6 +10,7 @@
 use std::time::Duration;
 
 impl Balancer {
+    /// Applies an update of the endpoint list, or handles the failure of a request for it.
     pub(super) fn update_list(&mut self, kind: ListUpdateKind, entries: Vec<ListedEndpoint>) {
         let jitter = self.random();
         match kind {
--- a/crates/passroad-choice/src/choice/load_reports.rs
+++ b/crates/passroad-choice/src/choice/load_reports.rs
@@ -6,6 +6,7 @@
 use crate::{EndpointIndex, LoadReport};
 
 impl Balancer {
+    /// Records what an endpoint reports, and checks it against own relays in flight.
     pub(super) fn record_report(&mut self, index: EndpointIndex, report: Option<LoadReport>) {
         let (Some(endpoint), Some(report)) = (self.endpoints.get_mut(index), report) else {
             return;
--- a/crates/passroad-choice/src/choice/parameters.rs
+++ b/crates/passroad-choice/src/choice/parameters.rs
@@ -57,6 +57,7 @@
 }
 
 impl Parameters {
+    /// Derives the parameters; the classes have seen nothing yet.
     pub(super) fn from_config(config: BalancerConfig) -> Self {
         let targets = config
             .classes
--- a/crates/passroad-choice/src/choice/probing.rs
+++ b/crates/passroad-choice/src/choice/probing.rs
@@ -85,6 +85,7 @@
         until > self.now
     }
 
+    /// Records the outcome of a probe, and whether it found an endpoint below its limit.
     pub(super) fn on_probe_finished(
         &mut self,
         index: EndpointIndex,
--- a/crates/passroad-choice/src/choice/relaying.rs
+++ b/crates/passroad-choice/src/choice/relaying.rs
@@ -8,6 +8,7 @@
 use std::time::Duration;
 
 impl Balancer {
+    /// Sends a relay of a command to an endpoint, and sets the timers of a first relay.
     pub(super) fn send_relay(&mut self, command_index: CommandIndex, index: EndpointIndex) {
         let now = self.now;
         let mean_load = self.mean_load();
@@ -133,6 +134,7 @@
         self.in_flight -= 1.0;
     }
 
+    /// The answer is being streamed: it is neither hedged nor cancelled any more.
     pub(crate) fn mark_streaming(&mut self, command_index: CommandIndex) {
         self.commands
             .get_mut(command_index)
@@ -141,6 +143,7 @@
             .for_each(|command| command.streaming = true);
     }
 
+    /// Part of the body is gone: the command can neither be retried nor hedged.
     pub(crate) fn mark_body_not_replayable(&mut self, command_index: CommandIndex) {
         self.commands
             .get_mut(command_index)
@@ -149,6 +152,7 @@
             .for_each(|command| command.body_not_replayable = true);
     }
 
+    /// A command that is not released yet.
     pub(crate) fn open_command(&self, command_index: CommandIndex) -> Option<&Command> {
         self.commands.get(command_index).and_then(Option::as_ref)
     }
--- a/crates/passroad-choice/src/choice/request_class.rs
+++ b/crates/passroad-choice/src/choice/request_class.rs
@@ -44,6 +44,7 @@
 }
 
 impl RequestClass {
+    /// A class of which nothing was seen yet.
     pub fn from_config(
         config: &RequestClassConfig,
         usual_answer_time: Duration,
@@ -96,6 +97,7 @@
         self.allowed.iter().any(Option::is_some)
     }
 
+    /// Whether it may run on this endpoint, by zone and kind.
     pub fn allowed_on(&self, endpoint: &Endpoint) -> bool {
         let [zones, kinds] = &self.allowed;
         zones
--- a/crates/passroad-choice/src/choice/slow_start.rs
+++ b/crates/passroad-choice/src/choice/slow_start.rs
@@ -70,6 +70,7 @@
         }
     }
 
+    /// Part of a count of warm answers.
     pub(super) fn scaled(&self, factor: f64) -> DecayingCount {
         DecayingCount {
             sum: self.sum * factor,
@@ -79,6 +80,7 @@
 }
 
 impl Balancer {
+    /// Whether its process started less than the warm-up time ago.
     pub(crate) fn is_cold(&self, endpoint: &Endpoint) -> bool {
         endpoint.started_at.is_some_and(|started_at| {
             self.now.saturating_sub(started_at) < self.parameters.warm_up_time
@@ -124,6 +126,7 @@
         .unwrap_or_default()
     }
 
+    /// Counts an answer of a warm endpoint for its kind.
     pub(crate) fn record_warm_answer(&mut self, index: EndpointIndex) {
         let kind = self.endpoints[index].kind;
         self.warm_kinds
--- a/crates/passroad-choice/src/choice/statistics.rs
+++ b/crates/passroad-choice/src/choice/statistics.rs
@@ -28,6 +28,7 @@
 }
 
 impl DecayingMean {
+    /// Adds a sample; earlier ones decay over `over`.
     pub fn record(&mut self, now: Duration, value: f64, over: Duration) {
         self.count = self.count * decay(now, self.updated_at, over) + 1.0;
         self.updated_at = now;
@@ -67,6 +68,7 @@
 }
 
 impl DecayingCount {
+    /// Counts an event; earlier ones decay over `over`.
     pub fn increment(&mut self, now: Duration, over: Duration) {
         let started_at = if self.sum > 0.0 { self.started_at } else { now };
         *self = DecayingCount {
--- a/crates/passroad-choice/src/choice/view.rs
+++ b/crates/passroad-choice/src/choice/view.rs
@@ -46,6 +46,7 @@
         }
     }
 
+    /// Has no effect on an endpoint that is in view already.
     pub(crate) fn bring_into_view(&mut self, index: EndpointIndex) {
         if !std::mem::replace(&mut self.endpoints[index].in_view, true) {
             self.in_view.push(index);
--- a/crates/passroad-choice/src/config.rs
+++ b/crates/passroad-choice/src/config.rs
@@ -18,6 +18,7 @@
 /// The endpoints that drop a repeat of a keyed command.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DeduplicationScope {
+    /// All endpoints.
     All,
     /// Those in the zone of the first endpoint.
     Zone,
@@ -66,9 +67,11 @@
     pub seed: u64,
     /// Zone of this process, as an index of `zones`.
     pub own_zone: usize,
+    /// Names of all zones.
     pub zones: Vec<String>,
     /// Kinds of endpoints that classes are restricted to.
     pub kinds: Vec<String>,
+    /// Request classes, which commands name by their index.
     pub classes: Vec<RequestClassConfig>,
     pub tenants: Vec<TenantConfig>,
     /// Factor on the value of a tenant's commands beyond its share, in an overload.
@@ -83,22 +86,31 @@
     pub max_relays: usize,
     /// Longest pause that a refused client is told; none where no pause is told.
     pub max_retry_after: Option<Duration>,
+    /// Endpoints may be probed.
     pub probes_allowed: bool,
+    /// Relays in flight may be cancelled.
     pub cancellation_allowed: bool,
+    /// Slow relays may be hedged.
     pub hedging_allowed: bool,
     /// The endpoint list is requested, not pushed.
     pub list_on_request: bool,
+    /// How endpoints report their load.
     pub report_mode: ReportMode,
     /// Listed weights fall with the load of an endpoint.
     pub live_weights: bool,
     /// An endpoint does less work for a key that it met lately.
     pub warm_keys: bool,
+    /// Price of a probe.
     pub probe_price: f64,
+    /// Price of a relay to another zone.
     pub cross_zone_price: f64,
+    /// Price of a new connection.
     pub handshake_price: f64,
     /// Idle connections are closed after this.
     pub idle_close: Duration,
+    /// Relays that one connection carries at a time.
     pub streams_per_connection: usize,
+    /// Usual time between requests for the endpoint list.
     pub list_poll_interval: Duration,
     /// How long a draining endpoint still serves what reaches it.
     pub drain_grace: Duration,
--- a/crates/passroad-choice/src/event.rs
+++ b/crates/passroad-choice/src/event.rs
@@ -21,18 +21,22 @@
     pub recent_ms: Option<f64>,
     /// Answers a second.
     pub throughput: Option<f64>,
+    /// Answers a second that are errors.
     pub errors_per_s: Option<f64>,
 }
 
 /// How a relay or a probe ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
+    /// With an answer that is not an error.
     Answered,
     /// The endpoint answered with an error of its own.
     Error,
     /// The endpoint refused it because it is full.
     Overloaded,
+    /// No answer came in time.
     TimedOut,
+    /// No connection was established, so nothing was sent.
     ConnectFailed,
     /// The connection broke after the command was sent, or part of it.
     ConnectionLost,
@@ -57,6 +61,7 @@
 /// State of an endpoint by the list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EndpointState {
+    /// It takes commands.
     Running,
     /// It ends what it holds and is sent nothing new.
     Draining,
@@ -84,8 +89,11 @@
     /// [`crate::interner::stable_hash`] of its id, so the same at every sidecar.
     pub id_hash: u64,
     pub zone: usize,
+    /// Part of its zone; see [`crate::DeduplicationScope::Cell`].
     pub cell: usize,
+    /// Kind of machine or build.
     pub kind: usize,
+    /// Weight against other endpoints.
     pub weight: f64,
     /// When its process started; zero where that is unknown.
     pub started_at: Duration,
@@ -99,6 +107,7 @@
     /// Request class, by the indices of [`Action::ClassIndicesAssigned`] or else of the
     /// configuration.
     pub class: usize,
+    /// Index of its tenant in the configuration.
     pub tenant: Option<usize>,
     /// Hash of what the command is about, for key affinity.
     pub key: Option<u64>,
@@ -119,6 +128,7 @@
 /// Something that happened.
 #[derive(Debug, Clone)]
 pub enum Event {
+    /// An update of the endpoint list.
     ListUpdated {
         kind: ListUpdateKind,
         entries: Vec<ListedEndpoint>,
@@ -140,20 +150,15 @@
         state: Box<LearnedState>,
         slots: Vec<Option<EndpointIndex>>,
     },
+    /// A client sent a command.
     CommandArrived(CommandArrival),
     /// Part of a body that is not kept was sent: no other relay can be given it.
-    BodyNotReplayable {
-        command: CommandIndex,
-    },
+    BodyNotReplayable { command: CommandIndex },
     /// The body of a command with `body_pending` has arrived as a whole.
-    BodyComplete {
-        command: CommandIndex,
-    },
+    BodyComplete { command: CommandIndex },
     /// The answer of a relay is being streamed to the client.
-    StreamStarted {
-        command: CommandIndex,
-        relay: usize,
-    },
+    StreamStarted { command: CommandIndex, relay: usize },
+    /// A relay ended.
     RelayFinished {
         command: CommandIndex,
         relay: usize,
@@ -164,9 +169,8 @@
         report: Option<LoadReport>,
     },
     /// The client no longer waits.
-    CommandAbandoned {
-        command: CommandIndex,
-    },
+    CommandAbandoned { command: CommandIndex },
+    /// A probe ended.
     ProbeFinished {
         endpoint: EndpointIndex,
         outcome: Outcome,
@@ -174,13 +178,9 @@
         report: Option<LoadReport>,
     },
     /// Messages between sidecars are not used by these decisions.
-    PeerMessageReceived {
-        from: usize,
-        bytes: Vec<u8>,
-    },
-    TimerFired {
-        token: u64,
-    },
+    PeerMessageReceived { from: usize, bytes: Vec<u8> },
+    /// A timer fired that [`Action::SetTimer`] set.
+    TimerFired { token: u64 },
 }
 
 /// Something to be done.
@@ -196,52 +196,34 @@
         /// Its first byte must not be sent any more after this.
         send_by: Duration,
     },
-    CancelRelay {
-        command: CommandIndex,
-        relay: usize,
-    },
+    /// Cancels a relay in flight.
+    CancelRelay { command: CommandIndex, relay: usize },
     /// Answers that the command was not run, or that a retry does no harm, and when to retry.
     Refuse {
         command: CommandIndex,
         retry_after: Option<Duration>,
     },
     /// Answers that the command failed; it may have run.
-    Fail {
-        command: CommandIndex,
-    },
+    Fail { command: CommandIndex },
     /// Nothing more is held on this command; its slot may be given out again.
-    ReleaseCommand {
-        command: CommandIndex,
-    },
+    ReleaseCommand { command: CommandIndex },
     /// The endpoint has left and nothing more is held on it; its slot may be given out again.
-    ReleaseEndpoint {
-        endpoint: EndpointIndex,
-    },
-    Probe {
-        endpoint: EndpointIndex,
-    },
+    ReleaseEndpoint { endpoint: EndpointIndex },
+    /// Asks an endpoint for its load.
+    Probe { endpoint: EndpointIndex },
     /// Closes the connections to an endpoint.
-    Disconnect {
-        endpoint: EndpointIndex,
-    },
+    Disconnect { endpoint: EndpointIndex },
     /// Starts or ends the subscription to the endpoint list.
-    Subscribe {
-        active: bool,
-    },
+    Subscribe { active: bool },
+    /// Requests the endpoint list once; not used by these decisions.
     PollList,
-    SendToPeer {
-        to: Option<usize>,
-        bytes: Vec<u8>,
-    },
+    /// Sends a message to another sidecar; not used by these decisions.
+    SendToPeer { to: Option<usize>, bytes: Vec<u8> },
     /// Asks for [`Event::TimerFired`] with this token.
-    SetTimer {
-        after: Duration,
-        token: u64,
-    },
+    SetTimer { after: Duration, token: u64 },
     /// The answer to [`Event::Reconfigured`]: the index of each configured class, which commands
     /// are to use from here on.
-    ClassIndicesAssigned {
-        classes: Vec<usize>,
-    },
+    ClassIndicesAssigned { classes: Vec<usize> },
+    /// Writes a line to the log.
     Log(String),
 }
--- a/crates/passroad-choice/src/interner.rs
+++ b/crates/passroad-choice/src/interner.rs
@@ -21,6 +21,7 @@
 }
 
 impl<K: Eq + Hash + Clone> Interner<K> {
+    /// An interner without ids.
     pub fn new() -> Self {
         Interner {
             indices: FxHashMap::default(),
--- a/crates/passroad-choice/src/shadow.rs
+++ b/crates/passroad-choice/src/shadow.rs
@@ -15,6 +15,7 @@
 /// Decisions of the leading balancer, by what the shadow would have done.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
 pub struct ShadowCounts {
+    /// The same decision.
     pub same: u64,
     /// Sent to another endpoint, by weight or by another random draw.
     pub elsewhere: u64,
@@ -59,6 +60,7 @@
 }
 
 impl ShadowedBalancer {
+    /// A balancer that decides by `config`, with a shadow if `shadow_config` is given.
     pub fn new(config: BalancerConfig, shadow_config: Option<BalancerConfig>) -> Self {
         let shadow =
             shadow_config.map(|config| Box::new((Balancer::new(config), ShadowCounts::default())));
