--- a/crates/passroad-rig/src/added_latency/between.rs
+++ b/crates/passroad-rig/src/added_latency/between.rs
@@ -199,7 +199,7 @@
          [[verb]]\nname = \"look\"\neffect = \"pure\"\nwork = \"1ms\"\ngoal = \"400ms\"\nlimit = \"1s\"\n\
          [load]\nper_second = 230\n[allowed]\nprobes = {probes}\n"
     );
-    experiment::read(&text)
+    experiment::parse(&text)
         .map(|plan| plan.settings(0))
         .map_err(|wrong| io::Error::other(wrong.to_string()))
 }
--- a/crates/passroad-rig/src/added_latency/mod.rs
+++ b/crates/passroad-rig/src/added_latency/mod.rs
@@ -8,7 +8,7 @@
 
 pub use report::{command, commit, json, text};
 
-use crate::chance::Chance;
+use crate::rng::SeededRng;
 use crate::sockets::Program;
 use between::{Sidecar, Used, relay};
 use door::{Door, held};
@@ -254,7 +254,7 @@
                 Way::Relay => relay(&started.addresses)?,
                 Way::Sidecar { probes, .. } => {
                     let name = format!("added-{n}-{tier}");
-                    let seed = Chance::stream(asked.seed, &name, 0).number();
+                    let seed = SeededRng::stream(asked.seed, &name, 0).next_u64();
                     let sidecar =
                         Sidecar::start(program, folder, &name, &started.addresses, probes, seed)?;
                     let address = sidecar.address;
@@ -335,12 +335,12 @@
 fn schedule(rate: u32, seed: u64, arms: usize, rounds: usize, slice: Duration) -> Vec<Due> {
     let mut all = Vec::new();
     for round in 0..=rounds {
-        let mut chance = Chance::stream(seed, "arrivals", round as u64);
+        let mut chance = SeededRng::stream(seed, "arrivals", round as u64);
         let mut arrivals = Vec::new();
-        let mut at = chance.gap() / f64::from(rate);
+        let mut at = chance.exponential() / f64::from(rate);
         while at < slice.as_secs_f64() {
             arrivals.push((Duration::from_secs_f64(at), chance.below(1 << 20)));
-            at += chance.gap() / f64::from(rate);
+            at += chance.exponential() / f64::from(rate);
         }
         for (slot, arm) in order(arms, round).into_iter().enumerate() {
             let begins = slice * (round * arms + slot) as u32;
--- a/crates/passroad-rig/src/added_latency/report.rs
+++ b/crates/passroad-rig/src/added_latency/report.rs
@@ -1,7 +1,7 @@
 //! What a measurement says, as a table and as points of a slope.
 
 use super::{Arm, Asked, Connections, Measured, Way};
-use crate::chance::Chance;
+use crate::rng::SeededRng;
 use hdrhistogram::Histogram;
 use serde_json::{Value, json};
 use std::fmt::Write;
@@ -55,7 +55,7 @@
         QUANTILES.map(|(_, quantile)| ms(&more, quantile) - ms(&less, quantile))
     };
     let all = differences(&(0..rounds).collect::<Vec<_>>());
-    let mut chance = Chance::stream(seed, "redraw", 0);
+    let mut chance = SeededRng::stream(seed, "redraw", 0);
     let drawn: Vec<[f64; 3]> = (0..REDRAWS)
         .map(|_| {
             differences(
--- a/crates/passroad-rig/src/baseline.rs
+++ b/crates/passroad-rig/src/baseline.rs
@@ -1,8 +1,8 @@
 //! Whoever decides in a day: the module, and what it is held against. The baselines are plain on purpose: one relay
 //! at a time, another where the rules allow it, no limits, no probes, no waiting.
 
-use crate::chance::Chance;
-use crate::experiment::{Effect, Plan, VerbPlan};
+use crate::experiment::{ClassPlan, Effect, Plan};
+use crate::rng::SeededRng;
 use passroad_choice::{
     Action, CommandArrival, CommandIndex, EndpointState, Event, ListUpdateKind, ListedEndpoint,
     Outcome,
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 /// The true state of a day, for whoever is allowed to see it.
-pub trait Sight {
+pub trait FleetView {
     /// Seconds that a command would wait at an endpoint if it were sent now, and until it would be answered; none if it
     /// would not.
     fn would_take(&self, instance: usize, endpoint: usize, cmd: CommandIndex)
@@ -20,11 +20,11 @@
 }
 
 pub trait Policy {
-    fn decide(&mut self, now: Duration, event: Event, sight: &dyn Sight) -> Vec<Action>;
+    fn decide(&mut self, now: Duration, event: Event, sight: &dyn FleetView) -> Vec<Action>;
 }
 
 impl Policy for RoutedBalancer {
-    fn decide(&mut self, now: Duration, event: Event, _: &dyn Sight) -> Vec<Action> {
+    fn decide(&mut self, now: Duration, event: Event, _: &dyn FleetView) -> Vec<Action> {
         RoutedBalancer::decide(self, now, event)
     }
 }
@@ -67,27 +67,28 @@
     Ok(Box::new(Plain {
         how,
         instance,
-        effects: plan.verbs.iter().map(|v| v.effect).collect(),
+        effects: plan.classes.iter().map(|v| v.effect).collect(),
         patience: {
             let best = plan
-                .verbs
+                .classes
                 .iter()
-                .map(|v| v.utility / v.work)
+                .map(|v| v.utility / v.mean_work)
                 .fold(1e-9, f64::max);
-            let mean = plan.verbs.iter().map(|v| v.work).sum::<f64>() / plan.verbs.len() as f64;
+            let mean =
+                plan.classes.iter().map(|v| v.mean_work).sum::<f64>() / plan.classes.len() as f64;
             let room = plan
                 .endpoints
                 .iter()
-                .map(|e| e.make.queue as f64 / e.make.cores as f64 / e.make.speed);
+                .map(|e| e.spec.queue_limit as f64 / e.spec.cores as f64 / e.spec.speed);
             let room = room.fold(f64::INFINITY, f64::min) * mean;
-            let patience = |v: &VerbPlan| match v.utility / v.work / best {
-                worth if worth > 0.999 => v.goal.as_secs_f64(),
-                worth => room.min(v.goal.as_secs_f64()) * (0.1 + 0.6 * worth),
+            let patience = |v: &ClassPlan| match v.utility / v.mean_work / best {
+                worth if worth > 0.999 => v.deadline_target.as_secs_f64(),
+                worth => room.min(v.deadline_target.as_secs_f64()) * (0.1 + 0.6 * worth),
             };
-            plan.verbs.iter().map(patience).collect()
+            plan.classes.iter().map(patience).collect()
         },
-        most: plan.relays,
-        chance: Chance::stream(seed, "baseline", 0),
+        most: plan.max_relays,
+        chance: SeededRng::stream(seed, "baseline", 0),
         listed: BTreeMap::new(),
         out: BTreeMap::new(),
         turn: 0,
@@ -121,7 +122,7 @@
     effects: Vec<Effect>,
     patience: Vec<f64>, // seconds, by verb; for full sight
     most: usize,
-    chance: Chance,
+    chance: SeededRng,
     listed: BTreeMap<usize, bool>, // those that are up
     out: BTreeMap<usize, usize>,   // own relays out
     turn: usize,
@@ -156,7 +157,7 @@
         }
     }
 
-    fn pick(&mut self, cmd: CommandIndex, sight: &dyn Sight) -> Option<usize> {
+    fn pick(&mut self, cmd: CommandIndex, sight: &dyn FleetView) -> Option<usize> {
         let tried: Vec<usize> = self
             .commands
             .get(&cmd)?
@@ -205,7 +206,13 @@
         }
     }
 
-    fn send(&mut self, now: Duration, cmd: CommandIndex, sight: &dyn Sight, out: &mut Vec<Action>) {
+    fn send(
+        &mut self,
+        now: Duration,
+        cmd: CommandIndex,
+        sight: &dyn FleetView,
+        out: &mut Vec<Action>,
+    ) {
         let endpoint = self.pick(cmd, sight);
         let Some(held) = self.commands.get_mut(&cmd) else {
             return;
@@ -228,7 +235,7 @@
                     .relays
                     .iter()
                     .all(|(_, o)| o.is_some_and(Outcome::never_ran));
-                let harmless = never || self.effects[held.verb] == Effect::Pure;
+                let harmless = never || self.effects[held.verb] == Effect::Safe;
                 out.push(match harmless {
                     true => Action::Refuse {
                         command: cmd,
@@ -251,7 +258,7 @@
 }
 
 impl Policy for Plain {
-    fn decide(&mut self, now: Duration, event: Event, sight: &dyn Sight) -> Vec<Action> {
+    fn decide(&mut self, now: Duration, event: Event, sight: &dyn FleetView) -> Vec<Action> {
         let mut out = Vec::new();
         match event {
             Event::ListUpdated { kind, entries } => self.read_list(kind, entries, &mut out),
@@ -294,7 +301,7 @@
                     .relays
                     .iter()
                     .any(|(_, o)| !o.is_some_and(Outcome::never_ran));
-                let again = !held.over && (!ran || self.effects[held.verb] == Effect::Pure);
+                let again = !held.over && (!ran || self.effects[held.verb] == Effect::Safe);
                 if again && held.relays.len() < self.most {
                     self.send(now, cmd, sight, &mut out);
                 } else if !held.over {
--- a/crates/passroad-rig/src/capacity/simulate.rs
+++ b/crates/passroad-rig/src/capacity/simulate.rs
@@ -1,9 +1,9 @@
 //! Points from virtual time, for what no run on sockets measures: what an endpoint sees, and what voters and owners send.
 
 use super::slopes::six;
+use crate::distribution;
 use crate::experiment::{self, Plan};
-use crate::run::{Run, play_all};
-use crate::spread;
+use crate::run::{Run, simulate_all};
 use passroad_lease::voters_for;
 use serde_json::{Value, json};
 use std::path::Path;
@@ -14,7 +14,7 @@
 /// What is wrong with the file, by its line; a plan that can't be played.
 pub fn points(file: &Path, sizes: &[usize], seed: u64, commit: &str) -> Result<Value, String> {
     let text = std::fs::read_to_string(file).map_err(|e| format!("{}: {e}", file.display()))?;
-    let plan = experiment::read(&text).map_err(|wrong| format!("{}: {wrong}", file.display()))?;
+    let plan = experiment::parse(&text).map_err(|wrong| format!("{}: {wrong}", file.display()))?;
     let name = file
         .file_stem()
         .unwrap_or_default()
@@ -41,7 +41,7 @@
                 .collect();
             sized.per_second = plan.per_second * *size as f64 / plan.instances as f64;
         }
-        for run in play_all(&sized, 1)? {
+        for run in simulate_all(&sized, 1)? {
             match &run.fleet {
                 Some(_) => all.extend(talk(&sized, &run)),
                 None => all.extend(endpoint(&sized, &run, &name)),
@@ -66,25 +66,25 @@
     let seconds = (window.end - window.start).as_secs_f64();
     let (count, sidecars) = (plan.endpoints.len() as f64, plan.instances);
     let calls = run
-        .books
+        .history
         .commands
         .iter()
-        .filter(|c| window.contains(&c.asked))
+        .filter(|c| window.contains(&c.arrived_at))
         .count() as f64;
     let attempts = run
-        .books
+        .history
         .relays
         .iter()
-        .filter(|r| window.contains(&r.at))
+        .filter(|r| window.contains(&r.sent_at))
         .count() as f64;
-    let probes = run.books.probes.len() as f64 / run.books.commands.len().max(1) as f64;
+    let probes = run.history.probes.len() as f64 / run.history.commands.len().max(1) as f64;
     let looks: Vec<_> = run
-        .looks
+        .samples
         .iter()
-        .filter(|look| window.contains(&look.at))
+        .filter(|look| window.contains(&look.time))
         .collect();
-    let links: usize = looks.iter().flat_map(|look| &look.links).sum();
-    let busiest = spread::shares(run, plan, &window)
+    let links: usize = looks.iter().flat_map(|look| &look.connections).sum();
+    let busiest = distribution::relative_loads(run, plan, &window)
         .into_iter()
         .fold(0.0, f64::max);
     let held = links as f64 / (looks.len() as f64 * count).max(1.0);
@@ -103,7 +103,7 @@
             "connections",
             "",
             "busiest",
-            spread::links_most(run, &window) as f64,
+            distribution::most_connections(run, &window) as f64,
         ),
         ("busiest", "", "busiest", busiest),
     ];
--- a/crates/passroad-rig/src/spread.rs
+++ b/crates/passroad-rig/src/distribution.rs
@@ -10,20 +10,20 @@
 const TOGETHER: Duration = Duration::from_millis(50);
 
 /// Relays that went out within a window, by endpoint.
-fn counts(run: &Run, plan: &Plan, window: &Range<Duration>) -> Vec<f64> {
+fn relay_counts(run: &Run, plan: &Plan, window: &Range<Duration>) -> Vec<f64> {
     let mut counts = vec![0.0; plan.endpoints.len()];
-    run.books
+    run.history
         .relays
         .iter()
-        .filter(|r| window.contains(&r.at))
+        .filter(|r| window.contains(&r.sent_at))
         .for_each(|r| counts[r.endpoint] += 1.0);
     counts
 }
 
 /// Of each endpoint, its relays over its fair share by cores and speed. What is down or cold meanwhile still counts whole.
-pub fn shares(run: &Run, plan: &Plan, window: &Range<Duration>) -> Vec<f64> {
-    let counts = counts(run, plan, window);
-    let size = |n: usize| plan.endpoints[n].make.cores as f64 * plan.endpoints[n].make.speed;
+pub fn relative_loads(run: &Run, plan: &Plan, window: &Range<Duration>) -> Vec<f64> {
+    let counts = relay_counts(run, plan, window);
+    let size = |n: usize| plan.endpoints[n].spec.cores as f64 * plan.endpoints[n].spec.speed;
     let (all, sizes) = (
         counts.iter().sum::<f64>(),
         (0..counts.len()).map(size).sum::<f64>(),
@@ -36,13 +36,18 @@
 }
 
 /// Variance over mean of the relays of an endpoint within a time of this length: 1 where each choice is random.
-pub fn herding(run: &Run, plan: &Plan, window: &Range<Duration>, step: Duration) -> f64 {
+pub fn dispersion(run: &Run, plan: &Plan, window: &Range<Duration>, step: Duration) -> f64 {
     let steps = ((window.end - window.start).as_secs_f64() / step.as_secs_f64())
         .floor()
         .max(1.0) as usize;
     let mut cells = vec![0.0f64; steps * plan.endpoints.len()];
-    for r in run.books.relays.iter().filter(|r| window.contains(&r.at)) {
-        let at = ((r.at - window.start).as_secs_f64() / step.as_secs_f64()) as usize;
+    for r in run
+        .history
+        .relays
+        .iter()
+        .filter(|r| window.contains(&r.sent_at))
+    {
+        let at = ((r.sent_at - window.start).as_secs_f64() / step.as_secs_f64()) as usize;
         if at < steps {
             cells[at * plan.endpoints.len() + r.endpoint] += 1.0;
         }
@@ -57,35 +62,45 @@
 }
 
 /// Share of endpoint-time with nothing held while another endpoint holds more than it has cores for.
-pub fn idle(run: &Run, plan: &Plan, window: &Range<Duration>) -> f64 {
+pub fn idle_share(run: &Run, plan: &Plan, window: &Range<Duration>) -> f64 {
     let looks: Vec<_> = run
-        .looks
+        .samples
         .iter()
-        .filter(|look| window.contains(&look.at))
+        .filter(|look| window.contains(&look.time))
         .collect();
-    let queues = |held: &[usize]| (0..held.len()).any(|n| held[n] > plan.endpoints[n].make.cores);
+    let queues = |held: &[usize]| (0..held.len()).any(|n| held[n] > plan.endpoints[n].spec.cores);
     let idle: usize = looks
         .iter()
-        .filter(|look| queues(&look.held))
-        .map(|look| look.held.iter().filter(|held| **held == 0).count())
+        .filter(|look| queues(&look.outstanding))
+        .map(|look| look.outstanding.iter().filter(|held| **held == 0).count())
         .sum();
     idle as f64 / (looks.len() * plan.endpoints.len()).max(1) as f64
 }
 
 /// How many sidecars used each endpoint within a window.
-pub fn holders(run: &Run, plan: &Plan, window: &Range<Duration>) -> Vec<usize> {
+pub fn sidecars_per_endpoint(run: &Run, plan: &Plan, window: &Range<Duration>) -> Vec<usize> {
     let mut users = vec![BTreeSet::new(); plan.endpoints.len()];
-    for r in run.books.relays.iter().filter(|r| window.contains(&r.at)) {
-        users[r.endpoint].insert(run.books.commands[r.cmd].instance);
+    for r in run
+        .history
+        .relays
+        .iter()
+        .filter(|r| window.contains(&r.sent_at))
+    {
+        users[r.endpoint].insert(run.history.commands[r.command].instance);
     }
     users.iter().map(BTreeSet::len).collect()
 }
 
 /// How often a tenth of all sidecars chose the same endpoint within 50 ms, a second.
-pub fn together(run: &Run, plan: &Plan, window: &Range<Duration>) -> f64 {
+pub fn synchronized_choices(run: &Run, plan: &Plan, window: &Range<Duration>) -> f64 {
     let mut by_endpoint = vec![Vec::new(); plan.endpoints.len()];
-    for r in run.books.relays.iter().filter(|r| window.contains(&r.at)) {
-        by_endpoint[r.endpoint].push((r.at, run.books.commands[r.cmd].instance));
+    for r in run
+        .history
+        .relays
+        .iter()
+        .filter(|r| window.contains(&r.sent_at))
+    {
+        by_endpoint[r.endpoint].push((r.sent_at, run.history.commands[r.command].instance));
     }
     let tenth = plan.instances.div_ceil(10).max(2);
     let mut times = 0;
@@ -111,10 +126,13 @@
 }
 
 /// Most open connections at one endpoint.
-pub fn links_most(run: &Run, window: &Range<Duration>) -> usize {
-    let looks = run.looks.iter().filter(|look| window.contains(&look.at));
+pub fn most_connections(run: &Run, window: &Range<Duration>) -> usize {
+    let looks = run
+        .samples
+        .iter()
+        .filter(|look| window.contains(&look.time));
     looks
-        .flat_map(|look| look.links.iter().copied())
+        .flat_map(|look| look.connections.iter().copied())
         .max()
         .unwrap_or(0)
 }
@@ -122,70 +140,73 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::experiment::{read, tests::SMALL};
+    use crate::experiment::{parse, tests::SMALL};
     use crate::ledger::{Answer, Entry, Ledger};
-    use crate::virtual_time::Played;
+    use crate::virtual_time::Recording;
     use rstest::rstest;
 
     const MS: Duration = Duration::from_millis(1);
 
     /// Relays at times, by instance and endpoint, of the small experiment: five endpoints, three instances.
     fn run(relays: &[(u32, usize, usize)]) -> (Run, Plan) {
-        let plan = read(SMALL).unwrap();
+        let plan = parse(SMALL).unwrap();
         let mut ledger = Ledger::default();
         for (n, (at, instance, endpoint)) in relays.iter().enumerate() {
             let (at, limit) = (*at * MS, 1000 * MS);
-            ledger.note(
+            ledger.record(
                 at,
-                Entry::Asked {
-                    cmd: n,
+                Entry::CommandArrived {
+                    command: n,
                     chain: n,
-                    verb: 0,
+                    class: 0,
                     instance: *instance,
-                    limit,
+                    time_limit: limit,
                 },
             );
-            ledger.note(
+            ledger.record(
                 at,
-                Entry::Sent {
+                Entry::RelaySent {
                     relay: n,
-                    cmd: n,
+                    command: n,
                     endpoint: *endpoint,
                 },
             );
-            ledger.note(
+            ledger.record(
                 at + MS,
                 Entry::Answered {
-                    cmd: n,
+                    command: n,
                     answer: Answer::Answered,
                 },
             );
         }
-        let played = Played {
+        let played = Recording {
             ledger,
-            looks: Vec::new(),
-            lines: Vec::new(),
+            samples: Vec::new(),
+            log_lines: Vec::new(),
             connections: 0,
         };
-        (Run::of(&plan, "passroad", 1, played, Duration::ZERO), plan)
+        (
+            Run::from_recording(&plan, "passroad", 1, played, Duration::ZERO),
+            plan,
+        )
     }
 
     #[rstest]
     fn shares_are_of_the_fair_part_and_holders_of_those_that_came() {
         let (run, plan) = run(&[(10, 0, 0), (20, 1, 0), (30, 1, 0), (40, 2, 1)]);
         let window = Duration::ZERO..Duration::from_secs(1);
-        let sum: f64 = counts(&run, &plan, &window).iter().sum();
+        let sum: f64 = relay_counts(&run, &plan, &window).iter().sum();
         assert!((sum - 4.0).abs() < 1e-9);
-        let shares = shares(&run, &plan, &window);
+        let shares = relative_loads(&run, &plan, &window);
         assert!(
             (shares[0] / shares[1] - 3.0 * weight(&plan, 1) / weight(&plan, 0)).abs() < 1e-9,
             "{shares:?}"
         );
-        assert_eq!(holders(&run, &plan, &window)[..3], [2, 1, 0]);
+        assert_eq!(sidecars_per_endpoint(&run, &plan, &window)[..3], [2, 1, 0]);
     }
 
     fn weight(plan: &Plan, n: usize) -> f64 {
-        plan.endpoints[n].make.cores as f64 * plan.endpoints[n].make.speed
+        plan.endpoints[n].spec.cores as f64 * plan.endpoints[n].spec.speed
     }
 
     #[rstest]
@@ -193,13 +214,16 @@
     #[case::spread(&[(10, 0, 0), (11, 1, 1), (12, 2, 2), (13, 0, 3), (14, 1, 4)], 0.0, 0.0)]
     fn a_herd_shows(
         #[case] relays: &[(u32, usize, usize)],
-        #[case] dispersion: f64,
+        #[case] expected_dispersion: f64,
         #[case] crowds: f64,
     ) {
         let (run, plan) = run(relays);
         assert_eq!((plan.endpoints.len(), plan.instances), (5, 3));
         let window = Duration::ZERO..Duration::from_secs(1);
-        assert!((herding(&run, &plan, &window, Duration::from_secs(1)) - dispersion).abs() < 1e-9);
-        assert!((together(&run, &plan, &window) - crowds).abs() < 1e-9);
+        assert!(
+            (dispersion(&run, &plan, &window, Duration::from_secs(1)) - expected_dispersion).abs()
+                < 1e-9
+        );
+        assert!((synchronized_choices(&run, &plan, &window) - crowds).abs() < 1e-9);
     }
 }
--- a/crates/passroad-rig/src/experiment.rs
+++ b/crates/passroad-rig/src/experiment.rs
@@ -2,7 +2,7 @@
 //! an unknown name or a value without its unit is an error that names line and key.
 
 use crate::fleet::{DutyPlan, FleetFault, FleetPlan, What, Whom, WorkPlan};
-use crate::model::{Make, Turn};
+use crate::model::{EndpointSpec, FaultChange};
 use passroad_units::{ConfigError, HumanDuration, Ratio, line_number};
 use serde::Deserialize;
 use serde_json::json;
@@ -23,7 +23,7 @@
     #[serde(default = "five")]
     instances: usize,
     #[serde(default)]
-    sockets: Option<Sockets>,
+    sockets: Option<SocketMode>,
     #[serde(default)]
     routes: Option<Spanned<String>>,
     fleet: Fleet,
@@ -58,10 +58,12 @@
 /// Where a day can be played.
 #[derive(Deserialize, Debug, Clone, Copy, PartialEq, Eq)]
 #[serde(rename_all = "lowercase")]
-pub enum Sockets {
-    Needed,
-    /// Where nothing else is asked for.
-    First,
+pub enum SocketMode {
+    #[serde(rename = "needed")]
+    Required,
+    /// On sockets unless `--on virtual` asks otherwise.
+    #[serde(rename = "first")]
+    Preferred,
     Never,
 }
 
@@ -159,7 +161,7 @@
     name: String,
     effect: Effect,
     #[serde(default)]
-    group: KeyGroup,
+    group: DeduplicationScope,
     #[serde(default)]
     window: HumanDuration,
     work: HumanDuration,
@@ -178,14 +180,17 @@
 #[derive(Deserialize, Debug, Clone, Copy, PartialEq, Eq)]
 #[serde(rename_all = "lowercase")]
 pub enum Effect {
-    Pure,
-    Receipted,
-    Effectful,
+    #[serde(rename = "pure")]
+    Safe,
+    #[serde(rename = "receipted")]
+    Keyed,
+    #[serde(rename = "effectful")]
+    NonIdempotent,
 }
 
 #[derive(Deserialize, Debug, Clone, Copy, PartialEq, Eq, Default)]
 #[serde(rename_all = "lowercase")]
-pub enum KeyGroup {
+pub enum DeduplicationScope {
     #[default]
     All,
     Zone,
@@ -257,7 +262,7 @@
 struct Allowed {
     relays: usize,
     probes: bool,
-    reports: Reports,
+    reports: ReportMode,
     second_copies: bool,
     recall: bool,
     retry_after: HumanDuration,
@@ -275,7 +280,7 @@
         Allowed {
             relays: 4,
             probes: true,
-            reports: Reports::Piggyback,
+            reports: ReportMode::Piggyback,
             second_copies: true,
             recall: true,
             retry_after: HumanDuration(Duration::from_millis(1500)),
@@ -292,7 +297,7 @@
 
 #[derive(Deserialize, Debug, Clone, Copy, PartialEq, Eq)]
 #[serde(rename_all = "lowercase")]
-pub enum Reports {
+pub enum ReportMode {
     Piggyback,
     Pull,
     Silent,
@@ -368,7 +373,7 @@
 /// Whom a fault is to hit, where that is known only when it comes.
 #[derive(Deserialize, Debug, Clone, Copy, PartialEq, Eq)]
 #[serde(rename_all = "lowercase")]
-enum Told {
+enum FaultTarget {
     Owner,
     Minority,
     Voters,
@@ -384,7 +389,7 @@
 #[derive(Deserialize, Debug, Clone)]
 #[serde(deny_unknown_fields)]
 struct Fault {
-    kind: Kinds,
+    kind: FaultKind,
     at: HumanDuration,
     #[serde(default, rename = "for")]
     lasts: Option<HumanDuration>,
@@ -409,7 +414,7 @@
     #[serde(default)]
     relays: Option<usize>,
     #[serde(default)]
-    whom: Option<Told>,
+    whom: Option<FaultTarget>,
     #[serde(default)]
     from: Option<Vec<usize>>,
     #[serde(default)]
@@ -422,7 +427,7 @@
 
 #[derive(Deserialize, Debug, Clone, Copy, PartialEq, Eq)]
 #[serde(rename_all = "kebab-case")]
-pub enum Kinds {
+pub enum FaultKind {
     Stall,
     Slow,
     Errors,
@@ -564,15 +569,15 @@
 // ---- the plan ----
 
 #[derive(Debug, Clone)]
-pub struct VerbPlan {
+pub struct ClassPlan {
     pub name: String,
     pub effect: Effect,
-    pub group: KeyGroup,
-    pub window: Duration,
-    pub work: f64, // seconds of a core at speed one, on the mean
-    pub spread: f64,
-    pub goal: Duration,
-    pub limit: Duration,
+    pub deduplication_scope: DeduplicationScope,
+    pub deduplication_window: Duration,
+    pub mean_work: f64, // seconds of a core at speed one, on the mean
+    pub work_sigma: f64,
+    pub deadline_target: Duration,
+    pub time_limit: Duration,
     pub utility: f64,
     pub late_utility: f64,
     pub share: f64,
@@ -580,7 +585,7 @@
 
 #[derive(Debug, Clone)]
 pub struct EndpointPlan {
-    pub make: Make,
+    pub spec: EndpointSpec,
     pub kind: usize,
     pub zone: usize,
     pub cell: usize,
@@ -589,22 +594,22 @@
 
 /// What changes at a time.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Change {
-    Trouble(usize, Turn),
-    Cut {
+pub enum ScheduledChange {
+    EndpointFault(usize, FaultChange),
+    NetworkCut {
         endpoint: usize,
         instances: Vec<bool>,
         on: bool,
     },
-    Die(usize),
+    Crash(usize),
     Start(usize),
     Drain(usize),
     Leave(usize),
     /// By operators, at all sidecars: out, or called back.
     Cordon(usize, bool),
-    DiscoveryBy(Duration),
+    DiscoveryDelay(Duration),
     /// News come to one instance after the other, spread over so long.
-    DiscoveryTurns(Duration),
+    DiscoveryStagger(Duration),
     DiscoveryDown(bool),
     DiscoveryMalformed(bool),
     SidecarKill(usize),
@@ -613,24 +618,24 @@
     /// The next process takes over beside it.
     SidecarUpgrade(usize),
     /// Other settings on SIGHUP: so many relays a command.
-    SidecarRetune(usize, usize),
+    SidecarReconfigure(usize, usize),
 }
 
 #[derive(Debug, Clone)]
-pub struct HoldPlan {
+pub struct Expectation {
     pub metric: Metric,
     pub policy: String,
-    pub above: Option<String>,
+    pub compared_policy: Option<String>,
     pub window: Range<Duration>,
-    pub verb: Option<usize>,
+    pub class: Option<usize>,
     pub zone: Option<usize>,
     /// Only commands asked in this zone.
-    pub asked_in: Option<usize>,
+    pub client_zone: Option<usize>,
     pub at_least: Option<f64>,
     pub at_most: Option<f64>,
-    pub simulated: bool,
+    pub simulated_only: bool,
     pub line: usize,
-    pub text: String,
+    pub label: String,
 }
 
 /// All that a day needs to be played, whoever decides in it.
@@ -641,36 +646,36 @@
     pub length: Duration,
     pub settle: Duration,
     pub instances: usize,
-    pub sockets: Option<Sockets>,
+    pub socket_mode: Option<SocketMode>,
     pub zones: Vec<String>,
     pub kinds: Vec<String>,
     pub endpoints: Vec<EndpointPlan>,
-    pub noticed: Duration, // until the list says that an endpoint has died
-    pub restart: Duration, // of one that fell over
-    pub verbs: Vec<VerbPlan>,
-    pub companies: Vec<(String, f64, f64)>, // name, portion, share of the load
+    pub crash_listed_after: Duration, // until the list says that an endpoint has died
+    pub restart_after: Duration,      // of one that fell over
+    pub classes: Vec<ClassPlan>,
+    pub tenants: Vec<(String, f64, f64)>, // name, portion, share of the load
     pub per_second: f64,
-    pub uneven: f64, // spread of the instances' shares of the load
-    pub steps: Vec<(Duration, f64)>,
-    pub retries: f64,
-    pub marked: bool,
-    pub tries: u32,
-    pub pause: Duration,
+    pub instance_skew: f64, // spread of the instances' shares of the load
+    pub load_steps: Vec<(Duration, f64)>,
+    pub retry_share: f64,
+    pub retries_marked: bool,
+    pub max_tries: u32,
+    pub retry_pause: Duration,
     pub round_trip: Duration,
-    pub cross_zone: Duration,
-    pub relays: usize,
+    pub cross_zone_extra: Duration,
+    pub max_relays: usize,
     pub retry_after: Duration,
-    pub connect: Duration,
+    pub connect_timeout: Duration,
     pub idle_close: Duration,
-    pub grace: Duration,
-    pub changes: Vec<(Duration, Change)>,
-    pub holds: Vec<HoldPlan>,
+    pub drain_grace: Duration,
+    pub changes: Vec<(Duration, ScheduledChange)>,
+    pub expectations: Vec<Expectation>,
     pub policies: Vec<String>,
     /// Sidecars that talk, where the experiment has some.
     pub fleet: Option<FleetPlan>,
     /// A file of routes, for the policy that has them.
     pub routes: Option<String>,
-    reports: Reports,
+    report_mode: ReportMode,
     allowed: serde_json::Value,
     prices: serde_json::Value,
     rules: serde_json::Value,
@@ -688,12 +693,12 @@
 ];
 
 /// Reads an experiment.
-pub fn read(text: &str) -> Result<Plan, ConfigError> {
-    read_for(text, None)
+pub fn parse(text: &str) -> Result<Plan, ConfigError> {
+    parse_with_instances(text, None)
 }
 
 /// The same, for another number of instances than the file's.
-pub fn read_for(text: &str, instances: Option<usize>) -> Result<Plan, ConfigError> {
+pub fn parse_with_instances(text: &str, instances: Option<usize>) -> Result<Plan, ConfigError> {
     let mut told: Text = toml::from_str(text)
         .map_err(|e| ConfigError::from_parser(text, e.span().map(|s| s.start), e.message()))?;
     told.instances = instances.unwrap_or(told.instances);
@@ -756,11 +761,11 @@
         let verbs = self.verbs(&told.verb)?;
         let mean: f64 = {
             let of: f64 = verbs.iter().map(|v| v.share).sum();
-            verbs.iter().map(|v| v.share * v.work).sum::<f64>() / of
+            verbs.iter().map(|v| v.share * v.mean_work).sum::<f64>() / of
         };
         let capacity: f64 = endpoints
             .iter()
-            .map(|e| e.make.cores as f64 * e.make.speed)
+            .map(|e| e.spec.cores as f64 * e.spec.speed)
             .sum::<f64>()
             / mean;
         let per_second = match (told.load.of_capacity, told.load.per_second) {
@@ -793,13 +798,13 @@
         let needs = changes.iter().any(|(_, c)| {
             matches!(
                 c,
-                Change::SidecarStop(_)
-                    | Change::SidecarReload(_)
-                    | Change::SidecarUpgrade(_)
-                    | Change::SidecarRetune(..)
+                ScheduledChange::SidecarStop(_)
+                    | ScheduledChange::SidecarReload(_)
+                    | ScheduledChange::SidecarUpgrade(_)
+                    | ScheduledChange::SidecarReconfigure(..)
             )
         });
-        if needs && told.sockets != Some(Sockets::Needed) {
+        if needs && told.sockets != Some(SocketMode::Required) {
             return self.wrong(
                 &(0..0),
                 "sockets = \"needed\" is missing: a fault here is one of processes",
@@ -838,35 +843,35 @@
             .map(|c| (c.name.clone(), c.portion, c.share.unwrap_or(c.portion) / of));
         let a = &told.allowed;
         let ns = |time: HumanDuration| time.0.as_nanos() as u64;
-        let make = &endpoints[0].make;
+        let make = &endpoints[0].spec;
         let plan = Plan {
             seeds: told.seeds.clone(),
             length,
             settle: told.settle.0,
             instances: told.instances,
-            sockets: told.sockets,
+            socket_mode: told.sockets,
             kinds,
-            noticed: told.fleet.noticed.map_or(Duration::from_secs(2), |t| t.0),
-            restart: told.fleet.restart.map_or(Duration::from_secs(5), |t| t.0),
-            companies: companies.collect(),
+            crash_listed_after: told.fleet.noticed.map_or(Duration::from_secs(2), |t| t.0),
+            restart_after: told.fleet.restart.map_or(Duration::from_secs(5), |t| t.0),
+            tenants: companies.collect(),
             per_second,
-            uneven: told.load.uneven,
-            steps: told.load.steps.iter().map(|s| (s.at.0, s.factor)).collect(),
-            retries: told.load.retries.0,
-            marked: told.load.marked,
-            tries: told.load.tries.max(1),
-            pause: told.load.pause.0,
+            instance_skew: told.load.uneven,
+            load_steps: told.load.steps.iter().map(|s| (s.at.0, s.factor)).collect(),
+            retry_share: told.load.retries.0,
+            retries_marked: told.load.marked,
+            max_tries: told.load.tries.max(1),
+            retry_pause: told.load.pause.0,
             round_trip: told.network.round_trip.0,
-            cross_zone: told.network.cross_zone.0,
-            relays: a.relays,
+            cross_zone_extra: told.network.cross_zone.0,
+            max_relays: a.relays,
             retry_after: a.retry_after.0,
-            connect: a.connect.0,
+            connect_timeout: a.connect.0,
             idle_close: a.idle_close.0,
-            grace: a.grace.0,
+            drain_grace: a.grace.0,
             changes,
-            holds,
+            expectations: holds,
             policies,
-            reports: a.reports,
+            report_mode: a.reports,
             allowed: json!({
                 "max_relays": a.relays, "may_cancel": a.recall, "probes": a.probes,
                 "second_copies": a.second_copies, "retry_after": !a.retry_after.0.is_zero(),
@@ -877,9 +882,9 @@
                 "probe": a.probe_price, "cross_zone": a.cross_zone_price, "handshake": a.handshake_price,
             }),
             rules: json!({
-                "ask_every": ns(a.ask_every), "cold_from": make.cold_from,
-                "warm_within": make.warm_within.as_nanos() as u64, "tip_multiple": make.tip_multiple,
-                "tip_after": make.tip_after.as_nanos() as u64,
+                "ask_every": ns(a.ask_every), "cold_from": make.cold_capacity,
+                "warm_within": make.warm_up_time.as_nanos() as u64, "tip_multiple": make.overload_multiple,
+                "tip_after": make.overload_window.as_nanos() as u64,
             }),
             goal: json!({ "whole": told.goal.whole, "worst_class": told.goal.worst_verb }),
             about: told.about,
@@ -887,7 +892,7 @@
             fleet,
             zones,
             endpoints,
-            verbs,
+            classes: verbs,
         };
         // What is wrong in the routes is named by its own line there, and by where they stand here.
         if let Some(routes) = &told.routes {
@@ -955,7 +960,7 @@
                         "peers.work: a request, of endpoints and an instance that there are",
                     );
                 }
-                if told.sockets != Some(Sockets::Needed) {
+                if told.sockets != Some(SocketMode::Required) {
                     return self.wrong(&place, "peers.work: sockets = \"needed\" is missing");
                 }
                 let requests = work
@@ -1011,26 +1016,26 @@
                 None => self.wrong(&place, "fault: share is missing"),
             };
             let what = match f.kind {
-                Kinds::PeersCut => What::Cut {
+                FaultKind::PeersCut => What::Cut {
                     out: f.one_way != Some(OneWay::Back),
                     back: f.one_way != Some(OneWay::Out),
                 },
-                Kinds::PeersLose => What::Lose(need(f.share)?),
-                Kinds::PeersTwice => What::Twice(need(f.share)?),
-                Kinds::PeersLate => match f.by {
+                FaultKind::PeersLose => What::Lose(need(f.share)?),
+                FaultKind::PeersTwice => What::Twice(need(f.share)?),
+                FaultKind::PeersLate => match f.by {
                     Some(by) => What::Late {
                         by: by.0,
                         spread: f.spread.unwrap_or_default().0,
                     },
                     None => return self.wrong(&place, "fault peers-late: by is missing"),
                 },
-                Kinds::PeersKeep => What::Keep,
-                Kinds::SidecarPause => What::Pause,
-                Kinds::SidecarKill => What::Kill,
-                Kinds::SidecarStop => What::Stop,
+                FaultKind::PeersKeep => What::Keep,
+                FaultKind::SidecarPause => What::Pause,
+                FaultKind::SidecarKill => What::Kill,
+                FaultKind::SidecarStop => What::Stop,
                 _ => What::ActsKeep,
             };
-            if f.one_way.is_some() && f.kind != Kinds::PeersCut {
+            if f.one_way.is_some() && f.kind != FaultKind::PeersCut {
                 return self.wrong(&place, "one_way: of peers-cut only");
             }
             let ends = matches!(what, What::Pause | What::Keep | What::ActsKeep);
@@ -1041,9 +1046,9 @@
                 );
             }
             let whom = match (f.whom, f.instances.clone().or(f.from.clone())) {
-                (Some(Told::Owner), _) => Whom::Owner,
-                (Some(Told::Minority), _) => Whom::Minority,
-                (Some(Told::Voters), _) => Whom::Voters,
+                (Some(FaultTarget::Owner), _) => Whom::Owner,
+                (Some(FaultTarget::Minority), _) => Whom::Minority,
+                (Some(FaultTarget::Voters), _) => Whom::Voters,
                 (None, list) => Whom::These(list.unwrap_or_else(|| (0..told.instances).collect())),
             };
             let every = f.every.map_or(Duration::ZERO, |t| t.0);
@@ -1112,25 +1117,25 @@
                     zones.len() - 1
                 });
             for n in 0..group.count {
-                let make = Make {
+                let make = EndpointSpec {
                     cores: told.cores,
                     speed: told.speed,
-                    queue: told.queue,
-                    drag_from: told.drag_from,
-                    drag: told.drag.0,
-                    cold_from: told.cold_from.0.max(0.01),
-                    warm_within: told.warm_within.0,
-                    tip_multiple: told.tip_multiple,
-                    tip_after: told.tip_after.0,
-                    tips: told.tips,
-                    drops_recalled: told.drops_recalled,
-                    most_links: told.most_links,
-                    link_work: told.link_work.0.as_secs_f64(),
+                    queue_limit: told.queue,
+                    slowdown_queue_length: told.drag_from,
+                    slowdown_speed: told.drag.0,
+                    cold_capacity: told.cold_from.0.max(0.01),
+                    warm_up_time: told.warm_within.0,
+                    overload_multiple: told.tip_multiple,
+                    overload_window: told.tip_after.0,
+                    crashes_on_overload: told.tips,
+                    stops_cancelled: told.drops_recalled,
+                    max_connections: told.most_links,
+                    connection_work: told.link_work.0.as_secs_f64(),
                     report_age: told.report_age.0,
                 };
                 let cell = n % group.cells.max(1);
                 endpoints.push(EndpointPlan {
-                    make,
+                    spec: make,
                     kind,
                     zone,
                     cell,
@@ -1147,8 +1152,8 @@
         }
     }
 
-    fn verbs(&self, told: &[Spanned<Verb>]) -> Result<Vec<VerbPlan>, ConfigError> {
-        let mut verbs: Vec<VerbPlan> = Vec::new();
+    fn verbs(&self, told: &[Spanned<Verb>]) -> Result<Vec<ClassPlan>, ConfigError> {
+        let mut verbs: Vec<ClassPlan> = Vec::new();
         for spanned in told {
             let (v, place) = (spanned.get_ref(), spanned.span());
             let odd = v.name.is_empty()
@@ -1174,21 +1179,21 @@
                     format!("{}: work, share or spread out of bounds", v.name),
                 );
             }
-            if v.effect == Effect::Receipted && v.window.0.is_zero() {
+            if v.effect == Effect::Keyed && v.window.0.is_zero() {
                 return self.wrong(
                     &place,
                     format!("window of {}: a receipted verb needs one", v.name),
                 );
             }
-            verbs.push(VerbPlan {
+            verbs.push(ClassPlan {
                 name: v.name.clone(),
                 effect: v.effect,
-                group: v.group,
-                window: v.window.0,
-                work: v.work.0.as_secs_f64(),
-                spread: v.spread,
-                goal: v.goal.0,
-                limit: v.limit.0,
+                deduplication_scope: v.group,
+                deduplication_window: v.window.0,
+                mean_work: v.work.0.as_secs_f64(),
+                work_sigma: v.spread,
+                deadline_target: v.goal.0,
+                time_limit: v.limit.0,
                 utility: v.utility,
                 late_utility: v.late_utility,
                 share: v.share,
@@ -1207,8 +1212,8 @@
         told: &Text,
         endpoints: &[EndpointPlan],
         zones: &[String],
-        verbs: &[VerbPlan],
-        out: &mut Vec<(Duration, Change)>,
+        verbs: &[ClassPlan],
+        out: &mut Vec<(Duration, ScheduledChange)>,
     ) -> Result<(), ConfigError> {
         let (f, place) = (fault.get_ref(), fault.span());
         let kind = format!("{:?}", f.kind).to_lowercase();
@@ -1261,109 +1266,139 @@
         let every = f.every.map_or(Duration::ZERO, |t| t.0);
         for round in 0..f.repeat.unwrap_or(1).clamp(1, 1000) {
             let from = f.at.0
-                + if f.kind == Kinds::Deploy {
+                + if f.kind == FaultKind::Deploy {
                     Duration::ZERO
                 } else {
                     every * round as u32
                 };
             let to = lasts.map(|span| from + span);
-            let mut both = |on: Change, off: Change| {
+            let mut both = |on: ScheduledChange, off: ScheduledChange| {
                 out.push((from, on));
                 out.extend(to.map(|to| (to, off)));
             };
             for e in at.iter().copied() {
-                let mut trouble =
-                    |on: Turn, off: Turn| both(Change::Trouble(e, on), Change::Trouble(e, off));
+                let mut trouble = |on: FaultChange, off: FaultChange| {
+                    both(
+                        ScheduledChange::EndpointFault(e, on),
+                        ScheduledChange::EndpointFault(e, off),
+                    )
+                };
                 match f.kind {
-                    Kinds::Stall => trouble(Turn::Stalled(true), Turn::Stalled(false)),
-                    Kinds::Slow => trouble(Turn::Slow(need(f.left, "left")?), Turn::Slow(1.0)),
-                    Kinds::Errors => {
-                        trouble(Turn::Errors(need(f.share, "share")?), Turn::Errors(0.0))
-                    }
-                    Kinds::Spoil => {
-                        trouble(Turn::Spoils(need(f.share, "share")?), Turn::Spoils(0.0))
+                    FaultKind::Stall => {
+                        trouble(FaultChange::Stalled(true), FaultChange::Stalled(false))
                     }
-                    Kinds::Reset => {
-                        trouble(Turn::Resets(need(f.share, "share")?), Turn::Resets(0.0))
-                    }
-                    Kinds::Lies => trouble(Turn::Lies(true), Turn::Lies(false)),
-                    Kinds::Hang => {
+                    FaultKind::Slow => trouble(
+                        FaultChange::SpeedLeft(need(f.left, "left")?),
+                        FaultChange::SpeedLeft(1.0),
+                    ),
+                    FaultKind::Errors => trouble(
+                        FaultChange::ErrorShare(need(f.share, "share")?),
+                        FaultChange::ErrorShare(0.0),
+                    ),
+                    FaultKind::Spoil => trouble(
+                        FaultChange::MalformedShare(need(f.share, "share")?),
+                        FaultChange::MalformedShare(0.0),
+                    ),
+                    FaultKind::Reset => trouble(
+                        FaultChange::ResetShare(need(f.share, "share")?),
+                        FaultChange::ResetShare(0.0),
+                    ),
+                    FaultKind::Lies => trouble(
+                        FaultChange::ReportsIdle(true),
+                        FaultChange::ReportsIdle(false),
+                    ),
+                    FaultKind::Hang => {
                         let name = f.verb.clone().unwrap_or_default();
                         let Some(verb) = verbs.iter().position(|v| v.name == name) else {
                             return self.wrong(&place, format!("verb: unknown '{name}'"));
                         };
-                        trouble(Turn::Hangs(verb, true), Turn::Hangs(verb, false));
+                        trouble(
+                            FaultChange::ClassHangs(verb, true),
+                            FaultChange::ClassHangs(verb, false),
+                        );
                     }
-                    Kinds::Silence => {
+                    FaultKind::Silence => {
                         let instances: Vec<bool> =
                             (0..told.instances).map(|n| of.contains(&n)).collect();
-                        let cut = |on| Change::Cut {
+                        let cut = |on| ScheduledChange::NetworkCut {
                             endpoint: e,
                             instances: instances.clone(),
                             on,
                         };
                         both(cut(true), cut(false));
                     }
-                    Kinds::Die => both(Change::Die(e), Change::Start(e)),
-                    Kinds::Cordon => both(Change::Cordon(e, true), Change::Cordon(e, false)),
-                    Kinds::Drain => both(Change::Drain(e), Change::Leave(e)),
+                    FaultKind::Die => both(ScheduledChange::Crash(e), ScheduledChange::Start(e)),
+                    FaultKind::Cordon => both(
+                        ScheduledChange::Cordon(e, true),
+                        ScheduledChange::Cordon(e, false),
+                    ),
+                    FaultKind::Drain => both(ScheduledChange::Drain(e), ScheduledChange::Leave(e)),
                     _ => {}
                 }
             }
             match f.kind {
                 // One after the other: drain, end, start anew and cold.
-                Kinds::Deploy => {
+                FaultKind::Deploy => {
                     let step = f.every.map_or(Duration::from_secs(2), |t| t.0);
                     let drains = lasts.unwrap_or(Duration::from_secs(1));
                     for (n, e) in at.iter().copied().enumerate() {
                         let from = from + step * n as u32;
-                        out.push((from, Change::Drain(e)));
-                        out.push((from + drains, Change::Die(e)));
-                        out.push((from + drains + Duration::from_millis(500), Change::Start(e)));
+                        out.push((from, ScheduledChange::Drain(e)));
+                        out.push((from + drains, ScheduledChange::Crash(e)));
+                        out.push((
+                            from + drains + Duration::from_millis(500),
+                            ScheduledChange::Start(e),
+                        ));
                     }
                 }
-                Kinds::DiscoveryLate => {
+                FaultKind::DiscoveryLate => {
                     let Some(by) = f.by else {
                         return self.wrong(&place, "fault discovery-late: by is missing");
                     };
                     both(
-                        Change::DiscoveryBy(by.0),
-                        Change::DiscoveryBy(Duration::ZERO),
+                        ScheduledChange::DiscoveryDelay(by.0),
+                        ScheduledChange::DiscoveryDelay(Duration::ZERO),
                     );
                     if let Some(spread) = f.spread {
                         both(
-                            Change::DiscoveryTurns(spread.0),
-                            Change::DiscoveryTurns(Duration::ZERO),
+                            ScheduledChange::DiscoveryStagger(spread.0),
+                            ScheduledChange::DiscoveryStagger(Duration::ZERO),
                         );
                     }
                 }
-                Kinds::DiscoveryDown => {
-                    both(Change::DiscoveryDown(true), Change::DiscoveryDown(false))
-                }
-                Kinds::DiscoveryMalformed => {
+                FaultKind::DiscoveryDown => both(
+                    ScheduledChange::DiscoveryDown(true),
+                    ScheduledChange::DiscoveryDown(false),
+                ),
+                FaultKind::DiscoveryMalformed => {
                     both(
-                        Change::DiscoveryMalformed(true),
-                        Change::DiscoveryMalformed(false),
+                        ScheduledChange::DiscoveryMalformed(true),
+                        ScheduledChange::DiscoveryMalformed(false),
                     );
                 }
-                Kinds::SidecarKill => {
-                    out.extend(of.iter().map(|n| (from, Change::SidecarKill(*n))))
-                }
-                Kinds::SidecarStop => {
-                    out.extend(of.iter().map(|n| (from, Change::SidecarStop(*n))))
-                }
-                Kinds::SidecarReload => {
-                    out.extend(of.iter().map(|n| (from, Change::SidecarReload(*n))))
+                FaultKind::SidecarKill => {
+                    out.extend(of.iter().map(|n| (from, ScheduledChange::SidecarKill(*n))))
                 }
-                Kinds::SidecarUpgrade => {
-                    out.extend(of.iter().map(|n| (from, Change::SidecarUpgrade(*n))))
+                FaultKind::SidecarStop => {
+                    out.extend(of.iter().map(|n| (from, ScheduledChange::SidecarStop(*n))))
                 }
-                Kinds::SidecarRetune => {
+                FaultKind::SidecarReload => out.extend(
+                    of.iter()
+                        .map(|n| (from, ScheduledChange::SidecarReload(*n))),
+                ),
+                FaultKind::SidecarUpgrade => out.extend(
+                    of.iter()
+                        .map(|n| (from, ScheduledChange::SidecarUpgrade(*n))),
+                ),
+                FaultKind::SidecarRetune => {
                     let Some(relays) = f.relays.filter(|relays| *relays > 0) else {
                         return self
                             .wrong(&place, "fault sidecar-retune: relays is missing, or nought");
                     };
-                    out.extend(of.iter().map(|n| (from, Change::SidecarRetune(*n, relays))));
+                    out.extend(
+                        of.iter()
+                            .map(|n| (from, ScheduledChange::SidecarReconfigure(*n, relays))),
+                    );
                 }
                 _ if at.is_empty() => {
                     return self.wrong(&place, format!("fault {kind}: concerns no endpoint"));
@@ -1378,10 +1413,10 @@
         &self,
         hold: &Spanned<Hold>,
         told: &Text,
-        verbs: &[VerbPlan],
+        verbs: &[ClassPlan],
         zones: &[String],
         policies: &[String],
-    ) -> Result<HoldPlan, ConfigError> {
+    ) -> Result<Expectation, ConfigError> {
         let (h, place) = (hold.get_ref(), hold.span());
         for name in h.policy.iter().chain(&h.above) {
             if !policies.contains(name) {
@@ -1456,79 +1491,83 @@
             text += &format!(" from {a:.1} to {b:.1} s");
         }
         text.extend(h.above.iter().map(|p| format!(" less that of {p}")));
-        Ok(HoldPlan {
+        Ok(Expectation {
             metric: h.metric,
             policy: h.policy.clone().unwrap_or_else(|| "passroad".into()),
-            above: h.above.clone(),
+            compared_policy: h.above.clone(),
             window,
-            verb,
+            class: verb,
             zone,
-            asked_in,
+            client_zone: asked_in,
             at_least: h.at_least,
             at_most: h.at_most,
-            simulated: h.simulated || h.metric == Metric::Believers,
+            simulated_only: h.simulated || h.metric == Metric::Believers,
             line,
-            text,
+            label: text,
         })
     }
 }
 
 /// Faults between sidecars that talk, or of the processes of those.
-fn of_fleet(kind: Kinds) -> bool {
+fn of_fleet(kind: FaultKind) -> bool {
     matches!(
         kind,
-        Kinds::SidecarPause
-            | Kinds::PeersCut
-            | Kinds::PeersLose
-            | Kinds::PeersLate
-            | Kinds::PeersTwice
-            | Kinds::PeersKeep
-            | Kinds::ActsKeep
+        FaultKind::SidecarPause
+            | FaultKind::PeersCut
+            | FaultKind::PeersLose
+            | FaultKind::PeersLate
+            | FaultKind::PeersTwice
+            | FaultKind::PeersKeep
+            | FaultKind::ActsKeep
     ) || of_processes(kind)
 }
 
-fn of_processes(kind: Kinds) -> bool {
-    matches!(kind, Kinds::SidecarKill | Kinds::SidecarStop)
+fn of_processes(kind: FaultKind) -> bool {
+    matches!(kind, FaultKind::SidecarKill | FaultKind::SidecarStop)
 }
 
 impl Plan {
     /// How long after the plan's end the last answers may come.
-    pub fn tail(&self) -> Duration {
-        self.verbs.iter().map(|v| v.limit).max().unwrap_or_default()
+    pub fn answer_tail(&self) -> Duration {
+        self.classes
+            .iter()
+            .map(|v| v.time_limit)
+            .max()
+            .unwrap_or_default()
     }
 
     /// The settings object that a sidecar in a zone is given.
     pub fn settings(&self, zone: usize) -> serde_json::Value {
         let ns = |time: Duration| time.as_nanos() as u64;
         let verbs: Vec<_> = self
-            .verbs
+            .classes
             .iter()
             .map(|v| {
                 let effect = match v.effect {
-                    Effect::Pure => "read_like",
-                    Effect::Receipted => "idempotency_key",
-                    Effect::Effectful => "non_idempotent",
+                    Effect::Safe => "read_like",
+                    Effect::Keyed => "idempotency_key",
+                    Effect::NonIdempotent => "non_idempotent",
                 };
-                let scope = match v.group {
-                    KeyGroup::All => "all",
-                    KeyGroup::Zone => "zone",
-                    KeyGroup::Cell => "cell",
+                let scope = match v.deduplication_scope {
+                    DeduplicationScope::All => "all",
+                    DeduplicationScope::Zone => "zone",
+                    DeduplicationScope::Cell => "cell",
                 };
                 json!({
-                    "name": v.name, "effect": effect, "key_scope": scope, "window": ns(v.window),
-                    "response_goal": ns(v.goal), "time_limit": ns(v.limit), "utility": v.utility, "late_utility": v.late_utility,
+                    "name": v.name, "effect": effect, "key_scope": scope, "window": ns(v.deduplication_window),
+                    "response_goal": ns(v.deadline_target), "time_limit": ns(v.time_limit), "utility": v.utility, "late_utility": v.late_utility,
                 })
             })
             .collect();
         let tenants: Vec<_> = self
-            .companies
+            .tenants
             .iter()
             .map(|(name, portion, _)| json!({ "name": name, "portion": portion }))
             .collect();
-        let how = match self.reports {
-            Reports::Piggyback => "piggyback",
-            Reports::Pull => "pull",
-            Reports::Silent => "silent",
+        let how = match self.report_mode {
+            ReportMode::Piggyback => "piggyback",
+            ReportMode::Pull => "pull",
+            ReportMode::Silent => "silent",
         };
         json!({
             "verbs": verbs, "tenants": tenants, "dcs": self.zones, "az": self.zones[zone],
@@ -1539,8 +1578,8 @@
     }
 
     /// How much of the load the day has at a time, against the plan's rate.
-    pub fn factor(&self, at: Duration) -> f64 {
-        self.steps
+    pub fn load_factor(&self, at: Duration) -> f64 {
+        self.load_steps
             .iter()
             .rev()
             .find(|(from, _)| *from <= at)
@@ -1553,13 +1592,19 @@
     }
 
     /// One way between an instance and an endpoint.
-    pub fn half_way(&self, instance: usize, endpoint: usize) -> Duration {
+    pub fn one_way_delay(&self, instance: usize, endpoint: usize) -> Duration {
         let far = self.zone_of(instance) != self.endpoints[endpoint].zone;
-        (self.round_trip + if far { self.cross_zone } else { Duration::ZERO }) / 2
+        (self.round_trip
+            + if far {
+                self.cross_zone_extra
+            } else {
+                Duration::ZERO
+            })
+            / 2
     }
 
-    pub fn reports(&self) -> Reports {
-        self.reports
+    pub fn report_mode(&self) -> ReportMode {
+        self.report_mode
     }
 }
 
@@ -1639,7 +1684,7 @@
     #[case::no_metric(&format!("{SMALL}[[hold]]\nmetric = \"luck\"\nat_most = 1\n"), 39, "unknown variant `luck`")]
     #[case::share_of_nothing(&format!("{SMALL}[[hold]]\nmetric = \"share\"\nat_most = 1\n"), 38, "are of a zone")]
     fn a_slip_is_named_with_its_line(#[case] text: &str, #[case] line: usize, #[case] what: &str) {
-        let wrong = read(text).expect_err("it is wrong");
+        let wrong = parse(text).expect_err("it is wrong");
         assert!(
             wrong.line == line && wrong.message.contains(what),
             "{wrong}"
@@ -1649,7 +1694,7 @@
     #[rstest]
     fn a_plan_says_what_its_file_does() {
         let faults = "[[fault]]\nkind = \"die\"\nat = \"1s\"\nfor = \"500ms\"\nzone = \"b\"\nevery = \"2s\"\nrepeat = 2\n";
-        let plan = read(&format!("{SMALL}{faults}")).expect("a plan");
+        let plan = parse(&format!("{SMALL}{faults}")).expect("a plan");
         assert_eq!(
             (plan.endpoints.len(), plan.zones.len(), plan.instances),
             (5, 2, 3)
@@ -1657,7 +1702,7 @@
         // Ten cores at half their time, 10 ms each.
         assert_eq!(plan.per_second.round(), 500.0);
         let at = |ms: u64, change| (Duration::from_millis(ms), change);
-        let (dies, starts) = (|e| Change::Die(e), |e| Change::Start(e));
+        let (dies, starts) = (|e| ScheduledChange::Crash(e), |e| ScheduledChange::Start(e));
         let expected = [
             at(1000, dies(3)),
             at(1000, dies(4)),
--- a/crates/passroad-rig/src/fleet/histories.rs
+++ b/crates/passroad-rig/src/fleet/histories.rs
@@ -2,7 +2,7 @@
 
 use super::world::play;
 use super::{DutyPlan, FleetDay, FleetFault, FleetPlan, What, Whom};
-use crate::chance::Chance;
+use crate::rng::SeededRng;
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
 use std::sync::{Mutex, PoisonError};
 use std::time::Duration;
@@ -24,15 +24,15 @@
 
 /// A history's plan.
 pub fn draw(seed: u64, fence: bool) -> (FleetPlan, usize) {
-    let mut chance = Chance::stream(seed, "history", 0);
+    let mut chance = SeededRng::stream(seed, "history", 0);
     let ms = |n: usize| Duration::from_millis(n as u64);
     let instances = 3 + chance.below(5);
     let mut faults = Vec::new();
     for _ in 0..2 + chance.below(7) {
         let from = ms(2000 + chance.below(12_000));
         let to = from + ms(200 + chance.below(5000));
-        let some = |chance: &mut Chance| {
-            let list: Vec<usize> = (0..instances).filter(|_| chance.share() < 0.4).collect();
+        let some = |chance: &mut SeededRng| {
+            let list: Vec<usize> = (0..instances).filter(|_| chance.uniform() < 0.4).collect();
             if list.is_empty() {
                 vec![chance.below(instances)]
             } else {
@@ -57,11 +57,11 @@
             1 => (
                 whom,
                 What::Cut {
-                    out: chance.share() < 0.5,
+                    out: chance.uniform() < 0.5,
                     back: false,
                 },
             ),
-            2 => (all, What::Lose(0.6 * chance.share())),
+            2 => (all, What::Lose(0.6 * chance.uniform())),
             3 => (
                 all,
                 What::Late {
@@ -69,7 +69,7 @@
                     spread: ms(chance.below(900)),
                 },
             ),
-            4 => (all, What::Twice(chance.share())),
+            4 => (all, What::Twice(chance.uniform())),
             5 => (whom, What::Keep),
             6 => (whom, What::Pause),
             7 => (whom, What::Kill),
@@ -88,7 +88,7 @@
             what
         };
         // With an act in hand, which arrives only when all else has gone on.
-        if what == What::Pause && chance.share() < 0.7 {
+        if what == What::Pause && chance.uniform() < 0.7 {
             let before = from - ms(300);
             let to = Some(to + ms(500));
             faults.push(FleetFault {
@@ -117,7 +117,7 @@
         lease: LEASE,
         period: ms(500),
         voters: 5,
-        state: chance.share() < 0.3,
+        state: chance.uniform() < 0.3,
         duties: vec![duty],
         faults,
         fence,
--- a/crates/passroad-rig/src/fleet/wires.rs
+++ b/crates/passroad-rig/src/fleet/wires.rs
@@ -1,7 +1,7 @@
 //! What becomes of a datagram on its way, by the faults in force: the same on sockets and in virtual time.
 
 use super::What;
-use crate::chance::Chance;
+use crate::rng::SeededRng;
 use std::time::Duration;
 
 #[derive(Debug)]
@@ -19,7 +19,7 @@
 pub struct Wires {
     faults: Vec<Fault>,
     kept: Vec<Held>,
-    chance: Chance,
+    chance: SeededRng,
     pub hits: usize,
 }
 
@@ -28,7 +28,7 @@
         Wires {
             faults: Vec::new(),
             kept: Vec::new(),
-            chance: Chance::stream(seed, "wires", 0),
+            chance: SeededRng::stream(seed, "wires", 0),
             hits: 0,
         }
     }
@@ -66,7 +66,7 @@
                 }
                 _ if !(ahead || behind) => false,
                 What::Lose(share) => {
-                    let lost = self.chance.share() < share;
+                    let lost = self.chance.uniform() < share;
                     if lost {
                         arrives.clear();
                     }
@@ -75,11 +75,11 @@
                 What::Late { by, spread } => {
                     arrives
                         .iter_mut()
-                        .for_each(|at| *at += by + spread.mul_f64(self.chance.share()));
+                        .for_each(|at| *at += by + spread.mul_f64(self.chance.uniform()));
                     true
                 }
                 What::Twice(share) => {
-                    let twice = self.chance.share() < share && !arrives.is_empty();
+                    let twice = self.chance.uniform() < share && !arrives.is_empty();
                     if twice {
                         let again = Duration::from_millis(self.chance.below(50) as u64);
                         arrives.push(arrives[0] + again);
--- a/crates/passroad-rig/src/fleet/world.rs
+++ b/crates/passroad-rig/src/fleet/world.rs
@@ -3,7 +3,7 @@
 
 use super::wires::Wires;
 use super::{Act, FleetDay, FleetPlan, RESTART, What};
-use crate::chance::Chance;
+use crate::rng::SeededRng;
 use passroad::fleet::part::{Came, Do, Part, View, Who};
 use passroad_lease::{Clocks, Epoch, Fence, LeaseKey, Vote};
 use std::cmp::Reverse;
@@ -57,7 +57,7 @@
     paused: u32,
     missed: Vec<Ev>, // what comes to it while it is stopped
     disk: BTreeMap<LeaseKey, Vote>,
-    chance: Chance,
+    chance: SeededRng,
     calls: Vec<Option<usize>>,
 }
 
@@ -115,8 +115,8 @@
         believes: vec![None; instances],
     };
     for n in 0..instances {
-        let mut chance = Chance::stream(seed, "sidecar", n as u64);
-        let rate = 1.0 + APART * (chance.share() - 0.5);
+        let mut chance = SeededRng::stream(seed, "sidecar", n as u64);
+        let rate = 1.0 + APART * (chance.uniform() - 0.5);
         world.nodes.push(Node {
             part: None,
             began: Duration::ZERO,
@@ -262,7 +262,7 @@
         }
         n.began = self.now;
         let incarnation = passroad_peers::incarnation_at(WALL + self.now);
-        let seed = n.chance.number();
+        let seed = n.chance.next_u64();
         let who = Who {
             me: node as u16,
             members: self.instances,
--- a/crates/passroad-rig/src/html.rs
+++ b/crates/passroad-rig/src/html.rs
@@ -1,8 +1,8 @@
 //! The report as one page that needs nothing else: tables, and plots in SVG.
 
-use crate::experiment::{Change, Plan};
+use crate::experiment::{Plan, ScheduledChange};
 use crate::report::{Second, rows, seconds};
-use crate::run::{Run, Tally, held};
+use crate::run::{Run, Tally, check_expectations};
 use std::fmt::Write;
 use std::time::Duration;
 
@@ -184,19 +184,25 @@
 
 /// When something was wrong: from each change that begins a trouble to the next of the same kind that ends it.
 fn marks(plan: &Plan) -> Vec<(f64, f64)> {
-    let begins = |c: &Change| match c {
-        Change::Trouble(_, turn) => {
-            use crate::model::Turn;
+    let begins = |c: &ScheduledChange| match c {
+        ScheduledChange::EndpointFault(_, turn) => {
+            use crate::model::FaultChange;
             match turn {
-                Turn::Stalled(on) | Turn::Lies(on) | Turn::Hangs(_, on) => *on,
-                Turn::Slow(left) => *left < 1.0,
-                Turn::Errors(share) | Turn::Spoils(share) | Turn::Resets(share) => *share > 0.0,
+                FaultChange::Stalled(on)
+                | FaultChange::ReportsIdle(on)
+                | FaultChange::ClassHangs(_, on) => *on,
+                FaultChange::SpeedLeft(left) => *left < 1.0,
+                FaultChange::ErrorShare(share)
+                | FaultChange::MalformedShare(share)
+                | FaultChange::ResetShare(share) => *share > 0.0,
             }
         }
-        Change::Cut { on, .. } => *on,
-        Change::DiscoveryDown(on) | Change::DiscoveryMalformed(on) => *on,
-        Change::DiscoveryBy(by) | Change::DiscoveryTurns(by) => !by.is_zero(),
-        Change::Start(_) | Change::Leave(_) => false,
+        ScheduledChange::NetworkCut { on, .. } => *on,
+        ScheduledChange::DiscoveryDown(on) | ScheduledChange::DiscoveryMalformed(on) => *on,
+        ScheduledChange::DiscoveryDelay(by) | ScheduledChange::DiscoveryStagger(by) => {
+            !by.is_zero()
+        }
+        ScheduledChange::Start(_) | ScheduledChange::Leave(_) => false,
         _ => true,
     };
     let (mut open, mut from, mut marks) = (0usize, 0.0, Vec::new());
@@ -270,16 +276,16 @@
         plan.seeds
     );
     table(plan, runs, &mut out);
-    let holds = held(plan, runs);
+    let holds = check_expectations(plan, runs);
     if !holds.is_empty() {
         let _ = write!(out, "<h2>What must hold</h2><ul>");
         for h in &holds {
-            let (class, word) = if h.good {
+            let (class, word) = if h.met {
                 ("good", "holds")
             } else {
                 ("bad", "does not hold")
             };
-            let (text, bound) = (escape(&h.text), escape(&h.bound));
+            let (text, bound) = (escape(&h.label), escape(&h.bound));
             let _ = write!(
                 out,
                 "<li class=\"{class}\">{word}: {text} is {:.4}, {bound}</li>",
@@ -291,11 +297,11 @@
     plots(plan, runs, &mut out);
     for run in runs
         .iter()
-        .filter(|r| !r.breaches.is_empty() && r.policy == "passroad")
+        .filter(|r| !r.violations.is_empty() && r.policy == "passroad")
     {
         let _ = write!(out, "<h2>Broken by passroad, seed {}</h2><ul>", run.seed);
-        for b in run.breaches.iter().take(50) {
-            let (at, rule, what) = (b.at.as_secs_f64(), b.rule.name(), escape(&b.what));
+        for b in run.violations.iter().take(50) {
+            let (at, rule, what) = (b.time.as_secs_f64(), b.rule.name(), escape(&b.message));
             let _ = write!(out, "<li>{at:.3} s: {rule}: {what}</li>");
         }
         let _ = write!(out, "</ul>");
@@ -349,9 +355,9 @@
     )
     .draw(out);
     let quantiles = |run: &&Run| {
-        let tally = Tally::of(run, plan, &(plan.settle..plan.length), None);
+        let tally = Tally::of_class(run, plan, &(plan.settle..plan.length), None);
         let points = (0..=100)
-            .map(|n| (f64::from(n), tally.time(f64::from(n).min(99.9))))
+            .map(|n| (f64::from(n), tally.percentile_ms(f64::from(n).min(99.9))))
             .collect();
         Line {
             name: run.policy.clone(),
@@ -398,12 +404,12 @@
         true,
     )
     .draw(out);
-    let looks = |of: &dyn Fn(&crate::virtual_time::Look, usize) -> f64| -> Vec<Line> {
+    let looks = |of: &dyn Fn(&crate::virtual_time::FleetSample, usize) -> f64| -> Vec<Line> {
         let line = |e: usize| {
             let points = own
-                .looks
+                .samples
                 .iter()
-                .map(|look| (look.at.as_secs_f64(), of(look, e)))
+                .map(|look| (look.time.as_secs_f64(), of(look, e)))
                 .collect();
             Line {
                 name: format!("{e} ({})", plan.zones[plan.endpoints[e].zone]),
@@ -412,15 +418,15 @@
         };
         (0..plan.endpoints.len().min(60)).map(line).collect()
     };
-    let held = looks(&|look, e| look.held[e] as f64);
+    let check_expectations = looks(&|look, e| look.outstanding[e] as f64);
     plot(
         &format!("Held by each endpoint, {}", own.policy),
         "commands",
-        held,
+        check_expectations,
         false,
     )
     .draw(out);
-    let links = looks(&|look, e| look.links[e] as f64);
+    let links = looks(&|look, e| look.connections[e] as f64);
     plot(
         &format!("Connections to each endpoint, {}", own.policy),
         "open",
@@ -445,12 +451,12 @@
     let length = plan.length.as_secs_f64().ceil() as usize;
     let mut counts = vec![vec![0u32; length]; plan.zones.len()];
     for sent in run
-        .books
+        .history
         .relays
         .iter()
-        .filter(|s| s.at < Duration::from_secs(length as u64))
+        .filter(|s| s.sent_at < Duration::from_secs(length as u64))
     {
-        counts[plan.endpoints[sent.endpoint].zone][sent.at.as_secs() as usize] += 1;
+        counts[plan.endpoints[sent.endpoint].zone][sent.sent_at.as_secs() as usize] += 1;
     }
     let line = |(zone, counts): (usize, Vec<u32>)| Line {
         name: plan.zones[zone].clone(),
--- a/crates/passroad-rig/src/html/tests.rs
+++ b/crates/passroad-rig/src/html/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
-use crate::experiment::{read, tests::SMALL};
-use crate::run::play_all;
+use crate::experiment::{parse, tests::SMALL};
+use crate::run::simulate_all;
 use rstest::rstest;
 
 #[rstest]
@@ -16,9 +16,9 @@
 #[rstest]
 fn a_page_needs_nothing_else_and_keeps_its_markup_whole() {
     let text = SMALL.replace("about = \"small\"", "about = \"a <b> & \\\"c\\\"\"");
-    let mut plan = read(&text).expect("a plan");
+    let mut plan = parse(&text).expect("a plan");
     plan.policies = vec!["passroad".into(), "random".into()];
-    let runs = play_all(&plan, 2).expect("days");
+    let runs = simulate_all(&plan, 2).expect("days");
     let page = page(&plan, &runs, true);
     assert!(page.contains("a &lt;b&gt; &amp; &quot;c&quot;") && page.contains("Simulated"));
     for outside in ["http://", "https://", "<script", "<link", "NaN", "inf\""] {
--- a/crates/passroad-rig/src/main.rs
+++ b/crates/passroad-rig/src/main.rs
@@ -2,7 +2,7 @@
 
 use clap::{Parser, Subcommand};
 use passroad_rig::added_latency::{self, Asked, Connections};
-use passroad_rig::experiment::{self, POLICIES, Plan, Sockets};
+use passroad_rig::experiment::{self, POLICIES, Plan, SocketMode};
 use passroad_rig::sockets::{self, Program};
 use passroad_rig::{compare, report, run};
 use std::path::{Path, PathBuf};
@@ -209,7 +209,7 @@
 #[derive(clap::ValueEnum, Clone, Copy, PartialEq, Eq)]
 enum On {
     Virtual,
-    Sockets,
+    SocketMode,
 }
 
 #[derive(Clone)]
@@ -236,7 +236,8 @@
 
 fn read(path: &Path, instances: Option<usize>) -> Result<Plan, String> {
     let text = std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))?;
-    experiment::read_for(&text, instances).map_err(|wrong| format!("{}: {wrong}", path.display()))
+    experiment::parse_with_instances(&text, instances)
+        .map_err(|wrong| format!("{}: {wrong}", path.display()))
 }
 
 /// Whole or not at all: a disk that is full must not leave half a page behind.
@@ -354,7 +355,7 @@
                     "{}: {} ({} must hold)",
                     file.display(),
                     plan.about,
-                    plan.holds.len()
+                    plan.expectations.len()
                 );
             }
             Ok(true)
@@ -395,7 +396,7 @@
                 .iter_mut()
                 .zip(middle)
                 .for_each(|(change, at)| change.0 = at);
-            plan.holds
+            plan.expectations
                 .iter_mut()
                 .for_each(|hold| hold.window = plan.settle..plan.length);
             println!(
@@ -404,9 +405,9 @@
                 middle[0].as_secs_f64(),
                 middle[1].as_secs_f64()
             );
-            let runs = run::play_on_sockets(&plan, &program(None)?, None, true)?;
+            let runs = run::run_on_sockets(&plan, &program(None)?, None, true)?;
             out.put(Path::new("try"), false, &plan, &runs, false)?;
-            let broken: usize = runs.iter().map(|r| r.breaches.len()).sum();
+            let broken: usize = runs.iter().map(|r| r.violations.len()).sum();
             match broken {
                 0 => println!("4 rules kept, and nothing given up was held back"),
                 n => println!("rules broken {n} times"),
@@ -440,18 +441,20 @@
             let program = program(sidecar)?;
             let mut good = true;
             for (file, mut plan) in files.iter().zip(plans) {
-                let real = match (on, plan.sockets) {
-                    (Some(On::Virtual), Some(Sockets::Needed)) => {
+                let real = match (on, plan.socket_mode) {
+                    (Some(On::Virtual), Some(SocketMode::Required)) => {
                         return Err(format!("{}: needs sockets, as it says", file.display()));
                     }
-                    (Some(On::Sockets), Some(Sockets::Never)) => {
+                    (Some(On::SocketMode), Some(SocketMode::Never)) => {
                         return Err(format!(
                             "{}: is not for sockets, as it says",
                             file.display()
                         ));
                     }
-                    (Some(on), _) => on == On::Sockets,
-                    (None, told) => matches!(told, Some(Sockets::Needed | Sockets::First)),
+                    (Some(on), _) => on == On::SocketMode,
+                    (None, told) => {
+                        matches!(told, Some(SocketMode::Required | SocketMode::Preferred))
+                    }
                 };
                 if let Some(Seeds(seeds)) = &seeds {
                     plan.seeds.clone_from(seeds);
@@ -463,16 +466,16 @@
                     plan.policies.clone_from(&policies);
                 }
                 let runs = match real {
-                    true => run::play_on_sockets(&plan, &program, logs.as_deref(), false)?,
-                    false => run::play_all(&plan, threads)?,
+                    true => run::run_on_sockets(&plan, &program, logs.as_deref(), false)?,
+                    false => run::simulate_all(&plan, threads)?,
                 };
-                good &= run::held(&plan, &runs).iter().all(|h| h.good);
+                good &= run::check_expectations(&plan, &runs).iter().all(|h| h.met);
                 out.put(file, files.len() > 1, &plan, &runs, !real)?;
                 for run in runs
                     .iter()
                     .filter(|r| lines && r.policy.starts_with("passroad"))
                 {
-                    for (at, instance, line) in &run.lines {
+                    for (at, instance, line) in &run.log_lines {
                         println!("{:.3} s, instance {instance}: {line}", at.as_secs_f64());
                     }
                 }
@@ -483,7 +486,7 @@
 }
 
 fn built_in() -> Result<Plan, String> {
-    experiment::read(TRY).map_err(|wrong| format!("the built-in experiment: {wrong}"))
+    experiment::parse(TRY).map_err(|wrong| format!("the built-in experiment: {wrong}"))
 }
 
 impl Out {
--- a/crates/passroad-rig/src/model.rs
+++ b/crates/passroad-rig/src/model.rs
@@ -1,7 +1,7 @@
 //! An endpoint as it behaves: cores, speed, a queue, cold starts, faults. It holds no socket and no clock; whoever
 //! drives it tells the time, in virtual days and behind real sockets alike.
 
-use crate::chance::Chance;
+use crate::rng::SeededRng;
 use std::collections::VecDeque;
 use std::time::Duration;
 
@@ -10,151 +10,151 @@
 
 /// What endpoints of one kind are like. Work is told in seconds of one core at speed one.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Make {
+pub struct EndpointSpec {
     pub cores: usize,
     pub speed: f64,
-    pub queue: usize,          // jobs that may wait for a core
-    pub drag_from: usize,      // so many waiting slow it down until it is idle again; 0: never
-    pub drag: f64,             // what is left of its speed then
-    pub cold_from: f64,        // share of its speed right after a start
-    pub warm_within: Duration, // zero: never cold
-    pub tip_multiple: f64, // of what it can do now; offered more for `tip_after` a cold one falls over
-    pub tip_after: Duration,
-    pub tips: bool, // false: it bears all, so that what comes to a cold one is seen whole
-    pub drops_recalled: bool, // it stops what nobody waits for
-    pub most_links: usize,
-    pub link_work: f64, // seconds, of a new connection
+    pub queue_limit: usize,           // jobs that may wait for a core
+    pub slowdown_queue_length: usize, // so many waiting slow it down until it is idle again; 0: never
+    pub slowdown_speed: f64,          // what is left of its speed then
+    pub cold_capacity: f64,           // share of its speed right after a start
+    pub warm_up_time: Duration,       // zero: never cold
+    pub overload_multiple: f64, // of what it can do now; offered more for `tip_after` a cold one falls over
+    pub overload_window: Duration,
+    pub crashes_on_overload: bool, // false: it bears all, so that what comes to a cold one is seen whole
+    pub stops_cancelled: bool,     // it stops what nobody waits for
+    pub max_connections: usize,
+    pub connection_work: f64, // seconds, of a new connection
     pub report_age: Duration,
 }
 
 #[derive(Debug, Clone, PartialEq)]
 pub struct Job {
     pub id: JobId,
-    pub verb: usize,
+    pub class: usize,
     pub work: f64, // seconds
 }
 
 /// How an answer comes back.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Verdict {
-    Done,
+pub enum JobResult {
+    Completed,
     /// An error was answered; the effect may have taken place.
     Error,
     /// Nonsense in place of an answer; the effect took place.
-    Spoilt,
+    Malformed,
     /// The connection breaks; the effect took place.
     Reset,
 }
 
 /// What shows of an endpoint as time goes on, in order.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Shown {
+pub enum EndpointEvent {
     /// From here on the job counts as run.
-    Began(JobId),
-    Ended(JobId, Verdict),
+    Started(JobId),
+    Finished(JobId, JobResult),
     /// It fell over; all that it held is lost.
-    Tipped,
+    Crashed,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Offer {
-    Taken,
+pub enum Admission {
+    Accepted,
     /// Turned away, never run: queue full, draining.
-    Full,
+    Rejected,
     /// No process there.
     Down,
 }
 
 /// What an endpoint says of its load.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
-pub struct Load {
+pub struct EndpointLoad {
     pub outstanding: usize,
-    pub waiting: usize,
+    pub queued: usize,
     pub utilization: f64,
 }
 
 /// What is wrong with an endpoint at present. Shares run from 0 to 1.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Trouble {
+pub struct FaultState {
     pub stalled: bool,
-    pub slow: f64, // what is left of its speed
-    pub errors: f64,
-    pub spoils: f64,
-    pub resets: f64,
-    pub hangs: Vec<usize>, // verbs whose jobs never end
-    pub lies: bool,        // says that it is idle
+    pub speed_left: f64, // what is left of its speed
+    pub error_share: f64,
+    pub malformed_share: f64,
+    pub reset_share: f64,
+    pub hanging_classes: Vec<usize>, // verbs whose jobs never end
+    pub reports_idle: bool,          // says that it is idle
 }
 
-impl Default for Trouble {
+impl Default for FaultState {
     fn default() -> Self {
-        Trouble {
+        FaultState {
             stalled: false,
-            slow: 1.0,
-            errors: 0.0,
-            spoils: 0.0,
-            resets: 0.0,
-            hangs: Vec::new(),
-            lies: false,
+            speed_left: 1.0,
+            error_share: 0.0,
+            malformed_share: 0.0,
+            reset_share: 0.0,
+            hanging_classes: Vec::new(),
+            reports_idle: false,
         }
     }
 }
 
 /// A change of what is wrong with an endpoint.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Turn {
+pub enum FaultChange {
     Stalled(bool),
-    Slow(f64),
-    Errors(f64),
-    Spoils(f64),
-    Resets(f64),
-    Hangs(usize, bool),
-    Lies(bool),
+    SpeedLeft(f64),
+    ErrorShare(f64),
+    MalformedShare(f64),
+    ResetShare(f64),
+    ClassHangs(usize, bool),
+    ReportsIdle(bool),
 }
 
-struct InWork {
+struct RunningJob {
     job: Job,
-    left: f64,
-    verdict: Verdict,
+    work_left: f64,
+    result: JobResult,
     hung: bool,
 }
 
 pub struct Endpoint {
-    pub make: Make,
-    pub trouble: Trouble,
-    chance: Chance,
+    pub spec: EndpointSpec,
+    pub faults: FaultState,
+    chance: SeededRng,
     now: Duration,
     up: bool,
     draining: bool,
-    started: Option<Duration>, // none: warm for long
-    work: Vec<InWork>,
+    started_at: Option<Duration>, // none: warm for long
+    running: Vec<RunningJob>,
     queue: VecDeque<Job>,
-    links: usize,
-    dragging: bool,
-    offered: VecDeque<(Duration, f64)>, // while cold, over the last `tip_after`
-    said: Load,
-    said_at: Duration,
-    shown: Vec<Shown>,
+    connections: usize,
+    slowed_down: bool,
+    recent_offers: VecDeque<(Duration, f64)>, // while cold, over the last `tip_after`
+    last_report: EndpointLoad,
+    last_report_at: Duration,
+    events: Vec<EndpointEvent>,
 }
 
 impl Endpoint {
     /// A warm one that is up.
-    pub fn new(make: Make, chance: Chance) -> Self {
+    pub fn new(make: EndpointSpec, chance: SeededRng) -> Self {
         Endpoint {
-            make,
-            trouble: Trouble::default(),
+            spec: make,
+            faults: FaultState::default(),
             chance,
             now: Duration::ZERO,
             up: true,
             draining: false,
-            started: None,
-            work: Vec::new(),
+            started_at: None,
+            running: Vec::new(),
             queue: VecDeque::new(),
-            links: 0,
-            dragging: false,
-            offered: VecDeque::new(),
-            said: Load::default(),
-            said_at: Duration::ZERO,
-            shown: Vec::new(),
+            connections: 0,
+            slowed_down: false,
+            recent_offers: VecDeque::new(),
+            last_report: EndpointLoad::default(),
+            last_report_at: Duration::ZERO,
+            events: Vec::new(),
         }
     }
 
@@ -166,152 +166,165 @@
         self.draining
     }
 
-    pub fn started(&self) -> Option<Duration> {
-        self.started
+    pub fn started_at(&self) -> Option<Duration> {
+        self.started_at
     }
 
     /// Jobs it holds, waiting or in work.
     pub fn outstanding(&self) -> usize {
-        self.work.len() + self.queue.len()
+        self.running.len() + self.queue.len()
     }
 
     /// Share of its full speed that a start has left it with at a time.
-    pub fn ramp(&self, at: Duration) -> f64 {
-        ramp(&self.make, self.started, at)
+    pub fn warm_up_factor(&self, at: Duration) -> f64 {
+        warm_up_factor(&self.spec, self.started_at, at)
     }
 
     /// What one core does in a second.
     fn rate(&self) -> f64 {
-        if self.trouble.stalled || !self.up {
+        if self.faults.stalled || !self.up {
             return 0.0;
         }
-        let drag = if self.dragging { self.make.drag } else { 1.0 };
-        self.make.speed * self.ramp(self.now) * drag * self.trouble.slow
+        let drag = if self.slowed_down {
+            self.spec.slowdown_speed
+        } else {
+            1.0
+        };
+        self.spec.speed * self.warm_up_factor(self.now) * drag * self.faults.speed_left
     }
 
     /// Seconds until a job of so much work would be done here, were it sent now; none if it would not be.
-    pub fn would_take(&self, work: f64, verb: usize) -> Option<f64> {
+    pub fn estimate_seconds(&self, work: f64, verb: usize) -> Option<f64> {
         let rate = self.rate();
-        let room = self.queue.len() < self.make.queue || self.busy() < self.make.cores;
-        if rate <= 0.0 || self.draining || !room || self.trouble.hangs.contains(&verb) {
+        let room = self.queue.len() < self.spec.queue_limit || self.busy() < self.spec.cores;
+        if rate <= 0.0 || self.draining || !room || self.faults.hanging_classes.contains(&verb) {
             return None;
         }
-        let left: f64 = self.work.iter().filter(|w| !w.hung).map(|w| w.left).sum();
+        let left: f64 = self
+            .running
+            .iter()
+            .filter(|w| !w.hung)
+            .map(|w| w.work_left)
+            .sum();
         let ahead = left + self.queue.iter().map(|j| j.work).sum::<f64>();
-        let wait = if self.busy() < self.make.cores {
+        let wait = if self.busy() < self.spec.cores {
             0.0
         } else {
-            ahead / self.make.cores as f64
+            ahead / self.spec.cores as f64
         };
-        let fails = self.trouble.errors + self.trouble.spoils + self.trouble.resets;
+        let fails = self.faults.error_share + self.faults.malformed_share + self.faults.reset_share;
         // A failure costs more than a wait does: most of what fails may not be sent again.
         Some((wait + work) / rate * (1.0 + 30.0 * fails))
     }
 
     fn busy(&self) -> usize {
-        self.work.iter().filter(|w| !w.hung).count()
+        self.running.iter().filter(|w| !w.hung).count()
     }
 
     /// A new connection; whether it comes up.
     pub fn connect(&mut self) -> bool {
-        let room = self.up && self.links < self.make.most_links;
-        self.links += usize::from(room);
+        let room = self.up && self.connections < self.spec.max_connections;
+        self.connections += usize::from(room);
         room
     }
 
     pub fn disconnect(&mut self) {
-        self.links = self.links.saturating_sub(1);
+        self.connections = self.connections.saturating_sub(1);
     }
 
-    pub fn links(&self) -> usize {
-        self.links
+    pub fn connections(&self) -> usize {
+        self.connections
     }
 
     /// A job comes in. Its time is that of the last `advance`.
-    pub fn offer(&mut self, job: Job) -> Offer {
+    pub fn offer(&mut self, job: Job) -> Admission {
         if !self.up {
-            return Offer::Down;
+            return Admission::Down;
         }
-        if self.note_offer(job.work) {
-            self.shown.push(Shown::Tipped);
-            return Offer::Down;
+        if self.records_overload(job.work) {
+            self.events.push(EndpointEvent::Crashed);
+            return Admission::Down;
         }
-        if self.draining || (self.busy() >= self.make.cores && self.queue.len() >= self.make.queue)
+        if self.draining
+            || (self.busy() >= self.spec.cores && self.queue.len() >= self.spec.queue_limit)
         {
-            return Offer::Full;
+            return Admission::Rejected;
         }
         self.queue.push_back(job);
-        self.begin();
-        if self.make.drag_from > 0 && self.queue.len() >= self.make.drag_from {
-            self.dragging = true;
+        self.start_queued();
+        if self.spec.slowdown_queue_length > 0
+            && self.queue.len() >= self.spec.slowdown_queue_length
+        {
+            self.slowed_down = true;
         }
-        Offer::Taken
+        Admission::Accepted
     }
 
     /// Whether what was offered of late pushes a cold one over.
-    fn note_offer(&mut self, work: f64) -> bool {
-        if self.ramp(self.now) >= 1.0 {
-            self.offered.clear();
+    fn records_overload(&mut self, work: f64) -> bool {
+        if self.warm_up_factor(self.now) >= 1.0 {
+            self.recent_offers.clear();
             return false;
         }
-        self.offered.push_back((self.now, work));
+        self.recent_offers.push_back((self.now, work));
         while self
-            .offered
+            .recent_offers
             .front()
-            .is_some_and(|(at, _)| *at + self.make.tip_after < self.now)
+            .is_some_and(|(at, _)| *at + self.spec.overload_window < self.now)
         {
-            self.offered.pop_front();
+            self.recent_offers.pop_front();
         }
-        let sum: f64 = self.offered.iter().map(|(_, work)| work).sum();
-        let young = self.now.saturating_sub(self.started.unwrap_or_default()) < self.make.tip_after;
-        let can = self.make.cores as f64 * self.make.speed * self.ramp(self.now);
+        let sum: f64 = self.recent_offers.iter().map(|(_, work)| work).sum();
+        let young = self.now.saturating_sub(self.started_at.unwrap_or_default())
+            < self.spec.overload_window;
+        let can = self.spec.cores as f64 * self.spec.speed * self.warm_up_factor(self.now);
         !young
-            && self.make.tips
-            && sum > self.make.tip_multiple * can * self.make.tip_after.as_secs_f64()
+            && self.spec.crashes_on_overload
+            && sum > self.spec.overload_multiple * can * self.spec.overload_window.as_secs_f64()
     }
 
     /// Nobody waits for a job any more. Tells whether it was still here.
-    pub fn recall(&mut self, id: JobId) -> bool {
+    pub fn cancel(&mut self, id: JobId) -> bool {
         let held =
-            self.work.iter().any(|w| w.job.id == id) || self.queue.iter().any(|j| j.id == id);
-        if held && self.make.drops_recalled {
+            self.running.iter().any(|w| w.job.id == id) || self.queue.iter().any(|j| j.id == id);
+        if held && self.spec.stops_cancelled {
             self.queue.retain(|j| j.id != id);
-            self.work.retain(|w| w.job.id != id);
-            self.begin();
+            self.running.retain(|w| w.job.id != id);
+            self.start_queued();
         }
         held
     }
 
     /// Starts what waits while cores are free.
-    fn begin(&mut self) {
-        while self.busy() < self.make.cores {
+    fn start_queued(&mut self) {
+        while self.busy() < self.spec.cores {
             let Some(job) = self.queue.pop_front() else {
                 break;
             };
-            let hung = self.trouble.hangs.contains(&job.verb);
-            let draw = self.chance.share();
-            let (errors, spoils) = (self.trouble.errors, self.trouble.spoils);
+            let hung = self.faults.hanging_classes.contains(&job.class);
+            let draw = self.chance.uniform();
+            let (errors, spoils) = (self.faults.error_share, self.faults.malformed_share);
             let verdict = match draw {
-                d if d < errors => Verdict::Error,
-                d if d < errors + spoils => Verdict::Spoilt,
-                d if d < errors + spoils + self.trouble.resets => Verdict::Reset,
-                _ => Verdict::Done,
+                d if d < errors => JobResult::Error,
+                d if d < errors + spoils => JobResult::Malformed,
+                d if d < errors + spoils + self.faults.reset_share => JobResult::Reset,
+                _ => JobResult::Completed,
             };
             // An error is quick, and half of them come before anything has taken place.
-            let quick = verdict == Verdict::Error;
-            if !quick || self.chance.share() < 0.5 {
-                self.shown.push(Shown::Began(job.id));
+            let quick = verdict == JobResult::Error;
+            if !quick || self.chance.uniform() < 0.5 {
+                self.events.push(EndpointEvent::Started(job.id));
             }
             let left = if quick { job.work * 0.05 } else { job.work };
-            self.work.push(InWork {
+            self.running.push(RunningJob {
                 job,
-                left,
-                verdict,
+                work_left: left,
+                result: verdict,
                 hung,
             });
         }
-        if self.work.is_empty() && self.queue.is_empty() {
-            self.dragging = false;
+        if self.running.is_empty() && self.queue.is_empty() {
+            self.slowed_down = false;
         }
     }
 
@@ -320,35 +333,36 @@
         while self.now < to {
             let rate = self.rate();
             let end = self
-                .wake_at()
+                .next_event_at()
                 .map_or(to, |at| at.clamp(self.now + Duration::from_nanos(1), to));
             let done = rate * (end - self.now).as_secs_f64();
             self.now = end;
-            for work in self.work.iter_mut().filter(|w| !w.hung) {
-                work.left -= done;
+            for work in self.running.iter_mut().filter(|w| !w.hung) {
+                work.work_left -= done;
             }
-            let ended = |w: &InWork| !w.hung && w.left <= 1e-9;
+            let ended = |w: &RunningJob| !w.hung && w.work_left <= 1e-9;
             let mut n = 0;
-            while n < self.work.len() {
-                if ended(&self.work[n]) {
-                    let work = self.work.remove(n);
-                    self.shown.push(Shown::Ended(work.job.id, work.verdict));
+            while n < self.running.len() {
+                if ended(&self.running[n]) {
+                    let work = self.running.remove(n);
+                    self.events
+                        .push(EndpointEvent::Finished(work.job.id, work.result));
                 } else {
                     n += 1;
                 }
             }
-            self.begin();
+            self.start_queued();
         }
     }
 
     /// When something next changes by itself.
-    pub fn wake_at(&self) -> Option<Duration> {
+    pub fn next_event_at(&self) -> Option<Duration> {
         let rate = self.rate();
         let least = self
-            .work
+            .running
             .iter()
             .filter(|w| !w.hung)
-            .map(|w| w.left)
+            .map(|w| w.work_left)
             .fold(f64::INFINITY, f64::min);
         if rate <= 0.0 || !least.is_finite() {
             return None;
@@ -356,8 +370,8 @@
         let done =
             self.now + Duration::from_secs_f64((least / rate).min(1e6)) + Duration::from_nanos(1);
         // A cold one is faster a little later.
-        let step = self.make.warm_within / 64;
-        let warmer = if self.ramp(self.now) < 1.0 {
+        let step = self.spec.warm_up_time / 64;
+        let warmer = if self.warm_up_factor(self.now) < 1.0 {
             self.now + step
         } else {
             Duration::MAX
@@ -365,32 +379,34 @@
         Some(done.min(warmer))
     }
 
-    pub fn take_shown(&mut self) -> Vec<Shown> {
-        std::mem::take(&mut self.shown)
+    pub fn take_events(&mut self) -> Vec<EndpointEvent> {
+        std::mem::take(&mut self.events)
     }
 
     /// How it says it is; a report may be old.
-    pub fn report(&mut self) -> Load {
-        if self.trouble.lies {
-            return Load::default();
+    pub fn load_report(&mut self) -> EndpointLoad {
+        if self.faults.reports_idle {
+            return EndpointLoad::default();
         }
-        if self.now >= self.said_at + self.make.report_age || self.said_at.is_zero() {
-            self.said_at = self.now;
-            self.said = Load {
+        if self.now >= self.last_report_at + self.spec.report_age || self.last_report_at.is_zero() {
+            self.last_report_at = self.now;
+            self.last_report = EndpointLoad {
                 outstanding: self.outstanding(),
-                waiting: self.queue.len(),
-                utilization: self.busy().min(self.make.cores) as f64 / self.make.cores as f64,
+                queued: self.queue.len(),
+                utilization: self.busy().min(self.spec.cores) as f64 / self.spec.cores as f64,
             };
         }
-        self.said
+        self.last_report
     }
 
     /// The process ends at once; gives what it held.
-    pub fn die(&mut self) -> Vec<JobId> {
+    pub fn crash(&mut self) -> Vec<JobId> {
         self.up = false;
-        self.links = 0;
-        self.dragging = false;
-        let work = std::mem::take(&mut self.work).into_iter().map(|w| w.job.id);
+        self.connections = 0;
+        self.slowed_down = false;
+        let work = std::mem::take(&mut self.running)
+            .into_iter()
+            .map(|w| w.job.id);
         work.chain(std::mem::take(&mut self.queue).into_iter().map(|j| j.id))
             .collect()
     }
@@ -398,8 +414,8 @@
     /// A new process, cold where its kind has a cold start.
     pub fn start(&mut self, now: Duration) {
         (self.now, self.up, self.draining) = (now, true, false);
-        self.started = (!self.make.warm_within.is_zero()).then_some(now);
-        self.offered.clear();
+        self.started_at = (!self.spec.warm_up_time.is_zero()).then_some(now);
+        self.recent_offers.clear();
     }
 
     /// It finishes what it has and takes nothing new.
@@ -408,38 +424,38 @@
     }
 
     /// Takes on a trouble, or is rid of it; what hung goes on then.
-    pub fn turn(&mut self, turn: &Turn) {
-        let trouble = &mut self.trouble;
+    pub fn apply_fault(&mut self, turn: &FaultChange) {
+        let trouble = &mut self.faults;
         match *turn {
-            Turn::Stalled(on) => trouble.stalled = on,
-            Turn::Slow(left) => trouble.slow = left,
-            Turn::Errors(share) => trouble.errors = share,
-            Turn::Spoils(share) => trouble.spoils = share,
-            Turn::Resets(share) => trouble.resets = share,
-            Turn::Lies(on) => trouble.lies = on,
-            Turn::Hangs(verb, true) => trouble.hangs.push(verb),
-            Turn::Hangs(verb, false) => {
-                trouble.hangs.retain(|v| *v != verb);
-                self.loosen();
+            FaultChange::Stalled(on) => trouble.stalled = on,
+            FaultChange::SpeedLeft(left) => trouble.speed_left = left,
+            FaultChange::ErrorShare(share) => trouble.error_share = share,
+            FaultChange::MalformedShare(share) => trouble.malformed_share = share,
+            FaultChange::ResetShare(share) => trouble.reset_share = share,
+            FaultChange::ReportsIdle(on) => trouble.reports_idle = on,
+            FaultChange::ClassHangs(verb, true) => trouble.hanging_classes.push(verb),
+            FaultChange::ClassHangs(verb, false) => {
+                trouble.hanging_classes.retain(|v| *v != verb);
+                self.update_hung_jobs();
             }
         }
     }
 
-    fn loosen(&mut self) {
-        let hangs = &self.trouble.hangs;
-        self.work
+    fn update_hung_jobs(&mut self) {
+        let hangs = &self.faults.hanging_classes;
+        self.running
             .iter_mut()
-            .for_each(|w| w.hung = hangs.contains(&w.job.verb));
+            .for_each(|w| w.hung = hangs.contains(&w.job.class));
     }
 }
 
 /// Share of its full speed that a start has left an endpoint with at a time.
-pub fn ramp(make: &Make, started: Option<Duration>, at: Duration) -> f64 {
-    let Some(started) = started.filter(|_| !make.warm_within.is_zero()) else {
+pub fn warm_up_factor(make: &EndpointSpec, started: Option<Duration>, at: Duration) -> f64 {
+    let Some(started) = started.filter(|_| !make.warm_up_time.is_zero()) else {
         return 1.0;
     };
-    let age = at.saturating_sub(started).as_secs_f64() / make.warm_within.as_secs_f64();
-    make.cold_from + (1.0 - make.cold_from) * age.min(1.0)
+    let age = at.saturating_sub(started).as_secs_f64() / make.warm_up_time.as_secs_f64();
+    make.cold_capacity + (1.0 - make.cold_capacity) * age.min(1.0)
 }
 
 #[cfg(test)]
@@ -447,33 +463,33 @@
     use super::*;
     use rstest::rstest;
 
-    pub fn make() -> Make {
-        Make {
+    pub fn make() -> EndpointSpec {
+        EndpointSpec {
             cores: 1,
             speed: 1.0,
-            queue: 4,
-            drag_from: 0,
-            drag: 0.5,
-            cold_from: 0.25,
-            warm_within: Duration::ZERO,
-            tip_multiple: 2.0,
-            tip_after: Duration::from_secs(2),
-            tips: true,
-            drops_recalled: true,
-            most_links: 2,
-            link_work: 0.0,
+            queue_limit: 4,
+            slowdown_queue_length: 0,
+            slowdown_speed: 0.5,
+            cold_capacity: 0.25,
+            warm_up_time: Duration::ZERO,
+            overload_multiple: 2.0,
+            overload_window: Duration::from_secs(2),
+            crashes_on_overload: true,
+            stops_cancelled: true,
+            max_connections: 2,
+            connection_work: 0.0,
             report_age: Duration::ZERO,
         }
     }
 
-    fn endpoint(make: Make) -> Endpoint {
-        Endpoint::new(make, Chance::new(7))
+    fn endpoint(make: EndpointSpec) -> Endpoint {
+        Endpoint::new(make, SeededRng::new(7))
     }
 
     fn job(id: JobId, ms: u64) -> Job {
         Job {
             id,
-            verb: 0,
+            class: 0,
             work: ms as f64 / 1e3,
         }
     }
@@ -483,12 +499,12 @@
     }
 
     /// Ids of what ended within a time.
-    fn ended(e: &mut Endpoint, to: Duration) -> Vec<(JobId, Verdict)> {
+    fn ended(e: &mut Endpoint, to: Duration) -> Vec<(JobId, JobResult)> {
         e.advance(to);
-        let shown = e.take_shown().into_iter();
+        let shown = e.take_events().into_iter();
         shown
             .filter_map(|s| {
-                if let Shown::Ended(id, v) = s {
+                if let EndpointEvent::Finished(id, v) = s {
                     Some((id, v))
                 } else {
                     None
@@ -506,12 +522,12 @@
         #[case] speed: f64,
         #[case] done: &[(u64, usize)],
     ) {
-        let mut e = endpoint(Make {
+        let mut e = endpoint(EndpointSpec {
             cores,
             speed,
             ..make()
         });
-        assert!((1..=3).all(|id| e.offer(job(id, 20)) == Offer::Taken));
+        assert!((1..=3).all(|id| e.offer(job(id, 20)) == Admission::Accepted));
         let mut count = 0;
         for (at, expected) in done {
             count += ended(&mut e, ms(*at)).len();
@@ -523,7 +539,10 @@
     fn what_finds_no_room_is_turned_away_and_never_begins() {
         let mut e = endpoint(make());
         let offers: Vec<_> = (0..7).map(|id| e.offer(job(id, 10))).collect();
-        assert_eq!(offers.iter().filter(|o| **o == Offer::Full).count(), 2);
+        assert_eq!(
+            offers.iter().filter(|o| **o == Admission::Rejected).count(),
+            2
+        );
         assert_eq!(ended(&mut e, ms(1000)).len(), 5);
     }
 
@@ -534,22 +553,22 @@
         #[case] drops: bool,
         #[case] count: usize,
     ) {
-        let mut e = endpoint(Make {
-            drops_recalled: drops,
+        let mut e = endpoint(EndpointSpec {
+            stops_cancelled: drops,
             ..make()
         });
-        assert!((1..=2).all(|id| e.offer(job(id, 20)) == Offer::Taken));
-        assert!(e.recall(2) && !e.recall(9));
+        assert!((1..=2).all(|id| e.offer(job(id, 20)) == Admission::Accepted));
+        assert!(e.cancel(2) && !e.cancel(9));
         assert_eq!(ended(&mut e, ms(100)).len(), count);
     }
 
     #[rstest]
     fn a_backlog_drags_until_it_is_idle_again() {
-        let mut e = endpoint(Make {
-            drag_from: 3,
+        let mut e = endpoint(EndpointSpec {
+            slowdown_queue_length: 3,
             ..make()
         });
-        assert!((1..=4).all(|id| e.offer(job(id, 10)) == Offer::Taken));
+        assert!((1..=4).all(|id| e.offer(job(id, 10)) == Admission::Accepted));
         assert_eq!(ended(&mut e, ms(79)).len(), 3);
         assert_eq!(ended(&mut e, ms(81)).len(), 1);
         e.offer(job(5, 10));
@@ -558,13 +577,13 @@
 
     #[rstest]
     fn a_cold_one_is_slow_and_falls_over_where_it_is_offered_too_much() {
-        let cold = Make {
-            warm_within: ms(8000),
-            queue: 1000,
+        let cold = EndpointSpec {
+            warm_up_time: ms(8000),
+            queue_limit: 1000,
             ..make()
         };
         let mut e = endpoint(cold);
-        e.die();
+        e.crash();
         e.start(ms(1000));
         e.offer(job(1, 100));
         // At a quarter of its speed, and a little more as it warms.
@@ -575,60 +594,60 @@
         for n in 0..200 {
             e.advance(ms(1400 + n * 10));
             e.offer(job(10 + n, 12));
-            tipped |= e.take_shown().contains(&Shown::Tipped);
+            tipped |= e.take_events().contains(&EndpointEvent::Crashed);
         }
         assert!(tipped);
         // Warm it takes as much.
-        let mut e = endpoint(Make {
-            queue: 1000,
+        let mut e = endpoint(EndpointSpec {
+            queue_limit: 1000,
             ..make()
         });
-        assert!((0..200).all(|n| e.offer(job(n, 12)) == Offer::Taken));
-        assert!(!e.take_shown().contains(&Shown::Tipped));
+        assert!((0..200).all(|n| e.offer(job(n, 12)) == Admission::Accepted));
+        assert!(!e.take_events().contains(&EndpointEvent::Crashed));
     }
 
     #[rstest]
-    #[case::stall(Trouble { stalled: true, ..Trouble::default() }, vec![])]
-    #[case::slow(Trouble { slow: 0.1, ..Trouble::default() }, vec![])]
-    #[case::errors(Trouble { errors: 1.0, ..Trouble::default() }, vec![(1, Verdict::Error)])]
-    #[case::spoils(Trouble { spoils: 1.0, ..Trouble::default() }, vec![(1, Verdict::Spoilt)])]
-    #[case::resets(Trouble { resets: 1.0, ..Trouble::default() }, vec![(1, Verdict::Reset)])]
-    #[case::hang(Trouble { hangs: vec![0], ..Trouble::default() }, vec![])]
-    #[case::hang_of_another(Trouble { hangs: vec![1], ..Trouble::default() }, vec![(1, Verdict::Done)])]
-    fn trouble_shows(#[case] trouble: Trouble, #[case] shown: Vec<(JobId, Verdict)>) {
+    #[case::stall(FaultState { stalled: true, ..FaultState::default() }, vec![])]
+    #[case::slow(FaultState { speed_left: 0.1, ..FaultState::default() }, vec![])]
+    #[case::errors(FaultState { error_share: 1.0, ..FaultState::default() }, vec![(1, JobResult::Error)])]
+    #[case::spoils(FaultState { malformed_share: 1.0, ..FaultState::default() }, vec![(1, JobResult::Malformed)])]
+    #[case::resets(FaultState { reset_share: 1.0, ..FaultState::default() }, vec![(1, JobResult::Reset)])]
+    #[case::hang(FaultState { hanging_classes: vec![0], ..FaultState::default() }, vec![])]
+    #[case::hang_of_another(FaultState { hanging_classes: vec![1], ..FaultState::default() }, vec![(1, JobResult::Completed)])]
+    fn trouble_shows(#[case] trouble: FaultState, #[case] shown: Vec<(JobId, JobResult)>) {
         let mut e = endpoint(make());
-        e.trouble = trouble;
+        e.faults = trouble;
         e.offer(job(1, 10));
         assert_eq!(ended(&mut e, ms(50)), shown);
         // It is over: what was held goes on.
-        e.trouble = Trouble::default();
-        e.loosen();
+        e.faults = FaultState::default();
+        e.update_hung_jobs();
         assert_eq!(ended(&mut e, ms(100)).len() + shown.len(), 1);
     }
 
     #[rstest]
     fn reports_are_as_old_as_the_kind_has_them() {
-        let mut e = endpoint(Make {
+        let mut e = endpoint(EndpointSpec {
             report_age: ms(100),
             ..make()
         });
         e.advance(ms(10));
-        assert_eq!(e.report().outstanding, 0);
+        assert_eq!(e.load_report().outstanding, 0);
         e.offer(job(1, 500));
         e.offer(job(2, 500));
         e.advance(ms(50));
-        assert_eq!(e.report().outstanding, 0);
+        assert_eq!(e.load_report().outstanding, 0);
         e.advance(ms(111));
         assert_eq!(
-            e.report(),
-            Load {
+            e.load_report(),
+            EndpointLoad {
                 outstanding: 2,
-                waiting: 1,
+                queued: 1,
                 utilization: 1.0
             }
         );
-        e.trouble.lies = true;
-        assert_eq!(e.report(), Load::default());
+        e.faults.reports_idle = true;
+        assert_eq!(e.load_report(), EndpointLoad::default());
     }
 
     #[rstest]
@@ -638,7 +657,10 @@
         e.disconnect();
         assert!(e.connect());
         e.offer(job(3, 10));
-        assert_eq!((e.die(), e.links(), e.connect()), (vec![3], 0, false));
-        assert_eq!(e.offer(job(4, 10)), Offer::Down);
+        assert_eq!(
+            (e.crash(), e.connections(), e.connect()),
+            (vec![3], 0, false)
+        );
+        assert_eq!(e.offer(job(4, 10)), Admission::Down);
     }
 }
--- a/crates/passroad-rig/src/report.rs
+++ b/crates/passroad-rig/src/report.rs
@@ -1,9 +1,9 @@
 //! What came of an experiment, as text and as JSON.
 
+use crate::distribution;
 use crate::experiment::Plan;
 use crate::ledger::{Answer, Rule};
-use crate::run::{Held, Run, Tally, held};
-use crate::spread;
+use crate::run::{ExpectationResult, Run, Tally, check_expectations};
 use serde_json::{Value, json};
 use std::fmt::Write;
 use std::time::Duration;
@@ -27,21 +27,21 @@
 
 pub fn seconds(run: &Run, plan: &Plan) -> Vec<Second> {
     let mut all = vec![Second::default(); plan.length.as_secs_f64().ceil() as usize];
-    for c in &run.books.commands {
-        let Some(second) = all.get_mut(c.asked.as_secs() as usize) else {
+    for c in &run.history.commands {
+        let Some(second) = all.get_mut(c.arrived_at.as_secs() as usize) else {
             continue;
         };
         second.asked += 1;
         second.relays += c.relays.len();
         match c.answers.first() {
             Some((at, Answer::Answered))
-                if at.saturating_sub(c.asked) <= plan.verbs[c.verb].goal =>
+                if at.saturating_sub(c.arrived_at) <= plan.classes[c.class].deadline_target =>
             {
                 second.served += 1;
             }
             Some((_, Answer::Answered)) => second.late += 1,
-            Some((_, Answer::Declined)) => second.declined += 1,
-            Some((_, Answer::Terminated)) => second.terminated += 1,
+            Some((_, Answer::Refused)) => second.declined += 1,
+            Some((_, Answer::Failed)) => second.terminated += 1,
             None => second.unanswered += 1,
         }
     }
@@ -83,7 +83,7 @@
             .collect();
         let broken = Rule::ALL
             .iter()
-            .map(|rule| (*rule, own.iter().map(|r| r.broken(*rule)).sum()));
+            .map(|rule| (*rule, own.iter().map(|r| r.violation_count(*rule)).sum()));
         rows.push(Row {
             policy: policy.clone(),
             figures,
@@ -95,21 +95,21 @@
 
 /// The figures of one day.
 fn day(plan: &Plan, run: &Run) -> Vec<(&'static str, f64)> {
-    let t = Tally::of(run, plan, &(plan.settle..plan.length), None);
-    let probes = run.books.probes.len() as f64 / run.books.commands.len().max(1) as f64;
+    let t = Tally::of_class(run, plan, &(plan.settle..plan.length), None);
+    let probes = run.history.probes.len() as f64 / run.history.commands.len().max(1) as f64;
     vec![
-        ("worth", t.worth / t.worth_asked.max(1e-9)),
+        ("worth", t.utility / t.utility_offered.max(1e-9)),
         ("served", t.share(t.served)),
         ("late", t.share(t.late)),
-        ("declined", t.share(t.declined)),
-        ("terminated", t.share(t.terminated)),
+        ("declined", t.share(t.refused)),
+        ("terminated", t.share(t.failed)),
         ("lost", t.share(t.unanswered)),
-        ("p50 ms", t.time(50.0)),
-        ("p99 ms", t.time(99.0)),
+        ("p50 ms", t.percentile_ms(50.0)),
+        ("p99 ms", t.percentile_ms(99.0)),
         ("relays", t.share(t.relays)),
         ("probes", probes),
-        ("push", run.push()),
-        ("ramp", run.ramp()),
+        ("push", run.worst_cold_overload()),
+        ("ramp", run.worst_cold_start_load()),
     ]
 }
 
@@ -160,13 +160,13 @@
             .for_each(|row| out.push_str(&spread_line(plan, runs, &row.policy)));
     }
     for run in runs.iter().filter(|r| r.policy.starts_with("passroad")) {
-        for breach in run.breaches.iter().take(5) {
-            let (seed, at) = (run.seed, breach.at.as_secs_f64());
+        for breach in run.violations.iter().take(5) {
+            let (seed, at) = (run.seed, breach.time.as_secs_f64());
             let _ = writeln!(
                 out,
                 "broken, seed {seed}, {at:.3} s: {}: {}",
                 breach.rule.name(),
-                breach.what
+                breach.message
             );
         }
         if let Some(fleet) = &run.fleet {
@@ -215,16 +215,16 @@
             let _ = writeln!(out, "{remark}");
         }
     }
-    let holds = held(plan, runs);
+    let holds = check_expectations(plan, runs);
     if !holds.is_empty() {
         let _ = writeln!(out, "\nwhat must hold");
     }
-    for Held {
-        text,
+    for ExpectationResult {
+        label: text,
         line,
         figure,
         bound,
-        good,
+        met: good,
     } in &holds
     {
         let word = if *good { "holds" } else { "DOES NOT HOLD" };
@@ -243,22 +243,22 @@
     let mean = |of: &dyn Fn(&Run) -> f64| {
         own.iter().map(|run| of(run)).sum::<f64>() / own.len().max(1) as f64
     };
-    let shares = |run: &Run| spread::shares(run, plan, &window);
-    let holders = |run: &Run| spread::holders(run, plan, &window);
+    let shares = |run: &Run| distribution::relative_loads(run, plan, &window);
+    let holders = |run: &Run| distribution::sidecars_per_endpoint(run, plan, &window);
     let (second, fast) = (Duration::from_secs(1), Duration::from_millis(100));
     format!(
         "{policy:<14} busiest {:.2}, idlest {:.2} of the fair share; dispersion {:.2} in 1 s, {:.2} in 100 ms; idle beside a queue \
          {:.3}; {:.0} to {:.0} sidecars an endpoint, {:.0} connections opened, {:.0} at one; {:.2} crowds a second\n",
         mean(&|run| shares(run).into_iter().fold(0.0, f64::max)),
         mean(&|run| shares(run).into_iter().fold(f64::MAX, f64::min)),
-        mean(&|run| spread::herding(run, plan, &window, second)),
-        mean(&|run| spread::herding(run, plan, &window, fast)),
-        mean(&|run| spread::idle(run, plan, &window)),
+        mean(&|run| distribution::dispersion(run, plan, &window, second)),
+        mean(&|run| distribution::dispersion(run, plan, &window, fast)),
+        mean(&|run| distribution::idle_share(run, plan, &window)),
         mean(&|run| holders(run).into_iter().min().unwrap_or(0) as f64),
         mean(&|run| holders(run).into_iter().max().unwrap_or(0) as f64),
         mean(&|run| run.connections as f64),
-        mean(&|run| spread::links_most(run, &window) as f64),
-        mean(&|run| spread::together(run, plan, &window)),
+        mean(&|run| distribution::most_connections(run, &window) as f64),
+        mean(&|run| distribution::synchronized_choices(run, plan, &window)),
     )
 }
 
@@ -277,10 +277,10 @@
                 })
                 .collect();
             let breaches: Vec<Value> = run
-                .breaches
+                .violations
                 .iter()
                 .take(100)
-                .map(|b| json!({ "rule": b.rule.name(), "at_s": b.at.as_secs_f64(), "what": b.what }))
+                .map(|b| json!({ "rule": b.rule.name(), "at_s": b.time.as_secs_f64(), "what": b.message }))
                 .collect();
             let figures: serde_json::Map<String, Value> =
                 day(plan, run).into_iter().map(|(name, f)| (name.replace(' ', "_"), json!(f))).collect();
@@ -312,9 +312,9 @@
             json!({ "policy": row.policy, "figures": figures, "broken": broken })
         })
         .collect();
-    let holds: Vec<Value> = held(plan, runs)
+    let holds: Vec<Value> = check_expectations(plan, runs)
         .iter()
-        .map(|h| json!({ "text": h.text, "line": h.line, "figure": h.figure, "bound": h.bound, "holds": h.good }))
+        .map(|h| json!({ "text": h.label, "line": h.line, "figure": h.figure, "bound": h.bound, "holds": h.met }))
         .collect();
     json!({
         "about": plan.about, "simulated": simulated, "instances": plan.instances,
--- a/crates/passroad-rig/src/run.rs
+++ b/crates/passroad-rig/src/run.rs
@@ -1,11 +1,11 @@
 //! Plays what an experiment asks for and measures what came of it.
 
-use crate::experiment::{HoldPlan, Metric, Plan};
+use crate::distribution;
+use crate::experiment::{Expectation, Metric, Plan};
 use crate::fleet::{Act, FleetDay, world};
-use crate::ledger::{Answer, Books, Breach, Facts, Rule, Told};
+use crate::ledger::{Answer, CommandRecord, History, Rule, RuleContext, Violation};
 use crate::sockets::{self, Program};
-use crate::spread;
-use crate::virtual_time::{self, Look, Played};
+use crate::virtual_time::{self, FleetSample, Recording};
 use hdrhistogram::Histogram;
 use std::collections::BTreeMap;
 use std::ops::Range;
@@ -18,11 +18,11 @@
 pub struct Run {
     pub policy: String,
     pub seed: u64,
-    pub books: Books,
-    pub facts: Facts,
-    pub breaches: Vec<Breach>,
-    pub looks: Vec<Look>,
-    pub lines: Vec<(Duration, usize, String)>,
+    pub history: History,
+    pub rule_context: RuleContext,
+    pub violations: Vec<Violation>,
+    pub samples: Vec<FleetSample>,
+    pub log_lines: Vec<(Duration, usize, String)>,
     pub connections: usize,
     /// What can't be read off the wire: of processes, on sockets only.
     pub remarks: Vec<String>,
@@ -33,18 +33,24 @@
 }
 
 impl Run {
-    pub fn of(plan: &Plan, policy: &str, seed: u64, played: Played, slack: Duration) -> Run {
-        let facts = Facts::of(plan, slack);
-        let books = played.ledger.books();
-        let breaches = books.judge(&facts);
+    pub fn from_recording(
+        plan: &Plan,
+        policy: &str,
+        seed: u64,
+        played: Recording,
+        slack: Duration,
+    ) -> Run {
+        let facts = RuleContext::from_plan(plan, slack);
+        let books = played.ledger.history();
+        let breaches = books.check_rules(&facts);
         Run {
             policy: policy.into(),
             seed,
-            books,
-            facts,
-            breaches,
-            looks: played.looks,
-            lines: played.lines,
+            history: books,
+            rule_context: facts,
+            violations: breaches,
+            samples: played.samples,
+            log_lines: played.log_lines,
             connections: played.connections,
             remarks: Vec::new(),
             simulated: true,
@@ -52,27 +58,27 @@
         }
     }
 
-    pub fn broken(&self, rule: Rule) -> usize {
-        self.breaches.iter().filter(|b| b.rule == rule).count()
+    pub fn violation_count(&self, rule: Rule) -> usize {
+        self.violations.iter().filter(|b| b.rule == rule).count()
     }
 
     /// The most that any cold endpoint was offered, in multiples of what it could do.
-    pub fn push(&self) -> f64 {
-        (0..self.facts.endpoints.len())
-            .map(|e| self.books.push(e, &self.facts).0)
+    pub fn worst_cold_overload(&self) -> f64 {
+        (0..self.rule_context.endpoints.len())
+            .map(|e| self.history.cold_overload(e, &self.rule_context).0)
             .fold(0.0, f64::max)
     }
 
     /// The most requests that any cold endpoint got over `tip_after`, against what doesn't push it over; 1 is the bound.
-    pub fn ramp(&self) -> f64 {
-        (0..self.facts.endpoints.len())
-            .map(|e| self.books.ramp(e, &self.facts).0)
+    pub fn worst_cold_start_load(&self) -> f64 {
+        (0..self.rule_context.endpoints.len())
+            .map(|e| self.history.cold_start_load(e, &self.rule_context).0)
             .fold(0.0, f64::max)
     }
 }
 
 /// All days of an experiment in virtual time, by policy and seed, on as many threads as asked for.
-pub fn play_all(plan: &Plan, threads: usize) -> Result<Vec<Run>, String> {
+pub fn simulate_all(plan: &Plan, threads: usize) -> Result<Vec<Run>, String> {
     let days: Vec<(&String, u64)> = plan
         .policies
         .iter()
@@ -86,8 +92,10 @@
                     let n = next.fetch_add(1, Relaxed);
                     days.get(n).map(|day| (n, *day))
                 } {
-                    let run = virtual_time::play(plan, seed, policy)
-                        .map(|played| Run::of(plan, policy, seed, played, Duration::ZERO))
+                    let run = virtual_time::simulate(plan, seed, policy)
+                        .map(|played| {
+                            Run::from_recording(plan, policy, seed, played, Duration::ZERO)
+                        })
                         .map(|run| Run {
                             fleet: fleet_of(plan, policy, seed),
                             ..run
@@ -121,7 +129,7 @@
 }
 
 /// All seeds of an experiment on sockets, one after the other; there only passroad decides, with routes and without.
-pub fn play_on_sockets(
+pub fn run_on_sockets(
     plan: &Plan,
     program: &Program,
     keep: Option<&Path>,
@@ -137,7 +145,7 @@
                 remarks,
                 fleet,
                 simulated: false,
-                ..Run::of(plan, policy, *seed, played, sockets::SLACK)
+                ..Run::from_recording(plan, policy, *seed, played, sockets::SLACK)
             });
         }
     }
@@ -150,54 +158,62 @@
     pub commands: usize,
     pub served: usize, // within their goal
     pub late: usize,
-    pub declined: usize,
-    pub terminated: usize,
+    pub refused: usize,
+    pub failed: usize,
     pub unanswered: usize,
     pub relays: usize,
-    pub worth: f64, // of chains: what was answered within the goal of its first try
-    pub worth_asked: f64,
-    pub times: Option<Histogram<u64>>, // microseconds to an answer
+    pub utility: f64, // of chains: what was answered within the goal of its first try
+    pub utility_offered: f64,
+    pub response_times: Option<Histogram<u64>>, // microseconds to an answer
 }
 
 impl Tally {
-    pub fn of(run: &Run, plan: &Plan, window: &Range<Duration>, verb: Option<usize>) -> Tally {
-        Tally::of_those(run, plan, window, |c| verb.is_none_or(|v| c.verb == v))
+    pub fn of_class(
+        run: &Run,
+        plan: &Plan,
+        window: &Range<Duration>,
+        verb: Option<usize>,
+    ) -> Tally {
+        Tally::of_matching(run, plan, window, |c| verb.is_none_or(|v| c.class == v))
     }
 
     /// Of commands that came within a window and are asked about.
-    pub fn of_those(
+    pub fn of_matching(
         run: &Run,
         plan: &Plan,
         window: &Range<Duration>,
-        asked: impl Fn(&Told) -> bool,
+        asked: impl Fn(&CommandRecord) -> bool,
     ) -> Tally {
         let mut tally = Tally::default();
         let mut times = Histogram::new_with_bounds(1, 3_600_000_000, 3).ok();
-        let within = |c: &&Told| window.contains(&c.asked) && asked(c);
-        for c in run.books.commands.iter().filter(within) {
+        let within = |c: &&CommandRecord| window.contains(&c.arrived_at) && asked(c);
+        for c in run.history.commands.iter().filter(within) {
             tally.commands += 1;
             tally.relays += c.relays.len();
-            let spent = c.answers.first().map(|(at, _)| at.saturating_sub(c.asked));
+            let spent = c
+                .answers
+                .first()
+                .map(|(at, _)| at.saturating_sub(c.arrived_at));
             match c.answers.first().map(|(_, answer)| *answer) {
                 Some(Answer::Answered) => {
                     let spent = spent.unwrap_or_default();
-                    let good = spent <= plan.verbs[c.verb].goal;
+                    let good = spent <= plan.classes[c.class].deadline_target;
                     tally.served += usize::from(good);
                     tally.late += usize::from(!good);
                     times
                         .iter_mut()
                         .for_each(|t| t.saturating_record(spent.as_micros() as u64));
                 }
-                Some(Answer::Declined) => tally.declined += 1,
-                Some(Answer::Terminated) => tally.terminated += 1,
+                Some(Answer::Refused) => tally.refused += 1,
+                Some(Answer::Failed) => tally.failed += 1,
                 None => tally.unanswered += 1,
             }
         }
         // A chain is worth its utility once, if any of its tries was answered in that try's goal.
         let mut chains: BTreeMap<usize, bool> = BTreeMap::new();
-        for c in &run.books.commands {
+        for c in &run.history.commands {
             let Some(first) = run
-                .books
+                .history
                 .commands
                 .get(c.chain)
                 .filter(|first| within(first))
@@ -206,16 +222,16 @@
             };
             let good = c.answers.first().is_some_and(|(at, answer)| {
                 *answer == Answer::Answered
-                    && at.saturating_sub(c.asked) <= plan.verbs[first.verb].goal
+                    && at.saturating_sub(c.arrived_at) <= plan.classes[first.class].deadline_target
             });
             *chains.entry(c.chain).or_default() |= good;
         }
         for (chain, good) in chains {
-            let utility = plan.verbs[run.books.commands[chain].verb].utility;
-            tally.worth_asked += utility;
-            tally.worth += if good { utility } else { 0.0 };
+            let utility = plan.classes[run.history.commands[chain].class].utility;
+            tally.utility_offered += utility;
+            tally.utility += if good { utility } else { 0.0 };
         }
-        tally.times = times;
+        tally.response_times = times;
         tally
     }
 
@@ -224,22 +240,22 @@
     }
 
     /// Milliseconds within which so many of a hundred answers came.
-    pub fn time(&self, percentile: f64) -> f64 {
-        self.times.as_ref().map_or(0.0, |t| {
+    pub fn percentile_ms(&self, percentile: f64) -> f64 {
+        self.response_times.as_ref().map_or(0.0, |t| {
             t.value_at_quantile(percentile / 100.0) as f64 / 1e3
         })
     }
 }
 
 /// A figure of a run.
-pub fn measure(run: &Run, plan: &Plan, hold: &HoldPlan) -> f64 {
-    let asked = |c: &Told| {
-        hold.verb.is_none_or(|v| c.verb == v)
+pub fn measure(run: &Run, plan: &Plan, hold: &Expectation) -> f64 {
+    let asked = |c: &CommandRecord| {
+        hold.class.is_none_or(|v| c.class == v)
             && hold
-                .asked_in
+                .client_zone
                 .is_none_or(|zone| plan.zone_of(c.instance) == zone)
     };
-    let tally = || Tally::of_those(run, plan, &hold.window, asked);
+    let tally = || Tally::of_matching(run, plan, &hold.window, asked);
     let fleet = |of: fn(&FleetDay) -> f64| run.fleet.as_ref().map_or(f64::NAN, of);
     match hold.metric {
         Metric::Served => {
@@ -248,47 +264,47 @@
         }
         Metric::Worth => {
             let tally = tally();
-            tally.worth / tally.worth_asked.max(1e-9)
+            tally.utility / tally.utility_offered.max(1e-9)
         }
         Metric::Declined => {
             let tally = tally();
-            tally.share(tally.declined)
+            tally.share(tally.refused)
         }
         Metric::Terminated => {
             let tally = tally();
-            tally.share(tally.terminated)
+            tally.share(tally.failed)
         }
         Metric::Late => {
             let tally = tally();
             tally.share(tally.late)
         }
-        Metric::P50 => tally().time(50.0),
-        Metric::P99 => tally().time(99.0),
+        Metric::P50 => tally().percentile_ms(50.0),
+        Metric::P99 => tally().percentile_ms(99.0),
         Metric::Relays => {
             let tally = tally();
             tally.share(tally.relays)
         }
         Metric::Probes => {
             let probes = run
-                .books
+                .history
                 .probes
                 .iter()
                 .filter(|(at, _)| hold.window.contains(at))
                 .count();
             probes as f64 / tally().commands.max(1) as f64
         }
-        Metric::Broken => run.breaches.len() as f64,
-        Metric::Push => run.push(),
-        Metric::Ramp => run.ramp(),
+        Metric::Broken => run.violations.len() as f64,
+        Metric::Push => run.worst_cold_overload(),
+        Metric::Ramp => run.worst_cold_start_load(),
         Metric::Share => share_of(run, plan, &hold.window, hold.zone),
         Metric::Recovers => {
             let quarter = Duration::from_millis(250);
             let served = |from: Duration| {
-                let tally = Tally::of_those(run, plan, &(from..from + 4 * quarter), asked);
+                let tally = Tally::of_matching(run, plan, &(from..from + 4 * quarter), asked);
                 tally.share(tally.served)
             };
             let first = plan.changes.first().map_or(plan.length, |(at, _)| *at);
-            let before = Tally::of_those(run, plan, &(plan.settle..first), asked);
+            let before = Tally::of_matching(run, plan, &(plan.settle..first), asked);
             let enough = 0.95 * before.share(before.served);
             let (mut at, mut since) = (hold.window.start, hold.window.start);
             while at + 4 * quarter <= hold.window.end {
@@ -322,26 +338,30 @@
             let steps = shares.windows(2).map(|pair| (pair[1] - pair[0]).abs());
             steps.sum::<f64>() / shares.len().saturating_sub(1).max(1) as f64
         }
-        Metric::Busiest => spread::shares(run, plan, &hold.window)
+        Metric::Busiest => distribution::relative_loads(run, plan, &hold.window)
             .into_iter()
             .fold(0.0, f64::max),
-        Metric::Idlest => spread::shares(run, plan, &hold.window)
+        Metric::Idlest => distribution::relative_loads(run, plan, &hold.window)
             .into_iter()
             .fold(f64::MAX, f64::min),
-        Metric::Herding => spread::herding(run, plan, &hold.window, Duration::from_secs(1)),
-        Metric::HerdingFast => spread::herding(run, plan, &hold.window, Duration::from_millis(100)),
-        Metric::Idle => spread::idle(run, plan, &hold.window),
-        Metric::HoldersMost => spread::holders(run, plan, &hold.window)
+        Metric::Herding => {
+            distribution::dispersion(run, plan, &hold.window, Duration::from_secs(1))
+        }
+        Metric::HerdingFast => {
+            distribution::dispersion(run, plan, &hold.window, Duration::from_millis(100))
+        }
+        Metric::Idle => distribution::idle_share(run, plan, &hold.window),
+        Metric::HoldersMost => distribution::sidecars_per_endpoint(run, plan, &hold.window)
             .into_iter()
             .max()
             .unwrap_or(0) as f64,
-        Metric::HoldersLeast => spread::holders(run, plan, &hold.window)
+        Metric::HoldersLeast => distribution::sidecars_per_endpoint(run, plan, &hold.window)
             .into_iter()
             .min()
             .unwrap_or(0) as f64,
-        Metric::LinksMost => spread::links_most(run, &hold.window) as f64,
+        Metric::LinksMost => distribution::most_connections(run, &hold.window) as f64,
         Metric::Connections => run.connections as f64,
-        Metric::Together => spread::together(run, plan, &hold.window),
+        Metric::Together => distribution::synchronized_choices(run, plan, &hold.window),
         Metric::OwnersAtOnce => fleet(|f| f.owners_at_once() as f64),
         Metric::Believers => fleet(|f| f.believers.map_or(f64::NAN, |n| n as f64)),
         Metric::StaleActs => fleet(|f| f.stale_acts() as f64),
@@ -385,17 +405,17 @@
         Metric::Load => {
             let there = |e: &usize| Some(plan.endpoints[*e].zone) == hold.zone;
             let own: Vec<usize> = (0..plan.endpoints.len()).filter(there).collect();
-            let cores: usize = own.iter().map(|e| plan.endpoints[*e].make.cores).sum();
+            let cores: usize = own.iter().map(|e| plan.endpoints[*e].spec.cores).sum();
             let looks: Vec<_> = run
-                .looks
+                .samples
                 .iter()
-                .filter(|l| hold.window.contains(&l.at))
+                .filter(|l| hold.window.contains(&l.time))
                 .collect();
-            let held: usize = looks
+            let check_expectations: usize = looks
                 .iter()
-                .map(|l| own.iter().map(|e| l.held[*e]).sum::<usize>())
+                .map(|l| own.iter().map(|e| l.outstanding[*e]).sum::<usize>())
                 .sum();
-            held as f64 / looks.len().max(1) as f64 / cores.max(1) as f64
+            check_expectations as f64 / looks.len().max(1) as f64 / cores.max(1) as f64
         }
     }
 }
@@ -405,11 +425,11 @@
     let works = run.fleet.iter().flat_map(|fleet| &fleet.works);
     let broken = |work: &crate::fleet::Worked| {
         let on = run
-            .books
+            .history
             .relays
             .iter()
             .filter(|r| r.endpoint == work.endpoint);
-        on.filter(|r| r.at < work.to && r.ended.is_none_or(|(at, _)| at > work.from))
+        on.filter(|r| r.sent_at < work.to && r.ended.is_none_or(|(at, _)| at > work.from))
             .count()
     };
     works.map(broken).sum()
@@ -418,7 +438,12 @@
 /// Of the relays within a window, the share that went to a zone.
 fn share_of(run: &Run, plan: &Plan, window: &Range<Duration>, zone: Option<usize>) -> f64 {
     let (mut there, mut all) = (0u32, 0u32);
-    for r in run.books.relays.iter().filter(|r| window.contains(&r.at)) {
+    for r in run
+        .history
+        .relays
+        .iter()
+        .filter(|r| window.contains(&r.sent_at))
+    {
         all += 1;
         there += u32::from(Some(plan.endpoints[r.endpoint].zone) == zone);
     }
@@ -427,16 +452,16 @@
 
 /// Whether what must hold does, and by which figure: the mean over the seeds, but the worst one of broken rules and
 /// of pushes.
-pub struct Held {
-    pub text: String,
+pub struct ExpectationResult {
+    pub label: String,
     pub line: usize,
     pub figure: f64,
     pub bound: String,
-    pub good: bool,
+    pub met: bool,
 }
 
-pub fn held(plan: &Plan, runs: &[Run]) -> Vec<Held> {
-    let figure = |hold: &HoldPlan, policy: &str| {
+pub fn check_expectations(plan: &Plan, runs: &[Run]) -> Vec<ExpectationResult> {
+    let figure = |hold: &Expectation, policy: &str| {
         let all: Vec<f64> = runs
             .iter()
             .filter(|r| r.policy == policy)
@@ -458,8 +483,11 @@
             _ => all.iter().sum::<f64>() / all.len().max(1) as f64,
         }
     };
-    let one = |hold: &HoldPlan| {
-        let other = hold.above.as_ref().map_or(0.0, |other| figure(hold, other));
+    let one = |hold: &Expectation| {
+        let other = hold
+            .compared_policy
+            .as_ref()
+            .map_or(0.0, |other| figure(hold, other));
         let figure = figure(hold, &hold.policy) - other;
         let good = hold.at_least.is_none_or(|least| figure >= least)
             && hold.at_most.is_none_or(|m| figure <= m);
@@ -468,19 +496,20 @@
             .iter()
             .filter_map(|(word, b)| Some(format!("{word} {}", (*b)?)))
             .collect();
-        Held {
-            text: hold.text.clone(),
+        ExpectationResult {
+            label: hold.label.clone(),
             line: hold.line,
             figure,
             bound: bound.join(", "),
-            good,
+            met: good,
         }
     };
     // Of what was not played there is nothing to say.
     let played = |name: &String| runs.iter().any(|r| r.policy == *name);
-    let seen = |h: &&HoldPlan| !h.simulated || runs.iter().all(|run| run.simulated);
-    let known = |h: &&HoldPlan| played(&h.policy) && h.above.iter().all(played) && seen(h);
-    plan.holds.iter().filter(known).map(one).collect()
+    let seen = |h: &&Expectation| !h.simulated_only || runs.iter().all(|run| run.simulated);
+    let known =
+        |h: &&Expectation| played(&h.policy) && h.compared_policy.iter().all(played) && seen(h);
+    plan.expectations.iter().filter(known).map(one).collect()
 }
 
 #[cfg(test)]
--- a/crates/passroad-rig/src/scale/load.rs
+++ b/crates/passroad-rig/src/scale/load.rs
@@ -3,7 +3,7 @@
 
 use super::plan::ScalePlan;
 use super::{held, place};
-use crate::chance::Chance;
+use crate::rng::SeededRng;
 use crate::sockets::http::{Talk, answer};
 use hdrhistogram::Histogram;
 use std::io;
@@ -70,12 +70,12 @@
         });
         for (n, front) in fronts.iter().copied().enumerate() {
             let (own, rate, calls) = (Arc::clone(&load), plan.load, plan.calls);
-            let mut dice = Chance::stream(seed, "load", n as u64);
+            let mut dice = SeededRng::stream(seed, "load", n as u64);
             tokio::spawn(async move {
                 let kept = Arc::<Mutex<Vec<Talk>>>::default();
                 let mut at = Instant::now();
                 while at < until {
-                    at += Duration::from_secs_f64(dice.gap() / rate);
+                    at += Duration::from_secs_f64(dice.exponential() / rate);
                     sleep_until(at).await;
                     let (own, kept, k) = (Arc::clone(&own), Arc::clone(&kept), dice.below(calls));
                     let id = own.asked.fetch_add(1, Relaxed);
--- a/crates/passroad-rig/src/scale/mod.rs
+++ b/crates/passroad-rig/src/scale/mod.rs
@@ -15,7 +15,7 @@
 pub use need::{Machine, Need};
 pub use plan::ScalePlan;
 
-use crate::chance::Chance;
+use crate::rng::SeededRng;
 use discovery::Discovery;
 use load::Load;
 use measure::{Look, Roles};
@@ -172,7 +172,7 @@
         };
         let mut told = json!({
             "name": format!("scale-{n}"), "listen": listen, "discovery": discovery.addresses[n],
-            "seed": format!("{:x}", Chance::stream(seed, "instance", n as u64).number()),
+            "seed": format!("{:x}", SeededRng::stream(seed, "instance", n as u64).next_u64()),
             "limits": { "sockets": 256, "memory_mb": 64 }, "settings": plan.settings(n),
             "peer_listen": wires.real[n], "peers": wires.shadow,
         });
@@ -300,11 +300,11 @@
 
     /// Endpoints drain and are back, at the plan's rate.
     async fn change(self: Arc<Self>, until: Instant) {
-        let mut dice = Chance::stream(self.seed, "changes", 0);
+        let mut dice = SeededRng::stream(self.seed, "changes", 0);
         let (count, mut drained) = (held(&self.alive).len(), None);
         loop {
             sleep(Duration::from_secs_f64(
-                86_400.0 / self.plan.changes_a_day * dice.gap(),
+                86_400.0 / self.plan.changes_a_day * dice.exponential(),
             ))
             .await;
             if Instant::now() >= until {
--- a/crates/passroad-rig/src/scale/plan.rs
+++ b/crates/passroad-rig/src/scale/plan.rs
@@ -448,7 +448,7 @@
             Whom::Zone(zone) => all.filter(|n| self.zone(*n) == zone).collect(),
             Whom::Service(service) => all.filter(|n| self.service(*n) == service).collect(),
             Whom::Count(count) => {
-                let mut dice = crate::chance::Chance::stream(seed, "whom", count as u64);
+                let mut dice = crate::rng::SeededRng::stream(seed, "whom", count as u64);
                 let mut rest: Vec<usize> = all.collect();
                 (0..count.min(sidecars))
                     .map(|_| rest.swap_remove(dice.below(rest.len())))
--- a/crates/passroad-rig/src/sockets/clients.rs
+++ b/crates/passroad-rig/src/sockets/clients.rs
@@ -5,7 +5,7 @@
 use super::scene::{Scene, held, id};
 use crate::experiment::Effect;
 use crate::ledger::{Answer, Entry};
-use crate::load::{Ask, Asks};
+use crate::load::{ClientRequest, RequestGenerator};
 use std::io;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering::Relaxed};
@@ -35,7 +35,7 @@
 pub struct Clients {
     pub scene: Arc<Scene>,
     pub sides: Vec<Arc<Side>>,
-    asks: Mutex<Asks>,
+    asks: Mutex<RequestGenerator>,
     lateness: Mutex<Vec<Duration>>, // by which first tries were asked after their time
 }
 
@@ -47,7 +47,7 @@
 
 impl Clients {
     pub fn new(scene: &Arc<Scene>, sides: Vec<Arc<Side>>, seed: u64) -> Arc<Self> {
-        let asks = Mutex::new(Asks::new(&scene.plan, seed));
+        let asks = Mutex::new(RequestGenerator::new(&scene.plan, seed));
         Arc::new(Clients {
             scene: Arc::clone(scene),
             sides,
@@ -59,7 +59,7 @@
     /// Asks until the day is over.
     pub async fn run(self: Arc<Self>) {
         loop {
-            let next = held(&self.asks).next_ask();
+            let next = held(&self.asks).next_request();
             let Some((at, ask)) = next else { return };
             tokio::time::sleep_until(self.scene.instant(at)).await;
             held(&self.lateness).push(self.scene.now().saturating_sub(at));
@@ -80,34 +80,34 @@
         })
     }
 
-    fn request(&self, ask: &Ask, id: &str) -> Vec<u8> {
+    fn request(&self, ask: &ClientRequest, id: &str) -> Vec<u8> {
         let plan = &self.scene.plan;
-        let verb = &plan.verbs[ask.verb];
+        let verb = &plan.classes[ask.class];
         let mut head = String::new();
-        if let Some(company) = ask.company {
-            head += &format!("Req-Owner: {}\r\n", plan.companies[company].0);
+        if let Some(company) = ask.tenant {
+            head += &format!("Req-Owner: {}\r\n", plan.tenants[company].0);
         }
-        if ask.again && plan.marked {
+        if ask.is_retry && plan.retries_marked {
             head += "Req-Retry: 1\r\n";
         }
-        if verb.effect == Effect::Receipted {
+        if verb.effect == Effect::Keyed {
             head += &format!("Idempotency-Key: k{}\r\n", ask.serial);
         }
         let (method, body) = match verb.effect {
-            Effect::Pure => ("GET", ""),
-            Effect::Receipted | Effect::Effectful => ("POST", "seat"),
+            Effect::Safe => ("GET", ""),
+            Effect::Keyed | Effect::NonIdempotent => ("POST", "seat"),
         };
         if !body.is_empty() {
             head += &format!("Content-Length: {}\r\n", body.len());
         }
-        let (name, limit) = (&verb.name, verb.limit.as_millis());
+        let (name, limit) = (&verb.name, verb.time_limit.as_millis());
         let line = format!(
             "{method} /{name} HTTP/1.1\r\nHost: rig\r\nReq-Id: {id}\r\nReq-Deadline-Ms: {limit}\r\n"
         );
         format!("{line}{head}\r\n{body}").into_bytes()
     }
 
-    async fn ask(self: Arc<Self>, mut ask: Ask, mut planned: Duration) {
+    async fn ask(self: Arc<Self>, mut ask: ClientRequest, mut planned: Duration) {
         loop {
             let side = Arc::clone(&self.sides[ask.instance]);
             if side.away.load(Relaxed) {
@@ -117,8 +117,10 @@
             ask = asked;
             let id = id(cmd);
             let request = self.request(&ask, &id);
-            let verb = &self.scene.plan.verbs[ask.verb];
-            let end = self.scene.instant(self.scene.now() + verb.limit + SLACK);
+            let verb = &self.scene.plan.classes[ask.class];
+            let end = self
+                .scene
+                .instant(self.scene.now() + verb.time_limit + SLACK);
             let answer = match timeout_at(end, exchange(&side, &request)).await {
                 Ok(Ok(answer)) => answer,
                 // A connection that ends without an answer, or none by the end: the ledger sees that nothing came.
@@ -136,7 +138,7 @@
                         .strip_prefix(id.as_bytes())
                         .is_some_and(|b| b.starts_with(b" by "));
                     if !own {
-                        self.scene.note(Entry::Mixed { cmd });
+                        self.scene.note(Entry::AnswerMixedUp { command: cmd });
                     }
                     (Answer::Answered, None)
                 }
@@ -145,17 +147,20 @@
                         .header("retry-after")
                         .and_then(|t| t.parse::<f64>().ok());
                     (
-                        Answer::Declined,
+                        Answer::Refused,
                         after.map(|s| Duration::from_secs_f64(s.clamp(0.0, 60.0))),
                     )
                 }
-                _ => (Answer::Terminated, None),
+                _ => (Answer::Failed, None),
             };
-            self.scene.note(Entry::Answered { cmd, answer });
-            if answer != Answer::Declined {
+            self.scene.note(Entry::Answered {
+                command: cmd,
+                answer,
+            });
+            if answer != Answer::Refused {
                 return;
             }
-            let again = held(&self.asks).again(&ask, after);
+            let again = held(&self.asks).retry(&ask, after);
             let Some((wait, next)) = again else { return };
             planned = self.scene.now() + wait;
             sleep(wait).await;
--- a/crates/passroad-rig/src/sockets/discovery.rs
+++ b/crates/passroad-rig/src/sockets/discovery.rs
@@ -3,7 +3,7 @@
 use super::endpoint::Stand;
 use super::http::{Talk, answer};
 use super::scene::{Scene, address, held};
-use crate::experiment::Change;
+use crate::experiment::ScheduledChange;
 use crate::ledger::Entry;
 use passroad_choice::EndpointState;
 use serde_json::{Value, json};
@@ -80,20 +80,26 @@
         self.text(instance, &list, None)
     }
 
-    pub fn change(self: &Arc<Self>, change: &Change) {
+    pub fn change(self: &Arc<Self>, change: &ScheduledChange) {
         match change {
-            Change::DiscoveryBy(by) => held(&self.list).by = *by,
-            Change::DiscoveryTurns(spread) => held(&self.list).turns = *spread,
-            Change::DiscoveryMalformed(on) => held(&self.list).malformed = *on,
-            Change::DiscoveryDown(on) => {
+            ScheduledChange::DiscoveryDelay(by) => held(&self.list).by = *by,
+            ScheduledChange::DiscoveryStagger(spread) => held(&self.list).turns = *spread,
+            ScheduledChange::DiscoveryMalformed(on) => held(&self.list).malformed = *on,
+            ScheduledChange::DiscoveryDown(on) => {
                 held(&self.list).down = *on;
                 // Watches wake and see it.
                 self.news.send_modify(|_| {});
             }
-            Change::Drain(n) => self.tell(*n, EndpointState::Draining),
-            Change::Leave(n) => self.tell(*n, EndpointState::Removed),
-            Change::Die(n) => self.later(*n, self.scene.plan.noticed, EndpointState::Removed),
-            Change::Start(n) => self.later(*n, Duration::from_millis(50), EndpointState::Running),
+            ScheduledChange::Drain(n) => self.tell(*n, EndpointState::Draining),
+            ScheduledChange::Leave(n) => self.tell(*n, EndpointState::Removed),
+            ScheduledChange::Crash(n) => self.later(
+                *n,
+                self.scene.plan.crash_listed_after,
+                EndpointState::Removed,
+            ),
+            ScheduledChange::Start(n) => {
+                self.later(*n, Duration::from_millis(50), EndpointState::Running)
+            }
             _ => {}
         }
     }
@@ -196,9 +202,9 @@
             }
             for (endpoint, mode) in told {
                 self.scene.note(match mode {
-                    EndpointState::Running => Entry::ToldUp { instance, endpoint },
+                    EndpointState::Running => Entry::ListedUp { instance, endpoint },
                     EndpointState::Draining | EndpointState::Removed => {
-                        Entry::ToldAway { instance, endpoint }
+                        Entry::ListedAway { instance, endpoint }
                     }
                 });
             }
--- a/crates/passroad-rig/src/sockets/endpoint.rs
+++ b/crates/passroad-rig/src/sockets/endpoint.rs
@@ -3,11 +3,11 @@
 
 use super::http::{Message, Talk, answer};
 use super::scene::{Scene, address, held};
-use crate::chance::Chance;
-use crate::experiment::{Change, Reports};
-use crate::ledger::{CmdNo, Entry, RelayNo};
-use crate::load::Ask;
-use crate::model::{Endpoint, Job, JobId, Load, Offer, Shown, Verdict};
+use crate::experiment::{ReportMode, ScheduledChange};
+use crate::ledger::{CommandId, Entry, RelayId};
+use crate::load::ClientRequest;
+use crate::model::{Admission, Endpoint, EndpointEvent, EndpointLoad, Job, JobId, JobResult};
+use crate::rng::SeededRng;
 use std::collections::HashMap;
 use std::io;
 use std::net::SocketAddr;
@@ -39,7 +39,7 @@
 
 struct Held {
     endpoint: Endpoint,
-    waiting: HashMap<JobId, oneshot::Sender<(Verdict, Load)>>,
+    waiting: HashMap<JobId, oneshot::Sender<(JobResult, EndpointLoad)>>,
 }
 
 impl Stand {
@@ -52,8 +52,8 @@
             listeners.push(listener);
         }
         let endpoint = Endpoint::new(
-            plan.endpoints[n].make.clone(),
-            Chance::stream(seed, "endpoint", n as u64),
+            plan.endpoints[n].spec.clone(),
+            SeededRng::stream(seed, "endpoint", n as u64),
         );
         let stand = Arc::new(Stand {
             scene: Arc::clone(scene),
@@ -90,28 +90,28 @@
 
     pub fn look(&self) -> (usize, usize) {
         let model = held(&self.model);
-        (model.endpoint.outstanding(), model.endpoint.links())
+        (model.endpoint.outstanding(), model.endpoint.connections())
     }
 
     /// Lets the model's time pass and hands out what shows; gives when it next changes.
     fn turn(&self) -> Option<Duration> {
         let mut model = held(&self.model);
         model.endpoint.advance(self.scene.now());
-        for shown in model.endpoint.take_shown() {
+        for shown in model.endpoint.take_events() {
             match shown {
-                Shown::Began(job) => self.scene.note(Entry::Ran {
+                EndpointEvent::Started(job) => self.scene.note(Entry::JobStarted {
                     relay: job as usize,
                 }),
-                Shown::Ended(job, verdict) => {
-                    let load = model.endpoint.report();
+                EndpointEvent::Finished(job, verdict) => {
+                    let load = model.endpoint.load_report();
                     if let Some(tell) = model.waiting.remove(&job) {
                         let _ = tell.send((verdict, load));
                     }
                 }
-                Shown::Tipped => self.tipped.store(true, Relaxed),
+                EndpointEvent::Crashed => self.tipped.store(true, Relaxed),
             }
         }
-        model.endpoint.wake_at()
+        model.endpoint.next_event_at()
     }
 
     async fn drive(self: Arc<Self>) {
@@ -124,7 +124,7 @@
                     sleep_until(
                         stand
                             .scene
-                            .instant(stand.scene.now() + stand.scene.plan.restart),
+                            .instant(stand.scene.now() + stand.scene.plan.restart_after),
                     )
                     .await;
                     if let Err(fault) = stand.restart().await {
@@ -152,13 +152,13 @@
     // ---- what a day does to it ----
 
     /// Carries out what concerns this endpoint; the list is another's.
-    pub async fn change(self: &Arc<Self>, change: &Change) -> io::Result<()> {
+    pub async fn change(self: &Arc<Self>, change: &ScheduledChange) -> io::Result<()> {
         match change {
-            Change::Trouble(_, turn) => {
-                self.touch(|e| e.turn(turn));
+            ScheduledChange::EndpointFault(_, turn) => {
+                self.touch(|e| e.apply_fault(turn));
                 self.free.notify_waiters();
             }
-            Change::Cut { instances, on, .. } => {
+            ScheduledChange::NetworkCut { instances, on, .. } => {
                 for (instance, _) in instances
                     .iter()
                     .enumerate()
@@ -167,9 +167,9 @@
                     self.cut(instance, *on).await?;
                 }
             }
-            Change::Die(_) | Change::Leave(_) => self.die(),
-            Change::Start(_) => self.restart().await?,
-            Change::Drain(_) => self.touch(Endpoint::drain),
+            ScheduledChange::Crash(_) | ScheduledChange::Leave(_) => self.die(),
+            ScheduledChange::Start(_) => self.restart().await?,
+            ScheduledChange::Drain(_) => self.touch(Endpoint::drain),
             _ => {}
         }
         Ok(())
@@ -184,10 +184,10 @@
         held(&self.talks).drain().for_each(|(_, talk)| talk.abort());
         let mut model = held(&self.model);
         model.endpoint.advance(self.scene.now());
-        for job in model.endpoint.die() {
-            self.scene.note(Entry::Ended {
+        for job in model.endpoint.crash() {
+            self.scene.note(Entry::RelayEnded {
                 relay: job as usize,
-                proven: false,
+                never_ran: false,
             });
         }
         model.waiting.clear();
@@ -201,8 +201,12 @@
         }
         let now = self.scene.now();
         held(&self.model).endpoint.start(now);
-        if !self.scene.plan.endpoints[self.n].make.warm_within.is_zero() {
-            self.scene.note(Entry::Started { endpoint: self.n });
+        if !self.scene.plan.endpoints[self.n]
+            .spec
+            .warm_up_time
+            .is_zero()
+        {
+            self.scene.note(Entry::EndpointStarted { endpoint: self.n });
         }
         for instance in 0..self.addresses.len() {
             if !self.cuts[instance].load(Relaxed) {
@@ -217,7 +221,7 @@
     }
 
     pub fn started(&self) -> Option<Duration> {
-        held(&self.model).endpoint.started()
+        held(&self.model).endpoint.started_at()
     }
 
     /// Cut off from one sidecar: what is open stays open and silent, nothing new comes up.
@@ -282,7 +286,7 @@
     async fn reachable(&self, instance: usize) {
         loop {
             let freed = self.free.notified();
-            let stalled = held(&self.model).endpoint.trouble.stalled;
+            let stalled = held(&self.model).endpoint.faults.stalled;
             if !stalled && !self.cuts[instance].load(Relaxed) {
                 return;
             }
@@ -299,9 +303,9 @@
             if self.cuts[instance].load(Relaxed) {
                 talk.closed().await;
                 sent.iter().for_each(|(relay, ..)| {
-                    self.scene.note(Entry::Ended {
+                    self.scene.note(Entry::RelayEnded {
                         relay: *relay,
-                        proven: false,
+                        never_ran: false,
                     })
                 });
                 return;
@@ -323,10 +327,10 @@
     }
 
     async fn probed(&self, talk: &mut Talk) -> bool {
-        self.scene.note(Entry::Probed { endpoint: self.n });
+        self.scene.note(Entry::ProbeSent { endpoint: self.n });
         self.turn();
-        let load = held(&self.model).endpoint.report();
-        let body = if self.scene.plan.reports() == Reports::Silent {
+        let load = held(&self.model).endpoint.load_report();
+        let body = if self.scene.plan.report_mode() == ReportMode::Silent {
             "ok".into()
         } else {
             load_text(load)
@@ -335,14 +339,14 @@
     }
 
     /// A relay counts from when its last byte has come, also where the endpoint stands still and reads it later.
-    fn sent(&self, message: &Message) -> Option<(RelayNo, CmdNo, Ask)> {
+    fn sent(&self, message: &Message) -> Option<(RelayId, CommandId, ClientRequest)> {
         let (cmd, ask) = message
             .header("req-id")
             .and_then(|id| self.scene.find(id))?;
         let relay = self.scene.relay();
-        self.scene.note(Entry::Sent {
+        self.scene.note(Entry::RelaySent {
             relay,
-            cmd,
+            command: cmd,
             endpoint: self.n,
         });
         Some((relay, cmd, ask))
@@ -353,7 +357,7 @@
         &self,
         instance: usize,
         talk: &mut Talk,
-        (relay, cmd, ask): (RelayNo, CmdNo, Ask),
+        (relay, cmd, ask): (RelayId, CommandId, ClientRequest),
         new: bool,
     ) -> bool {
         self.turn();
@@ -362,28 +366,33 @@
             let mut model = held(&self.model);
             let work = ask.work
                 + if new {
-                    model.endpoint.make.link_work
+                    model.endpoint.spec.connection_work
                 } else {
                     0.0
                 };
             let offer = model.endpoint.offer(Job {
                 id: relay as JobId,
-                verb: ask.verb,
+                class: ask.class,
                 work,
             });
-            if offer == Offer::Taken {
+            if offer == Admission::Accepted {
                 model.waiting.insert(relay as JobId, tell);
             }
-            (offer, model.endpoint.report())
+            (offer, model.endpoint.load_report())
         };
         // Right away, so that what it began counts from here.
         self.turn();
         self.poke.notify_one();
-        let ended = |proven| self.scene.note(Entry::Ended { relay, proven });
-        if offer != Offer::Taken {
-            ended(offer == Offer::Full);
+        let ended = |proven| {
+            self.scene.note(Entry::RelayEnded {
+                relay,
+                never_ran: proven,
+            })
+        };
+        if offer != Admission::Accepted {
+            ended(offer == Admission::Rejected);
             let headers = format!("Srv-Declined: 1\r\n{}", self.load_header(load));
-            return offer == Offer::Full
+            return offer == Admission::Rejected
                 && talk.write(&answer("503 Full", &headers, "")).await.is_ok();
         }
         let told = tokio::select! {
@@ -391,7 +400,7 @@
             () = talk.closed() => {
                 ended(false);
                 self.touch(|e| {
-                    e.recall(relay as JobId);
+                    e.cancel(relay as JobId);
                 });
                 held(&self.model).waiting.remove(&(relay as JobId));
                 return false;
@@ -410,31 +419,31 @@
         ended(false);
         let headers = self.load_header(load);
         match verdict {
-            Verdict::Done => {
+            JobResult::Completed => {
                 let body = format!("{} by {}", super::scene::id(cmd), self.n);
                 talk.write(&answer("200 OK", &headers, &body)).await.is_ok()
             }
-            Verdict::Error => talk.write(&answer("500 Oh", &headers, "")).await.is_ok(),
-            Verdict::Spoilt => {
+            JobResult::Error => talk.write(&answer("500 Oh", &headers, "")).await.is_ok(),
+            JobResult::Malformed => {
                 let _ = talk.write(b"\x01\x02noise\r\n\r\n").await;
                 false
             }
-            Verdict::Reset => false,
+            JobResult::Reset => false,
         }
     }
 
-    fn load_header(&self, load: Load) -> String {
-        match self.scene.plan.reports() {
-            Reports::Piggyback => format!("Srv-Load: {}\r\n", load_text(load)),
-            Reports::Pull | Reports::Silent => String::new(),
+    fn load_header(&self, load: EndpointLoad) -> String {
+        match self.scene.plan.report_mode() {
+            ReportMode::Piggyback => format!("Srv-Load: {}\r\n", load_text(load)),
+            ReportMode::Pull | ReportMode::Silent => String::new(),
         }
     }
 }
 
-fn load_text(load: Load) -> String {
+fn load_text(load: EndpointLoad) -> String {
     format!(
         "TEXT inflight={}, queue={}, util={:.2}",
-        load.outstanding, load.waiting, load.utilization
+        load.outstanding, load.queued, load.utilization
     )
 }
 
--- a/crates/passroad-rig/src/sockets/ground.rs
+++ b/crates/passroad-rig/src/sockets/ground.rs
@@ -134,7 +134,7 @@
                     // What it holds is lost to its clients: it does not run.
                     clients.sides[*n].away.store(true, Relaxed);
                     let _ = sidecars[*n].lock().await.signal(Signal::STOP);
-                    self.scene.note(Entry::Killed { instance: *n });
+                    self.scene.note(Entry::SidecarKilled { instance: *n });
                 }
                 sleep(lasts.unwrap_or_default()).await;
                 for n in &whom {
--- a/crates/passroad-rig/src/sockets/mod.rs
+++ b/crates/passroad-rig/src/sockets/mod.rs
@@ -14,11 +14,11 @@
 pub use clients::SLACK;
 pub use sidecar::{Program, usable};
 
-use crate::chance::Chance;
-use crate::experiment::{Change, Plan};
+use crate::experiment::{Plan, ScheduledChange};
 use crate::fleet::FleetDay;
 use crate::ledger::Entry;
-use crate::virtual_time::{Look, Played};
+use crate::rng::SeededRng;
+use crate::virtual_time::{FleetSample, Recording};
 use clients::{Clients, Side};
 use discovery::Discovery;
 use endpoint::Stand;
@@ -70,7 +70,7 @@
     routes: Option<&String>,
     keep: Option<&Path>,
     shows: bool,
-) -> Result<(Played, Vec<String>, Option<FleetDay>), String> {
+) -> Result<(Recording, Vec<String>, Option<FleetDay>), String> {
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .worker_threads(3)
         .enable_all()
@@ -91,7 +91,7 @@
     routes: Option<&String>,
     keep: Option<&Path>,
     shows: bool,
-) -> std::io::Result<(Played, Vec<String>, Option<FleetDay>)> {
+) -> std::io::Result<(Recording, Vec<String>, Option<FleetDay>)> {
     if plan.endpoints.len() > 240 || plan.instances > 240 {
         return Err(std::io::Error::other(
             "on sockets there are 240 endpoints and 240 instances at most",
@@ -116,7 +116,7 @@
     };
     let (mut sidecars, mut sides, mut starts) = (Vec::new(), Vec::new(), JoinSet::new());
     for n in 0..plan.instances {
-        let own = Chance::stream(seed, "instance", n as u64).number();
+        let own = SeededRng::stream(seed, "instance", n as u64).next_u64();
         let mut sidecar = Sidecar::new(&scene, program, &folder.0, n, own, &discovery)?;
         if let Some(ground) = &ground {
             std::fs::write(sidecar.fleet_file(), ground.file(n, &folder.0))?;
@@ -147,42 +147,48 @@
     for (at, change) in &plan.changes {
         sleep_until(scene.instant(*at)).await;
         match change {
-            Change::SidecarKill(n) => drop(tokio::spawn(kill(
+            ScheduledChange::SidecarKill(n) => drop(tokio::spawn(kill(
                 Arc::clone(&clients),
                 Arc::clone(&sidecars),
                 *n,
                 RESTART,
             ))),
-            Change::SidecarStop(n) => drop(tokio::spawn(stop(
+            ScheduledChange::SidecarStop(n) => drop(tokio::spawn(stop(
                 Arc::clone(&clients),
                 Arc::clone(&sidecars),
                 *n,
             ))),
-            Change::SidecarUpgrade(n) => drop(tokio::spawn(upgrade(
+            ScheduledChange::SidecarUpgrade(n) => drop(tokio::spawn(upgrade(
                 Arc::clone(&clients),
                 Arc::clone(&sidecars),
                 *n,
             ))),
-            Change::SidecarRetune(n, relays) => sidecars[*n].lock().await.retune(*relays)?,
-            Change::Cordon(endpoint, out) => cordon(&scene, &sidecars, *endpoint, *out).await,
-            Change::SidecarReload(n) => sidecars[*n]
+            ScheduledChange::SidecarReconfigure(n, relays) => {
+                sidecars[*n].lock().await.retune(*relays)?
+            }
+            ScheduledChange::Cordon(endpoint, out) => {
+                cordon(&scene, &sidecars, *endpoint, *out).await
+            }
+            ScheduledChange::SidecarReload(n) => sidecars[*n]
                 .lock()
                 .await
                 .signal(rustix::process::Signal::HUP)?,
-            Change::Trouble(n, _)
-            | Change::Die(n)
-            | Change::Start(n)
-            | Change::Drain(n)
-            | Change::Leave(n) => {
+            ScheduledChange::EndpointFault(n, _)
+            | ScheduledChange::Crash(n)
+            | ScheduledChange::Start(n)
+            | ScheduledChange::Drain(n)
+            | ScheduledChange::Leave(n) => {
                 stands[*n].change(change).await?;
                 discovery.change(change);
             }
-            Change::Cut { endpoint, .. } => stands[*endpoint].change(change).await?,
+            ScheduledChange::NetworkCut { endpoint, .. } => {
+                stands[*endpoint].change(change).await?
+            }
             _ => discovery.change(change),
         }
     }
     let _ = asking.await;
-    let end = plan.length + plan.tail() + Duration::from_millis(200);
+    let end = plan.length + plan.answer_tail() + Duration::from_millis(200);
     sleep_until(scene.instant(end)).await;
     let looks = looking.await.unwrap_or_default();
     if let Some(showing) = showing {
@@ -197,7 +203,7 @@
         let mut sidecar = sidecar.lock().await;
         if let Some(status) = sidecar.crashed() {
             remarks.push(format!("sidecar {n} ended by itself: {status}"));
-            scene.note(Entry::Crashed { instance: n });
+            scene.note(Entry::SidecarCrashed { instance: n });
         } else {
             if let Some(used) = sidecar.used() {
                 let own = commands.get(n).copied().unwrap_or_default().max(1);
@@ -216,7 +222,7 @@
         let (n, ended) = stopped.map_err(std::io::Error::other)?;
         if !matches!(ended, Ok(Some(0))) {
             remarks.push(format!("sidecar {n} ended with {ended:?} after SIGTERM"));
-            scene.note(Entry::Crashed { instance: n });
+            scene.note(Entry::SidecarCrashed { instance: n });
         }
     }
     let (mut first, mut again) = (Vec::new(), Vec::new());
@@ -242,10 +248,10 @@
     }
     let connections = scene.connections.load(Relaxed);
     Ok((
-        Played {
+        Recording {
             ledger: scene.take_ledger(),
-            looks,
-            lines,
+            samples: looks,
+            log_lines: lines,
             connections,
         },
         remarks,
@@ -264,16 +270,16 @@
     }
 }
 
-async fn look(scene: Arc<Scene>, stands: Vec<Arc<Stand>>) -> Vec<Look> {
+async fn look(scene: Arc<Scene>, stands: Vec<Arc<Stand>>) -> Vec<FleetSample> {
     let mut looks = Vec::new();
     let mut at = Duration::ZERO;
     while at <= scene.plan.length {
         sleep_until(scene.instant(at)).await;
         let (held, links) = stands.iter().map(|s| s.look()).unzip();
-        looks.push(Look {
-            at: scene.now(),
-            held,
-            links,
+        looks.push(FleetSample {
+            time: scene.now(),
+            outstanding: held,
+            connections: links,
         });
         at += LOOK;
     }
@@ -285,7 +291,7 @@
     let mut sidecar = sidecars[n].lock().await;
     clients.sides[n].away.store(true, Relaxed);
     sidecar.kill();
-    clients.scene.note(Entry::Killed { instance: n });
+    clients.scene.note(Entry::SidecarKilled { instance: n });
     sleep(down).await;
     begin_again(&clients, &mut sidecar, n).await;
 }
@@ -302,7 +308,7 @@
         Ok(Some(0)) => {}
         other => {
             log::error!("sidecar {n}: its stop came to {other:?}");
-            clients.scene.note(Entry::Crashed { instance: n });
+            clients.scene.note(Entry::SidecarCrashed { instance: n });
         }
     }
     sleep(STILL_ASKING).await;
@@ -314,7 +320,7 @@
     let ended = sidecars[n].lock().await.upgrade().await;
     if !matches!(ended, Ok(Some(0))) {
         log::error!("sidecar {n}: its upgrade came to {ended:?}");
-        clients.scene.note(Entry::Crashed { instance: n });
+        clients.scene.note(Entry::SidecarCrashed { instance: n });
     }
 }
 
@@ -332,7 +338,7 @@
         let told = Entry::Cordoned {
             instance,
             endpoint,
-            out,
+            cordoned: out,
         };
         // Back from the call on; out from the yes on.
         if !out {
@@ -351,7 +357,7 @@
         Ok(()) => clients.sides[n].away.store(false, Relaxed),
         Err(fault) => {
             log::error!("sidecar {n} could not start again: {fault}");
-            clients.scene.note(Entry::Crashed { instance: n });
+            clients.scene.note(Entry::SidecarCrashed { instance: n });
         }
     }
 }
--- a/crates/passroad-rig/src/sockets/scene.rs
+++ b/crates/passroad-rig/src/sockets/scene.rs
@@ -1,8 +1,8 @@
 //! What all tasks of a day on sockets share: the plan, the clock, the ledger, and who asked for what.
 
 use crate::experiment::Plan;
-use crate::ledger::{CmdNo, Entry, Ledger, RelayNo};
-use crate::load::Ask;
+use crate::ledger::{CommandId, Entry, Ledger, RelayId};
+use crate::load::ClientRequest;
 use std::net::{IpAddr, Ipv4Addr};
 use std::sync::atomic::{AtomicUsize, Ordering::Relaxed};
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -13,7 +13,7 @@
     began: Instant,
     unix: Duration, // when the day began
     ledger: Mutex<Ledger>,
-    asks: Mutex<Vec<Ask>>,
+    asks: Mutex<Vec<ClientRequest>>,
     relays: AtomicUsize,
     pub connections: AtomicUsize,
 }
@@ -54,35 +54,35 @@
     }
 
     pub fn note(&self, entry: Entry) {
-        held(&self.ledger).note(self.now(), entry);
+        held(&self.ledger).record(self.now(), entry);
     }
 
     /// The number of a command that is asked from here on. Its time counts from when the plan has it asked: what the
     /// load itself was late by must not look like a quicker answer.
-    pub fn asked(&self, mut ask: Ask, planned: Duration) -> (CmdNo, Ask) {
+    pub fn asked(&self, mut ask: ClientRequest, planned: Duration) -> (CommandId, ClientRequest) {
         let cmd = {
             let mut asks = held(&self.asks);
             ask.chain = Some(ask.chain.unwrap_or(asks.len()));
             asks.push(ask.clone());
             asks.len() - 1
         };
-        let limit = self.plan.verbs[ask.verb].limit;
-        let (chain, verb, instance) = (ask.chain.unwrap_or(cmd), ask.verb, ask.instance);
-        held(&self.ledger).note(
+        let limit = self.plan.classes[ask.class].time_limit;
+        let (chain, verb, instance) = (ask.chain.unwrap_or(cmd), ask.class, ask.instance);
+        held(&self.ledger).record(
             planned,
-            Entry::Asked {
-                cmd,
+            Entry::CommandArrived {
+                command: cmd,
                 chain,
-                verb,
+                class: verb,
                 instance,
-                limit,
+                time_limit: limit,
             },
         );
         (cmd, ask)
     }
 
     /// What was asked under an id that an endpoint was sent.
-    pub fn find(&self, id: &str) -> Option<(CmdNo, Ask)> {
+    pub fn find(&self, id: &str) -> Option<(CommandId, ClientRequest)> {
         let cmd = usize::from_str_radix(id, 16).ok()?;
         held(&self.asks).get(cmd).cloned().map(|ask| (cmd, ask))
     }
@@ -101,7 +101,7 @@
         counts
     }
 
-    pub fn relay(&self) -> RelayNo {
+    pub fn relay(&self) -> RelayId {
         self.relays.fetch_add(1, Relaxed)
     }
 
@@ -110,7 +110,7 @@
     }
 }
 
-pub fn id(cmd: CmdNo) -> String {
+pub fn id(cmd: CommandId) -> String {
     format!("{cmd:016x}")
 }
 
