--- a/crates/passroad-rig/src/virtual_time.rs
+++ b/crates/passroad-rig/src/virtual_time.rs
@@ -1,12 +1,12 @@
 //! A day in simulated time: any number of instances against the model, driven by one queue of events. Same plan, same
 //! seed, same policy: the same history to the byte, on any machine. Nothing waits here and nothing is measured.
 
-use crate::baseline::{self, IDLE_SHARE, Policy, Sight};
-use crate::chance::Chance;
-use crate::experiment::{Change, Plan, Reports};
-use crate::ledger::{Answer, CmdNo, Entry, Ledger, RelayNo};
-use crate::load::{Ask, Asks};
-use crate::model::{Endpoint, Job, Load, Offer, Shown, Verdict};
+use crate::baseline::{self, FleetView, IDLE_SHARE, Policy};
+use crate::experiment::{Plan, ReportMode, ScheduledChange};
+use crate::ledger::{Answer, CommandId, Entry, Ledger, RelayId};
+use crate::load::{ClientRequest, RequestGenerator};
+use crate::model::{Admission, Endpoint, EndpointEvent, EndpointLoad, Job, JobResult};
+use crate::rng::SeededRng;
 use passroad_choice::interner::Interner;
 use passroad_choice::{
     Action, CommandArrival, CommandIndex, EndpointState, Event, ListUpdateKind, ListedEndpoint,
@@ -24,40 +24,40 @@
 
 /// What a day came to.
 #[derive(Default)]
-pub struct Played {
+pub struct Recording {
     pub ledger: Ledger,
-    pub looks: Vec<Look>,
-    pub lines: Vec<(Duration, usize, String)>, // of the module's log: when, which instance, what
-    pub connections: usize,                    // opened
+    pub samples: Vec<FleetSample>,
+    pub log_lines: Vec<(Duration, usize, String)>, // of the module's log: when, which instance, what
+    pub connections: usize,                        // opened
 }
 
 /// The fleet at a time, endpoint by endpoint.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Look {
-    pub at: Duration,
-    pub held: Vec<usize>,
-    pub links: Vec<usize>,
+pub struct FleetSample {
+    pub time: Duration,
+    pub outstanding: Vec<usize>,
+    pub connections: Vec<usize>,
 }
 
 enum Ev {
-    Ask(Ask),
-    Change(usize),
+    RequestDue(ClientRequest),
+    ScheduledChange(usize),
     Reach {
-        relay: RelayNo,
+        relay: RelayId,
         new: bool,
     },
     Back {
-        relay: RelayNo,
+        relay: RelayId,
         outcome: Outcome,
-        load: Option<Load>,
+        load: Option<EndpointLoad>,
         keeps: bool,
     },
     GiveUp {
-        relay: RelayNo,
+        relay: RelayId,
         outcome: Outcome,
     },
     Recalled {
-        relay: RelayNo,
+        relay: RelayId,
     },
     ProbeReach {
         probe: usize,
@@ -66,7 +66,7 @@
     ProbeBack {
         probe: usize,
         outcome: Outcome,
-        load: Option<Load>,
+        load: Option<EndpointLoad>,
         keeps: bool,
     },
     Due {
@@ -82,10 +82,10 @@
         endpoint: usize,
     },
     Guard {
-        cmd: CmdNo,
+        cmd: CommandId,
     },
     Away {
-        cmd: CmdNo,
+        cmd: CommandId,
     },
     Start {
         instance: usize,
@@ -100,7 +100,7 @@
         endpoint: usize,
         mode: EndpointState,
     },
-    Look,
+    FleetSample,
 }
 
 struct Later {
@@ -128,23 +128,23 @@
 
 struct Instance {
     policy: Box<dyn Policy>,
-    commands: Interner<CmdNo>,
+    commands: Interner<CommandId>,
     idle: Vec<Vec<Duration>>, // connections, by endpoint, since when
     watch: Option<u64>,       // which one is open
     life: u32,                // how often the process was killed
 }
 
 struct Command {
-    ask: Ask,
+    ask: ClientRequest,
     sent: Duration,
     answered: bool,
     gone: bool,
     slot: Option<CommandIndex>,
-    relays: Vec<RelayNo>,
+    relays: Vec<RelayId>,
 }
 
 struct Relay {
-    cmd: CmdNo,
+    cmd: CommandId,
     instance: usize,
     endpoint: usize,
     n: usize,
@@ -170,7 +170,7 @@
     half_way: Duration,
 }
 
-impl Sight for Fleet {
+impl FleetView for Fleet {
     fn would_take(
         &self,
         instance: usize,
@@ -182,11 +182,11 @@
             return None;
         }
         let e = &self.endpoints[endpoint];
-        let ahead = self.heading[endpoint] / (e.make.cores as f64 * e.make.speed);
-        let wait = e.would_take(0.0, verb)? + ahead;
+        let ahead = self.heading[endpoint] / (e.spec.cores as f64 * e.spec.speed);
+        let wait = e.estimate_seconds(0.0, verb)? + ahead;
         Some((
             wait,
-            e.would_take(work, verb)? + ahead + 2.0 * self.half_way.as_secs_f64(),
+            e.estimate_seconds(work, verb)? + ahead + 2.0 * self.half_way.as_secs_f64(),
         ))
     }
 }
@@ -207,14 +207,14 @@
     relays: Vec<Relay>,
     probes: Vec<Probe>,
     pending: VecDeque<(usize, Event)>,
-    asks: Asks,
-    chance: Chance, // of the network and the list
+    asks: RequestGenerator,
+    chance: SeededRng, // of the network and the list
     discovery_by: Duration,
     discovery_turns: Duration,
     discovery_down: bool,
     malformed: bool,
     watches: u64,
-    played: Played,
+    played: Recording,
     end: Duration,
 }
 
@@ -226,17 +226,23 @@
     instance: usize,
     life: u32,
 ) -> Result<Box<dyn Policy>, String> {
-    let own = Chance::stream(seed, "instance", instance as u64 | u64::from(life) << 32).number();
+    let own =
+        SeededRng::stream(seed, "instance", instance as u64 | u64::from(life) << 32).next_u64();
     baseline::policy(policy, plan, instance, own)
 }
 
 /// Plays a day to its end.
-pub fn play(plan: &Plan, seed: u64, policy: &str) -> Result<Played, String> {
+pub fn simulate(plan: &Plan, seed: u64, policy: &str) -> Result<Recording, String> {
     let endpoints: Vec<Endpoint> = plan
         .endpoints
         .iter()
         .enumerate()
-        .map(|(n, e)| Endpoint::new(e.make.clone(), Chance::stream(seed, "endpoint", n as u64)))
+        .map(|(n, e)| {
+            Endpoint::new(
+                e.spec.clone(),
+                SeededRng::stream(seed, "endpoint", n as u64),
+            )
+        })
         .collect();
     let count = endpoints.len();
     let mut instances = Vec::with_capacity(plan.instances);
@@ -250,7 +256,12 @@
             life: 0,
         });
     }
-    let longest = plan.verbs.iter().map(|v| v.limit).max().unwrap_or_default();
+    let longest = plan
+        .classes
+        .iter()
+        .map(|v| v.time_limit)
+        .max()
+        .unwrap_or_default();
     let mut day = Day {
         plan,
         seed,
@@ -273,25 +284,25 @@
         relays: Vec::new(),
         probes: Vec::new(),
         pending: VecDeque::new(),
-        asks: Asks::new(plan, seed),
-        chance: Chance::stream(seed, "network", 0),
+        asks: RequestGenerator::new(plan, seed),
+        chance: SeededRng::stream(seed, "network", 0),
         discovery_by: Duration::ZERO,
         discovery_turns: Duration::ZERO,
         discovery_down: false,
         malformed: false,
         watches: 0,
-        played: Played::default(),
+        played: Recording::default(),
         end: plan.length + longest + Duration::from_secs(1),
     };
     for instance in 0..plan.instances {
         day.at(Duration::ZERO, Ev::Start { instance });
     }
     for n in 0..plan.changes.len() {
-        day.at(plan.changes[n].0, Ev::Change(n));
+        day.at(plan.changes[n].0, Ev::ScheduledChange(n));
     }
-    day.at(Duration::ZERO, Ev::Look);
-    if let Some((at, ask)) = day.asks.next_ask() {
-        day.at(at, Ev::Ask(ask));
+    day.at(Duration::ZERO, Ev::FleetSample);
+    if let Some((at, ask)) = day.asks.next_request() {
+        day.at(at, Ev::RequestDue(ask));
     }
     while let Some(Reverse(later)) = day.queue.pop() {
         if later.at > day.end {
@@ -315,7 +326,7 @@
     }
 
     fn note(&mut self, entry: Entry) {
-        self.played.ledger.note(self.now, entry);
+        self.played.ledger.record(self.now, entry);
     }
 
     fn tell(&mut self, instance: usize, event: Event) {
@@ -328,15 +339,15 @@
 
     fn happen(&mut self, ev: Ev) {
         match ev {
-            Ev::Ask(ask) => {
-                if ask.first()
-                    && let Some((at, next)) = self.asks.next_ask()
+            Ev::RequestDue(ask) => {
+                if ask.is_first_try()
+                    && let Some((at, next)) = self.asks.next_request()
                 {
-                    self.at(at, Ev::Ask(next));
+                    self.at(at, Ev::RequestDue(next));
                 }
                 self.ask(ask);
             }
-            Ev::Change(n) => self.change(self.plan.changes[n].1.clone()),
+            Ev::ScheduledChange(n) => self.change(self.plan.changes[n].1.clone()),
             Ev::Reach { relay, new } => self.reach(relay, new),
             Ev::Back {
                 relay,
@@ -354,7 +365,7 @@
             Ev::Recalled { relay } => {
                 let endpoint = self.relays[relay].endpoint;
                 self.advance(endpoint);
-                self.fleet.endpoints[endpoint].recall(relay as u64);
+                self.fleet.endpoints[endpoint].cancel(relay as u64);
                 self.collect(endpoint);
             }
             Ev::ProbeReach { probe, new } => self.probe_reach(probe, new),
@@ -381,7 +392,7 @@
             Ev::Restart { endpoint } => self.start(endpoint),
             Ev::Guard { cmd } => {
                 if !self.commands[cmd].answered && !self.commands[cmd].gone {
-                    self.answer(cmd, Answer::Terminated, None);
+                    self.answer(cmd, Answer::Failed, None);
                     if let Some(slot) = self.commands[cmd].slot {
                         self.tell(
                             self.commands[cmd].ask.instance,
@@ -414,7 +425,7 @@
                     .iter()
                     .filter(|e| again && e.state == EndpointState::Running)
                 {
-                    self.note(Entry::ToldUp {
+                    self.note(Entry::ListedUp {
                         instance,
                         endpoint: up.endpoint,
                     });
@@ -434,21 +445,26 @@
                 watch,
             } => self.listed(instance, kind, &of, watch),
             Ev::ListChange { endpoint, mode } => self.list_change(endpoint, mode),
-            Ev::Look => {
+            Ev::FleetSample => {
                 let held = self
                     .fleet
                     .endpoints
                     .iter()
                     .map(Endpoint::outstanding)
                     .collect();
-                let links = self.fleet.endpoints.iter().map(Endpoint::links).collect();
-                self.played.looks.push(Look {
-                    at: self.now,
-                    held,
-                    links,
+                let links = self
+                    .fleet
+                    .endpoints
+                    .iter()
+                    .map(Endpoint::connections)
+                    .collect();
+                self.played.samples.push(FleetSample {
+                    time: self.now,
+                    outstanding: held,
+                    connections: links,
                 });
                 if self.now + LOOK <= self.plan.length {
-                    self.at(self.now + LOOK, Ev::Look);
+                    self.at(self.now + LOOK, Ev::FleetSample);
                 }
             }
         }
@@ -496,12 +512,12 @@
                 retry_after: not_before,
             } => {
                 if let Some(cmd) = name(self, cmd) {
-                    self.answer(cmd, Answer::Declined, not_before);
+                    self.answer(cmd, Answer::Refused, not_before);
                 }
             }
             Action::Fail { command: cmd } => {
                 if let Some(cmd) = name(self, cmd) {
-                    self.answer(cmd, Answer::Terminated, None);
+                    self.answer(cmd, Answer::Failed, None);
                 }
             }
             Action::ReleaseCommand { command: slot } => {
@@ -529,8 +545,8 @@
                     },
                 );
             }
-            Action::Log(line) if self.played.lines.len() < MOST_LINES => {
-                self.played.lines.push((self.now, instance, line));
+            Action::Log(line) if self.played.log_lines.len() < MOST_LINES => {
+                self.played.log_lines.push((self.now, instance, line));
             }
             Action::Log(_)
             | Action::ReleaseEndpoint { .. }
@@ -541,38 +557,38 @@
 
     // ---- commands ----
 
-    fn ask(&mut self, ask: Ask) {
+    fn ask(&mut self, ask: ClientRequest) {
         let cmd = self.commands.len();
-        let verb = &self.plan.verbs[ask.verb];
-        let (limit, margin) = (verb.limit, MARGIN.min(verb.limit / 20));
+        let verb = &self.plan.classes[ask.class];
+        let (limit, margin) = (verb.time_limit, MARGIN.min(verb.time_limit / 20));
         let instance = ask.instance;
         let chain = ask.chain.unwrap_or(cmd);
-        self.note(Entry::Asked {
-            cmd,
+        self.note(Entry::CommandArrived {
+            command: cmd,
             chain,
-            verb: ask.verb,
+            class: ask.class,
             instance,
-            limit,
+            time_limit: limit,
         });
         let slot = self.instances[instance].commands.intern(&cmd);
         let costs = &mut self.fleet.work[instance];
         costs.resize(costs.len().max(slot + 1), (0.0, 0));
-        costs[slot] = (ask.work, ask.verb);
+        costs[slot] = (ask.work, ask.class);
         let arrival = CommandArrival {
             command: slot,
-            class: ask.verb,
-            tenant: ask.company,
+            class: ask.class,
+            tenant: ask.tenant,
             key: None,
             budget: limit - margin,
             work: None,
-            is_retry: ask.again && self.plan.marked,
+            is_retry: ask.is_retry && self.plan.retries_marked,
             is_write: false,
             weight_set: 0,
             body_pending: false,
         };
         self.at(self.now + limit - margin / 2, Ev::Guard { cmd });
         self.at(self.now + limit, Ev::Away { cmd });
-        let ask = Ask {
+        let ask = ClientRequest {
             chain: Some(chain),
             ..ask
         };
@@ -588,17 +604,20 @@
         self.tell(instance, Event::CommandArrived(arrival));
     }
 
-    fn answer(&mut self, cmd: CmdNo, answer: Answer, not_before: Option<Duration>) {
+    fn answer(&mut self, cmd: CommandId, answer: Answer, not_before: Option<Duration>) {
         if self.commands[cmd].gone {
             return;
         }
-        self.note(Entry::Answered { cmd, answer });
-        let again = !std::mem::replace(&mut self.commands[cmd].answered, true)
-            && answer == Answer::Declined;
+        self.note(Entry::Answered {
+            command: cmd,
+            answer,
+        });
+        let again =
+            !std::mem::replace(&mut self.commands[cmd].answered, true) && answer == Answer::Refused;
         if again && self.now < self.plan.length {
             let ask = self.commands[cmd].ask.clone();
-            if let Some((after, ask)) = self.asks.again(&ask, not_before) {
-                self.at(self.now + after, Ev::Ask(ask));
+            if let Some((after, ask)) = self.asks.retry(&ask, not_before) {
+                self.at(self.now + after, Ev::RequestDue(ask));
             }
         }
     }
@@ -617,11 +636,11 @@
         found
     }
 
-    fn send(&mut self, instance: usize, cmd: CmdNo, endpoint: usize, within: Duration) {
+    fn send(&mut self, instance: usize, cmd: CommandId, endpoint: usize, within: Duration) {
         let relay = self.relays.len();
         let command = &mut self.commands[cmd];
-        let verb = &self.plan.verbs[command.ask.verb];
-        let last = command.sent + verb.limit - MARGIN.min(verb.limit / 20) / 2;
+        let verb = &self.plan.classes[command.ask.class];
+        let last = command.sent + verb.time_limit - MARGIN.min(verb.time_limit / 20) / 2;
         let within = within.min(last.saturating_sub(self.now));
         let n = command.relays.len();
         command.relays.push(relay);
@@ -636,9 +655,9 @@
             heading: work,
             linked: false,
         });
-        self.note(Entry::Sent {
+        self.note(Entry::RelaySent {
             relay,
-            cmd,
+            command: cmd,
             endpoint,
         });
         self.fleet.heading[endpoint] += work;
@@ -649,14 +668,14 @@
                 outcome: Outcome::TimedOut,
             },
         );
-        let half = self.plan.half_way(instance, endpoint);
+        let half = self.plan.one_way_delay(instance, endpoint);
         if self.kept(instance, endpoint) {
             self.relays[relay].linked = true;
             self.at(self.now + half, Ev::Reach { relay, new: false });
         } else if self.cut(instance, endpoint) {
             // Nothing comes over the cut: the sidecar gives up by itself.
             self.at(
-                self.now + self.plan.connect / 4,
+                self.now + self.plan.connect_timeout / 4,
                 Ev::GiveUp {
                     relay,
                     outcome: Outcome::ConnectFailed,
@@ -668,14 +687,14 @@
     }
 
     /// The relay is no longer on its way.
-    fn arrived(&mut self, relay: RelayNo) {
+    fn arrived(&mut self, relay: RelayId) {
         let r = &mut self.relays[relay];
         let work = std::mem::take(&mut r.heading);
         let heading = &mut self.fleet.heading[r.endpoint];
         *heading = (*heading - work).max(0.0);
     }
 
-    fn reach(&mut self, relay: RelayNo, new: bool) {
+    fn reach(&mut self, relay: RelayId, new: bool) {
         self.arrived(relay);
         let (instance, endpoint) = (self.relays[relay].instance, self.relays[relay].endpoint);
         if self.relays[relay].ended {
@@ -687,12 +706,12 @@
             load: None,
             keeps,
         };
-        let home = self.now + self.plan.half_way(instance, endpoint);
+        let home = self.now + self.plan.one_way_delay(instance, endpoint);
         if self.cut(instance, endpoint) {
             if new {
                 let outcome = Outcome::ConnectFailed;
                 self.at(
-                    self.now + self.plan.connect / 4,
+                    self.now + self.plan.connect_timeout / 4,
                     Ev::GiveUp { relay, outcome },
                 );
             }
@@ -717,15 +736,15 @@
         self.advance(endpoint);
         let ask = &self.commands[self.relays[relay].cmd].ask;
         let e = &mut self.fleet.endpoints[endpoint];
-        let work = ask.work + if new { e.make.link_work } else { 0.0 };
+        let work = ask.work + if new { e.spec.connection_work } else { 0.0 };
         match e.offer(Job {
             id: relay as u64,
-            verb: ask.verb,
+            class: ask.class,
             work,
         }) {
-            Offer::Taken => {}
-            Offer::Full => {
-                let load = Some(e.report());
+            Admission::Accepted => {}
+            Admission::Rejected => {
+                let load = Some(e.load_report());
                 self.at(
                     home,
                     Ev::Back {
@@ -736,13 +755,13 @@
                     },
                 );
             }
-            Offer::Down => self.at(home, back(Outcome::ConnectionLost, false)),
+            Admission::Down => self.at(home, back(Outcome::ConnectionLost, false)),
         }
         self.collect(endpoint);
     }
 
     /// A relay ends for its sidecar.
-    fn ended(&mut self, relay: RelayNo, outcome: Outcome, load: Option<Load>, keeps: bool) {
+    fn ended(&mut self, relay: RelayId, outcome: Outcome, load: Option<EndpointLoad>, keeps: bool) {
         if std::mem::replace(&mut self.relays[relay].ended, true) {
             return;
         }
@@ -750,9 +769,9 @@
         let r = &self.relays[relay];
         let (cmd, instance, endpoint, n) = (r.cmd, r.instance, r.endpoint, r.n);
         let (spent, linked) = (self.now - r.sent, r.linked);
-        self.note(Entry::Ended {
+        self.note(Entry::RelayEnded {
             relay,
-            proven: outcome.never_ran(),
+            never_ran: outcome.never_ran(),
         });
         if linked && keeps {
             self.instances[instance].idle[endpoint].push(self.now);
@@ -762,7 +781,7 @@
         if matches!(outcome, Outcome::TimedOut | Outcome::Cancelled)
             && !self.cut(instance, endpoint)
         {
-            let half = self.plan.half_way(instance, endpoint);
+            let half = self.plan.one_way_delay(instance, endpoint);
             self.at(self.now + half, Ev::Recalled { relay });
         }
         let open = !self.commands[cmd].answered && !self.commands[cmd].gone;
@@ -774,7 +793,7 @@
         };
         let concluded = self.commands[cmd].answered || self.commands[cmd].gone;
         let report = load
-            .filter(|_| self.plan.reports() == Reports::Piggyback)
+            .filter(|_| self.plan.report_mode() == ReportMode::Piggyback)
             .map(report);
         self.tell(
             instance,
@@ -798,23 +817,23 @@
     /// What an endpoint shows goes its way, and it is looked at again when it next changes.
     fn collect(&mut self, endpoint: usize) {
         let mut tipped = false;
-        for shown in self.fleet.endpoints[endpoint].take_shown() {
+        for shown in self.fleet.endpoints[endpoint].take_events() {
             match shown {
-                Shown::Began(job) => self.note(Entry::Ran {
-                    relay: job as RelayNo,
+                EndpointEvent::Started(job) => self.note(Entry::JobStarted {
+                    relay: job as RelayId,
                 }),
-                Shown::Ended(job, verdict) => {
-                    let relay = job as RelayNo;
+                EndpointEvent::Finished(job, verdict) => {
+                    let relay = job as RelayId;
                     let instance = self.relays[relay].instance;
                     let (outcome, keeps) = match verdict {
-                        Verdict::Done => (Outcome::Answered, true),
-                        Verdict::Error => (Outcome::Error, true),
-                        Verdict::Spoilt => (Outcome::Error, false),
-                        Verdict::Reset => (Outcome::ConnectionLost, false),
+                        JobResult::Completed => (Outcome::Answered, true),
+                        JobResult::Error => (Outcome::Error, true),
+                        JobResult::Malformed => (Outcome::Error, false),
+                        JobResult::Reset => (Outcome::ConnectionLost, false),
                     };
                     if !self.cut(instance, endpoint) {
-                        let load = Some(self.fleet.endpoints[endpoint].report());
-                        let home = self.now + self.plan.half_way(instance, endpoint);
+                        let load = Some(self.fleet.endpoints[endpoint].load_report());
+                        let home = self.now + self.plan.one_way_delay(instance, endpoint);
                         self.at(
                             home,
                             Ev::Back {
@@ -826,15 +845,15 @@
                         );
                     }
                 }
-                Shown::Tipped => tipped = true,
+                EndpointEvent::Crashed => tipped = true,
             }
         }
         if tipped {
             self.die(endpoint);
-            self.at(self.now + self.plan.restart, Ev::Restart { endpoint });
+            self.at(self.now + self.plan.restart_after, Ev::Restart { endpoint });
         }
         self.versions[endpoint] += 1;
-        if let Some(at) = self.fleet.endpoints[endpoint].wake_at() {
+        if let Some(at) = self.fleet.endpoints[endpoint].next_event_at() {
             self.at(
                 at,
                 Ev::Wake {
@@ -847,14 +866,17 @@
 
     fn die(&mut self, endpoint: usize) {
         self.advance(endpoint);
-        let held = self.fleet.endpoints[endpoint].die();
+        let held = self.fleet.endpoints[endpoint].crash();
         self.instances
             .iter_mut()
             .for_each(|i| i.idle[endpoint].clear());
         for job in held {
-            let relay = job as RelayNo;
+            let relay = job as RelayId;
             self.relays[relay].linked = false;
-            let home = self.now + self.plan.half_way(self.relays[relay].instance, endpoint);
+            let home = self.now
+                + self
+                    .plan
+                    .one_way_delay(self.relays[relay].instance, endpoint);
             self.at(
                 home,
                 Ev::Back {
@@ -867,7 +889,7 @@
         }
         self.versions[endpoint] += 1;
         self.at(
-            self.now + self.plan.noticed,
+            self.now + self.plan.crash_listed_after,
             Ev::ListChange {
                 endpoint,
                 mode: EndpointState::Removed,
@@ -881,8 +903,8 @@
         }
         self.fleet.endpoints[endpoint].start(self.now);
         self.started[endpoint] = Some(self.now);
-        if !self.plan.endpoints[endpoint].make.warm_within.is_zero() {
-            self.note(Entry::Started { endpoint });
+        if !self.plan.endpoints[endpoint].spec.warm_up_time.is_zero() {
+            self.note(Entry::EndpointStarted { endpoint });
         }
         self.at(
             self.now + LOOK / 2,
@@ -893,14 +915,14 @@
         );
     }
 
-    fn change(&mut self, change: Change) {
+    fn change(&mut self, change: ScheduledChange) {
         match change {
-            Change::Trouble(endpoint, turn) => {
+            ScheduledChange::EndpointFault(endpoint, turn) => {
                 self.advance(endpoint);
-                self.fleet.endpoints[endpoint].turn(&turn);
+                self.fleet.endpoints[endpoint].apply_fault(&turn);
                 self.collect(endpoint);
             }
-            Change::Cut {
+            ScheduledChange::NetworkCut {
                 endpoint,
                 instances,
                 on,
@@ -918,13 +940,13 @@
                     };
                 }
             }
-            Change::Die(endpoint) => self.die(endpoint),
-            Change::Start(endpoint) => self.start(endpoint),
-            Change::Drain(endpoint) => {
+            ScheduledChange::Crash(endpoint) => self.die(endpoint),
+            ScheduledChange::Start(endpoint) => self.start(endpoint),
+            ScheduledChange::Drain(endpoint) => {
                 self.fleet.endpoints[endpoint].drain();
                 self.list_change(endpoint, EndpointState::Draining);
             }
-            Change::Cordon(endpoint, out) => {
+            ScheduledChange::Cordon(endpoint, out) => {
                 for instance in 0..self.instances.len() {
                     self.tell(
                         instance,
@@ -936,22 +958,22 @@
                     self.note(Entry::Cordoned {
                         instance,
                         endpoint,
-                        out,
+                        cordoned: out,
                     });
                 }
             }
-            Change::Leave(endpoint) => {
+            ScheduledChange::Leave(endpoint) => {
                 self.die(endpoint);
                 self.list_change(endpoint, EndpointState::Removed);
             }
-            Change::DiscoveryBy(by) => self.discovery_by = by,
-            Change::DiscoveryTurns(spread) => self.discovery_turns = spread,
-            Change::DiscoveryMalformed(on) => self.malformed = on,
-            Change::DiscoveryDown(on) => {
+            ScheduledChange::DiscoveryDelay(by) => self.discovery_by = by,
+            ScheduledChange::DiscoveryStagger(spread) => self.discovery_turns = spread,
+            ScheduledChange::DiscoveryMalformed(on) => self.malformed = on,
+            ScheduledChange::DiscoveryDown(on) => {
                 self.discovery_down = on;
                 for instance in 0..self.instances.len() {
                     if on && let Some(watch) = self.instances[instance].watch {
-                        let at = self.now + LOOK.mul_f64(self.chance.share() / 2.0);
+                        let at = self.now + LOOK.mul_f64(self.chance.uniform() / 2.0);
                         self.at(
                             at,
                             Ev::Listed {
@@ -964,18 +986,18 @@
                     }
                 }
             }
-            Change::SidecarKill(instance) => self.kill(instance),
+            ScheduledChange::SidecarKill(instance) => self.kill(instance),
             // Of processes, which there are none of here: the checker leaves them to days on sockets.
-            Change::SidecarStop(_)
-            | Change::SidecarReload(_)
-            | Change::SidecarUpgrade(_)
-            | Change::SidecarRetune(..) => {}
+            ScheduledChange::SidecarStop(_)
+            | ScheduledChange::SidecarReload(_)
+            | ScheduledChange::SidecarUpgrade(_)
+            | ScheduledChange::SidecarReconfigure(..) => {}
         }
     }
 
     /// Killed, and another process in its place at once: what it held is lost, and what it had learnt.
     fn kill(&mut self, instance: usize) {
-        self.note(Entry::Killed { instance });
+        self.note(Entry::SidecarKilled { instance });
         for c in self
             .commands
             .iter_mut()
@@ -1056,7 +1078,7 @@
         let turn = self
             .discovery_turns
             .mul_f64(instance as f64 / self.instances.len() as f64);
-        self.discovery_by + turn + self.plan.round_trip + LOOK.mul_f64(self.chance.share() / 5.0)
+        self.discovery_by + turn + self.plan.round_trip + LOOK.mul_f64(self.chance.uniform() / 5.0)
     }
 
     fn listen(&mut self, instance: usize, active: bool) {
@@ -1107,9 +1129,9 @@
         for endpoint in named {
             let mode = self.modes[endpoint];
             self.note(match mode {
-                EndpointState::Running => Entry::ToldUp { instance, endpoint },
+                EndpointState::Running => Entry::ListedUp { instance, endpoint },
                 EndpointState::Draining | EndpointState::Removed => {
-                    Entry::ToldAway { instance, endpoint }
+                    Entry::ListedAway { instance, endpoint }
                 }
             });
             if !whole || mode != EndpointState::Removed {
@@ -1129,8 +1151,8 @@
             sent: self.now,
             told: false,
         });
-        self.note(Entry::Probed { endpoint });
-        let half = self.plan.half_way(instance, endpoint);
+        self.note(Entry::ProbeSent { endpoint });
+        let half = self.plan.one_way_delay(instance, endpoint);
         if self.kept(instance, endpoint) {
             self.at(self.now + half, Ev::ProbeReach { probe, new: false });
         } else if !self.cut(instance, endpoint) {
@@ -1138,7 +1160,7 @@
         }
         let outcome = Outcome::TimedOut;
         self.at(
-            self.now + self.plan.connect / 5,
+            self.now + self.plan.connect_timeout / 5,
             Ev::ProbeBack {
                 probe,
                 outcome,
@@ -1150,7 +1172,7 @@
 
     fn probe_reach(&mut self, probe: usize, new: bool) {
         let (instance, endpoint) = (self.probes[probe].instance, self.probes[probe].endpoint);
-        let home = self.now + self.plan.half_way(instance, endpoint);
+        let home = self.now + self.plan.one_way_delay(instance, endpoint);
         let back = |outcome, load, keeps| Ev::ProbeBack {
             probe,
             outcome,
@@ -1159,7 +1181,7 @@
         };
         self.advance(endpoint);
         let e = &mut self.fleet.endpoints[endpoint];
-        if self.fleet.cuts[endpoint][instance] > 0 || e.trouble.stalled {
+        if self.fleet.cuts[endpoint][instance] > 0 || e.faults.stalled {
             // No answer; its connection is given up.
             if !new {
                 e.disconnect();
@@ -1173,11 +1195,11 @@
             return self.at(home, back(Outcome::Overloaded, None, false));
         }
         self.played.connections += usize::from(new);
-        let load = Some(e.report());
+        let load = Some(e.load_report());
         self.at(home, back(Outcome::Answered, load, true));
     }
 
-    fn probed(&mut self, probe: usize, outcome: Outcome, load: Option<Load>, keeps: bool) {
+    fn probed(&mut self, probe: usize, outcome: Outcome, load: Option<EndpointLoad>, keeps: bool) {
         let Probe {
             instance,
             endpoint,
@@ -1195,7 +1217,7 @@
             return;
         }
         let report = load
-            .filter(|_| self.plan.reports() != Reports::Silent)
+            .filter(|_| self.plan.report_mode() != ReportMode::Silent)
             .map(report);
         self.tell(
             instance,
@@ -1209,10 +1231,10 @@
     }
 }
 
-fn report(load: Load) -> LoadReport {
+fn report(load: EndpointLoad) -> LoadReport {
     LoadReport {
         outstanding: Some(load.outstanding as f64),
-        backlog: Some(load.waiting as f64),
+        backlog: Some(load.queued as f64),
         utilization: Some(load.utilization),
         ..LoadReport::default()
     }
--- a/crates/passroad-rig/src/virtual_time/tests.rs
+++ b/crates/passroad-rig/src/virtual_time/tests.rs
@@ -1,29 +1,32 @@
 use super::*;
-use crate::experiment::{read, tests::SMALL};
+use crate::experiment::{parse, tests::SMALL};
 use crate::run::{Run, Tally};
 use rstest::rstest;
 
 fn plan(more: &str) -> Plan {
-    read(&format!("{SMALL}{more}")).expect("a plan")
+    parse(&format!("{SMALL}{more}")).expect("a plan")
 }
 
 fn run(plan: &Plan, policy: &str, seed: u64) -> Run {
-    Run::of(
+    Run::from_recording(
         plan,
         policy,
         seed,
-        play(plan, seed, policy).expect("a day"),
+        simulate(plan, seed, policy).expect("a day"),
         Duration::ZERO,
     )
 }
 
 fn tally(plan: &Plan, run: &Run) -> Tally {
-    Tally::of(run, plan, &(plan.settle..plan.length), None)
+    Tally::of_class(run, plan, &(plan.settle..plan.length), None)
 }
 
 /// FNV-1a of a day's whole history.
-fn digest(played: &Played) -> u64 {
-    let text = format!("{:?}{:?}{:?}", played.ledger, played.looks, played.lines);
+fn digest(played: &Recording) -> u64 {
+    let text = format!(
+        "{:?}{:?}{:?}",
+        played.ledger, played.samples, played.log_lines
+    );
     text.bytes().fold(0xcbf2_9ce4_8422_2325, |h, b| {
         (h ^ u64::from(b)).wrapping_mul(0x0000_0100_0000_01b3)
     })
@@ -36,7 +39,7 @@
     #[values("passroad", "random", "round-robin", "least-of-two", "full-sight")] policy: &str,
 ) {
     let plan = plan(DEATH);
-    let day = |seed| digest(&play(&plan, seed, policy).expect("a day"));
+    let day = |seed| digest(&simulate(&plan, seed, policy).expect("a day"));
     assert_eq!(day(7), day(7));
     assert_ne!(day(7), day(8));
 }
@@ -45,21 +48,21 @@
 #[rstest]
 fn a_day_is_the_same_on_any_machine() {
     assert_eq!(
-        digest(&play(&plan(DEATH), 7, "least-of-two").expect("a day")),
+        digest(&simulate(&plan(DEATH), 7, "least-of-two").expect("a day")),
         DIGEST
     );
 }
-const DIGEST: u64 = 12460130213023876650;
+const DIGEST: u64 = 13946674186781201656;
 
 #[rstest]
 fn the_load_is_the_same_whoever_decides() {
-    let plan = read(&SMALL.replace("retries = \"50%\"", "")).expect("a plan");
+    let plan = parse(&SMALL.replace("retries = \"50%\"", "")).expect("a plan");
     let asked = |policy| {
         let run = run(&plan, policy, 3);
-        run.books
+        run.history
             .commands
             .iter()
-            .map(|c| (c.asked, c.verb, c.instance))
+            .map(|c| (c.arrived_at, c.class, c.instance))
             .collect::<Vec<_>>()
     };
     assert_eq!(asked("passroad"), asked("random"));
@@ -70,10 +73,10 @@
 #[rstest]
 #[case::stall("kind = \"stall\"\nendpoints = [0, 1]", |t: &Tally| t.share(t.served) < 0.97)]
 #[case::slow("kind = \"slow\"\nleft = 0.05\nendpoints = [0, 1]", |t: &Tally| t.share(t.served) < 0.95)]
-#[case::errors("kind = \"errors\"\nshare = 0.9", |t: &Tally| t.share(t.terminated) > 0.2)]
-#[case::spoil("kind = \"spoil\"\nshare = 0.9", |t: &Tally| t.share(t.terminated) > 0.2)]
-#[case::reset("kind = \"reset\"\nshare = 0.9", |t: &Tally| t.share(t.terminated) > 0.2)]
-#[case::hang("kind = \"hang\"\nverb = \"book\"", |t: &Tally| t.share(t.terminated) > 0.2)]
+#[case::errors("kind = \"errors\"\nshare = 0.9", |t: &Tally| t.share(t.failed) > 0.2)]
+#[case::spoil("kind = \"spoil\"\nshare = 0.9", |t: &Tally| t.share(t.failed) > 0.2)]
+#[case::reset("kind = \"reset\"\nshare = 0.9", |t: &Tally| t.share(t.failed) > 0.2)]
+#[case::hang("kind = \"hang\"\nverb = \"book\"", |t: &Tally| t.share(t.failed) > 0.2)]
 #[case::silence("kind = \"silence\"\ninstances = [0]", |t: &Tally| t.share(t.served) < 0.9)]
 #[case::death("kind = \"die\"\nzone = \"a\"", |t: &Tally| t.share(t.served) < 0.99)]
 fn a_fault_shows(#[case] fault: &str, #[case] seen: fn(&Tally) -> bool) {
@@ -82,9 +85,9 @@
     let tally = tally(&plan, &run);
     assert!(seen(&tally) && tally.unanswered == 0, "{tally:?}");
     let rules: Vec<_> = run
-        .breaches
+        .violations
         .iter()
-        .filter(|b| b.rule != crate::ledger::Rule::ColdNotPushedOver)
+        .filter(|b| b.rule != crate::ledger::Rule::ColdNotOverloaded)
         .collect();
     assert!(rules.is_empty(), "{rules:?}");
 }
@@ -102,7 +105,7 @@
     let faults: String = faults.iter().map(|f| format!("[[fault]]\n{f}\n")).collect();
     let plan = plan(&faults);
     let run = run(&plan, "passroad", seed);
-    assert!(run.breaches.is_empty(), "{:?}", run.breaches);
+    assert!(run.violations.is_empty(), "{:?}", run.violations);
     assert!(tally(&plan, &run).served > 0);
 }
 
@@ -116,8 +119,8 @@
     let plan = plan(&format!(
         "{drain}[[fault]]\n{fault}\nat = \"0s\"\nfor = \"5s\"\n"
     ));
-    let played = play(&plan, 3, "random").expect("a day");
-    let told = played.ledger.first_told_away(4).expect("told in the end");
+    let played = simulate(&plan, 3, "random").expect("a day");
+    let told = played.ledger.first_listed_away(4).expect("told in the end");
     match late {
         Some(ms) => assert!(
             (2000 + ms..2200 + ms).contains(&(told.as_millis() as u64)),
--- a/crates/passroad-rig/tests/ramp.rs
+++ b/crates/passroad-rig/tests/ramp.rs
@@ -1,9 +1,9 @@
 //! `ramp`: what a cold endpoint gets from all sidecars together, in each window of its settings.
 
-use passroad_rig::experiment::{Plan, read};
-use passroad_rig::ledger::{Answer, Entry, Facts, Ledger, Sent, Told};
-use passroad_rig::run::{Run, play_all};
-use passroad_rig::virtual_time::play;
+use passroad_rig::experiment::{Plan, parse};
+use passroad_rig::ledger::{Answer, CommandRecord, Entry, Ledger, RelayRecord, RuleContext};
+use passroad_rig::run::{Run, simulate_all};
+use passroad_rig::virtual_time::simulate;
 use rstest::rstest;
 use std::time::Duration;
 
@@ -40,7 +40,7 @@
         [load]
         per_second = 10
     "#;
-    read(text).unwrap_or_else(|wrong| panic!("{wrong:?}"))
+    parse(text).unwrap_or_else(|wrong| panic!("{wrong:?}"))
 }
 
 /// The bound of `plan`: 40 + 2 x root of 40 + 2.
@@ -51,31 +51,38 @@
     let mut ledger = Ledger::default();
     starts
         .iter()
-        .for_each(|ms| ledger.note(*ms * MS, Entry::Started { endpoint: 0 }));
+        .for_each(|ms| ledger.record(*ms * MS, Entry::EndpointStarted { endpoint: 0 }));
     for (n, (ms, verb)) in sends.into_iter().enumerate() {
         let limit = 1000 * MS;
-        ledger.note(
+        ledger.record(
             ms * MS,
-            Entry::Asked {
-                cmd: n,
+            Entry::CommandArrived {
+                command: n,
                 chain: n,
-                verb,
+                class: verb,
                 instance: n,
-                limit,
+                time_limit: limit,
             },
         );
-        ledger.note(
+        ledger.record(
             ms * MS,
-            Entry::Sent {
+            Entry::RelaySent {
                 relay: n,
-                cmd: n,
+                command: n,
                 endpoint: 0,
             },
         );
     }
-    let books = ledger.books();
-    assert_eq!(books.ramp(1, &Facts::of(&plan(), Duration::ZERO)).0, 0.0);
-    books.ramp(0, &Facts::of(&plan(), Duration::ZERO)).0
+    let books = ledger.history();
+    assert_eq!(
+        books
+            .cold_start_load(1, &RuleContext::from_plan(&plan(), Duration::ZERO))
+            .0,
+        0.0
+    );
+    books
+        .cold_start_load(0, &RuleContext::from_plan(&plan(), Duration::ZERO))
+        .0
 }
 
 fn each(n: u32, from: u32, gap: u32, verb: usize) -> impl Iterator<Item = (u32, usize)> {
@@ -127,7 +134,7 @@
         for = "3s"
         endpoints = [0]
     "#;
-    read(&format!("{text}{more}")).unwrap_or_else(|wrong| panic!("{wrong:?}"))
+    parse(&format!("{text}{more}")).unwrap_or_else(|wrong| panic!("{wrong:?}"))
 }
 
 // What drains is sent to until it is told, which six sidecars are over six seconds.
@@ -136,9 +143,20 @@
     let drain = "[[fault]]\nkind = \"drain\"\nat = \"8s\"\nfor = \"8s\"\nendpoints = [2]\n";
     let late = "[[fault]]\nkind = \"discovery-late\"\nat = \"0s\"\nfor = \"16s\"\nby = \"0s\"\nspread = \"6s\"\n";
     let last = |more: &str| {
-        let books = play(&day(more), 3, "random").expect("a day").ledger.books();
-        let of = |r: &&Sent, n: usize| r.endpoint == 2 && books.commands[r.cmd].instance == n;
-        let last = |n: usize| books.relays.iter().filter(|r| of(r, n)).map(|r| r.at).max();
+        let books = simulate(&day(more), 3, "random")
+            .expect("a day")
+            .ledger
+            .history();
+        let of =
+            |r: &&RelayRecord, n: usize| r.endpoint == 2 && books.commands[r.command].instance == n;
+        let last = |n: usize| {
+            books
+                .relays
+                .iter()
+                .filter(|r| of(r, n))
+                .map(|r| r.sent_at)
+                .max()
+        };
         (0..6)
             .map(|n| last(n).unwrap_or_default())
             .collect::<Vec<_>>()
@@ -155,26 +173,29 @@
 fn a_sidecar_killed_in_virtual_time_loses_what_it_held_and_goes_on() {
     let kill = "[[fault]]\nkind = \"sidecar-kill\"\nat = \"7s\"\ninstances = [0, 1, 2]\n";
     let plan = day(kill);
-    let run = &play_all(&plan, 1).expect("a day")[0];
-    let lost = |c: &&Told| c.lost;
-    let lost: Vec<&Told> = run.books.commands.iter().filter(lost).collect();
+    let run = &simulate_all(&plan, 1).expect("a day")[0];
+    let lost = |c: &&CommandRecord| c.lost_with_sidecar;
+    let lost: Vec<&CommandRecord> = run.history.commands.iter().filter(lost).collect();
     assert!(
-        !lost.is_empty() && lost.iter().all(|c| c.instance < 3 && c.asked <= 7000 * MS),
+        !lost.is_empty()
+            && lost
+                .iter()
+                .all(|c| c.instance < 3 && c.arrived_at <= 7000 * MS),
         "{lost:?}"
     );
     assert!(
         lost.iter().all(|c| c
             .relays
             .iter()
-            .all(|r| run.books.relays[*r].ended.is_some())),
+            .all(|r| run.history.relays[*r].ended.is_some())),
         "{lost:?}"
     );
     let after = |n: usize| {
         let own = run
-            .books
+            .history
             .commands
             .iter()
-            .filter(|c| c.instance == n && c.asked > 7000 * MS);
+            .filter(|c| c.instance == n && c.arrived_at > 7000 * MS);
         own.filter(|c| matches!(c.answers[..], [(_, Answer::Answered)]))
             .count()
     };
@@ -183,11 +204,11 @@
         "{:?}",
         (0..6).map(after).collect::<Vec<_>>()
     );
-    assert!(run.breaches.is_empty(), "{:?}", run.breaches);
+    assert!(run.violations.is_empty(), "{:?}", run.violations);
     // The same day twice.
     assert_eq!(
-        play_all(&plan, 1).expect("a day")[0].books.commands,
-        run.books.commands
+        simulate_all(&plan, 1).expect("a day")[0].history.commands,
+        run.history.commands
     );
 }
 
@@ -197,11 +218,13 @@
     let ramp = |tips: bool| {
         let mut plan = day("");
         plan.per_second *= 2.2;
-        plan.endpoints.iter_mut().for_each(|e| e.make.tips = tips);
-        let played = play(&plan, 3, "random").expect("a day");
-        let starts = played.ledger.books().starts_of(0).len();
-        let run = Run::of(&plan, "random", 3, played, Duration::ZERO);
-        (starts, run.ramp())
+        plan.endpoints
+            .iter_mut()
+            .for_each(|e| e.spec.crashes_on_overload = tips);
+        let played = simulate(&plan, 3, "random").expect("a day");
+        let starts = played.ledger.history().cold_starts_of(0).len();
+        let run = Run::from_recording(&plan, "random", 3, played, Duration::ZERO);
+        (starts, run.worst_cold_start_load())
     };
     let ((often, _), (once, whole)) = (ramp(true), ramp(false));
     assert!(
