--- a/crates/passroad-rig/src/main.rs
+++ b/crates/passroad-rig/src/main.rs
@@ -258,7 +258,7 @@
 fn program(sidecar: Option<PathBuf>) -> Result<Program, String> {
     match sidecar {
         Some(path) => {
-            sockets::usable(&path)?;
+            sockets::check_program(&path)?;
             Ok(Program {
                 path,
                 arguments: Vec::new(),
--- a/crates/passroad-rig/src/run.rs
+++ b/crates/passroad-rig/src/run.rs
@@ -139,13 +139,12 @@
     for policy in plan.policies.iter().filter(|p| p.starts_with("passroad")) {
         for seed in &plan.seeds {
             let routes = plan.routes.as_ref().filter(|_| policy == "passroad-routes");
-            let (played, remarks, fleet) =
-                sockets::play(plan, *seed, program, routes, keep, shows)?;
+            let (played, remarks, fleet) = sockets::run(plan, *seed, program, routes, keep, shows)?;
             runs.push(Run {
                 remarks,
                 fleet,
                 simulated: false,
-                ..Run::from_recording(plan, policy, *seed, played, sockets::SLACK)
+                ..Run::from_recording(plan, policy, *seed, played, sockets::ANSWER_SLACK)
             });
         }
     }
--- a/crates/passroad-rig/src/scale/discovery.rs
+++ b/crates/passroad-rig/src/scale/discovery.rs
@@ -3,7 +3,7 @@
 use super::plan::ScalePlan;
 use super::wires::{LIST, Wires};
 use super::{held, place};
-use crate::sockets::http::{Message, Talk, answer};
+use crate::sockets::http::{HttpConnection, Message, response};
 use passroad_choice::EndpointState;
 use serde_json::json;
 use std::collections::{BTreeMap, BTreeSet};
@@ -106,7 +106,7 @@
             tokio::spawn(async move {
                 while let Ok((stream, _)) = listener.accept().await {
                     let own = Arc::clone(&own);
-                    tokio::spawn(async move { own.serve(n, Talk::new(stream)).await });
+                    tokio::spawn(async move { own.serve(n, HttpConnection::new(stream)).await });
                 }
             });
         }
@@ -114,21 +114,21 @@
         tokio::spawn(async move {
             while let Ok((stream, _)) = resource.accept().await {
                 let own = Arc::clone(&own);
-                tokio::spawn(async move { own.act(Talk::new(stream)).await });
+                tokio::spawn(async move { own.act(HttpConnection::new(stream)).await });
             }
         });
         Ok(discovery)
     }
 
-    async fn act(&self, mut talk: Talk) {
-        while let Ok(Some(call)) = talk.request().await {
+    async fn act(&self, mut talk: HttpConnection) {
+        while let Ok(Some(call)) = talk.read_request().await {
             let owner = call
                 .header("owner")
                 .and_then(|n| n.parse().ok())
                 .unwrap_or_default();
             let duty = call.header("duty").unwrap_or_default().to_string();
             held(&self.owners).insert((duty, owner));
-            if talk.write(&answer("200 OK", "", "")).await.is_err() {
+            if talk.write(&response("200 OK", "", "")).await.is_err() {
                 return;
             }
         }
@@ -248,13 +248,13 @@
         }
     }
 
-    async fn serve(&self, n: usize, mut talk: Talk) {
+    async fn serve(&self, n: usize, mut talk: HttpConnection) {
         let way = self.plan.way(0, n);
-        while let Ok(Some(message)) = talk.request().await {
+        while let Ok(Some(message)) = talk.read_request().await {
             // What is sent into a cut is not here before it is over, and not at all if it was given up by then.
             tokio::select! {
                 () = self.crosses(n) => {}
-                () = talk.closed() => return,
+                () = talk.wait_closed() => return,
             }
             sleep(way).await;
             let bytes = size(&message);
@@ -282,21 +282,21 @@
                 // Whether it came or not, the answer is what there is by then. Whoever asks may be gone by then.
                 tokio::select! {
                     _ = timeout(hold.min(LONGEST_HOLD), wait) => {}
-                    () = talk.closed() => {}
+                    () = talk.wait_closed() => {}
                 }
                 self.open.fetch_sub(1, Relaxed);
             }
             tokio::select! {
                 () = self.crosses(n) => {}
-                () = talk.closed() => return,
+                () = talk.wait_closed() => return,
             }
             let said = {
                 let mut list = held(&self.list);
                 match list.down {
-                    true => answer("503 Down", "", ""),
+                    true => response("503 Down", "", ""),
                     false => {
                         let text = self.text(&mut list, from.map(|(from, _)| from));
-                        answer("200 OK", "", &text)
+                        response("200 OK", "", &text)
                     }
                 }
             };
--- a/crates/passroad-rig/src/scale/load.rs
+++ b/crates/passroad-rig/src/scale/load.rs
@@ -4,7 +4,7 @@
 use super::plan::ScalePlan;
 use super::{held, place};
 use crate::rng::SeededRng;
-use crate::sockets::http::{Talk, answer};
+use crate::sockets::http::{HttpConnection, response};
 use hdrhistogram::Histogram;
 use std::io;
 use std::net::SocketAddr;
@@ -31,12 +31,12 @@
         tokio::spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
                 tokio::spawn(async move {
-                    let mut talk = Talk::new(stream);
-                    while let Ok(Some(call)) = talk.request().await {
+                    let mut talk = HttpConnection::new(stream);
+                    while let Ok(Some(call)) = talk.read_request().await {
                         if call.target.starts_with("/call-") {
                             sleep(WORK).await;
                         }
-                        if talk.write(&answer("200 OK", "", "well")).await.is_err() {
+                        if talk.write(&response("200 OK", "", "well")).await.is_err() {
                             return;
                         }
                     }
@@ -72,7 +72,7 @@
             let (own, rate, calls) = (Arc::clone(&load), plan.load, plan.calls);
             let mut dice = SeededRng::stream(seed, "load", n as u64);
             tokio::spawn(async move {
-                let kept = Arc::<Mutex<Vec<Talk>>>::default();
+                let kept = Arc::<Mutex<Vec<HttpConnection>>>::default();
                 let mut at = Instant::now();
                 while at < until {
                     at += Duration::from_secs_f64(dice.exponential() / rate);
@@ -97,18 +97,26 @@
     }
 }
 
-async fn call(front: SocketAddr, kept: &Mutex<Vec<Talk>>, k: usize, id: u64) -> io::Result<u16> {
+async fn call(
+    front: SocketAddr,
+    kept: &Mutex<Vec<HttpConnection>>,
+    k: usize,
+    id: u64,
+) -> io::Result<u16> {
     let talk = held(kept).pop();
     let mut talk = match talk {
         Some(talk) => talk,
-        None => Talk::new(TcpStream::connect(front).await?),
+        None => HttpConnection::new(TcpStream::connect(front).await?),
     };
     let request = format!(
         "GET /call-{k} HTTP/1.1\r\nHost: rig\r\nReq-Id: {id:016x}\r\nReq-Deadline-Ms: 1000\r\n\r\n"
     );
     talk.write(request.as_bytes()).await?;
-    let said = talk.answer().await?.ok_or(io::ErrorKind::UnexpectedEof)?;
-    if !talk.came_ahead() {
+    let said = talk
+        .read_response()
+        .await?
+        .ok_or(io::ErrorKind::UnexpectedEof)?;
+    if !talk.has_buffered_bytes() {
         held(kept).push(talk);
     }
     Ok(said.status)
--- a/crates/passroad-rig/src/sockets/clients.rs
+++ b/crates/passroad-rig/src/sockets/clients.rs
@@ -1,8 +1,8 @@
-//! The applications beside the sidecars. The load is open: each command is a task of its own from its time on, so that a
-//! slow sidecar can't slow what comes after.
+//! The applications that send commands to the sidecars. The load is open-loop: each command is sent at its planned time by a
+//! task of its own, so that a slow sidecar does not delay later commands.
 
-use super::http::{Message, Talk};
-use super::scene::{Scene, held, id};
+use super::http::{HttpConnection, Message};
+use super::run_state::{RunState, lock, request_id};
 use crate::experiment::Effect;
 use crate::ledger::{Answer, Entry};
 use crate::load::{ClientRequest, RequestGenerator};
@@ -14,192 +14,199 @@
 use tokio::net::TcpStream;
 use tokio::time::{sleep, timeout_at};
 
-/// One sidecar as its application sees it.
-pub struct Side {
+/// A sidecar as seen by its application.
+pub struct SidecarClient {
     pub address: SocketAddr,
-    /// Application and sidecar stop and start together: nothing new is asked meanwhile.
+    /// The sidecar is down. An application stops and starts together with its sidecar, so it sends nothing new meanwhile.
     pub away: AtomicBool,
-    kept: Mutex<Vec<Talk>>,
+    idle: Mutex<Vec<HttpConnection>>,
 }
 
-impl Side {
+impl SidecarClient {
     pub fn new(address: SocketAddr) -> Self {
-        Side {
+        SidecarClient {
             address,
             away: AtomicBool::new(false),
-            kept: Mutex::default(),
+            idle: Mutex::default(),
         }
     }
 }
 
 pub struct Clients {
-    pub scene: Arc<Scene>,
-    pub sides: Vec<Arc<Side>>,
-    asks: Mutex<RequestGenerator>,
-    lateness: Mutex<Vec<Duration>>, // by which first tries were asked after their time
+    pub run_state: Arc<RunState>,
+    pub targets: Vec<Arc<SidecarClient>>,
+    generator: Mutex<RequestGenerator>,
+    lateness: Mutex<Vec<Duration>>, // by which first attempts were sent after their planned time
 }
 
-/// A load that is asked later than this by one in a hundred is not the load that was planned.
-const LATE: Duration = Duration::from_millis(20);
+/// Where one in a hundred commands is sent later than this, the load is not the one that was planned.
+const MAX_LATENESS: Duration = Duration::from_millis(20);
 
-/// How much later than its limit an answer may come for reasons of the machine.
-pub const SLACK: Duration = Duration::from_millis(50);
+/// How much later than its time limit an answer may arrive because of scheduling delays of the machine.
+pub const ANSWER_SLACK: Duration = Duration::from_millis(50);
 
 impl Clients {
-    pub fn new(scene: &Arc<Scene>, sides: Vec<Arc<Side>>, seed: u64) -> Arc<Self> {
-        let asks = Mutex::new(RequestGenerator::new(&scene.plan, seed));
+    pub fn new(
+        run_state: &Arc<RunState>,
+        targets: Vec<Arc<SidecarClient>>,
+        seed: u64,
+    ) -> Arc<Self> {
+        let generator = Mutex::new(RequestGenerator::new(&run_state.plan, seed));
         Arc::new(Clients {
-            scene: Arc::clone(scene),
-            sides,
-            asks,
+            run_state: Arc::clone(run_state),
+            targets,
+            generator,
             lateness: Mutex::default(),
         })
     }
 
-    /// Asks until the day is over.
+    /// Sends commands until the end of the load.
     pub async fn run(self: Arc<Self>) {
         loop {
-            let next = held(&self.asks).next_request();
-            let Some((at, ask)) = next else { return };
-            tokio::time::sleep_until(self.scene.instant(at)).await;
-            held(&self.lateness).push(self.scene.now().saturating_sub(at));
-            tokio::spawn(Arc::clone(&self).ask(ask, at));
+            let next = lock(&self.generator).next_request();
+            let Some((planned, request)) = next else {
+                return;
+            };
+            tokio::time::sleep_until(self.run_state.instant(planned)).await;
+            lock(&self.lateness).push(self.run_state.now().saturating_sub(planned));
+            tokio::spawn(Arc::clone(&self).send(request, planned));
         }
     }
 
-    /// A remark where the load itself came late: the machine was too busy, and the day says little of the sidecars.
-    pub fn late(&self) -> Option<String> {
-        let mut all = held(&self.lateness).clone();
-        all.sort_unstable();
-        let worst = all
-            .get(all.len().saturating_sub(1 + all.len() / 100))
+    /// A warning where the load itself was sent late: the machine was too busy, and the run says little of the sidecars.
+    pub fn lateness_warning(&self) -> Option<String> {
+        let mut sorted = lock(&self.lateness).clone();
+        sorted.sort_unstable();
+        let worst = sorted
+            .get(sorted.len().saturating_sub(1 + sorted.len() / 100))
             .copied()?;
-        (worst > LATE).then(|| {
-            format!("THE LOAD CAME LATE: one in a hundred commands was asked {worst:.0?} and more after its time; \
-                     this machine was too busy to tell anything of the sidecars")
+        (worst > MAX_LATENESS).then(|| {
+            format!("THE LOAD WAS LATE: one in a hundred commands was sent {worst:.0?} or more after its planned time; \
+                     this machine was too busy for the run to say anything about the sidecars")
         })
     }
 
-    fn request(&self, ask: &ClientRequest, id: &str) -> Vec<u8> {
-        let plan = &self.scene.plan;
-        let verb = &plan.classes[ask.class];
+    fn encode(&self, request: &ClientRequest, id: &str) -> Vec<u8> {
+        let plan = &self.run_state.plan;
+        let class = &plan.classes[request.class];
         let mut head = String::new();
-        if let Some(company) = ask.tenant {
-            head += &format!("Req-Owner: {}\r\n", plan.tenants[company].0);
+        if let Some(tenant) = request.tenant {
+            head += &format!("Req-Owner: {}\r\n", plan.tenants[tenant].0);
         }
-        if ask.is_retry && plan.retries_marked {
+        if request.is_retry && plan.retries_marked {
             head += "Req-Retry: 1\r\n";
         }
-        if verb.effect == Effect::Keyed {
-            head += &format!("Idempotency-Key: k{}\r\n", ask.serial);
+        if class.effect == Effect::Keyed {
+            head += &format!("Idempotency-Key: k{}\r\n", request.serial);
         }
-        let (method, body) = match verb.effect {
+        let (method, body) = match class.effect {
             Effect::Safe => ("GET", ""),
             Effect::Keyed | Effect::NonIdempotent => ("POST", "seat"),
         };
         if !body.is_empty() {
             head += &format!("Content-Length: {}\r\n", body.len());
         }
-        let (name, limit) = (&verb.name, verb.time_limit.as_millis());
+        let (name, limit) = (&class.name, class.time_limit.as_millis());
         let line = format!(
             "{method} /{name} HTTP/1.1\r\nHost: rig\r\nReq-Id: {id}\r\nReq-Deadline-Ms: {limit}\r\n"
         );
         format!("{line}{head}\r\n{body}").into_bytes()
     }
 
-    async fn ask(self: Arc<Self>, mut ask: ClientRequest, mut planned: Duration) {
+    async fn send(self: Arc<Self>, mut request: ClientRequest, mut planned: Duration) {
         loop {
-            let side = Arc::clone(&self.sides[ask.instance]);
-            if side.away.load(Relaxed) {
+            let client = Arc::clone(&self.targets[request.instance]);
+            if client.away.load(Relaxed) {
                 return;
             }
-            let (cmd, asked) = self.scene.asked(ask, planned);
-            ask = asked;
-            let id = id(cmd);
-            let request = self.request(&ask, &id);
-            let verb = &self.scene.plan.classes[ask.class];
+            let (command, recorded) = self.run_state.record_request(request, planned);
+            request = recorded;
+            let id = request_id(command);
+            let bytes = self.encode(&request, &id);
+            let class = &self.run_state.plan.classes[request.class];
             let end = self
-                .scene
-                .instant(self.scene.now() + verb.time_limit + SLACK);
-            let answer = match timeout_at(end, exchange(&side, &request)).await {
+                .run_state
+                .instant(self.run_state.now() + class.time_limit + ANSWER_SLACK);
+            let answer = match timeout_at(end, exchange(&client, &bytes)).await {
                 Ok(Ok(answer)) => answer,
-                // A connection that ends without an answer, or none by the end: the ledger sees that nothing came.
-                Ok(Err(_)) if side.away.load(Relaxed) => return,
-                Ok(Err(fault)) => {
-                    log::debug!("command {cmd}: {fault}");
+                // The connection ended without an answer, or none arrived in time: the ledger shows that there is no answer.
+                Ok(Err(_)) if client.away.load(Relaxed) => return,
+                Ok(Err(error)) => {
+                    log::debug!("command {command}: {error}");
                     return;
                 }
                 Err(_) => return,
             };
-            let (answer, after) = match answer.status {
+            let (answer, retry_after) = match answer.status {
                 200 => {
-                    let own = answer
+                    let matches = answer
                         .body
                         .strip_prefix(id.as_bytes())
-                        .is_some_and(|b| b.starts_with(b" by "));
-                    if !own {
-                        self.scene.note(Entry::AnswerMixedUp { command: cmd });
+                        .is_some_and(|rest| rest.starts_with(b" by "));
+                    if !matches {
+                        self.run_state.record(Entry::AnswerMixedUp { command });
                     }
                     (Answer::Answered, None)
                 }
                 429 | 503 => {
-                    let after = answer
+                    let retry_after = answer
                         .header("retry-after")
-                        .and_then(|t| t.parse::<f64>().ok());
+                        .and_then(|seconds| seconds.parse::<f64>().ok());
                     (
                         Answer::Refused,
-                        after.map(|s| Duration::from_secs_f64(s.clamp(0.0, 60.0))),
+                        retry_after
+                            .map(|seconds| Duration::from_secs_f64(seconds.clamp(0.0, 60.0))),
                     )
                 }
                 _ => (Answer::Failed, None),
             };
-            self.scene.note(Entry::Answered {
-                command: cmd,
-                answer,
-            });
+            self.run_state.record(Entry::Answered { command, answer });
             if answer != Answer::Refused {
                 return;
             }
-            let again = held(&self.asks).retry(&ask, after);
-            let Some((wait, next)) = again else { return };
-            planned = self.scene.now() + wait;
-            sleep(wait).await;
-            if self.scene.now() >= self.scene.plan.length {
+            let retry = lock(&self.generator).retry(&request, retry_after);
+            let Some((delay, next)) = retry else { return };
+            planned = self.run_state.now() + delay;
+            sleep(delay).await;
+            if self.run_state.now() >= self.run_state.plan.length {
                 return;
             }
-            ask = next;
+            request = next;
         }
     }
 }
 
-/// One request and its answer, over a kept connection where there is one. One that turns out to be closed has taken
-/// nothing: the request goes once more over a new one.
-async fn exchange(side: &Side, request: &[u8]) -> io::Result<Message> {
-    let kept = held(&side.kept).pop();
-    if let Some(mut talk) = kept
-        && let Ok(Some(answer)) = once(&mut talk, request).await
+/// Sends one request and reads its answer, over an idle connection where there is one. An idle connection that turns out to
+/// be closed has not delivered the request, which is then sent once more over a new one.
+async fn exchange(client: &SidecarClient, request: &[u8]) -> io::Result<Message> {
+    let idle = lock(&client.idle).pop();
+    if let Some(mut connection) = idle
+        && let Ok(Some(answer)) = exchange_on(&mut connection, request).await
     {
-        keep(side, talk, &answer);
+        keep_idle(client, connection, &answer);
         return Ok(answer);
     }
-    let mut talk = Talk::new(TcpStream::connect(side.address).await?);
-    let answer = once(&mut talk, request)
+    let mut connection = HttpConnection::new(TcpStream::connect(client.address).await?);
+    let answer = exchange_on(&mut connection, request)
         .await?
         .ok_or(io::ErrorKind::UnexpectedEof)?;
-    keep(side, talk, &answer);
+    keep_idle(client, connection, &answer);
     Ok(answer)
 }
 
-async fn once(talk: &mut Talk, request: &[u8]) -> io::Result<Option<Message>> {
-    talk.write(request).await?;
-    talk.answer().await
+async fn exchange_on(
+    connection: &mut HttpConnection,
+    request: &[u8],
+) -> io::Result<Option<Message>> {
+    connection.write(request).await?;
+    connection.read_response().await
 }
 
-fn keep(side: &Side, talk: Talk, answer: &Message) {
+fn keep_idle(client: &SidecarClient, connection: HttpConnection, answer: &Message) {
     let closes = answer
         .header("connection")
         .is_some_and(|v| v.eq_ignore_ascii_case("close"));
-    if !closes && !talk.came_ahead() {
-        held(&side.kept).push(talk);
+    if !closes && !connection.has_buffered_bytes() {
+        lock(&client.idle).push(connection);
     }
 }
--- a/crates/passroad-rig/src/sockets/discovery.rs
+++ b/crates/passroad-rig/src/sockets/discovery.rs
@@ -1,8 +1,8 @@
-//! Discovery as the protocol has it: whole lists, watches that wait for news, and its own troubles.
+//! The discovery stand-in: complete lists, long polls that wait for a newer revision, and the faults of discovery.
 
-use super::endpoint::Stand;
-use super::http::{Talk, answer};
-use super::scene::{Scene, address, held};
+use super::endpoint::EndpointServer;
+use super::http::{HttpConnection, response};
+use super::run_state::{RunState, lock, loopback_address};
 use crate::experiment::ScheduledChange;
 use crate::ledger::Entry;
 use passroad_choice::EndpointState;
@@ -15,47 +15,52 @@
 use tokio::sync::watch;
 use tokio::time::{sleep, timeout};
 
-const LONGEST_HOLD: Duration = Duration::from_secs(60);
+const MAX_HOLD: Duration = Duration::from_secs(60);
 
 pub struct Discovery {
-    scene: Arc<Scene>,
-    stands: Vec<Arc<Stand>>,
+    run_state: Arc<RunState>,
+    servers: Vec<Arc<EndpointServer>>,
     list: Mutex<List>,
-    news: watch::Sender<u64>, // the newest revision
+    newest_revision: watch::Sender<u64>,
     addresses: Vec<SocketAddr>,
 }
 
 struct List {
-    entries: Vec<(EndpointState, u64)>, // and the revision that it has been so since
+    entries: Vec<(EndpointState, u64)>, // with the revision of the last change of state
     revision: u64,
-    by: Duration,
-    turns: Duration,
+    delay: Duration,
+    stagger: Duration, // spread of the delay over all instances
     down: bool,
     malformed: bool,
 }
 
 impl Discovery {
-    pub async fn start(scene: &Arc<Scene>, stands: &[Arc<Stand>]) -> io::Result<Arc<Discovery>> {
+    pub async fn start(
+        run_state: &Arc<RunState>,
+        servers: &[Arc<EndpointServer>],
+    ) -> io::Result<Arc<Discovery>> {
         let mut listeners = Vec::new();
-        for instance in 0..scene.plan.instances {
-            listeners.push(TcpListener::bind(SocketAddr::new(address(249, instance), 0)).await?);
+        for instance in 0..run_state.plan.instances {
+            listeners.push(
+                TcpListener::bind(SocketAddr::new(loopback_address(249, instance), 0)).await?,
+            );
         }
         let addresses = listeners
             .iter()
             .map(TcpListener::local_addr)
             .collect::<io::Result<_>>()?;
         let discovery = Arc::new(Discovery {
-            scene: Arc::clone(scene),
-            stands: stands.to_vec(),
+            run_state: Arc::clone(run_state),
+            servers: servers.to_vec(),
             list: Mutex::new(List {
-                entries: vec![(EndpointState::Running, 1); stands.len()],
+                entries: vec![(EndpointState::Running, 1); servers.len()],
                 revision: 1,
-                by: Duration::ZERO,
-                turns: Duration::ZERO,
+                delay: Duration::ZERO,
+                stagger: Duration::ZERO,
                 down: false,
                 malformed: false,
             }),
-            news: watch::channel(1).0,
+            newest_revision: watch::channel(1).0,
             addresses,
         });
         for (instance, listener) in listeners.into_iter().enumerate() {
@@ -63,7 +68,9 @@
             tokio::spawn(async move {
                 while let Ok((stream, _)) = listener.accept().await {
                     let discovery = Arc::clone(&discovery);
-                    tokio::spawn(async move { discovery.serve(instance, Talk::new(stream)).await });
+                    tokio::spawn(async move {
+                        discovery.serve(instance, HttpConnection::new(stream)).await
+                    });
                 }
             });
         }
@@ -74,87 +81,88 @@
         self.addresses[instance]
     }
 
-    /// What a sidecar may remember from before: the whole list as it is.
-    pub fn known(&self, instance: usize) -> Value {
-        let list = held(&self.list);
-        self.text(instance, &list, None)
+    /// The complete current list, which a sidecar starts with as its cached list.
+    pub fn cached_list(&self, instance: usize) -> Value {
+        let list = lock(&self.list);
+        self.list_json(instance, &list, None)
     }
 
-    pub fn change(self: &Arc<Self>, change: &ScheduledChange) {
+    pub fn apply(self: &Arc<Self>, change: &ScheduledChange) {
         match change {
-            ScheduledChange::DiscoveryDelay(by) => held(&self.list).by = *by,
-            ScheduledChange::DiscoveryStagger(spread) => held(&self.list).turns = *spread,
-            ScheduledChange::DiscoveryMalformed(on) => held(&self.list).malformed = *on,
+            ScheduledChange::DiscoveryDelay(delay) => lock(&self.list).delay = *delay,
+            ScheduledChange::DiscoveryStagger(spread) => lock(&self.list).stagger = *spread,
+            ScheduledChange::DiscoveryMalformed(on) => lock(&self.list).malformed = *on,
             ScheduledChange::DiscoveryDown(on) => {
-                held(&self.list).down = *on;
-                // Watches wake and see it.
-                self.news.send_modify(|_| {});
+                lock(&self.list).down = *on;
+                // Wakes the long polls, so that they fail.
+                self.newest_revision.send_modify(|_| {});
             }
-            ScheduledChange::Drain(n) => self.tell(*n, EndpointState::Draining),
-            ScheduledChange::Leave(n) => self.tell(*n, EndpointState::Removed),
-            ScheduledChange::Crash(n) => self.later(
-                *n,
-                self.scene.plan.crash_listed_after,
+            ScheduledChange::Drain(endpoint) => self.set_state(*endpoint, EndpointState::Draining),
+            ScheduledChange::Leave(endpoint) => self.set_state(*endpoint, EndpointState::Removed),
+            ScheduledChange::Crash(endpoint) => self.set_state_later(
+                *endpoint,
+                self.run_state.plan.crash_listed_after,
                 EndpointState::Removed,
             ),
-            ScheduledChange::Start(n) => {
-                self.later(*n, Duration::from_millis(50), EndpointState::Running)
+            ScheduledChange::Start(endpoint) => {
+                self.set_state_later(*endpoint, Duration::from_millis(50), EndpointState::Running)
             }
             _ => {}
         }
     }
 
-    /// Looked at once more when the time has come: what died may be back, and the other way round.
-    pub fn later(self: &Arc<Self>, n: usize, after: Duration, mode: EndpointState) {
+    /// Sets the state after a delay if it still matches the endpoint then: one that crashed may be up again, and one that
+    /// started may have crashed.
+    pub fn set_state_later(self: &Arc<Self>, index: usize, after: Duration, state: EndpointState) {
         let discovery = Arc::clone(self);
         tokio::spawn(async move {
             sleep(after).await;
-            if (mode == EndpointState::Running) == discovery.stands[n].is_up() {
-                discovery.tell(n, mode);
+            if (state == EndpointState::Running) == discovery.servers[index].is_up() {
+                discovery.set_state(index, state);
             }
         });
     }
 
-    fn tell(&self, n: usize, mode: EndpointState) {
-        let mut list = held(&self.list);
-        if list.entries[n].0 != mode {
+    fn set_state(&self, index: usize, state: EndpointState) {
+        let mut list = lock(&self.list);
+        if list.entries[index].0 != state {
             list.revision += 1;
-            list.entries[n] = (mode, list.revision);
-            self.news.send_replace(list.revision);
+            list.entries[index] = (state, list.revision);
+            self.newest_revision.send_replace(list.revision);
         }
     }
 
-    fn member(&self, instance: usize, n: usize, mode: EndpointState) -> Value {
-        let (plan, stand) = (&self.scene.plan, &self.stands[n]);
-        let endpoint = &plan.endpoints[n];
-        let phase = match mode {
+    fn member(&self, instance: usize, index: usize, state: EndpointState) -> Value {
+        let (plan, server) = (&self.run_state.plan, &self.servers[index]);
+        let endpoint = &plan.endpoints[index];
+        let phase = match state {
             EndpointState::Running => "up",
             EndpointState::Draining => "draining",
             EndpointState::Removed => "removed",
         };
         json!({
-            "id": format!("e{n}"), "host_port": stand.address(instance).to_string(),
+            "id": format!("e{index}"), "host_port": server.address(instance).to_string(),
             "locality": plan.zones[endpoint.zone], "flavor": plan.kinds[endpoint.kind],
             "cell": endpoint.cell, "phase": phase, "size": endpoint.weight,
-            "up_since_ms": stand.started().map_or(0, |at| self.scene.unix_ms(at)),
+            "up_since_ms": server.started_at().map_or(0, |time| self.run_state.unix_ms(time)),
         })
     }
 
-    /// The whole list, or what is newer than a revision.
-    fn text(&self, instance: usize, list: &List, from: Option<u64>) -> Value {
-        let newer = |n: &usize| match from {
-            Some(from) => list.entries[*n].1 > from,
-            None => list.entries[*n].0 != EndpointState::Removed,
+    /// The complete list, or the entries that changed after a revision.
+    fn list_json(&self, instance: usize, list: &List, from: Option<u64>) -> Value {
+        let included = |index: &usize| match from {
+            Some(from) => list.entries[*index].1 > from,
+            None => list.entries[*index].0 != EndpointState::Removed,
         };
         let members: Vec<Value> = (0..list.entries.len())
-            .filter(newer)
-            .map(|n| self.member(instance, n, list.entries[n].0))
+            .filter(included)
+            .map(|index| self.member(instance, index, list.entries[index].0))
             .collect();
         json!({ "revision": list.revision, "complete": from.is_none(), "members": members })
     }
 
-    async fn serve(&self, instance: usize, mut talk: Talk) {
-        while let Ok(Some(message)) = talk.request().await {
+    async fn serve(&self, instance: usize, mut connection: HttpConnection) {
+        while let Ok(Some(message)) = connection.read_request().await {
             let from = message.target.split_once("?from=").and_then(|(_, query)| {
                 let (from, hold) = query.split_once("&hold_ms=")?;
                 Some((
@@ -162,46 +170,52 @@
                     Duration::from_millis(hold.parse().ok()?),
                 ))
             });
-            let mut news = self.news.subscribe();
+            let mut newest_revision = self.newest_revision.subscribe();
             if let Some((from, hold)) = from {
-                let wait = news.wait_for(|newest| *newest > from || held(&self.list).down);
-                // Whether it came or not, the answer is what there is by then.
-                let _ = timeout(hold.min(LONGEST_HOLD), wait).await;
+                let wait =
+                    newest_revision.wait_for(|newest| *newest > from || lock(&self.list).down);
+                // With or without a newer revision, the answer is the list as it is then.
+                let _ = timeout(hold.min(MAX_HOLD), wait).await;
             }
-            let (by, down) = {
-                let list = held(&self.list);
-                let turn = list
-                    .turns
+            let (delay, down) = {
+                let list = lock(&self.list);
+                let offset = list
+                    .stagger
                     .mul_f64(instance as f64 / self.addresses.len() as f64);
-                (list.by + turn, list.down)
+                (list.delay + offset, list.down)
             };
             if down {
-                let _ = talk.write(&answer("503 Down", "", "")).await;
+                let _ = connection.write(&response("503 Down", "", "")).await;
                 continue;
             }
-            let (text, told) = {
-                let list = held(&self.list);
+            let (text, sent) = {
+                let list = lock(&self.list);
                 if list.malformed {
                     ("{".to_string(), Vec::new())
                 } else {
-                    let of = |n: &usize| from.is_none_or(|(from, _)| list.entries[*n].1 > from);
-                    let told: Vec<_> = (0..list.entries.len())
-                        .filter(of)
-                        .map(|n| (n, list.entries[n].0))
+                    let newer =
+                        |index: &usize| from.is_none_or(|(from, _)| list.entries[*index].1 > from);
+                    let sent: Vec<_> = (0..list.entries.len())
+                        .filter(newer)
+                        .map(|index| (index, list.entries[index].0))
                         .collect();
                     (
-                        self.text(instance, &list, from.map(|(from, _)| from))
+                        self.list_json(instance, &list, from.map(|(from, _)| from))
                             .to_string(),
-                        told,
+                        sent,
                     )
                 }
             };
-            sleep(by).await;
-            if talk.write(&answer("200 OK", "", &text)).await.is_err() {
+            sleep(delay).await;
+            if connection
+                .write(&response("200 OK", "", &text))
+                .await
+                .is_err()
+            {
                 return;
             }
-            for (endpoint, mode) in told {
-                self.scene.note(match mode {
+            for (endpoint, state) in sent {
+                self.run_state.record(match state {
                     EndpointState::Running => Entry::ListedUp { instance, endpoint },
                     EndpointState::Draining | EndpointState::Removed => {
                         Entry::ListedAway { instance, endpoint }
--- a/crates/passroad-rig/src/sockets/endpoint.rs
+++ b/crates/passroad-rig/src/sockets/endpoint.rs
@@ -1,8 +1,8 @@
-//! The model of an endpoint behind real sockets: it listens for each sidecar at an address of its own, so that a cut can
-//! concern some of them only.
+//! The endpoint model behind real sockets. It listens at a separate address for each sidecar, so that a network cut can
+//! affect some of them only.
 
-use super::http::{Message, Talk, answer};
-use super::scene::{Scene, address, held};
+use super::http::{HttpConnection, Message, response};
+use super::run_state::{RunState, lock, loopback_address, request_id};
 use crate::experiment::{ReportMode, ScheduledChange};
 use crate::ledger::{CommandId, Entry, RelayId};
 use crate::load::ClientRequest;
@@ -20,64 +20,71 @@
 use tokio::time::{sleep_until, timeout};
 
 const BACKLOG: u32 = 1024;
-/// For an address to be free again.
-const PATIENCE: Duration = Duration::from_secs(2);
+/// How long to wait until an address is free again.
+const ADDRESS_REUSE_TIMEOUT: Duration = Duration::from_secs(2);
 
-pub struct Stand {
-    scene: Arc<Scene>,
-    n: usize,
+pub struct EndpointServer {
+    run_state: Arc<RunState>,
+    index: usize,
     addresses: Vec<SocketAddr>, // by instance
-    model: Mutex<Held>,
-    poke: Notify, // the model was touched: look when it next changes
-    free: Notify, // a stall or a cut is over
-    cuts: Vec<AtomicBool>,
-    talks: Mutex<HashMap<u64, AbortHandle>>,
-    doors: Mutex<Vec<Option<AbortHandle>>>, // by instance
-    serial: AtomicU64,
-    tipped: AtomicBool,
+    model: Mutex<ModelState>,
+    model_changed: Notify, // the time of the model's next event may have changed
+    unblocked: Notify,     // a stall or a cut may be over
+    cut_off: Vec<AtomicBool>,
+    connection_tasks: Mutex<HashMap<u64, AbortHandle>>,
+    listener_tasks: Mutex<Vec<Option<AbortHandle>>>, // by instance
+    next_connection: AtomicU64,
+    crashed: AtomicBool, // by the model itself; the server has yet to follow
 }
 
-struct Held {
+struct ModelState {
     endpoint: Endpoint,
     waiting: HashMap<JobId, oneshot::Sender<(JobResult, EndpointLoad)>>,
 }
 
-impl Stand {
-    pub async fn start(scene: &Arc<Scene>, n: usize, seed: u64) -> io::Result<Arc<Stand>> {
-        let plan = &scene.plan;
+impl EndpointServer {
+    pub async fn start(
+        run_state: &Arc<RunState>,
+        index: usize,
+        seed: u64,
+    ) -> io::Result<Arc<EndpointServer>> {
+        let plan = &run_state.plan;
         let (mut addresses, mut listeners) = (Vec::new(), Vec::new());
         for instance in 0..plan.instances {
-            let listener = listen(SocketAddr::new(address(n, instance), 0), BACKLOG)?;
+            let listener = bind_listener(
+                SocketAddr::new(loopback_address(index, instance), 0),
+                BACKLOG,
+            )?;
             addresses.push(listener.local_addr()?);
             listeners.push(listener);
         }
         let endpoint = Endpoint::new(
-            plan.endpoints[n].spec.clone(),
-            SeededRng::stream(seed, "endpoint", n as u64),
+            plan.endpoints[index].spec.clone(),
+            SeededRng::stream(seed, "endpoint", index as u64),
         );
-        let stand = Arc::new(Stand {
-            scene: Arc::clone(scene),
-            n,
+        let server = Arc::new(EndpointServer {
+            run_state: Arc::clone(run_state),
+            index,
             addresses,
-            model: Mutex::new(Held {
+            model: Mutex::new(ModelState {
                 endpoint,
                 waiting: HashMap::new(),
             }),
-            poke: Notify::new(),
-            free: Notify::new(),
-            cuts: (0..plan.instances)
+            model_changed: Notify::new(),
+            unblocked: Notify::new(),
+            cut_off: (0..plan.instances)
                 .map(|_| AtomicBool::new(false))
                 .collect(),
-            talks: Mutex::default(),
-            doors: Mutex::new((0..plan.instances).map(|_| None).collect()),
-            serial: AtomicU64::new(0),
-            tipped: AtomicBool::new(false),
+            connection_tasks: Mutex::default(),
+            listener_tasks: Mutex::new((0..plan.instances).map(|_| None).collect()),
+            next_connection: AtomicU64::new(0),
+            crashed: AtomicBool::new(false),
         });
         for (instance, listener) in listeners.into_iter().enumerate() {
-            stand.open(instance, listener);
+            server.listen(instance, listener);
         }
-        tokio::spawn(Arc::clone(&stand).drive());
-        Ok(stand)
+        tokio::spawn(Arc::clone(&server).run_model());
+        Ok(server)
     }
 
     pub fn address(&self, instance: usize) -> SocketAddr {
@@ -85,347 +92,372 @@
     }
 
     pub fn is_up(&self) -> bool {
-        held(&self.model).endpoint.is_up()
+        lock(&self.model).endpoint.is_up()
     }
 
-    pub fn look(&self) -> (usize, usize) {
-        let model = held(&self.model);
+    /// Commands held and connections open.
+    pub fn sample(&self) -> (usize, usize) {
+        let model = lock(&self.model);
         (model.endpoint.outstanding(), model.endpoint.connections())
     }
 
-    /// Lets the model's time pass and hands out what shows; gives when it next changes.
-    fn turn(&self) -> Option<Duration> {
-        let mut model = held(&self.model);
-        model.endpoint.advance(self.scene.now());
-        for shown in model.endpoint.take_events() {
-            match shown {
-                EndpointEvent::Started(job) => self.scene.note(Entry::JobStarted {
+    /// Advances the model to the present and handles its events; returns the time of its next one.
+    fn advance_model(&self) -> Option<Duration> {
+        let mut model = lock(&self.model);
+        model.endpoint.advance(self.run_state.now());
+        for event in model.endpoint.take_events() {
+            match event {
+                EndpointEvent::Started(job) => self.run_state.record(Entry::JobStarted {
                     relay: job as usize,
                 }),
-                EndpointEvent::Finished(job, verdict) => {
+                EndpointEvent::Finished(job, result) => {
                     let load = model.endpoint.load_report();
-                    if let Some(tell) = model.waiting.remove(&job) {
-                        let _ = tell.send((verdict, load));
+                    if let Some(sender) = model.waiting.remove(&job) {
+                        let _ = sender.send((result, load));
                     }
                 }
-                EndpointEvent::Crashed => self.tipped.store(true, Relaxed),
+                EndpointEvent::Crashed => self.crashed.store(true, Relaxed),
             }
         }
         model.endpoint.next_event_at()
     }
 
-    async fn drive(self: Arc<Self>) {
+    async fn run_model(self: Arc<Self>) {
         loop {
-            let wake = self.turn();
-            if self.tipped.swap(false, Relaxed) {
-                self.die();
-                let stand = Arc::clone(&self);
+            let wake = self.advance_model();
+            if self.crashed.swap(false, Relaxed) {
+                self.crash();
+                let server = Arc::clone(&self);
                 tokio::spawn(async move {
                     sleep_until(
-                        stand
-                            .scene
-                            .instant(stand.scene.now() + stand.scene.plan.restart_after),
+                        server
+                            .run_state
+                            .instant(server.run_state.now() + server.run_state.plan.restart_after),
                     )
                     .await;
-                    if let Err(fault) = stand.restart().await {
-                        log::error!("endpoint {} could not start again: {fault}", stand.n);
+                    if let Err(error) = server.restart().await {
+                        log::error!("endpoint {} could not restart: {error}", server.index);
                     }
                 });
             }
-            let poked = self.poke.notified();
+            let changed = self.model_changed.notified();
             match wake {
-                Some(at) => tokio::select! {
-                    () = poked => {}
-                    () = sleep_until(self.scene.instant(at)) => {}
+                Some(time) => tokio::select! {
+                    () = changed => {}
+                    () = sleep_until(self.run_state.instant(time)) => {}
                 },
-                None => poked.await,
+                None => changed.await,
             }
         }
     }
 
-    fn touch(&self, change: impl FnOnce(&mut Endpoint)) {
-        self.turn();
-        change(&mut held(&self.model).endpoint);
-        self.poke.notify_one();
+    fn change_model(&self, change: impl FnOnce(&mut Endpoint)) {
+        self.advance_model();
+        change(&mut lock(&self.model).endpoint);
+        self.model_changed.notify_one();
     }
 
-    // ---- what a day does to it ----
+    // ---- scheduled changes ----
 
-    /// Carries out what concerns this endpoint; the list is another's.
-    pub async fn change(self: &Arc<Self>, change: &ScheduledChange) -> io::Result<()> {
+    /// Applies the part of a change that concerns this endpoint; the discovery stand-in applies what concerns the list.
+    pub async fn apply(self: &Arc<Self>, change: &ScheduledChange) -> io::Result<()> {
         match change {
-            ScheduledChange::EndpointFault(_, turn) => {
-                self.touch(|e| e.apply_fault(turn));
-                self.free.notify_waiters();
+            ScheduledChange::EndpointFault(_, fault) => {
+                self.change_model(|endpoint| endpoint.apply_fault(fault));
+                self.unblocked.notify_waiters();
             }
             ScheduledChange::NetworkCut { instances, on, .. } => {
                 for (instance, _) in instances
                     .iter()
                     .enumerate()
-                    .filter(|(_, concerned)| **concerned)
+                    .filter(|(_, affected)| **affected)
                 {
-                    self.cut(instance, *on).await?;
+                    self.set_cut(instance, *on).await?;
                 }
             }
-            ScheduledChange::Crash(_) | ScheduledChange::Leave(_) => self.die(),
+            ScheduledChange::Crash(_) | ScheduledChange::Leave(_) => self.crash(),
             ScheduledChange::Start(_) => self.restart().await?,
-            ScheduledChange::Drain(_) => self.touch(Endpoint::drain),
+            ScheduledChange::Drain(_) => self.change_model(Endpoint::drain),
             _ => {}
         }
         Ok(())
     }
 
-    /// The process ends: connections are reset, new ones refused.
-    fn die(&self) {
-        held(&self.doors)
+    /// Ends as a crashed process does: connections are reset, new ones refused.
+    fn crash(&self) {
+        lock(&self.listener_tasks)
             .iter_mut()
             .filter_map(Option::take)
-            .for_each(|door| door.abort());
-        held(&self.talks).drain().for_each(|(_, talk)| talk.abort());
-        let mut model = held(&self.model);
-        model.endpoint.advance(self.scene.now());
+            .for_each(|task| task.abort());
+        lock(&self.connection_tasks)
+            .drain()
+            .for_each(|(_, task)| task.abort());
+        let mut model = lock(&self.model);
+        model.endpoint.advance(self.run_state.now());
         for job in model.endpoint.crash() {
-            self.scene.note(Entry::RelayEnded {
+            self.run_state.record(Entry::RelayEnded {
                 relay: job as usize,
                 never_ran: false,
             });
         }
         model.waiting.clear();
         drop(model);
-        self.poke.notify_one();
+        self.model_changed.notify_one();
     }
 
     async fn restart(self: &Arc<Self>) -> io::Result<()> {
         if self.is_up() {
             return Ok(());
         }
-        let now = self.scene.now();
-        held(&self.model).endpoint.start(now);
-        if !self.scene.plan.endpoints[self.n]
+        let now = self.run_state.now();
+        lock(&self.model).endpoint.start(now);
+        if !self.run_state.plan.endpoints[self.index]
             .spec
             .warm_up_time
             .is_zero()
         {
-            self.scene.note(Entry::EndpointStarted { endpoint: self.n });
+            self.run_state.record(Entry::EndpointStarted {
+                endpoint: self.index,
+            });
         }
         for instance in 0..self.addresses.len() {
-            if !self.cuts[instance].load(Relaxed) {
-                self.open(
+            if !self.cut_off[instance].load(Relaxed) {
+                self.listen(
                     instance,
-                    listen_again(self.addresses[instance], BACKLOG).await?,
+                    bind_listener_with_retry(self.addresses[instance], BACKLOG).await?,
                 );
             }
         }
-        self.poke.notify_one();
+        self.model_changed.notify_one();
         Ok(())
     }
 
-    pub fn started(&self) -> Option<Duration> {
-        held(&self.model).endpoint.started_at()
+    pub fn started_at(&self) -> Option<Duration> {
+        lock(&self.model).endpoint.started_at()
     }
 
-    /// Cut off from one sidecar: what is open stays open and silent, nothing new comes up.
-    async fn cut(self: &Arc<Self>, instance: usize, on: bool) -> io::Result<()> {
-        self.cuts[instance].store(on, Relaxed);
-        let door = held(&self.doors)[instance].take();
-        if let Some(door) = door {
-            door.abort();
+    /// Begins or ends a network cut from one sidecar: open connections stay open without traffic, and no new one can be
+    /// established.
+    async fn set_cut(self: &Arc<Self>, instance: usize, on: bool) -> io::Result<()> {
+        self.cut_off[instance].store(on, Relaxed);
+        let task = lock(&self.listener_tasks)[instance].take();
+        if let Some(task) = task {
+            task.abort();
         }
         if on {
-            let deaf = deaf(self.addresses[instance]).await?;
+            let unresponsive = listen_without_accepting(self.addresses[instance]).await?;
             let hold = tokio::spawn(async move {
                 std::future::pending::<()>().await;
-                drop(deaf);
+                drop(unresponsive);
             });
-            held(&self.doors)[instance] = Some(hold.abort_handle());
+            lock(&self.listener_tasks)[instance] = Some(hold.abort_handle());
         } else {
             if self.is_up() {
-                self.open(
+                self.listen(
                     instance,
-                    listen_again(self.addresses[instance], BACKLOG).await?,
+                    bind_listener_with_retry(self.addresses[instance], BACKLOG).await?,
                 );
             }
-            self.free.notify_waiters();
+            self.unblocked.notify_waiters();
         }
         Ok(())
     }
 
-    // ---- its connections ----
+    // ---- connections ----
 
-    fn open(self: &Arc<Self>, instance: usize, listener: TcpListener) {
-        let stand = Arc::clone(self);
-        let door = tokio::spawn(async move {
+    fn listen(self: &Arc<Self>, instance: usize, listener: TcpListener) {
+        let server = Arc::clone(self);
+        let task = tokio::spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                stand.take_in(instance, stream);
+                server.accept(instance, stream);
             }
         });
-        if let Some(old) = held(&self.doors)[instance].replace(door.abort_handle()) {
-            old.abort();
+        if let Some(previous) = lock(&self.listener_tasks)[instance].replace(task.abort_handle()) {
+            previous.abort();
         }
     }
 
-    fn take_in(self: &Arc<Self>, instance: usize, stream: TcpStream) {
-        let (stand, serial) = (Arc::clone(self), self.serial.fetch_add(1, Relaxed));
-        let room = held(&self.model).endpoint.connect();
-        if !room {
+    fn accept(self: &Arc<Self>, instance: usize, stream: TcpStream) {
+        let (server, id) = (Arc::clone(self), self.next_connection.fetch_add(1, Relaxed));
+        let accepted = lock(&self.model).endpoint.connect();
+        if !accepted {
             return;
         }
-        self.scene.connections.fetch_add(1, Relaxed);
+        self.run_state.connections.fetch_add(1, Relaxed);
         let task = tokio::spawn(async move {
-            let mut talk = Talk::new(stream);
-            // Whoever is aborted resets: its process is gone.
-            talk.reset_on_close();
-            stand.serve(instance, &mut talk).await;
-            held(&stand.model).endpoint.disconnect();
-            held(&stand.talks).remove(&serial);
+            let mut connection = HttpConnection::new(stream);
+            // An aborted task resets its connection, as the end of a process does.
+            connection.reset_on_close();
+            server.serve(instance, &mut connection).await;
+            lock(&server.model).endpoint.disconnect();
+            lock(&server.connection_tasks).remove(&id);
         });
-        held(&self.talks).insert(serial, task.abort_handle());
+        lock(&self.connection_tasks).insert(id, task.abort_handle());
     }
 
-    /// Waits while the endpoint stands still or is cut off from this sidecar.
-    async fn reachable(&self, instance: usize) {
+    /// Waits while the endpoint is stalled or cut off from this sidecar.
+    async fn wait_until_reachable(&self, instance: usize) {
         loop {
-            let freed = self.free.notified();
-            let stalled = held(&self.model).endpoint.faults.stalled;
-            if !stalled && !self.cuts[instance].load(Relaxed) {
+            let unblocked = self.unblocked.notified();
+            let stalled = lock(&self.model).endpoint.faults.stalled;
+            if !stalled && !self.cut_off[instance].load(Relaxed) {
                 return;
             }
-            let _ = timeout(Duration::from_millis(20), freed).await;
+            let _ = timeout(Duration::from_millis(20), unblocked).await;
         }
     }
 
-    async fn serve(&self, instance: usize, talk: &mut Talk) {
+    async fn serve(&self, instance: usize, connection: &mut HttpConnection) {
         let mut first = true;
-        while let Ok(Some(message)) = talk.request().await {
+        while let Ok(Some(message)) = connection.read_request().await {
             let probe = ["/load", "/healthz"].contains(&message.target.as_str());
-            let sent = if probe { None } else { self.sent(&message) };
-            // What is written across a cut is out for its sidecar, and does not arrive.
-            if self.cuts[instance].load(Relaxed) {
-                talk.closed().await;
-                sent.iter().for_each(|(relay, ..)| {
-                    self.scene.note(Entry::RelayEnded {
+            let relay = if probe {
+                None
+            } else {
+                self.record_relay(&message)
+            };
+            // A relay sent across a cut counts as sent by its sidecar, and never arrives.
+            if self.cut_off[instance].load(Relaxed) {
+                connection.wait_closed().await;
+                relay.iter().for_each(|(relay, ..)| {
+                    self.run_state.record(Entry::RelayEnded {
                         relay: *relay,
                         never_ran: false,
                     })
                 });
                 return;
             }
-            self.reachable(instance).await;
-            let goes_on = match sent {
-                _ if probe => self.probed(talk).await,
-                Some(sent) => {
-                    self.command(instance, talk, sent, std::mem::take(&mut first))
+            self.wait_until_reachable(instance).await;
+            let keep_open = match relay {
+                _ if probe => self.answer_probe(connection).await,
+                Some(relay) => {
+                    self.answer_relay(instance, connection, relay, std::mem::take(&mut first))
                         .await
                 }
-                None => talk.write(&answer("400 Unknown", "", "")).await.is_ok(),
+                None => connection
+                    .write(&response("400 Unknown", "", ""))
+                    .await
+                    .is_ok(),
             };
             first = false;
-            if !goes_on {
+            if !keep_open {
                 return;
             }
         }
     }
 
-    async fn probed(&self, talk: &mut Talk) -> bool {
-        self.scene.note(Entry::ProbeSent { endpoint: self.n });
-        self.turn();
-        let load = held(&self.model).endpoint.load_report();
-        let body = if self.scene.plan.report_mode() == ReportMode::Silent {
+    async fn answer_probe(&self, connection: &mut HttpConnection) -> bool {
+        self.run_state.record(Entry::ProbeSent {
+            endpoint: self.index,
+        });
+        self.advance_model();
+        let load = lock(&self.model).endpoint.load_report();
+        let body = if self.run_state.plan.report_mode() == ReportMode::Silent {
             "ok".into()
         } else {
             load_text(load)
         };
-        talk.write(&answer("200 OK", "", &body)).await.is_ok()
+        connection
+            .write(&response("200 OK", "", &body))
+            .await
+            .is_ok()
     }
 
-    /// A relay counts from when its last byte has come, also where the endpoint stands still and reads it later.
-    fn sent(&self, message: &Message) -> Option<(RelayId, CommandId, ClientRequest)> {
-        let (cmd, ask) = message
+    /// Records a relay as sent once its last byte has arrived, even where the endpoint is stalled and handles it later.
+    fn record_relay(&self, message: &Message) -> Option<(RelayId, CommandId, ClientRequest)> {
+        let (command, request) = message
             .header("req-id")
-            .and_then(|id| self.scene.find(id))?;
-        let relay = self.scene.relay();
-        self.scene.note(Entry::RelaySent {
+            .and_then(|id| self.run_state.find_request(id))?;
+        let relay = self.run_state.next_relay_id();
+        self.run_state.record(Entry::RelaySent {
             relay,
-            command: cmd,
-            endpoint: self.n,
+            command,
+            endpoint: self.index,
         });
-        Some((relay, cmd, ask))
+        Some((relay, command, request))
     }
 
-    /// One relay and its answer; whether the connection goes on.
-    async fn command(
+    /// Handles one relay and sends its answer; returns whether the connection stays open.
+    async fn answer_relay(
         &self,
         instance: usize,
-        talk: &mut Talk,
-        (relay, cmd, ask): (RelayId, CommandId, ClientRequest),
-        new: bool,
+        connection: &mut HttpConnection,
+        (relay, command, request): (RelayId, CommandId, ClientRequest),
+        new_connection: bool,
     ) -> bool {
-        self.turn();
-        let (tell, told) = oneshot::channel();
-        let (offer, load) = {
-            let mut model = held(&self.model);
-            let work = ask.work
-                + if new {
+        self.advance_model();
+        let (sender, receiver) = oneshot::channel();
+        let (admission, load) = {
+            let mut model = lock(&self.model);
+            let work = request.work
+                + if new_connection {
                     model.endpoint.spec.connection_work
                 } else {
                     0.0
                 };
-            let offer = model.endpoint.offer(Job {
+            let admission = model.endpoint.offer(Job {
                 id: relay as JobId,
-                class: ask.class,
+                class: request.class,
                 work,
             });
-            if offer == Admission::Accepted {
-                model.waiting.insert(relay as JobId, tell);
+            if admission == Admission::Accepted {
+                model.waiting.insert(relay as JobId, sender);
             }
-            (offer, model.endpoint.load_report())
+            (admission, model.endpoint.load_report())
         };
-        // Right away, so that what it began counts from here.
-        self.turn();
-        self.poke.notify_one();
-        let ended = |proven| {
-            self.scene.note(Entry::RelayEnded {
-                relay,
-                never_ran: proven,
-            })
+        // At once, so that a job that was started counts as started now.
+        self.advance_model();
+        self.model_changed.notify_one();
+        let record_end = |never_ran| {
+            self.run_state
+                .record(Entry::RelayEnded { relay, never_ran })
         };
-        if offer != Admission::Accepted {
-            ended(offer == Admission::Rejected);
+        if admission != Admission::Accepted {
+            record_end(admission == Admission::Rejected);
             let headers = format!("Srv-Declined: 1\r\n{}", self.load_header(load));
-            return offer == Admission::Rejected
-                && talk.write(&answer("503 Full", &headers, "")).await.is_ok();
+            return admission == Admission::Rejected
+                && connection
+                    .write(&response("503 Full", &headers, ""))
+                    .await
+                    .is_ok();
         }
-        let told = tokio::select! {
-            told = told => told,
-            () = talk.closed() => {
-                ended(false);
-                self.touch(|e| {
-                    e.cancel(relay as JobId);
+        let outcome = tokio::select! {
+            outcome = receiver => outcome,
+            () = connection.wait_closed() => {
+                record_end(false);
+                self.change_model(|endpoint| {
+                    endpoint.cancel(relay as JobId);
                 });
-                held(&self.model).waiting.remove(&(relay as JobId));
+                lock(&self.model).waiting.remove(&(relay as JobId));
                 return false;
             }
         };
-        let Ok((verdict, load)) = told else {
+        let Ok((result, load)) = outcome else {
             return false;
         };
-        if self.cuts[instance].load(Relaxed) {
-            // The answer is lost on its way; the sidecar gives up by itself.
-            talk.closed().await;
-            ended(false);
+        if self.cut_off[instance].load(Relaxed) {
+            // The answer is lost on its way; the sidecar runs into its own timeout.
+            connection.wait_closed().await;
+            record_end(false);
             return false;
         }
-        self.reachable(instance).await;
-        ended(false);
+        self.wait_until_reachable(instance).await;
+        record_end(false);
         let headers = self.load_header(load);
-        match verdict {
+        match result {
             JobResult::Completed => {
-                let body = format!("{} by {}", super::scene::id(cmd), self.n);
-                talk.write(&answer("200 OK", &headers, &body)).await.is_ok()
+                let body = format!("{} by {}", request_id(command), self.index);
+                connection
+                    .write(&response("200 OK", &headers, &body))
+                    .await
+                    .is_ok()
             }
-            JobResult::Error => talk.write(&answer("500 Oh", &headers, "")).await.is_ok(),
+            JobResult::Error => connection
+                .write(&response("500 Oh", &headers, ""))
+                .await
+                .is_ok(),
             JobResult::Malformed => {
-                let _ = talk.write(b"\x01\x02noise\r\n\r\n").await;
+                let _ = connection.write(b"\x01\x02noise\r\n\r\n").await;
                 false
             }
             JobResult::Reset => false,
@@ -433,7 +465,7 @@
     }
 
     fn load_header(&self, load: EndpointLoad) -> String {
-        match self.scene.plan.report_mode() {
+        match self.run_state.plan.report_mode() {
             ReportMode::Piggyback => format!("Srv-Load: {}\r\n", load_text(load)),
             ReportMode::Pull | ReportMode::Silent => String::new(),
         }
@@ -447,39 +479,44 @@
     )
 }
 
-fn listen(at: SocketAddr, backlog: u32) -> io::Result<TcpListener> {
+fn bind_listener(address: SocketAddr, backlog: u32) -> io::Result<TcpListener> {
     let socket = TcpSocket::new_v4()?;
     socket.set_reuseaddr(true)?;
-    socket.bind(at)?;
+    socket.bind(address)?;
     socket.listen(backlog)
 }
 
-/// The same where a listener that was just given up may still hold the address: its task needs a turn to end.
-async fn listen_again(at: SocketAddr, backlog: u32) -> io::Result<TcpListener> {
-    let began = std::time::Instant::now();
+/// Binds a listener to an address that a listener just closed may still hold: its task has to be polled once more to end.
+async fn bind_listener_with_retry(address: SocketAddr, backlog: u32) -> io::Result<TcpListener> {
+    let started = std::time::Instant::now();
     loop {
-        match listen(at, backlog) {
-            Err(fault)
-                if fault.kind() == io::ErrorKind::AddrInUse && began.elapsed() < PATIENCE =>
+        match bind_listener(address, backlog) {
+            Err(error)
+                if error.kind() == io::ErrorKind::AddrInUse
+                    && started.elapsed() < ADDRESS_REUSE_TIMEOUT =>
             {
                 tokio::time::sleep(Duration::from_millis(1)).await;
             }
             other => {
-                return other.map_err(|e| io::Error::new(e.kind(), format!("listen on {at}: {e}")));
+                return other
+                    .map_err(|e| io::Error::new(e.kind(), format!("listen on {address}: {e}")));
             }
         }
     }
 }
 
-/// A listener to which no connection comes up: its backlog is full and nobody accepts.
-async fn deaf(at: SocketAddr) -> io::Result<(TcpListener, Vec<TcpStream>)> {
-    let listener = listen_again(at, 0).await?;
-    let mut full = Vec::new();
-    while let Ok(Ok(stream)) = timeout(Duration::from_millis(20), TcpStream::connect(at)).await {
-        full.push(stream);
-        if full.len() > 8 {
+/// A listener to which no connection can be established: its backlog is full and nothing accepts.
+async fn listen_without_accepting(
+    address: SocketAddr,
+) -> io::Result<(TcpListener, Vec<TcpStream>)> {
+    let listener = bind_listener_with_retry(address, 0).await?;
+    let mut backlog = Vec::new();
+    while let Ok(Ok(stream)) = timeout(Duration::from_millis(20), TcpStream::connect(address)).await
+    {
+        backlog.push(stream);
+        if backlog.len() > 8 {
             break;
         }
     }
-    Ok((listener, full))
+    Ok((listener, backlog))
 }
--- a/crates/passroad-rig/src/sockets/http.rs
+++ b/crates/passroad-rig/src/sockets/http.rs
@@ -1,18 +1,18 @@
-//! HTTP/1.1 as little as stand-ins need: a message is read whole, and written whole or spoilt on purpose.
+//! The part of HTTP/1.1 that the stand-ins need: messages are read whole, and written whole or deliberately malformed.
 
 use std::io;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-const LONGEST: usize = 256 << 10;
-const MOST_HEADERS: usize = 32;
+const MAX_MESSAGE_BYTES: usize = 256 << 10;
+const MAX_HEADERS: usize = 32;
 
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Message {
-    /// The method of a request; empty for an answer.
+    /// The method of a request; empty for a response.
     pub method: String,
     pub target: String,
-    /// Of an answer; 0 for a request.
+    /// The status of a response; 0 for a request.
     pub status: u16,
     pub headers: Vec<(String, String)>,
     pub body: Vec<u8>,
@@ -27,59 +27,59 @@
     }
 }
 
-/// A connection and what has been read ahead on it.
-pub struct Talk {
+/// A connection and the bytes that were read from it beyond the last message.
+pub struct HttpConnection {
     pub stream: TcpStream,
-    ahead: Vec<u8>,
+    buffer: Vec<u8>,
 }
 
-impl Talk {
+impl HttpConnection {
     pub fn new(stream: TcpStream) -> Self {
         let _ = stream.set_nodelay(true);
-        Talk {
+        HttpConnection {
             stream,
-            ahead: Vec::new(),
+            buffer: Vec::new(),
         }
     }
 
-    /// Whether something of a next message has come already.
-    pub fn came_ahead(&self) -> bool {
-        !self.ahead.is_empty()
+    /// Whether bytes of a next message were read already.
+    pub fn has_buffered_bytes(&self) -> bool {
+        !self.buffer.is_empty()
     }
 
-    pub async fn request(&mut self) -> io::Result<Option<Message>> {
+    pub async fn read_request(&mut self) -> io::Result<Option<Message>> {
         self.read(true).await
     }
 
-    pub async fn answer(&mut self) -> io::Result<Option<Message>> {
+    pub async fn read_response(&mut self) -> io::Result<Option<Message>> {
         self.read(false).await
     }
 
-    /// None where the connection ends between two messages.
+    /// None where the peer closes the connection between two messages.
     async fn read(&mut self, request: bool) -> io::Result<Option<Message>> {
         loop {
-            if let Some((mut message, head, length)) = parse(&self.ahead, request)? {
-                while self.ahead.len() < head + length {
-                    if self.stream.read_buf(&mut self.ahead).await? == 0 {
+            if let Some((mut message, head, length)) = parse(&self.buffer, request)? {
+                while self.buffer.len() < head + length {
+                    if self.stream.read_buf(&mut self.buffer).await? == 0 {
                         return Err(io::ErrorKind::UnexpectedEof.into());
                     }
                 }
-                message.body = self.ahead[head..head + length].to_vec();
-                self.ahead.drain(..head + length);
+                message.body = self.buffer[head..head + length].to_vec();
+                self.buffer.drain(..head + length);
                 return Ok(Some(message));
             }
-            if self.ahead.len() > LONGEST {
+            if self.buffer.len() > MAX_MESSAGE_BYTES {
                 return Err(io::Error::new(
                     io::ErrorKind::InvalidData,
-                    "a head without end",
+                    "head of a message is too long",
                 ));
             }
-            if self.stream.read_buf(&mut self.ahead).await? == 0 {
-                let fault = io::ErrorKind::UnexpectedEof;
-                return if self.ahead.is_empty() {
+            if self.stream.read_buf(&mut self.buffer).await? == 0 {
+                let error = io::ErrorKind::UnexpectedEof;
+                return if self.buffer.is_empty() {
                     Ok(None)
                 } else {
-                    Err(fault.into())
+                    Err(error.into())
                 };
             }
         }
@@ -89,32 +89,32 @@
         self.stream.write_all(bytes).await
     }
 
-    /// Ends once the other side has closed; what it sends meanwhile is kept.
-    pub async fn closed(&mut self) {
-        while !self.came_ahead() {
-            match self.stream.read_buf(&mut self.ahead).await {
+    /// Returns once the peer has closed the connection; bytes that it sends meanwhile are buffered.
+    pub async fn wait_closed(&mut self) {
+        while !self.has_buffered_bytes() {
+            match self.stream.read_buf(&mut self.buffer).await {
                 Ok(n) if n > 0 => {}
                 _ => return,
             }
         }
-        // Something came ahead of its turn: it is no end, and nothing more is looked for.
+        // The peer sent a further message early: the connection is open, and nothing more is read.
         std::future::pending().await
     }
 
-    /// So that closing it is a reset.
+    /// Makes closing the connection a TCP reset.
     pub fn reset_on_close(&self) {
         let _ = socket2::SockRef::from(&self.stream).set_linger(Some(std::time::Duration::ZERO));
     }
 }
 
-/// A message's head, its length and that of the body behind it; none while it is not whole.
+/// The parsed head of a message, its length and the length of the body; None while the head is incomplete.
 fn parse(bytes: &[u8], request: bool) -> io::Result<Option<(Message, usize, usize)>> {
-    let odd = |what: String| io::Error::new(io::ErrorKind::InvalidData, what);
-    let mut room = [httparse::EMPTY_HEADER; MOST_HEADERS];
+    let invalid = |what: String| io::Error::new(io::ErrorKind::InvalidData, what);
+    let mut header_buffer = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let (mut message, head, headers) = if request {
-        let mut parsed = httparse::Request::new(&mut room);
+        let mut parsed = httparse::Request::new(&mut header_buffer);
         let httparse::Status::Complete(head) =
-            parsed.parse(bytes).map_err(|e| odd(e.to_string()))?
+            parsed.parse(bytes).map_err(|e| invalid(e.to_string()))?
         else {
             return Ok(None);
         };
@@ -129,9 +129,9 @@
         };
         (message, head, parsed.headers)
     } else {
-        let mut parsed = httparse::Response::new(&mut room);
+        let mut parsed = httparse::Response::new(&mut header_buffer);
         let httparse::Status::Complete(head) =
-            parsed.parse(bytes).map_err(|e| odd(e.to_string()))?
+            parsed.parse(bytes).map_err(|e| invalid(e.to_string()))?
         else {
             return Ok(None);
         };
@@ -154,15 +154,15 @@
         None => 0,
         Some(text) => text
             .parse()
-            .map_err(|_| odd(format!("a length of '{text}'")))?,
+            .map_err(|_| invalid(format!("invalid content-length '{text}'")))?,
     };
-    if length > LONGEST {
-        return Err(odd(format!("a body of {length} bytes")));
+    if length > MAX_MESSAGE_BYTES {
+        return Err(invalid(format!("body of {length} bytes is too long")));
     }
     Ok(Some((message, head, length)))
 }
 
-pub fn answer(status: &str, headers: &str, body: &str) -> Vec<u8> {
+pub fn response(status: &str, headers: &str, body: &str) -> Vec<u8> {
     format!(
         "HTTP/1.1 {status}\r\n{headers}Content-Length: {}\r\n\r\n{body}",
         body.len()
--- a/crates/passroad-rig/src/sockets/mod.rs
+++ b/crates/passroad-rig/src/sockets/mod.rs
@@ -1,29 +1,31 @@
-//! A day on loopback sockets: the model behind HTTP/1.1, real sidecars in processes of their own, clients with an open
-//! load, discovery. What is measured here hangs on the machine; the rules don't.
+//! Runs an experiment in real time on loopback sockets: endpoint models behind HTTP/1.1, real sidecar processes, clients
+//! with an open-loop load, and discovery. Measured figures depend on the machine; the checked rules do not.
 
 mod clients;
 mod discovery;
 mod endpoint;
-mod ground;
+mod fenced_resource;
+mod fleet_environment;
 pub(crate) mod http;
-mod peers;
-mod resource;
-mod scene;
+mod peer_network;
+mod process_control;
+mod run_state;
 mod sidecar;
 
-pub use clients::SLACK;
-pub use sidecar::{Program, usable};
+pub use clients::ANSWER_SLACK;
+pub use sidecar::{Program, check_program};
 
 use crate::experiment::{Plan, ScheduledChange};
 use crate::fleet::FleetDay;
 use crate::ledger::Entry;
 use crate::rng::SeededRng;
 use crate::virtual_time::{FleetSample, Recording};
-use clients::{Clients, Side};
+use clients::{Clients, SidecarClient};
 use discovery::Discovery;
-use endpoint::Stand;
-use ground::Ground;
-use scene::Scene;
+use endpoint::EndpointServer;
+use fleet_environment::FleetEnvironment;
+use process_control::{cordon, kill, stop, upgrade};
+use run_state::RunState;
 use sidecar::Sidecar;
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
@@ -31,19 +33,19 @@
 use std::time::Duration;
 use tokio::sync::Mutex;
 use tokio::task::JoinSet;
-use tokio::time::{sleep, sleep_until};
+use tokio::time::sleep_until;
 
-const LEAD: Duration = Duration::from_secs(2); // until the day begins, for all to start
-const LOOK: Duration = Duration::from_millis(100);
-const RESTART: Duration = Duration::from_millis(500); // of a sidecar that was killed
-/// New commands still come for so long after a sidecar was told to stop.
-const STILL_ASKING: Duration = Duration::from_millis(300);
+/// Time for all processes to start before the run begins; more for each instance.
+const START_DELAY: Duration = Duration::from_secs(2);
+const SAMPLE_INTERVAL: Duration = Duration::from_millis(100);
+/// A killed sidecar is restarted after this time.
+const RESTART_DELAY: Duration = Duration::from_millis(500);
 
-/// Where files of a day are put; gone with it.
-struct Folder(PathBuf);
+/// The temporary folder of a run; deleted when dropped.
+struct TemporaryFolder(PathBuf);
 
-impl Folder {
-    fn new() -> std::io::Result<Folder> {
+impl TemporaryFolder {
+    fn new() -> std::io::Result<TemporaryFolder> {
         static COUNT: AtomicUsize = AtomicUsize::new(0);
         let name = format!(
             "passroad-rig-{}-{}",
@@ -52,205 +54,234 @@
         );
         let path = std::env::temp_dir().join(name);
         std::fs::create_dir_all(&path)?;
-        Ok(Folder(path))
+        Ok(TemporaryFolder(path))
     }
 }
 
-impl Drop for Folder {
+impl Drop for TemporaryFolder {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.0);
     }
 }
 
-/// Plays a day in real time; remarks tell what the wire does not show. `keep` is where logs of sidecars go.
-pub fn play(
+/// Runs a plan in real time; the remarks report what the ledger does not show. `log_folder` is where the logs of the
+/// sidecars are kept, if anywhere.
+pub fn run(
     plan: &Plan,
     seed: u64,
     program: &Program,
     routes: Option<&String>,
-    keep: Option<&Path>,
-    shows: bool,
+    log_folder: Option<&Path>,
+    show_progress: bool,
 ) -> Result<(Recording, Vec<String>, Option<FleetDay>), String> {
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .worker_threads(3)
         .enable_all()
         .build();
     let runtime = runtime.map_err(|e| format!("runtime: {e}"))?;
-    let played = runtime.block_on(day(plan, seed, program, routes, keep, shows));
-    // What still waits somewhere has nothing more to tell.
+    let result = runtime.block_on(run_plan(
+        plan,
+        seed,
+        program,
+        routes,
+        log_folder,
+        show_progress,
+    ));
+    // Tasks that still wait don't contribute to the result any more.
     runtime.shutdown_background();
-    played.map_err(|e| e.to_string())
+    result.map_err(|e| e.to_string())
 }
 
+/// The sidecars by instance.
 type Sidecars = Arc<Vec<Mutex<Sidecar>>>;
 
-async fn day(
+async fn run_plan(
     plan: &Plan,
     seed: u64,
     program: &Program,
     routes: Option<&String>,
-    keep: Option<&Path>,
-    shows: bool,
+    log_folder: Option<&Path>,
+    show_progress: bool,
 ) -> std::io::Result<(Recording, Vec<String>, Option<FleetDay>)> {
     if plan.endpoints.len() > 240 || plan.instances > 240 {
         return Err(std::io::Error::other(
             "on sockets there are 240 endpoints and 240 instances at most",
         ));
     }
-    let scene = Arc::new(Scene::new(
+    let run_state = Arc::new(RunState::new(
         plan.clone(),
-        LEAD + Duration::from_millis(20 * plan.instances as u64),
+        START_DELAY + Duration::from_millis(20 * plan.instances as u64),
     ));
-    let folder = Folder::new()?;
-    let mut stands = Vec::new();
-    for n in 0..plan.endpoints.len() {
-        stands.push(Stand::start(&scene, n, seed).await?);
+    let folder = TemporaryFolder::new()?;
+    let mut servers = Vec::new();
+    for endpoint in 0..plan.endpoints.len() {
+        servers.push(EndpointServer::start(&run_state, endpoint, seed).await?);
     }
-    let discovery = Discovery::start(&scene, &stands).await?;
+    let discovery = Discovery::start(&run_state, &servers).await?;
     if let Some(routes) = routes {
-        std::fs::write(folder.0.join(sidecar::ROUTES), routes)?;
+        std::fs::write(folder.0.join(sidecar::ROUTES_FILE), routes)?;
     }
-    let ground = match &plan.fleet {
-        Some(fleet) => Some(Ground::start(&scene, fleet, seed).await?),
+    let environment = match &plan.fleet {
+        Some(fleet) => Some(FleetEnvironment::start(&run_state, fleet, seed).await?),
         None => None,
     };
-    let (mut sidecars, mut sides, mut starts) = (Vec::new(), Vec::new(), JoinSet::new());
-    for n in 0..plan.instances {
-        let own = SeededRng::stream(seed, "instance", n as u64).next_u64();
-        let mut sidecar = Sidecar::new(&scene, program, &folder.0, n, own, &discovery)?;
-        if let Some(ground) = &ground {
-            std::fs::write(sidecar.fleet_file(), ground.file(n, &folder.0))?;
-            ground.tell(n, sidecar.told());
+    let (mut sidecars, mut targets, mut starts) = (Vec::new(), Vec::new(), JoinSet::new());
+    for instance in 0..plan.instances {
+        let instance_seed = SeededRng::stream(seed, "instance", instance as u64).next_u64();
+        let mut sidecar = Sidecar::new(
+            &run_state,
+            program,
+            &folder.0,
+            instance,
+            instance_seed,
+            &discovery,
+        )?;
+        if let Some(environment) = &environment {
+            std::fs::write(
+                sidecar.fleet_file_path(),
+                environment.fleet_file(instance, &folder.0),
+            )?;
+            environment.configure(instance, sidecar.configuration_mut());
         }
-        sides.push(Arc::new(Side::new(sidecar.address)));
-        starts.spawn(async move { (n, sidecar.start().await, sidecar) });
+        targets.push(Arc::new(SidecarClient::new(sidecar.address)));
+        starts.spawn(async move { (instance, sidecar.start().await, sidecar) });
     }
     while let Some(started) = starts.join_next().await {
         sidecars.push(started.map_err(std::io::Error::other)?);
     }
-    sidecars.sort_by_key(|(n, ..)| *n);
-    // Of several that did not come up the first is named, whichever was the quickest.
+    sidecars.sort_by_key(|(instance, ..)| *instance);
+    // Of several that failed to start, the one with the lowest number is reported, whichever failed first.
     let started = sidecars
         .into_iter()
         .map(|(_, started, sidecar)| started.map(|()| Mutex::new(sidecar)));
     let sidecars = started.collect::<std::io::Result<Vec<Mutex<Sidecar>>>>()?;
     let sidecars: Sidecars = Arc::new(sidecars);
-    let clients = Clients::new(&scene, sides, seed);
-    let asking = tokio::spawn(Arc::clone(&clients).run());
-    let looking = tokio::spawn(look(Arc::clone(&scene), stands.clone()));
-    let showing = shows.then(|| tokio::spawn(show(Arc::clone(&scene))));
-    if let Some(ground) = &ground {
-        ground.strike(&clients, &sidecars);
-        ground.have_work_done(&sidecars);
+    let clients = Clients::new(&run_state, targets, seed);
+    let sending = tokio::spawn(Arc::clone(&clients).run());
+    let sampling = tokio::spawn(sample_endpoints(Arc::clone(&run_state), servers.clone()));
+    let progress = show_progress.then(|| tokio::spawn(print_progress(Arc::clone(&run_state))));
+    if let Some(environment) = &environment {
+        environment.schedule_faults(&clients, &sidecars);
+        environment.schedule_maintenance(&sidecars);
     }
     let mut remarks = Vec::new();
-    for (at, change) in &plan.changes {
-        sleep_until(scene.instant(*at)).await;
+    for (time, change) in &plan.changes {
+        sleep_until(run_state.instant(*time)).await;
         match change {
-            ScheduledChange::SidecarKill(n) => drop(tokio::spawn(kill(
+            ScheduledChange::SidecarKill(instance) => drop(tokio::spawn(kill(
                 Arc::clone(&clients),
                 Arc::clone(&sidecars),
-                *n,
-                RESTART,
+                *instance,
+                RESTART_DELAY,
             ))),
-            ScheduledChange::SidecarStop(n) => drop(tokio::spawn(stop(
+            ScheduledChange::SidecarStop(instance) => drop(tokio::spawn(stop(
                 Arc::clone(&clients),
                 Arc::clone(&sidecars),
-                *n,
+                *instance,
             ))),
-            ScheduledChange::SidecarUpgrade(n) => drop(tokio::spawn(upgrade(
+            ScheduledChange::SidecarUpgrade(instance) => drop(tokio::spawn(upgrade(
                 Arc::clone(&clients),
                 Arc::clone(&sidecars),
-                *n,
+                *instance,
             ))),
-            ScheduledChange::SidecarReconfigure(n, relays) => {
-                sidecars[*n].lock().await.retune(*relays)?
+            ScheduledChange::SidecarReconfigure(instance, relays) => {
+                sidecars[*instance].lock().await.reconfigure(*relays)?
             }
-            ScheduledChange::Cordon(endpoint, out) => {
-                cordon(&scene, &sidecars, *endpoint, *out).await
+            ScheduledChange::Cordon(endpoint, cordoned) => {
+                cordon(&run_state, &sidecars, *endpoint, *cordoned).await
             }
-            ScheduledChange::SidecarReload(n) => sidecars[*n]
+            ScheduledChange::SidecarReload(instance) => sidecars[*instance]
                 .lock()
                 .await
                 .signal(rustix::process::Signal::HUP)?,
-            ScheduledChange::EndpointFault(n, _)
-            | ScheduledChange::Crash(n)
-            | ScheduledChange::Start(n)
-            | ScheduledChange::Drain(n)
-            | ScheduledChange::Leave(n) => {
-                stands[*n].change(change).await?;
-                discovery.change(change);
+            ScheduledChange::EndpointFault(endpoint, _)
+            | ScheduledChange::Crash(endpoint)
+            | ScheduledChange::Start(endpoint)
+            | ScheduledChange::Drain(endpoint)
+            | ScheduledChange::Leave(endpoint) => {
+                servers[*endpoint].apply(change).await?;
+                discovery.apply(change);
             }
             ScheduledChange::NetworkCut { endpoint, .. } => {
-                stands[*endpoint].change(change).await?
+                servers[*endpoint].apply(change).await?
             }
-            _ => discovery.change(change),
+            _ => discovery.apply(change),
         }
     }
-    let _ = asking.await;
+    let _ = sending.await;
     let end = plan.length + plan.answer_tail() + Duration::from_millis(200);
-    sleep_until(scene.instant(end)).await;
-    let looks = looking.await.unwrap_or_default();
-    if let Some(showing) = showing {
-        let _ = showing.await;
+    sleep_until(run_state.instant(end)).await;
+    let samples = sampling.await.unwrap_or_default();
+    if let Some(progress) = progress {
+        let _ = progress.await;
     }
-    remarks.extend(clients.late());
-    let fleet = ground.as_ref().map(|ground| ground.day(plan.length));
+    remarks.extend(clients.lateness_warning());
+    let fleet = environment
+        .as_ref()
+        .map(|environment| environment.results(plan.length));
     let mut lines = Vec::new();
-    let commands = scene.commands();
+    let commands = run_state.commands_per_instance();
     let mut stops = JoinSet::new();
-    for (n, sidecar) in sidecars.iter().enumerate() {
+    for (instance, sidecar) in sidecars.iter().enumerate() {
         let mut sidecar = sidecar.lock().await;
-        if let Some(status) = sidecar.crashed() {
-            remarks.push(format!("sidecar {n} ended by itself: {status}"));
-            scene.note(Entry::SidecarCrashed { instance: n });
+        if let Some(status) = sidecar.take_crash() {
+            remarks.push(format!("sidecar {instance} ended by itself: {status}"));
+            run_state.record(Entry::SidecarCrashed { instance });
         } else {
-            if let Some(used) = sidecar.used() {
-                let own = commands.get(n).copied().unwrap_or_default().max(1);
-                let each = used.cpu.as_secs_f64() * 1e6 / own as f64;
-                let (cpu, mb) = (used.cpu.as_secs_f64(), used.memory_kb as f64 / 1024.0);
+            if let Some(usage) = sidecar.resource_usage() {
+                let own = commands.get(instance).copied().unwrap_or_default().max(1);
+                let each = usage.cpu.as_secs_f64() * 1e6 / own as f64;
+                let (cpu, mb) = (usage.cpu.as_secs_f64(), usage.memory_kb as f64 / 1024.0);
                 remarks.push(format!(
-                    "sidecar {n}: {own} commands, {cpu:.2} s CPU, {each:.0} us each, {mb:.1} MB"
+                    "sidecar {instance}: {own} commands, {cpu:.2} s CPU, {each:.0} us each, {mb:.1} MB"
                 ));
             }
             let sidecars = Arc::clone(&sidecars);
-            stops.spawn(async move { (n, sidecars[n].lock().await.stop().await) });
+            stops.spawn(async move { (instance, sidecars[instance].lock().await.stop().await) });
         }
     }
-    // All together: one after the other would take a second each.
+    // All at the same time: one after the other would take a second each.
     while let Some(stopped) = stops.join_next().await {
-        let (n, ended) = stopped.map_err(std::io::Error::other)?;
+        let (instance, ended) = stopped.map_err(std::io::Error::other)?;
         if !matches!(ended, Ok(Some(0))) {
-            remarks.push(format!("sidecar {n} ended with {ended:?} after SIGTERM"));
-            scene.note(Entry::SidecarCrashed { instance: n });
+            remarks.push(format!(
+                "sidecar {instance} ended with {ended:?} after SIGTERM"
+            ));
+            run_state.record(Entry::SidecarCrashed { instance });
         }
     }
-    let (mut first, mut again) = (Vec::new(), Vec::new());
+    let (mut first, mut repeated) = (Vec::new(), Vec::new());
     for sidecar in sidecars.iter() {
-        let mut times = sidecar.lock().await.ready_after.clone().into_iter();
+        let mut times = sidecar.lock().await.ready_times.clone().into_iter();
         first.extend(times.next());
-        again.extend(times);
+        repeated.extend(times);
     }
-    for (what, times) in [("first", first), ("again", again)] {
-        remarks.extend(sidecar::by_share(times).map(|said| format!("started {what}: {said}")));
+    for (which, times) in [("first", first), ("again", repeated)] {
+        remarks.extend(
+            sidecar::summarize_ready_times(times)
+                .map(|summary| format!("started {which}: {summary}")),
+        );
     }
-    for (n, sidecar) in sidecars.iter().enumerate() {
+    for (instance, sidecar) in sidecars.iter().enumerate() {
         let sidecar = sidecar.lock().await;
-        let said = std::fs::read_to_string(sidecar.log()).unwrap_or_default();
+        let log = std::fs::read_to_string(sidecar.log_path()).unwrap_or_default();
         lines.extend(
-            said.lines()
-                .map(|line| (Duration::ZERO, n, line.to_string())),
+            log.lines()
+                .map(|line| (Duration::ZERO, instance, line.to_string())),
         );
-        if let Some(keep) = keep {
-            std::fs::create_dir_all(keep)?;
-            std::fs::write(keep.join(format!("sidecar-{seed}-{n}.log")), said)?;
+        if let Some(log_folder) = log_folder {
+            std::fs::create_dir_all(log_folder)?;
+            std::fs::write(
+                log_folder.join(format!("sidecar-{seed}-{instance}.log")),
+                log,
+            )?;
         }
     }
-    let connections = scene.connections.load(Relaxed);
+    let connections = run_state.connections.load(Relaxed);
     Ok((
         Recording {
-            ledger: scene.take_ledger(),
-            samples: looks,
+            ledger: run_state.take_ledger(),
+            samples,
             log_lines: lines,
             connections,
         },
@@ -259,105 +290,32 @@
     ))
 }
 
-/// A line a second while a day goes on.
-async fn show(scene: Arc<Scene>) {
-    for second in 1..=scene.plan.length.as_secs() {
-        sleep_until(scene.instant(Duration::from_secs(second))).await;
-        let (asked, answered, declined, terminated) = scene.counts();
+/// Prints a line of counts every second of the run.
+async fn print_progress(run_state: Arc<RunState>) {
+    for second in 1..=run_state.plan.length.as_secs() {
+        sleep_until(run_state.instant(Duration::from_secs(second))).await;
+        let (sent, answered, refused, failed) = run_state.counts();
         println!(
-            "{second:>4} s: {asked} asked, {answered} answered, {declined} declined, {terminated} terminated"
+            "{second:>4} s: {sent} sent, {answered} answered, {refused} refused, {failed} failed"
         );
     }
 }
 
-async fn look(scene: Arc<Scene>, stands: Vec<Arc<Stand>>) -> Vec<FleetSample> {
-    let mut looks = Vec::new();
-    let mut at = Duration::ZERO;
-    while at <= scene.plan.length {
-        sleep_until(scene.instant(at)).await;
-        let (held, links) = stands.iter().map(|s| s.look()).unzip();
-        looks.push(FleetSample {
-            time: scene.now(),
-            outstanding: held,
-            connections: links,
+async fn sample_endpoints(
+    run_state: Arc<RunState>,
+    servers: Vec<Arc<EndpointServer>>,
+) -> Vec<FleetSample> {
+    let mut samples = Vec::new();
+    let mut time = Duration::ZERO;
+    while time <= run_state.plan.length {
+        sleep_until(run_state.instant(time)).await;
+        let (outstanding, connections) = servers.iter().map(|server| server.sample()).unzip();
+        samples.push(FleetSample {
+            time: run_state.now(),
+            outstanding,
+            connections,
         });
-        at += LOOK;
-    }
-    looks
-}
-
-/// SIGKILL: what it held is lost, and it is started again as a supervisor would.
-async fn kill(clients: Arc<Clients>, sidecars: Sidecars, n: usize, down: Duration) {
-    let mut sidecar = sidecars[n].lock().await;
-    clients.sides[n].away.store(true, Relaxed);
-    sidecar.kill();
-    clients.scene.note(Entry::SidecarKilled { instance: n });
-    sleep(down).await;
-    begin_again(&clients, &mut sidecar, n).await;
-}
-
-/// SIGTERM under load, its orderly end, and a new start.
-async fn stop(clients: Arc<Clients>, sidecars: Sidecars, n: usize) {
-    let mut sidecar = sidecars[n].lock().await;
-    let asking = Arc::clone(&clients.sides[n]);
-    tokio::spawn(async move {
-        sleep(STILL_ASKING).await;
-        asking.away.store(true, Relaxed);
-    });
-    match sidecar.stop().await {
-        Ok(Some(0)) => {}
-        other => {
-            log::error!("sidecar {n}: its stop came to {other:?}");
-            clients.scene.note(Entry::SidecarCrashed { instance: n });
-        }
-    }
-    sleep(STILL_ASKING).await;
-    begin_again(&clients, &mut sidecar, n).await;
-}
-
-/// The next process beside the one that runs; clients are told nothing.
-async fn upgrade(clients: Arc<Clients>, sidecars: Sidecars, n: usize) {
-    let ended = sidecars[n].lock().await.upgrade().await;
-    if !matches!(ended, Ok(Some(0))) {
-        log::error!("sidecar {n}: its upgrade came to {ended:?}");
-        clients.scene.note(Entry::SidecarCrashed { instance: n });
-    }
-}
-
-/// Operators call all sidecars, one after the other.
-async fn cordon(scene: &Scene, sidecars: &Sidecars, endpoint: usize, out: bool) {
-    let (path, body) = (
-        if out {
-            "/admin/cordon"
-        } else {
-            "/admin/uncordon"
-        },
-        format!(r#"{{"id":"e{endpoint}"}}"#),
-    );
-    for (instance, sidecar) in sidecars.iter().enumerate() {
-        let told = Entry::Cordoned {
-            instance,
-            endpoint,
-            cordoned: out,
-        };
-        // Back from the call on; out from the yes on.
-        if !out {
-            scene.note(told.clone());
-        }
-        match sidecar.lock().await.call(path, &body).await {
-            true if out => scene.note(told),
-            true => {}
-            false => log::error!("sidecar {instance} said no to {path} of endpoint {endpoint}"),
-        }
-    }
-}
-
-async fn begin_again(clients: &Clients, sidecar: &mut Sidecar, n: usize) {
-    match sidecar.start().await {
-        Ok(()) => clients.sides[n].away.store(false, Relaxed),
-        Err(fault) => {
-            log::error!("sidecar {n} could not start again: {fault}");
-            clients.scene.note(Entry::SidecarCrashed { instance: n });
-        }
+        time += SAMPLE_INTERVAL;
     }
+    samples
 }
--- a/crates/passroad-rig/tests/command_line.rs
+++ b/crates/passroad-rig/tests/command_line.rs
@@ -115,7 +115,7 @@
         "{fault}"
     );
     assert!(
-        fault.contains("sidecar 0 ended: it said nothing"),
+        fault.contains("sidecar 0 ended: its log is empty"),
         "{fault}"
     );
 }
