--- a/crates/passroad-lease/src/explore.rs
+++ b/crates/passroad-lease/src/explore.rs
@@ -1,17 +1,18 @@
-//! Explores every order of words, losses, doublings, time, pauses and restarts, with memory and without, for three voters
-//! and two candidates to a bounded depth. Nothing is sampled; what is beyond the bounds is not looked at, and counted.
+//! Explores every order of messages, losses, duplicates, clock steps, pauses and restarts, with and without stored
+//! state, for three voters and two candidates to a bounded depth. Nothing is sampled; states beyond the bounds are
+//! counted but not explored.
 
 use super::*;
 use rstest::rstest;
 use std::collections::HashSet;
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-const DUTY: LeaseKey = 7;
+const KEY: LeaseKey = 7;
 const LEASE: Duration = Duration::from_millis(800);
-/// Two of them are longer than an owner's share of a lease, three than a voter is mute.
+/// Two steps are longer than an owner's share of a lease, three longer than a voter's recovery period.
 const STEP: Duration = Duration::from_millis(400);
 
-/// What may happen, and how often.
+/// Which events may happen, and how often.
 #[derive(Clone, Copy, PartialEq, Eq, Hash)]
 struct Bounds {
     depth: usize,
@@ -20,15 +21,15 @@
     duplicated: u8,
     pauses: u8,
     restarts: u8,
-    forgets: bool,
+    loses_state: bool,
     in_flight: usize,
-    /// The system's clock stands: epochs rise by memory alone.
-    clock_stands: bool,
+    /// The wall clock doesn't move, so that epochs rise by stored state alone.
+    wall_clock_stops: bool,
     candidates: Member,
     /// Whether epochs have to rise.
     epochs: bool,
-    /// Whether candidates look before they ask.
-    query_round: bool,
+    /// Whether candidates query before they propose.
+    queries: bool,
 }
 
 #[derive(Clone, PartialEq, Eq, Hash)]
@@ -42,14 +43,14 @@
     budget: Bounds,
 }
 
-/// Clocks of three machines, 2% apart.
+/// Clock rates of the three machines, 2% apart.
 const RATES: [f64; 3] = [0.99, 1.01, 1.0];
 
 impl World {
     fn new(bounds: Bounds, faults: InjectedFaults) -> World {
         let faults = InjectedFaults {
             no_randomness: true,
-            no_query: !bounds.query_round,
+            no_query: !bounds.queries,
             ..faults
         };
         let mut world = World {
@@ -62,14 +63,10 @@
             budget: bounds,
         };
         for me in 0..3 {
-            // The explorer begins where nobody is mute.
+            // Exploration starts after the recovery period.
             let mut node = LeaseManager::new(config(me), Clocks::default(), Some(BTreeMap::new()));
             node.faults = faults;
-            node.set_candidacy(
-                world.clocks(me),
-                DUTY,
-                (me < bounds.candidates).then_some(0),
-            );
+            node.set_candidacy(world.clocks(me), KEY, (me < bounds.candidates).then_some(0));
             world.nodes.push(node);
         }
         world
@@ -77,7 +74,7 @@
 
     fn clocks(&self, me: Member) -> Clocks {
         let index = usize::from(me);
-        let wall = if self.budget.clock_stands {
+        let wall = if self.budget.wall_clock_stops {
             1
         } else {
             self.time
@@ -89,7 +86,7 @@
         }
     }
 
-    /// Carries out what a node asks for; it hears itself at once. What breaks is told.
+    /// Takes a node's actions; messages to itself arrive at once. Returns which property broke.
     fn take(&mut self, me: Member, actions: Vec<Action>) -> Result<(), String> {
         for action in actions {
             match action {
@@ -114,18 +111,18 @@
         let mut owners = Vec::new();
         for me in 0..2 {
             let clocks = self.clocks(me);
-            // Whoever is stopped does nothing; when it wakes it looks at its clock.
+            // A paused node does nothing; when it wakes it reads its clock first.
             if !self.paused[usize::from(me)]
                 && self.nodes[usize::from(me)]
                     .clone()
-                    .ownership(clocks, DUTY)
+                    .ownership(clocks, KEY)
                     .is_some()
             {
                 owners.push(me);
             }
         }
         if owners.len() > 1 {
-            Err(format!("{owners:?} own it at once"))
+            Err(format!("{owners:?} own the key at once"))
         } else {
             Ok(())
         }
@@ -156,7 +153,7 @@
             if !self.paused[usize::from(*to)] {
                 add(name.clone(), &|world| deliver(world, n, false));
                 if self.budget.duplicated > 0 {
-                    add(format!("{name}, to come again"), &|world| {
+                    add(format!("{name}, duplicated"), &|world| {
                         world.budget.duplicated -= 1;
                         deliver(world, n, true)
                     });
@@ -192,24 +189,24 @@
                     Ok(())
                 });
             } else if self.budget.pauses > 0 && me < 2 {
-                add(format!("{me} is stopped"), &|world| {
+                add(format!("{me} is paused"), &|world| {
                     world.budget.pauses -= 1;
                     world.paused[index] = true;
                     Ok(())
                 });
             }
             if self.budget.restarts > 0 {
-                add(format!("{me} starts anew"), &|world| {
+                add(format!("{me} restarts"), &|world| {
                     world.budget.restarts -= 1;
                     world.began[index] = world.time;
                     let stored_votes =
-                        (!world.budget.forgets).then(|| world.nodes[index].votes.clone());
+                        (!world.budget.loses_state).then(|| world.nodes[index].votes.clone());
                     let faults = world.nodes[index].faults;
                     let mut node = LeaseManager::new(config(me), world.clocks(me), stored_votes);
                     node.faults = faults;
                     node.set_candidacy(
                         world.clocks(me),
-                        DUTY,
+                        KEY,
                         (me < world.budget.candidates).then_some(0),
                     );
                     world.nodes[index] = node;
@@ -235,7 +232,7 @@
 struct Seen {
     states: usize,
     won: usize,
-    cut: usize, // too many words under way
+    cut: usize, // too many messages in flight
     broken: Option<Vec<String>>,
 }
 
@@ -258,7 +255,7 @@
         let mut deeper = Vec::new();
         for (at, world) in level {
             for (what, next) in world.next() {
-                let told = |last: String| {
+                let path_to = |last: String| {
                     let (mut path, mut at) = (vec![last], at);
                     while at != usize::MAX {
                         path.push(steps[at].1.clone());
@@ -269,7 +266,7 @@
                 };
                 match next {
                     Err(broken) => {
-                        seen.broken = Some(told(format!("{what}: {broken}")));
+                        seen.broken = Some(path_to(format!("{what}: {broken}")));
                         return seen;
                     }
                     Ok(next) if next.in_flight.len() > bounds.in_flight => seen.cut += 1,
@@ -289,66 +286,66 @@
     seen
 }
 
-const NOTHING: Bounds = Bounds {
+const BASE: Bounds = Bounds {
     depth: 13,
     steps: 4,
     lost: 0,
     duplicated: 0,
     pauses: 0,
     restarts: 0,
-    forgets: false,
+    loses_state: false,
     in_flight: 5,
-    clock_stands: false,
+    wall_clock_stops: false,
     candidates: 2,
     epochs: true,
-    query_round: false,
+    queries: false,
 };
-/// What each case may bring; deeper ones are for a machine that has time (`PASSROAD_EXPLORE=2`).
+/// Bounds of each case. `PASSROAD_EXPLORE=2` goes two levels deeper, for a machine that has the time.
 const LOSSY: Bounds = Bounds {
     lost: 1,
     duplicated: 1,
     depth: 12,
-    ..NOTHING
+    ..BASE
 };
-const STOPPED: Bounds = Bounds {
+const PAUSED: Bounds = Bounds {
     pauses: 1,
     steps: 3,
     in_flight: 7,
-    ..NOTHING
+    ..BASE
 };
-const AGAIN: Bounds = Bounds {
+const REPEATED_OWNERSHIP: Bounds = Bounds {
     candidates: 1,
     steps: 6,
     depth: 13,
     in_flight: 7,
-    clock_stands: true,
-    ..NOTHING
+    wall_clock_stops: true,
+    ..BASE
 };
-const FORGETTING: Bounds = Bounds {
+const LOSING_STATE: Bounds = Bounds {
     restarts: 1,
-    forgets: true,
-    ..NOTHING
+    loses_state: true,
+    ..BASE
 };
-const REMEMBERING: Bounds = Bounds {
+const KEEPING_STATE: Bounds = Bounds {
     restarts: 1,
-    clock_stands: true,
-    ..NOTHING
+    wall_clock_stops: true,
+    ..BASE
 };
 const DUPLICATED: Bounds = Bounds {
     duplicated: 1,
-    clock_stands: true,
-    ..NOTHING
+    wall_clock_stops: true,
+    ..BASE
 };
 
 #[rstest]
 #[case::lossy(LOSSY)]
-#[case::stopped(STOPPED)]
-#[case::forgetting(FORGETTING)]
-#[case::remembering(REMEMBERING)]
+#[case::paused(PAUSED)]
+#[case::losing_state(LOSING_STATE)]
+#[case::keeping_state(KEEPING_STATE)]
 #[case::duplicated(DUPLICATED)]
-#[case::next_at(AGAIN)]
-#[case::looking(Bounds { query_round: true, restarts: 1, forgets: true, ..NOTHING })]
-fn in_no_order_do_two_own_it_or_epochs_fall(#[case] bounds: Bounds) {
+#[case::repeated_ownership(REPEATED_OWNERSHIP)]
+#[case::querying(Bounds { queries: true, restarts: 1, loses_state: true, ..BASE })]
+fn in_no_order_are_there_two_owners_or_falling_epochs(#[case] bounds: Bounds) {
     let deeper = std::env::var("PASSROAD_EXPLORE")
         .ok()
         .and_then(|n| n.parse().ok())
@@ -372,12 +369,12 @@
 }
 
 #[rstest]
-#[case::no_recovery_period(Bounds { epochs: false, ..FORGETTING }, InjectedFaults { no_recovery_period: true, ..InjectedFaults::default() }, "own it at once")]
-#[case::never_mute_and_epochs(FORGETTING, InjectedFaults { no_recovery_period: true, ..InjectedFaults::default() }, "won epoch")]
-#[case::no_owner_expiry(STOPPED, InjectedFaults { no_owner_expiry: true, ..InjectedFaults::default() }, "own it at once")]
+#[case::no_recovery_period(Bounds { epochs: false, ..LOSING_STATE }, InjectedFaults { no_recovery_period: true, ..InjectedFaults::default() }, "own the key at once")]
+#[case::no_recovery_period_and_epochs(LOSING_STATE, InjectedFaults { no_recovery_period: true, ..InjectedFaults::default() }, "won epoch")]
+#[case::no_owner_expiry(PAUSED, InjectedFaults { no_owner_expiry: true, ..InjectedFaults::default() }, "own the key at once")]
 #[case::any_owner(DUPLICATED, InjectedFaults { any_owner: true, ..InjectedFaults::default() }, "won epoch")]
-#[case::equal_epochs(AGAIN, InjectedFaults { equal_epochs: true, ..InjectedFaults::default() }, "won epoch")]
-fn each_planted_fault_is_found(
+#[case::equal_epochs(REPEATED_OWNERSHIP, InjectedFaults { equal_epochs: true, ..InjectedFaults::default() }, "won epoch")]
+fn each_injected_fault_is_found(
     #[case] bounds: Bounds,
     #[case] faults: InjectedFaults,
     #[case] what: &str,
--- a/crates/passroad-lease/src/lib.rs
+++ b/crates/passroad-lease/src/lib.rs
@@ -1,13 +1,16 @@
-//! One owner at a time for each duty. A candidate asks a fixed council of voters for an epoch, then takes the duty for
-//! a lease; a majority that grants it makes it the owner until the lease ends by its own clock. Nothing here does input
-//! or output or reads a clock: [`Lease::hear`] and [`Lease::tick`] are handed the time and return what is to be done.
+//! Leases on keys, each with at most one owner at a time. A candidate proposes an epoch to a fixed set of voters, then
+//! claims the key for the length of a lease. A majority of grants makes it the owner until the lease expires by its own
+//! clock. Nothing here does I/O or reads a clock: [`LeaseManager::receive`] and [`LeaseManager::tick`] are given the
+//! time and return the actions to take.
 //!
-//! What is promised, and by what (`docs/fleet-design.md`):
-//! - no two own a duty at once: by time. A voter grants nothing beside a live grant, and one that has forgotten is mute
-//!   until all that it may have granted has run out. Holds for clocks that run up to 2% apart.
-//! - epochs rise: a voter grants only what it has promised, and promises only what is higher. Where a majority forgets
-//!   at once the system's clock, from which epochs are made, carries them on.
-//! - no two are obeyed: by [`Fence`] alone, at whoever is acted on, whatever clocks and voters do.
+//! Guarantees (`docs/fleet-design.md`):
+//! - At most one owner of a key at a time: a voter grants nothing while another grant is live, and a voter that lost
+//!   its state answers nothing until every grant that it may have given has expired. Holds for clocks whose rates
+//!   differ by up to 2%.
+//! - Epochs rise: a voter grants only epochs that it has promised, and promises only higher ones. If a majority loses
+//!   its state at once, new epochs are still higher because they are taken from the system clock.
+//! - A protected resource obeys only one owner: ensured by [`Fence`] at the resource alone, whatever clocks and voters
+//!   do.
 
 mod fence;
 mod voter;
@@ -26,36 +29,38 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Place of a sidecar in the list of all.
+/// Index of a sidecar in the list of all sidecars.
 pub type Member = u16;
-/// A duty, by a number made of its name that is the same everywhere.
+/// Hash of a key's name, the same on every sidecar.
 pub type LeaseKey = u64;
-/// Rises with each ownership: milliseconds since 1970, or one more than the highest seen where that is more.
+/// Fencing token that rises with each ownership: milliseconds since 1970, or the highest seen plus one if that is more.
 pub type Epoch = u64;
 
-/// Of its lease an owner uses so much by its own clock: clocks may run 2% apart, either way, and a little more.
+/// Share of its lease that an owner uses, by its own clock: clock rates may differ by 2% in either direction, plus
+/// margin.
 const OWNER_LEASE_SHARE: f64 = 0.95;
-/// A voter that has forgotten is mute for so many of the longest leases.
+/// How long a voter that lost its state answers nothing, in multiples of the longest lease.
 const RECOVERY_LEASES: f64 = 1.05;
-/// Longest that a word is waited for, as a part of the lease.
+/// The reply timeout is the lease divided by this.
 const REPLY_TIMEOUT_DIVISOR: u32 = 8;
+/// An owner renews after the lease divided by this.
 const RENEWAL_DIVISOR: u32 = 3;
-/// A leave is said so often, as words may be lost.
+/// How often a release is sent, as messages may be lost.
 const RELEASE_REPEATS: u8 = 3;
-/// Duties that a voter keeps something of.
+/// Keys for which a voter stores state, at most.
 const MAX_KEYS: usize = 64;
-/// Who stands behind another in a duty's order gives it so long a start.
+/// How much longer a candidate waits than the one ranked before it.
 const RANK_DELAY: Duration = Duration::from_millis(20);
 const RELEASE_INTERVAL: Duration = Duration::from_millis(20);
 
-/// The two clocks of a machine. The steady one may stand still while the machine sleeps; the other may be set.
+/// The two clocks of a machine. The monotonic one may stand still while the machine sleeps; the wall clock may be set.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Clocks {
-    pub monotonic: Duration, // since the process began
+    pub monotonic: Duration, // since the process started
     pub wall: Duration,      // since 1970
 }
 
-/// What this sidecar goes by.
+/// The settings of this sidecar.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct LeaseConfig {
     pub me: Member,
@@ -65,20 +70,21 @@
     pub seed: u64,
 }
 
-/// What sidecars say to each other about a duty.
+/// Messages between sidecars about a key.
 #[derive(Serialize, Deserialize, Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Message {
-    /// Has anybody got it? Guards against asking beside an owner: a voter that it had not would promise away its vote.
+    /// Asks whether the key is held. Prevents a candidate from proposing next to an owner: a voter that has not granted
+    /// to that owner would promise its vote away.
     Query {
         key: LeaseKey,
         round: u32,
     },
-    /// Not that I know.
+    /// The voter knows of no live grant.
     QueryClear {
         key: LeaseKey,
         round: u32,
     },
-    /// May I have it, by this epoch? An owner asks so in place of the one that it has.
+    /// Asks for a promise of this epoch. An owner names the epoch that the new one replaces.
     Propose {
         key: LeaseKey,
         epoch: Epoch,
@@ -88,7 +94,8 @@
         key: LeaseKey,
         epoch: Epoch,
     },
-    /// Somebody else has it for so long.
+    /// Rejects a query or proposal: another member holds the key for this long. `in_reply_to` is the proposed epoch or
+    /// the round of the query.
     Held {
         key: LeaseKey,
         in_reply_to: Epoch,
@@ -96,13 +103,13 @@
         owner: Member,
         remaining_ms: u32,
     },
-    /// Not by that epoch: this one was promised.
+    /// Rejects an epoch because a higher one was promised.
     EpochTooLow {
         key: LeaseKey,
         in_reply_to: Epoch,
         highest: Epoch,
     },
-    /// I take it, or go on having it, for so long from when you hear it.
+    /// Takes or renews the lease, which runs from when the voter receives this.
     Claim {
         key: LeaseKey,
         epoch: Epoch,
@@ -114,12 +121,12 @@
         epoch: Epoch,
         round: u32,
     },
-    /// I no longer have it.
+    /// The sender gives up the key.
     Release {
         key: LeaseKey,
         epoch: Epoch,
     },
-    /// Said by a voter to whom it turned away: it is free.
+    /// Tells a candidate that was rejected before that the key has been released.
     Released {
         key: LeaseKey,
         epoch: Epoch,
@@ -146,7 +153,7 @@
         postcard::to_stdvec(self).unwrap_or_default()
     }
 
-    /// None for what is no word, or has something behind it.
+    /// None for bytes that are no message or have trailing bytes.
     pub fn decode(bytes: &[u8]) -> Option<Message> {
         postcard::take_from_bytes(bytes)
             .ok()
@@ -155,7 +162,7 @@
     }
 }
 
-/// What is to be done, in order: what is to be kept is kept before what comes behind it is said.
+/// Actions for the caller, in order: a vote is persisted before the actions behind it are taken.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Action {
     Send {
@@ -181,16 +188,16 @@
 pub enum LossReason {
     /// No majority renewed it in time.
     Expired,
-    /// Given up on purpose.
+    /// Given up by the owner.
     Released,
-    /// Whoever was acted on knows a higher epoch.
+    /// A higher epoch is known elsewhere, such as at the protected resource.
     Superseded,
 }
 
-/// How a candidate stands with a duty.
+/// State of a candidate for one key.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 enum CandidateState {
-    /// It does not stand.
+    /// Not a candidate.
     Idle,
     Waiting {
         until: Duration,
@@ -227,7 +234,7 @@
     },
 }
 
-/// An owner on its way to a higher epoch, as a voter has promised what it can't renew.
+/// An owner moving to a higher epoch because a voter has promised one that prevents renewal.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct EpochRaise {
     epoch: Epoch,
@@ -240,28 +247,28 @@
 struct Candidate {
     voters: Vec<Member>,
     eligible: bool,
-    rank: u32,      // among those that stand
-    highest: Epoch, // heard of anywhere
+    rank: u32,      // among the candidates
+    highest: Epoch, // seen anywhere
     query_round: u32,
     state: CandidateState,
 }
 
-/// One sidecar's part in all duties, as voter and as candidate.
+/// One sidecar's leases on all keys, as voter and as candidate.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct LeaseManager {
     config: LeaseConfig,
     random_state: u64,
-    recovering_until: Duration, // steady
+    recovering_until: Duration, // monotonic
     votes: BTreeMap<LeaseKey, Vote>,
     candidates: BTreeMap<LeaseKey, Candidate>,
-    /// The owner's clock: the faster of the two, so that a machine that slept does not think that it still owns.
+    /// Advances by the faster of the two clocks, so that a machine that slept doesn't believe its lease is still valid.
     owner_clock: Duration,
     last_reading: (Duration, Duration),
     #[cfg(test)]
     pub(crate) faults: InjectedFaults,
 }
 
-/// Faults that the explorer has to find.
+/// Faults that the state explorer has to find.
 #[cfg(test)]
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash)]
 pub(crate) struct InjectedFaults {
@@ -269,11 +276,11 @@
     pub equal_epochs: bool,
     pub no_owner_expiry: bool,
     pub any_owner: bool,
-    pub no_randomness: bool, // no fault: fewer states
-    pub no_query: bool,      // the same; it is not safety that looking is for
+    pub no_randomness: bool, // not a fault: fewer states
+    pub no_query: bool,      // not a fault either: queries aren't needed for safety
 }
 
-/// Faults are planted in tests only.
+/// Faults are injected in tests only.
 macro_rules! injected {
     ($lease:expr, $fault:ident) => {{
         #[cfg(test)]
@@ -285,7 +292,7 @@
 }
 
 impl LeaseManager {
-    /// `kept` is what the voter had kept on disk; without it, it has forgotten, and is mute for a while.
+    /// `stored_votes` is what the voter had on disk. Without it the voter has lost its state and first waits.
     pub fn new(
         config: LeaseConfig,
         clocks: Clocks,
@@ -296,7 +303,7 @@
             None => clocks.monotonic + config.lease.mul_f64(RECOVERY_LEASES),
         };
         let mut votes = stored_votes.unwrap_or_default();
-        // How long ago it was granted is not known: for all of its time from here.
+        // The age of a stored grant isn't known, so it runs for its full length from now.
         votes
             .values_mut()
             .for_each(|vote| vote.restart_grant_timer(clocks.monotonic));
@@ -313,7 +320,8 @@
         }
     }
 
-    /// Has a duty looked after; `place` is this sidecar's among those that stand for it, if it does. Standing down gives up what it owns.
+    /// Makes this sidecar a candidate for a key, with its rank among the candidates, or ends its candidacy, which
+    /// releases what it owns.
     pub fn set_candidacy(
         &mut self,
         clocks: Clocks,
@@ -343,7 +351,7 @@
         }
     }
 
-    /// Gives up a duty at once, so that the next owner need not wait for the lease to run out.
+    /// Gives up a key at once, so that the next owner need not wait for the lease to expire.
     pub fn release(&mut self, clocks: Clocks, key: LeaseKey, reason: LossReason) -> Vec<Action> {
         let now = self.advance_clock(clocks);
         let Some(candidate) = self.candidates.get_mut(&key) else {
@@ -379,7 +387,8 @@
         }
     }
 
-    /// An epoch of this duty was heard of: what is asked for next is higher. An owner of a lower one has been outrun.
+    /// Notes an epoch of a key that was seen elsewhere; later proposals are higher. An owner of a lower one releases
+    /// the key.
     pub fn observe_epoch(&mut self, clocks: Clocks, key: LeaseKey, epoch: Epoch) -> Vec<Action> {
         let Some(candidate) = self.candidates.get_mut(&key) else {
             return Vec::new();
@@ -393,7 +402,8 @@
         }
     }
 
-    /// Until when this sidecar owns a duty, by which epoch; asked again right before each act. None while it does not.
+    /// The epoch by which this sidecar owns a key and how long it still does; to be called directly before each act.
+    /// None if it isn't the owner.
     pub fn ownership(&mut self, clocks: Clocks, key: LeaseKey) -> Option<(Epoch, Duration)> {
         let now = self.advance_clock(clocks);
         match self.candidates.get(&key)?.state {
@@ -406,12 +416,12 @@
         }
     }
 
-    /// Whether this voter still waits for what it may have granted and forgotten.
+    /// Whether this voter still waits for grants to expire that it may have given before it lost its state.
     pub fn is_recovering(&self, clocks: Clocks) -> bool {
         clocks.monotonic < self.recovering_until && !injected!(self, no_recovery_period)
     }
 
-    /// Votes on nothing more: a vote that ends with its process is one that the next owner can't count on.
+    /// Ends voting: a vote that ends with its process is one that the next owner can't count on.
     pub fn stop_voting(&mut self) {
         self.recovering_until = Duration::MAX;
     }
@@ -420,7 +430,7 @@
         self.config.voters
     }
 
-    /// How long until there is something to do by time alone.
+    /// How long until [`LeaseManager::tick`] has something to do.
     pub fn time_to_next_timer(&self) -> Option<Duration> {
         let reply_timeout = self.config.lease / REPLY_TIMEOUT_DIVISOR;
         let next_due = |candidate: &Candidate| match &candidate.state {
@@ -451,7 +461,7 @@
             .map(|due| due.saturating_sub(self.owner_clock))
     }
 
-    /// Moves the owner's clock on by what passed on the faster of the two.
+    /// Advances the owner's clock by the time that passed on the faster of the two clocks.
     fn advance_clock(&mut self, clocks: Clocks) -> Duration {
         let monotonic = clocks.monotonic.saturating_sub(self.last_reading.0);
         let wall = clocks.wall.saturating_sub(self.last_reading.1);
@@ -469,7 +479,7 @@
         (self.random_state & 0xffff_ffff) as f64 / 4_294_967_296.0
     }
 
-    /// What time alone brings.
+    /// Handles timers.
     pub fn tick(&mut self, clocks: Clocks) -> Vec<Action> {
         let now = self.advance_clock(clocks);
         let mut actions = Vec::new();
@@ -517,13 +527,13 @@
                 };
             }
             CandidateState::Proposing { since, .. } if now >= *since + reply_timeout => {
-                // Guards against candidates that ask in step, each in the other's way.
+                // Random delay: prevents candidates from proposing in step and blocking each other.
                 candidate.state = CandidateState::Waiting {
                     until: now + reply_timeout.mul_f64(0.3 + 2.0 * jitter),
                 };
             }
             CandidateState::Claiming { epoch, since, .. } if now >= *since + reply_timeout => {
-                // What some have granted is in nobody's way for longer.
+                // Releases the grants of a minority early, so that they don't block others.
                 let epoch = *epoch;
                 candidate.state = CandidateState::Waiting {
                     until: now + reply_timeout.mul_f64(0.3 + 2.0 * jitter),
@@ -598,7 +608,7 @@
         }
     }
 
-    /// What a member says; `from` is who it is by its address.
+    /// Handles a message; `from` is the sender, known by its address.
     pub fn receive(&mut self, clocks: Clocks, from: Member, message: Message) -> Vec<Action> {
         let now = self.advance_clock(clocks);
         match message {
@@ -617,14 +627,14 @@
         let (key, now) = (message.key(), clocks.monotonic);
         let any_owner = injected!(self, any_owner);
         let longest = self.config.lease;
-        // Guards against names that nobody here has heard of, without end.
+        // Bounds the number of keys that others can make this voter store.
         if self.votes.len() >= MAX_KEYS && !self.votes.contains_key(&key) {
             return Vec::new();
         }
         let vote = self.votes.entry(key).or_default();
         let mut actions = Vec::new();
         let mut send = |to: Member, message: Message| actions.push(Action::Send { to, message });
-        // In the way is a live grant, but not one's own that is renewed or risen from.
+        // The live grant that conflicts, unless it is the sender's own, being renewed or replaced.
         let conflict = |vote: &Vote, in_reply_to: Epoch, replaced: Option<Epoch>| {
             let grant = vote
                 .live_grant(now)
@@ -667,7 +677,7 @@
                     },
                 ),
             },
-            // What was promised beside a grant was promised to its owner, in place of it.
+            // A promise next to a live grant was made to its owner, to replace that grant.
             Message::Claim {
                 epoch,
                 round,
@@ -675,7 +685,7 @@
                 ..
             } => match conflict(vote, epoch, vote.replaceable_epoch(epoch, from)) {
                 Some(message) => send(from, message),
-                // Guards against leases that outlast the time for which a voter that forgot is mute.
+                // Prevents leases longer than the recovery period of a voter that lost its state.
                 None if Duration::from_millis(lease_ms.into()) > longest => {}
                 None if vote.is_promised_to(epoch, from, any_owner) => {
                     let lease = Duration::from_millis(lease_ms.into());
@@ -728,7 +738,7 @@
         let Some(candidate) = self.candidates.get_mut(&key) else {
             return Vec::new();
         };
-        // Only voters have a say.
+        // Only voters count.
         if !candidate.voters.contains(&from) {
             return Vec::new();
         }
@@ -789,9 +799,9 @@
                 }
                 if held.len() > voter_count - majority {
                     held.sort_by_key(|(_, remaining)| *remaining);
-                    // When enough of them are free, as far as they have said.
+                    // When enough voters become free for a majority, by the times they sent.
                     let remaining = held[held.len() + majority - voter_count - 1].1;
-                    // Guards against two that stand and split the voters.
+                    // The delay by rank keeps two candidates from splitting the voters.
                     candidate.state = CandidateState::Waiting {
                         until: now + remaining + candidate.rank * RANK_DELAY,
                     };
@@ -834,7 +844,7 @@
             ) if replied_epoch == *epoch => {
                 let has_majority = add_voter(granted);
                 if has_majority {
-                    // From when it was asked for: what is under way has run out of it.
+                    // The lease counts from when it was claimed, so that time in transit shortens it.
                     let (epoch, since) = (*epoch, *since);
                     let until = since + lease.mul_f64(OWNER_LEASE_SHARE);
                     let granted = std::mem::take(granted);
@@ -867,13 +877,13 @@
                     ..
                 },
             ) if (replied_epoch, replied_round) == (*epoch, *round) => {
-                // What ran out before this was heard stays lost.
+                // A lease that expired before this grant was received stays lost.
                 let has_majority = add_voter(granted);
                 if has_majority && !*renewed && now < *until {
                     (*until, *renewed) = (*since + lease.mul_f64(OWNER_LEASE_SHARE), true);
                 }
             }
-            // A voter that has forgotten is asked for its promise again, or it would be lost to this owner.
+            // Asks a voter that lost its state for its promise again, or its vote would be lost to this owner.
             (
                 CandidateState::Owner { epoch, .. },
                 Message::EpochTooLow {
@@ -889,7 +899,7 @@
                 };
                 actions.push(Action::Send { to: from, message });
             }
-            // Guards against votes that are promised to others and lost one by one: it goes above them.
+            // Raises the epoch above what others were promised. Otherwise the owner would lose its votes one by one.
             (
                 CandidateState::Owner {
                     epoch,
@@ -984,7 +994,7 @@
 }
 
 impl Candidate {
-    /// Asks all voters for an epoch above all that were heard of.
+    /// Proposes an epoch above all that were seen to all voters.
     fn propose(
         &mut self,
         now: Duration,
--- a/crates/passroad-lease/src/tests.rs
+++ b/crates/passroad-lease/src/tests.rs
@@ -2,7 +2,7 @@
 use proptest::prelude::*;
 use rstest::rstest;
 
-const DUTY: LeaseKey = 11;
+const KEY: LeaseKey = 11;
 const LEASE: Duration = Duration::from_secs(1);
 const MS: Duration = Duration::from_millis(1);
 
@@ -23,7 +23,7 @@
     }
 }
 
-/// A voter that remembers.
+/// A voter that has its stored state.
 fn voter() -> LeaseManager {
     LeaseManager::new(config(0), clocks_at(0), Some(BTreeMap::new()))
 }
@@ -43,7 +43,7 @@
 
 fn propose(epoch: Epoch) -> Message {
     Message::Propose {
-        key: DUTY,
+        key: KEY,
         epoch,
         replaces: None,
     }
@@ -51,7 +51,7 @@
 
 fn claim(epoch: Epoch, round: u32) -> Message {
     Message::Claim {
-        key: DUTY,
+        key: KEY,
         epoch,
         round,
         lease_ms: 1000,
@@ -61,26 +61,23 @@
 /// An owner at 100 ms, by epoch 1_000_100.
 fn owner() -> LeaseManager {
     let mut lease = LeaseManager::new(config(0), clocks_at(0), Some(BTreeMap::new()));
-    lease.set_candidacy(clocks_at(100), DUTY, Some(0));
+    lease.set_candidacy(clocks_at(100), KEY, Some(0));
     lease.tick(clocks_at(100));
     let epoch = 1_000_100;
     (1..3).for_each(|from| {
         drop(lease.receive(
             clocks_at(100),
             from,
-            Message::QueryClear {
-                key: DUTY,
-                round: 1,
-            },
+            Message::QueryClear { key: KEY, round: 1 },
         ))
     });
-    lease.receive(clocks_at(101), 1, Message::Promise { key: DUTY, epoch });
-    lease.receive(clocks_at(101), 2, Message::Promise { key: DUTY, epoch });
+    lease.receive(clocks_at(101), 1, Message::Promise { key: KEY, epoch });
+    lease.receive(clocks_at(101), 2, Message::Promise { key: KEY, epoch });
     lease.receive(
         clocks_at(102),
         1,
         Message::Granted {
-            key: DUTY,
+            key: KEY,
             epoch,
             round: 0,
         },
@@ -89,46 +86,43 @@
         clocks_at(102),
         2,
         Message::Granted {
-            key: DUTY,
+            key: KEY,
             epoch,
             round: 0,
         },
     );
-    assert_eq!(won, [Action::Acquired { key: DUTY, epoch }]);
+    assert_eq!(won, [Action::Acquired { key: KEY, epoch }]);
     lease
 }
 
 #[rstest]
-fn a_lease_runs_from_when_it_was_asked_for() {
+fn a_lease_runs_from_when_it_was_claimed() {
     let mut lease = owner();
-    assert_eq!(
-        lease.ownership(clocks_at(1050), DUTY),
-        Some((1_000_100, MS))
-    );
-    assert_eq!(lease.ownership(clocks_at(1052), DUTY), None);
+    assert_eq!(lease.ownership(clocks_at(1050), KEY), Some((1_000_100, MS)));
+    assert_eq!(lease.ownership(clocks_at(1052), KEY), None);
     assert_eq!(
         lease.tick(clocks_at(1052))[0],
         Action::Lost {
-            key: DUTY,
+            key: KEY,
             epoch: 1_000_100,
             reason: LossReason::Expired
         }
     );
 }
 
-// The steady clock stands still while a machine sleeps; the other one does not.
+// The monotonic clock stands still while a machine sleeps; the wall clock does not.
 #[rstest]
-fn an_owner_whose_machine_slept_has_nothing_left() {
+fn an_owner_whose_machine_slept_has_no_lease_left() {
     let mut lease = owner();
     let woken = Clocks {
         monotonic: MS * 110,
         wall: MS * 1_005_000,
     };
-    assert_eq!(lease.ownership(woken, DUTY), None);
+    assert_eq!(lease.ownership(woken, KEY), None);
 }
 
 #[rstest]
-fn a_clock_that_is_set_back_lengthens_nothing() {
+fn a_wall_clock_set_back_does_not_extend_a_lease() {
     let mut lease = owner();
     assert!(
         lease
@@ -137,7 +131,7 @@
                     monotonic: MS * 500,
                     wall: MS * 10
                 },
-                DUTY
+                KEY
             )
             .is_some()
     );
@@ -147,18 +141,18 @@
                 monotonic: MS * 1052,
                 wall: MS * 20
             },
-            DUTY
+            KEY
         ),
         None
     );
 }
 
 #[rstest]
-fn a_renewal_counts_by_its_own_round_only() {
+fn a_renewal_counts_grants_of_its_own_round_only() {
     let mut lease = owner();
     lease.tick(clocks_at(440));
     let old = Message::Granted {
-        key: DUTY,
+        key: KEY,
         epoch: 1_000_100,
         round: 0,
     };
@@ -166,38 +160,38 @@
     assert_eq!(
         lease
             .clone()
-            .ownership(clocks_at(1049), DUTY)
+            .ownership(clocks_at(1049), KEY)
             .map(|(_, left)| left),
         Some(2 * MS)
     );
     let new = Message::Granted {
-        key: DUTY,
+        key: KEY,
         epoch: 1_000_100,
         round: 1,
     };
     (1..3).for_each(|from| drop(lease.receive(clocks_at(445), from, new.clone())));
     assert_eq!(
-        lease.ownership(clocks_at(1049), DUTY).map(|(_, left)| left),
+        lease.ownership(clocks_at(1049), KEY).map(|(_, left)| left),
         Some(341 * MS)
     );
 }
 
-// A renewal that comes back when the lease is over brings nothing back.
+// A renewal that arrives after the lease has expired restores nothing.
 #[rstest]
-fn what_has_run_out_is_not_renewed() {
+fn an_expired_lease_is_not_renewed() {
     let mut lease = owner();
     lease.tick(clocks_at(440));
     let new = Message::Granted {
-        key: DUTY,
+        key: KEY,
         epoch: 1_000_100,
         round: 1,
     };
     (1..3).for_each(|from| drop(lease.receive(clocks_at(1200), from, new.clone())));
-    assert_eq!(lease.ownership(clocks_at(1201), DUTY), None);
+    assert_eq!(lease.ownership(clocks_at(1201), KEY), None);
 }
 
 #[rstest]
-fn who_is_no_voter_has_no_say() {
+fn replies_of_non_voters_are_ignored() {
     let mut lease = LeaseManager::new(
         LeaseConfig {
             members: 9,
@@ -206,19 +200,16 @@
         clocks_at(0),
         Some(BTreeMap::new()),
     );
-    lease.set_candidacy(clocks_at(100), DUTY, Some(0));
+    lease.set_candidacy(clocks_at(100), KEY, Some(0));
     lease.tick(clocks_at(100));
-    let voters = voters_for(DUTY, 9, 3);
+    let voters = voters_for(KEY, 9, 3);
     let strangers = (0..9).filter(|n| !voters.contains(n));
     let actions: Vec<Action> = strangers
         .flat_map(|n| {
             lease.receive(
                 clocks_at(101),
                 n,
-                Message::QueryClear {
-                    key: DUTY,
-                    round: 1,
-                },
+                Message::QueryClear { key: KEY, round: 1 },
             )
         })
         .collect();
@@ -226,27 +217,24 @@
 }
 
 #[rstest]
-fn a_voter_that_forgot_is_mute_until_all_it_may_have_granted_has_run_out() {
+fn a_voter_without_state_is_silent_until_its_possible_grants_have_expired() {
     let mut voter = LeaseManager::new(config(0), clocks_at(0), None);
     assert_eq!(voter.receive(clocks_at(1049), 1, propose(5)), []);
     assert_eq!(
         messages(&voter.receive(clocks_at(1051), 1, propose(5))),
-        [&Message::Promise {
-            key: DUTY,
-            epoch: 5
-        }]
+        [&Message::Promise { key: KEY, epoch: 5 }]
     );
 }
 
 #[rstest]
-fn a_voter_with_a_file_goes_on_and_keeps_before_it_says() {
+fn a_voter_with_stored_state_continues_and_persists_before_it_replies() {
     let mut before = voter();
     before.receive(clocks_at(1), 1, propose(5));
     let actions = before.receive(clocks_at(2), 1, claim(5, 0));
     let Action::Persist { key, vote } = &actions[0] else {
         panic!("{actions:?}")
     };
-    // As it comes back from the disk: when it was granted is not known.
+    // As read back from disk: the age of the grant isn't known.
     let vote: Vote = postcard::from_bytes(&postcard::to_stdvec(vote).unwrap()).unwrap();
     let mut after = LeaseManager::new(
         config(0),
@@ -274,9 +262,9 @@
 #[rstest]
 #[case::not_promised(claim(9, 0))]
 #[case::promised_to_another(claim(5, 0))]
-#[case::older(claim(4, 0))]
-#[case::too_long(Message::Claim { key: DUTY, epoch: 6, round: 0, lease_ms: 2000 })]
-fn what_was_not_promised_is_not_granted(#[case] message: Message) {
+#[case::lower_epoch(claim(4, 0))]
+#[case::too_long(Message::Claim { key: KEY, epoch: 6, round: 0, lease_ms: 2000 })]
+fn an_epoch_that_was_not_promised_is_not_granted(#[case] message: Message) {
     let mut voter = voter();
     voter.receive(clocks_at(1), 1, propose(5));
     voter.receive(clocks_at(1), 1, propose(6));
@@ -293,9 +281,9 @@
     );
 }
 
-// What is under way when an owner leaves finds no promise, however late it comes.
+// Messages still in flight when an owner releases the key find no promise, however late they arrive.
 #[rstest]
-fn a_leave_frees_at_once_and_tells_who_was_turned_away() {
+fn a_release_frees_the_key_at_once_and_notifies_rejected_candidates() {
     let mut voter = voter();
     voter.receive(clocks_at(1), 1, propose(5));
     voter.receive(clocks_at(2), 1, claim(5, 0));
@@ -303,20 +291,10 @@
         messages(&voter.receive(clocks_at(3), 2, propose(7)))[..],
         [Message::Held { .. }]
     ));
-    let actions = voter.receive(
-        clocks_at(4),
-        1,
-        Message::Release {
-            key: DUTY,
-            epoch: 5,
-        },
-    );
+    let actions = voter.receive(clocks_at(4), 1, Message::Release { key: KEY, epoch: 5 });
     assert!(actions.contains(&Action::Send {
         to: 2,
-        message: Message::Released {
-            key: DUTY,
-            epoch: 5
-        }
+        message: Message::Released { key: KEY, epoch: 5 }
     }));
     assert!(matches!(
         messages(&voter.receive(clocks_at(5), 1, claim(5, 3)))[..],
@@ -329,27 +307,27 @@
 }
 
 #[rstest]
-fn an_owner_that_leaves_is_followed_within_a_round() {
+fn an_owner_that_releases_is_succeeded_within_a_round() {
     let mut lease = owner();
-    let actions = lease.release(clocks_at(300), DUTY, LossReason::Released);
+    let actions = lease.release(clocks_at(300), KEY, LossReason::Released);
     assert_eq!(
         actions[0],
         Action::Lost {
-            key: DUTY,
+            key: KEY,
             epoch: 1_000_100,
             reason: LossReason::Released
         }
     );
     assert_eq!(messages(&actions).len(), 3);
-    assert_eq!(lease.ownership(clocks_at(300), DUTY), None);
-    // Said again, as words get lost.
+    assert_eq!(lease.ownership(clocks_at(300), KEY), None);
+    // Sent again, as messages may be lost.
     assert_eq!(messages(&lease.tick(clocks_at(321))).len(), 3);
     let mut next = LeaseManager::new(config(1), clocks_at(0), Some(BTreeMap::new()));
-    next.set_candidacy(clocks_at(100), DUTY, Some(0));
+    next.set_candidacy(clocks_at(100), KEY, Some(0));
     next.tick(clocks_at(100));
     for from in [0, 2] {
         let message = Message::Held {
-            key: DUTY,
+            key: KEY,
             in_reply_to: 1,
             epoch: 1_000_099,
             owner: 0,
@@ -361,7 +339,7 @@
         clocks_at(301),
         2,
         Message::Released {
-            key: DUTY,
+            key: KEY,
             epoch: 1_000_100,
         },
     );
@@ -371,16 +349,16 @@
     );
 }
 
-// Of several duties the one that was said to be free is looked at, not the first that rests.
+// Of several keys the one reported as released is queried, not the first that waits.
 #[rstest]
-fn what_comes_free_is_that_duty() {
+fn only_the_released_key_is_queried() {
     let mut next = LeaseManager::new(config(1), clocks_at(0), Some(BTreeMap::new()));
-    next.set_candidacy(clocks_at(100), DUTY - 1, Some(0));
-    next.set_candidacy(clocks_at(100), DUTY, Some(0));
+    next.set_candidacy(clocks_at(100), KEY - 1, Some(0));
+    next.set_candidacy(clocks_at(100), KEY, Some(0));
     next.tick(clocks_at(100));
     for from in [0, 2] {
         let message = Message::Held {
-            key: DUTY,
+            key: KEY,
             in_reply_to: 1,
             epoch: 1_000_099,
             owner: 0,
@@ -388,13 +366,13 @@
         };
         next.receive(clocks_at(101), from, message);
     }
-    // The other one is at rest, and due, when this one comes free.
+    // The other key is waiting, and due, when this one is released.
     for from in [0, 2] {
         next.receive(
             clocks_at(101),
             from,
             Message::Held {
-                key: DUTY - 1,
+                key: KEY - 1,
                 in_reply_to: 1,
                 epoch: 1,
                 owner: 0,
@@ -406,21 +384,21 @@
         clocks_at(301),
         2,
         Message::Released {
-            key: DUTY,
+            key: KEY,
             epoch: 1_000_100,
         },
     );
     assert!(
         messages(&actions)
             .iter()
-            .all(|message| message.key() == DUTY)
+            .all(|message| message.key() == KEY)
             && !actions.is_empty(),
         "{actions:?}"
     );
 }
 
 #[rstest]
-fn a_renewal_writes_nothing_to_the_disk() {
+fn a_renewal_persists_nothing() {
     let mut voter = voter();
     voter.receive(clocks_at(1), 1, propose(5));
     assert!(matches!(
@@ -433,7 +411,7 @@
         [Action::Send {
             to: 1,
             message: Message::Granted {
-                key: DUTY,
+                key: KEY,
                 epoch: 5,
                 round: 1
             }
@@ -442,13 +420,13 @@
 }
 
 #[rstest]
-fn a_higher_epoch_elsewhere_ends_an_ownership_and_is_gone_over() {
+fn a_higher_epoch_elsewhere_ends_an_ownership_and_is_exceeded() {
     let mut lease = owner();
-    let actions = lease.observe_epoch(clocks_at(200), DUTY, 2_000_000);
+    let actions = lease.observe_epoch(clocks_at(200), KEY, 2_000_000);
     assert_eq!(
         actions[0],
         Action::Lost {
-            key: DUTY,
+            key: KEY,
             epoch: 1_000_100,
             reason: LossReason::Superseded
         }
@@ -461,7 +439,7 @@
                 all.extend(lease.receive(
                     clocks_at(ms),
                     from,
-                    Message::QueryClear { key: DUTY, round },
+                    Message::QueryClear { key: KEY, round },
                 ))
             });
         }
@@ -469,23 +447,17 @@
     assert!(messages(&all).contains(&&propose(2_000_001)), "{all:?}");
 }
 
-// owner-roll: a candidate that asked beside the owner was promised by the one voter that the owner had not yet won, and
-// that vote was lost to the owner for good; two restarts later it had no majority.
+// In the owner-roll experiment a candidate proposed next to an owner and got a promise from the one voter that the
+// owner had not won yet. The owner lost that vote for good, and two restarts later it had no majority.
 #[rstest]
-fn who_looks_first_takes_no_vote_away() {
+fn a_candidate_that_queries_first_takes_no_vote_away() {
     let mut voter = voter();
-    let look = Message::Query {
-        key: DUTY,
-        round: 3,
-    };
+    let look = Message::Query { key: KEY, round: 3 };
     assert_eq!(
         voter.receive(clocks_at(1), 2, look.clone()),
         [Action::Send {
             to: 2,
-            message: Message::QueryClear {
-                key: DUTY,
-                round: 3
-            }
+            message: Message::QueryClear { key: KEY, round: 3 }
         }]
     );
     assert!(matches!(
@@ -503,7 +475,7 @@
         }]
     ));
     let mut candidate = LeaseManager::new(config(1), clocks_at(0), Some(BTreeMap::new()));
-    candidate.set_candidacy(clocks_at(0), DUTY, Some(0));
+    candidate.set_candidacy(clocks_at(0), KEY, Some(0));
     assert!(
         messages(&candidate.tick(clocks_at(1)))
             .iter()
@@ -511,15 +483,16 @@
     );
 }
 
-// owner-roll: two candidates split the voters; the one that won lost its last spare vote when a voter was replaced.
+// In the owner-roll experiment two candidates split the voters, and the winner lost its last spare vote when a voter
+// was replaced.
 #[rstest]
-fn an_owner_goes_above_what_others_were_promised() {
+fn an_owner_raises_its_epoch_above_what_others_were_promised() {
     let mut lease = owner();
     let actions = lease.receive(
         clocks_at(300),
         2,
         Message::EpochTooLow {
-            key: DUTY,
+            key: KEY,
             in_reply_to: 1_000_100,
             highest: 1_000_100,
         },
@@ -527,7 +500,7 @@
     let above = 1_000_300;
     assert!(
         messages(&actions).contains(&&Message::Propose {
-            key: DUTY,
+            key: KEY,
             epoch: above,
             replaces: Some(1_000_100)
         }),
@@ -539,38 +512,37 @@
             clocks_at(301),
             from,
             Message::Promise {
-                key: DUTY,
+                key: KEY,
                 epoch: above,
             },
         ))
     });
     assert_eq!(actions.len(), 3);
-    // Until a majority has granted it, what it has holds.
+    // The current ownership holds until a majority has granted the new epoch.
     assert_eq!(
-        lease
-            .ownership(clocks_at(301), DUTY)
-            .map(|(epoch, _)| epoch),
+        lease.ownership(clocks_at(301), KEY).map(|(epoch, _)| epoch),
         Some(1_000_100)
     );
     let granted = Message::Granted {
-        key: DUTY,
+        key: KEY,
         epoch: above,
         round: 0,
     };
     (1..3).for_each(|from| drop(lease.receive(clocks_at(302), from, granted.clone())));
     assert_eq!(
-        lease.ownership(clocks_at(302), DUTY),
+        lease.ownership(clocks_at(302), KEY),
         Some((above, 949 * MS))
     );
 }
 
-// A voter lets an owner rise from its own grant, and nobody else, nor from a grant that it does not know.
+// A voter lets an owner replace its own grant by a higher epoch, but no other member, and no grant that it doesn't
+// know.
 #[rstest]
-#[case::its_own(1, Some(5), true)]
-#[case::of_another(2, Some(5), false)]
-#[case::not_known(1, Some(4), false)]
-#[case::anew(1, None, false)]
-fn a_voter_lets_an_owner_rise_from_its_own_grant(
+#[case::own_grant(1, Some(5), true)]
+#[case::another_owner(2, Some(5), false)]
+#[case::unknown_grant(1, Some(4), false)]
+#[case::no_replacement(1, None, false)]
+fn a_voter_lets_an_owner_replace_its_own_grant(
     #[case] from: Member,
     #[case] replaces: Option<Epoch>,
     #[case] promised: bool,
@@ -582,7 +554,7 @@
         clocks_at(3),
         from,
         Message::Propose {
-            key: DUTY,
+            key: KEY,
             epoch: 9,
             replaces,
         },
@@ -600,12 +572,12 @@
     );
 }
 
-// A voter that starts from nothing in the middle would else be lost to the owner for good.
+// A voter that restarts without state would otherwise be lost to the owner for good.
 #[rstest]
-fn a_voter_that_forgot_is_won_back() {
+fn a_voter_that_lost_its_state_is_won_back() {
     let mut lease = owner();
     let low = Message::EpochTooLow {
-        key: DUTY,
+        key: KEY,
         in_reply_to: 1_000_100,
         highest: 0,
     };
@@ -620,20 +592,20 @@
 }
 
 #[rstest]
-fn the_fence_lets_no_lower_epoch_in_and_no_other_owner() {
+fn the_fence_rejects_lower_epochs_and_other_owners() {
     let mut fence = Fence::default();
-    assert_eq!(fence.admit(DUTY, 5, 1), Ok(()));
+    assert_eq!(fence.admit(KEY, 5, 1), Ok(()));
     assert_eq!(
-        fence.admit(DUTY, 5, 2),
+        fence.admit(KEY, 5, 2),
         Err(FenceRejection::OwnerMismatch { owner: 1 })
     );
-    assert_eq!(fence.admit(DUTY, 7, 2), Ok(()));
+    assert_eq!(fence.admit(KEY, 7, 2), Ok(()));
     assert_eq!(
-        fence.admit(DUTY, 5, 1),
+        fence.admit(KEY, 5, 1),
         Err(FenceRejection::StaleEpoch { highest: 7 })
     );
-    assert_eq!(fence.admit(DUTY + 1, 1, 1), Ok(()));
-    assert_eq!(fence.highest(DUTY), Some((7, 2)));
+    assert_eq!(fence.admit(KEY + 1, 1, 1), Ok(()));
+    assert_eq!(fence.highest(KEY), Some((7, 2)));
 }
 
 #[rstest]
@@ -641,20 +613,20 @@
 #[case(2, 1)]
 #[case(4, 3)]
 #[case(240, 5)]
-fn councils_are_odd_and_the_same_for_all(#[case] members: usize, #[case] voters: usize) {
-    let drawn = voters_for(DUTY, members, 5);
+fn voter_sets_are_odd_and_the_same_for_all(#[case] members: usize, #[case] voters: usize) {
+    let drawn = voters_for(KEY, members, 5);
     assert_eq!(drawn.len(), voters);
     assert!(drawn.iter().all(|n| usize::from(*n) < members));
-    assert_eq!(candidate_order(DUTY, members).len(), members);
+    assert_eq!(candidate_order(KEY, members).len(), members);
 }
 
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(2_000))]
 
     #[test]
-    fn no_words_bring_it_down(words in prop::collection::vec((0..9u16, prop::collection::vec(any::<u8>(), 0..60)), 1..9)) {
+    fn no_sequence_of_messages_panics(messages in prop::collection::vec((0..9u16, prop::collection::vec(any::<u8>(), 0..60)), 1..9)) {
         let mut lease = owner();
-        for (n, (from, bytes)) in words.into_iter().enumerate() {
+        for (n, (from, bytes)) in messages.into_iter().enumerate() {
             if let Some(message) = Message::decode(&bytes) {
                 lease.receive(clocks_at(200 + n as u32), from, message);
             }
@@ -662,7 +634,7 @@
     }
 
     #[test]
-    fn a_word_comes_back_as_it_was_and_is_short(key: u64, epoch: u64, owner: u16, remaining_ms: u32) {
+    fn a_message_round_trips_and_is_short(key: u64, epoch: u64, owner: u16, remaining_ms: u32) {
         let message = Message::Held { key, in_reply_to: epoch, epoch, owner, remaining_ms };
         prop_assert!(message.encode().len() < 48);
         prop_assert_eq!(Message::decode(&message.encode()), Some(message));
--- a/crates/passroad-lease/src/voter.rs
+++ b/crates/passroad-lease/src/voter.rs
@@ -62,8 +62,8 @@
         false
     }
 
-    /// Whether the current promise is this epoch, to this member. Prevents a claim that is late or duplicated from being
-    /// granted after the voter has promised another epoch or lost its state.
+    /// Whether the current promise is this epoch, to this member. Prevents a claim that is late or duplicated from
+    /// being granted after the voter has promised another epoch or lost its state.
     pub(crate) fn is_promised_to(&self, epoch: Epoch, owner: Member, any_owner: bool) -> bool {
         self.promised == epoch && (self.promised_to == Some(owner) || any_owner)
     }
@@ -84,8 +84,8 @@
         }
     }
 
-    /// Drops the grant and the promise, so that messages of that epoch still in flight are rejected. Returns the members
-    /// to notify.
+    /// Drops the grant and the promise, so that messages of that epoch still in flight are rejected. Returns the
+    /// members to notify.
     pub(crate) fn release(&mut self) -> Vec<Member> {
         (self.promised_to, self.grant) = (None, None);
         std::mem::take(&mut self.waiting)
