--- a/crates/passroad-lease/src/voter.rs
+++ b/crates/passroad-lease/src/voter.rs
@@ -1,6 +1,6 @@
-//! What a voter stores for one key.
+//! The voter: what it stores for each key, and how it answers candidates and owners.
 
-use crate::{Epoch, Member};
+use crate::{Action, Clocks, Epoch, LeaseManager, MAX_KEYS, Member, Message};
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
@@ -98,3 +98,116 @@
             .for_each(|grant| grant.until = now + grant.lease);
     }
 }
+
+impl LeaseManager {
+    /// Handles a message to this sidecar as a voter.
+    pub(crate) fn receive_as_voter(
+        &mut self,
+        clocks: Clocks,
+        from: Member,
+        message: Message,
+    ) -> Vec<Action> {
+        if self.is_recovering(clocks) {
+            return Vec::new();
+        }
+        let (key, now) = (message.key(), clocks.monotonic);
+        let any_owner = injected!(self, any_owner);
+        let longest = self.config.lease;
+        // Bounds the number of keys that others can make this voter store.
+        if self.votes.len() >= MAX_KEYS && !self.votes.contains_key(&key) {
+            return Vec::new();
+        }
+        let vote = self.votes.entry(key).or_default();
+        let mut actions = Vec::new();
+        let mut send = |to: Member, message: Message| actions.push(Action::Send { to, message });
+        // The live grant that conflicts, unless it is the sender's own, being renewed or replaced.
+        let conflict = |vote: &Vote, in_reply_to: Epoch, replaced: Option<Epoch>| {
+            let grant = vote
+                .live_grant(now)
+                .filter(|g| g.owner != from || g.epoch != in_reply_to && Some(g.epoch) != replaced);
+            grant
+                .filter(|g| !any_owner || g.epoch != in_reply_to)
+                .map(|g| Message::Held {
+                    key,
+                    in_reply_to,
+                    epoch: g.epoch,
+                    owner: g.owner,
+                    remaining_ms: g.until.saturating_sub(now).as_millis() as u32 + 1,
+                })
+        };
+        let before = vote.clone();
+        match message {
+            Message::Query { round, .. } => match conflict(vote, Epoch::from(round), None) {
+                Some(message) => {
+                    vote.add_waiting(from);
+                    send(from, message);
+                }
+                None => send(from, Message::QueryClear { key, round }),
+            },
+            Message::Propose {
+                epoch, replaces, ..
+            } => match conflict(vote, epoch, replaces) {
+                Some(message) => {
+                    vote.add_waiting(from);
+                    send(from, message);
+                }
+                None if vote.promise(epoch, from, any_owner) => {
+                    send(from, Message::Promise { key, epoch })
+                }
+                None => send(
+                    from,
+                    Message::EpochTooLow {
+                        key,
+                        in_reply_to: epoch,
+                        highest: vote.promised,
+                    },
+                ),
+            },
+            // A promise next to a live grant was made to its owner, to replace that grant.
+            Message::Claim {
+                epoch,
+                round,
+                lease_ms,
+                ..
+            } => match conflict(vote, epoch, vote.replaceable_epoch(epoch, from)) {
+                Some(message) => send(from, message),
+                // Prevents leases longer than the recovery period of a voter that lost its state.
+                None if Duration::from_millis(lease_ms.into()) > longest => {}
+                None if vote.is_promised_to(epoch, from, any_owner) => {
+                    let lease = Duration::from_millis(lease_ms.into());
+                    vote.grant = Some(Grant {
+                        epoch,
+                        owner: from,
+                        until: now + lease,
+                        lease,
+                    });
+                    send(from, Message::Granted { key, epoch, round });
+                }
+                None => send(
+                    from,
+                    Message::EpochTooLow {
+                        key,
+                        in_reply_to: epoch,
+                        highest: vote.promised,
+                    },
+                ),
+            },
+            Message::Release { epoch, .. } if vote.is_promised_to(epoch, from, false) => {
+                for to in vote.release() {
+                    send(to, Message::Released { key, epoch });
+                }
+            }
+            _ => {}
+        }
+        if vote.persisted() != before.persisted() {
+            actions.insert(
+                0,
+                Action::Persist {
+                    key,
+                    vote: vote.clone(),
+                },
+            );
+        }
+        actions
+    }
+}
