--- a/crates/passroad-peers/src/lib.rs
+++ b/crates/passroad-peers/src/lib.rs
@@ -1,9 +1,10 @@
-//! Who of the sidecars is here, in doubt or gone. Each asks one other a period, through others before it doubts, and tells
-//! what it has heard on the way (after SWIM, Das and others 2002, and Lifeguard, Dadgar and others 2018). Nothing here
-//! does input or output or reads a clock: [`Peers::hear`] and [`Peers::tick`] are handed the time and return datagrams.
+//! Membership of the fleet: which sidecars are alive, suspect or dead. Each sidecar pings one other per period,
+//! indirectly before it suspects, and piggybacks gossip on every datagram (after SWIM, Das et al. 2002, and Lifeguard,
+//! Dadgar et al. 2018). Nothing here does I/O or reads a clock: [`Membership::receive`] and [`Membership::tick`] are
+//! given the time and return datagrams.
 //!
-//! Bounded whatever the fleet's size: one question a period, three helpers for one that is not answered, and no more
-//! than [`MOST_A_SECOND`] datagrams a second in all, each of [`LONGEST`] bytes at most.
+//! The load is bounded whatever the size of the fleet: one ping per period, three indirect pings if it isn't answered,
+//! and at most [`MAX_DATAGRAMS_PER_SECOND`] datagrams per second in all, each of at most [`MAX_DATAGRAM_BYTES`] bytes.
 
 pub mod frame;
 
@@ -13,33 +14,33 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
-/// Place of a sidecar in the list of all.
+/// Index of a sidecar in the list of all sidecars.
 pub type Member = u16;
-/// When a process began, in 256ths of a millisecond since 1970; raised by one where others think worse of it than it is.
+/// When a process started, in 1/256 ms since 1970. A process that others suspect raises its own by one.
 pub type Incarnation = u64;
 
-/// The incarnation of a process that begins now.
+/// The incarnation of a process that starts now.
 pub fn incarnation_at(wall: Duration) -> Incarnation {
     (wall.as_millis() as u64) << 8
 }
 
-/// What is the same for as long as a process lives: in milliseconds, when it began.
+/// The part that stays the same for the lifetime of a process: its start time in milliseconds.
 pub fn process_start_ms(incarnation: Incarnation) -> u64 {
     incarnation >> 8
 }
 
-/// Datagrams that this part sends a second, at most, and in a burst.
+/// Datagrams that membership sends per second and in a burst, at most.
 pub const MAX_DATAGRAMS_PER_SECOND: f64 = 8.0;
 const INDIRECT_PINGS: usize = 3;
-/// Whom others asked for help with, at most.
+/// Indirect pings on behalf of others that may be open at once.
 const MAX_FORWARDED_PINGS: usize = 16;
-/// Room that a frame leaves for what is told.
+/// Space that a frame leaves for the message and its gossip.
 const MAX_BODY_BYTES: usize = MAX_DATAGRAM_BYTES - frame::HEADER_BYTES - 12;
-/// Facts that are told on, at most.
+/// Facts that are stored and gossiped, at most.
 const MAX_FACTS: usize = 16;
-/// A fact or a change is told on so many times the logarithm of the fleet's size.
+/// A fact or state change is gossiped this many times the logarithm of the fleet's size.
 const GOSSIP_FACTOR: u32 = 3;
-/// So late, as a part of the period, an own timer says that this instance itself was starved.
+/// A tick late by the period divided by this means that this process itself was paused.
 const LATE_DIVISOR: u32 = 4;
 
 #[derive(Debug, Clone)]
@@ -58,7 +59,7 @@
     Dead,
 }
 
-/// What is known of one member.
+/// What is known about one member.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct MemberStatus {
     pub state: MemberState,
@@ -66,7 +67,8 @@
     since: Duration,
 }
 
-/// A fact about something else than members, of which the higher number is the newer: who owns a duty, by which epoch.
+/// A gossiped fact about something other than members, such as which member owns a lease and by which epoch. The higher
+/// version replaces the lower.
 #[derive(Serialize, Deserialize, Debug, Clone, Copy, PartialEq, Eq)]
 pub struct GossipFact {
     pub topic: u64,
@@ -90,7 +92,7 @@
         sequence: u32,
         target: Member,
     },
-    /// Ask that one for me.
+    /// Asks the receiver to ping another member on behalf of the sender.
     PingRequest {
         sequence: u32,
         target: Member,
@@ -104,20 +106,21 @@
     updates: Vec<MemberUpdate>,
 }
 
-/// What is to be done.
+/// Actions for the caller.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Action {
-    /// A body for the channel of this part.
+    /// Sends a body on the membership channel.
     Send { to: Member, body: Vec<u8> },
-    /// A member is now thought of otherwise.
+    /// The state of a member has changed.
     StateChanged { member: Member, state: MemberState },
-    /// A newer fact was heard.
+    /// A newer fact was received.
     FactReceived(GossipFact),
-    /// This instance was itself starved, for so long past its timer; what it would have doubted is let be.
+    /// This process was itself paused, for this long past its timer; members that it would have suspected stay as they
+    /// are.
     LocalPause(Duration),
 }
 
-/// The question that is out.
+/// The ping that awaits its ack.
 #[derive(Debug, Clone)]
 struct PendingPing {
     target: Member,
@@ -129,11 +132,11 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Counts {
     pub sent: u64,
-    pub rate_limited: u64, // for want of the allowance
+    pub rate_limited: u64, // not sent, for lack of tokens
     pub undecodable: u64,
-    pub stale: u64, // of an incarnation that is over
+    pub stale: u64, // from an earlier incarnation
     pub suspicions: u64,
-    pub refuted: u64, // own doubts that turned out to be wrong
+    pub refuted: u64, // own suspicions that were wrong
 }
 
 pub struct Membership {
@@ -141,19 +144,19 @@
     random_state: u64,
     incarnation: Incarnation,
     members: Vec<MemberStatus>,
-    ping_order: Vec<Member>, // whom to ask next, shuffled anew each time through
+    ping_order: Vec<Member>, // shuffled again for each pass
     next_ping: usize,
     sequence: u32,
     pending_ping: Option<PendingPing>,
-    forwarded_pings: VecDeque<(u32, Member, u32)>, // own round, for whom, their round
-    recent_updates: VecDeque<(Member, u32)>,       // to be told on, so often still
+    forwarded_pings: VecDeque<(u32, Member, u32)>, // own sequence, requester, its sequence
+    recent_updates: VecDeque<(Member, u32)>,       // to be gossiped, how many more times
     facts: BTreeMap<u64, (GossipFact, u32)>,
-    table_cursor: usize, // where the rest of the table is told on from
+    table_cursor: usize, // last member of the table that was gossiped in turn
     tick_at: Duration,
-    ping_at: Duration, // the next question
+    ping_at: Duration, // the next ping
     tokens: f64,
     tokens_at: Duration,
-    missed_pings: u32, // questions in a row that nobody answered
+    missed_pings: u32, // pings in a row without an ack
     counts: Counts,
 }
 
@@ -185,7 +188,7 @@
             counts: Counts::default(),
             config,
         };
-        // Guards against a fleet that starts together and asks in step.
+        // A random first tick prevents a fleet that starts together from pinging in step.
         membership.tick_at = now + membership.config.period.mul_f64(membership.random_share());
         membership.ping_at = membership.tick_at;
         membership.members[usize::from(membership.config.me)].incarnation = membership.incarnation;
@@ -215,7 +218,7 @@
         self.facts.get(&topic).map(|(fact, _)| *fact)
     }
 
-    /// How long until there is something to do by time alone.
+    /// How long until [`Membership::tick`] has something to do.
     pub fn time_to_next_tick(&self, now: Duration) -> Duration {
         self.tick_at.saturating_sub(now)
     }
@@ -230,7 +233,7 @@
         ((self.random_share() * n as f64) as usize).min(n.saturating_sub(1))
     }
 
-    /// How often what is new is told on.
+    /// How often a new fact or state change is gossiped.
     fn gossip_count(&self) -> u32 {
         GOSSIP_FACTOR * (self.members.len() + 1).ilog2().max(1)
     }
@@ -241,7 +244,7 @@
             .push_front((member, self.gossip_count()));
     }
 
-    /// A fact is told on from here, if none of a higher number is known.
+    /// Stores and gossips a fact unless a newer one is known; returns whether it did.
     pub fn publish_fact(&mut self, fact: GossipFact) -> bool {
         let newer = match self.facts.get(&fact.topic) {
             Some((current, _)) => {
@@ -258,8 +261,8 @@
         newer
     }
 
-    /// Whether a datagram of this incarnation of a member is heard: not of one that is over. Hearing of a later one is
-    /// hearing that it is here.
+    /// Whether to accept a datagram from this incarnation of a member: not if the process has been replaced. A later
+    /// incarnation than the known one shows that the member is alive.
     pub fn accept_sender(
         &mut self,
         now: Duration,
@@ -270,7 +273,7 @@
         let Some(status) = self.members.get(usize::from(from)).copied() else {
             return (false, actions);
         };
-        // What a process said before it was doubted it has still said.
+        // Compares process starts only: what a process sent before it was suspected still counts.
         if from == self.config.me
             || process_start_ms(incarnation) < process_start_ms(status.incarnation)
         {
@@ -291,7 +294,7 @@
         (true, actions)
     }
 
-    /// A body that came on this part's channel, of a sender that [`Peers::admit`] let in.
+    /// Handles a body from the membership channel, of a sender that [`Membership::accept_sender`] accepted.
     pub fn receive(&mut self, now: Duration, from: Member, body: &[u8]) -> Vec<Action> {
         let read = postcard::take_from_bytes::<Packet>(body)
             .ok()
@@ -367,10 +370,10 @@
         actions
     }
 
-    /// One that answered is here, whatever was thought of it.
+    /// Marks a member that answered as alive, if only this process suspects it.
     fn mark_answered(&mut self, now: Duration, member: Member, actions: &mut Vec<Action>) {
         let status = &mut self.members[usize::from(member)];
-        // Of one that is told of as in doubt only a higher incarnation, its own word, clears it for all.
+        // A suspicion that is gossiped is cleared for all only by a higher incarnation from the member itself.
         if status.state == MemberState::Suspect && status.incarnation == 0 {
             (status.state, status.since) = (MemberState::Alive, now);
             actions.push(Action::StateChanged {
@@ -380,7 +383,7 @@
         }
     }
 
-    /// Takes what is told of a member where it is newer: a higher incarnation, or worse of the same.
+    /// Applies an update that is newer: of a higher incarnation, or a worse state of the same.
     fn apply_update(&mut self, now: Duration, update: MemberUpdate, actions: &mut Vec<Action>) {
         let Some(status) = self.members.get(usize::from(update.member)).copied() else {
             return;
@@ -391,9 +394,9 @@
             return;
         }
         if update.member == self.config.me {
-            // Guards against being thought gone for good: only a higher incarnation of one's own undoes it.
+            // Refutes the update with a higher own incarnation; nothing else would clear this member.
             if update.state > MemberState::Alive || update.incarnation > self.incarnation {
-                // Of a later life than this one, where the clock was set back: it begins another, above it.
+                // The update is about a later process start, because the clock was set back: go above that one.
                 self.incarnation = match process_start_ms(update.incarnation)
                     > process_start_ms(self.incarnation)
                 {
@@ -422,14 +425,14 @@
         self.gossip(update.member);
     }
 
-    /// What time alone brings.
+    /// Handles timers.
     pub fn tick(&mut self, now: Duration) -> Vec<Action> {
         let mut actions = Vec::new();
         if now < self.tick_at {
             return actions;
         }
         let (period, late) = (self.config.period, now - self.tick_at);
-        // Guards against accusing others of one's own sleep: the answers lie unread, or came and went.
+        // Prevents suspecting others because of an own pause: their acks are unread or were missed.
         if late > period / LATE_DIVISOR {
             self.pending_ping = None;
             self.missed_pings = 0;
@@ -450,7 +453,7 @@
                 let (target, sequence) = (pending.target, pending.sequence);
                 self.pending_ping = Some(pending);
                 self.send(now, target, Message::Ping { sequence }, &mut actions);
-                // Of one that is thought gone a plain question tells as much.
+                // For a member that isn't alive a direct ping is enough.
                 let helpers = if self.state_of(target) == MemberState::Alive {
                     self.choose_helpers(target)
                 } else {
@@ -477,7 +480,7 @@
         actions
     }
 
-    /// The next question; with nothing open the period has passed.
+    /// Sends the next ping of the period.
     fn ping_next(&mut self, now: Duration, actions: &mut Vec<Action>) {
         if self.next_ping >= self.ping_order.len() {
             self.next_ping = 0;
@@ -526,7 +529,7 @@
     }
 
     fn suspect(&mut self, now: Duration, target: Member, actions: &mut Vec<Action>) {
-        // Guards against one that is cut off and takes all others for gone: nobody answers it, so it says nothing.
+        // A partitioned member would take all others for dead: while nobody acks, it suspects nobody.
         let alone = self.missed_pings > 3 && self.ping_order.len() > 3;
         let status = self.members[usize::from(target)];
         if status.state == MemberState::Alive && !alone {
@@ -543,15 +546,15 @@
         }
     }
 
-    /// Doubts that nothing has cleared for long enough.
+    /// Declares members dead that have been suspect for long enough.
     fn confirm_dead(&mut self, now: Duration, actions: &mut Vec<Action>) {
         let rounds = 2 * (self.members.len() + 1).ilog2().max(2);
-        let gone = |status: &MemberStatus| {
+        let expired = |status: &MemberStatus| {
             status.state == MemberState::Suspect
                 && now.saturating_sub(status.since) > self.config.period * rounds
         };
         let all: Vec<Member> = (0..self.members.len())
-            .filter(|n| gone(&self.members[*n]))
+            .filter(|n| expired(&self.members[*n]))
             .map(|n| n as Member)
             .collect();
         for member in all {
@@ -577,7 +580,7 @@
         allowed
     }
 
-    /// A letter with what there is room for: facts, what is new, then the rest of the table by turns.
+    /// Sends a message with as much gossip as fits: facts, recent updates, then the rest of the table in turn.
     fn send(&mut self, now: Duration, to: Member, message: Message, actions: &mut Vec<Action>) {
         if to == self.config.me {
             return;
@@ -617,11 +620,11 @@
             }
         }
         recent_updates.retain(|(_, times)| *times > 0);
-        // What was told most often goes last.
+        // Moves the updates that were just sent to the end.
         let count = packet.updates.len().min(recent_updates.len());
         recent_updates.rotate_left(count);
         self.recent_updates = recent_updates;
-        // Guards against what was lost, and tells one that has just begun what is old news to the others.
+        // Repeats the table in turn, for datagrams that were lost and for members that have just started.
         for _ in 0..self.members.len().min(16) {
             self.table_cursor = (self.table_cursor + 1) % self.members.len();
             let status = self.members[self.table_cursor];
--- a/crates/passroad-peers/src/tests.rs
+++ b/crates/passroad-peers/src/tests.rs
@@ -17,7 +17,7 @@
     )
 }
 
-/// Some instances and the datagrams between them, a hundredth of a second at a time.
+/// Some members and the datagrams between them, in steps of 10 ms.
 struct World {
     all: Vec<Membership>,
     now: Duration,
@@ -25,7 +25,7 @@
     loss: u32, // of a hundred
     random_state: u32,
     sent: Vec<u64>,
-    starved: usize,
+    pauses: usize,
 }
 
 impl World {
@@ -40,7 +40,7 @@
             loss: 0,
             random_state: 1,
             sent: vec![0; members],
-            starved: 0,
+            pauses: 0,
         }
     }
 
@@ -48,14 +48,14 @@
         let end = self.now + span;
         while self.now < end {
             self.now += Duration::from_millis(10);
-            let mut mail = Vec::new();
+            let mut in_flight = Vec::new();
             for n in 0..self.all.len() {
                 if self.up[n] {
                     let actions = self.all[n].tick(self.now);
-                    self.post(n, actions, &mut mail);
+                    self.post(n, actions, &mut in_flight);
                 }
             }
-            while let Some((from, to, bytes)) = mail.pop() {
+            while let Some((from, to, bytes)) = in_flight.pop() {
                 self.random_state = self
                     .random_state
                     .wrapping_mul(1_664_525)
@@ -69,29 +69,34 @@
                 if heard {
                     actions.extend(self.all[to].receive(self.now, from as Member, body));
                 }
-                self.post(to, actions, &mut mail);
+                self.post(to, actions, &mut in_flight);
             }
         }
     }
 
-    fn post(&mut self, from: usize, actions: Vec<Action>, mail: &mut Vec<(usize, usize, Vec<u8>)>) {
+    fn post(
+        &mut self,
+        from: usize,
+        actions: Vec<Action>,
+        in_flight: &mut Vec<(usize, usize, Vec<u8>)>,
+    ) {
         for action in actions {
             match action {
                 Action::Send { to, body } => {
                     self.sent[from] += 1;
-                    mail.push((
+                    in_flight.push((
                         from,
                         usize::from(to),
                         encode_frame(0, self.all[from].incarnation(), &body).unwrap(),
                     ));
                 }
-                Action::LocalPause(_) => self.starved += 1,
+                Action::LocalPause(_) => self.pauses += 1,
                 _ => {}
             }
         }
     }
 
-    fn thought(&self, target: usize) -> Vec<MemberState> {
+    fn states_of(&self, target: usize) -> Vec<MemberState> {
         let others = (0..self.all.len()).filter(|n| *n != target && self.up[*n]);
         others
             .map(|n| self.all[n].state_of(target as Member))
@@ -100,23 +105,23 @@
 }
 
 #[rstest]
-fn one_that_ends_is_gone_for_all_and_back_when_it_starts_from_nothing() {
+fn a_member_that_ends_is_dead_for_all_and_alive_after_a_restart() {
     let mut world = World::new(8);
     world.run(PERIOD * 8);
     world.up[3] = false;
     world.run(PERIOD * 40);
-    assert_eq!(world.thought(3), [MemberState::Dead; 7]);
+    assert_eq!(world.states_of(3), [MemberState::Dead; 7]);
     let config = MembershipConfig {
         incarnation: 2_000_000,
         ..membership(3, 8).config
     };
     (world.all[3], world.up[3]) = (Membership::new(config, world.now), true);
     world.run(PERIOD * 12);
-    assert_eq!(world.thought(3), [MemberState::Alive; 7]);
+    assert_eq!(world.states_of(3), [MemberState::Alive; 7]);
 }
 
 #[rstest]
-fn of_what_is_lost_by_the_way_nobody_is_accused() {
+fn lost_datagrams_cause_no_suspicion() {
     let mut world = World::new(12);
     world.loss = 5;
     world.run(PERIOD * 600);
@@ -126,22 +131,22 @@
     );
 }
 
-// It slept: what was asked before lies unanswered, and all others would be in doubt.
+// A pause leaves pings unacked, and the member would suspect all others.
 #[rstest]
-fn whoever_slept_accuses_nobody() {
+fn a_paused_member_suspects_nobody() {
     let mut world = World::new(6);
     world.run(PERIOD * 5);
     world.up[2] = false;
     world.run(PERIOD * 2);
     world.up[2] = true;
     world.run(PERIOD * 30);
-    assert!(world.starved > 0);
+    assert!(world.pauses > 0);
     assert_eq!(world.all[2].counts().suspicions, 0);
-    assert_eq!(world.thought(2), [MemberState::Alive; 5]);
+    assert_eq!(world.states_of(2), [MemberState::Alive; 5]);
 }
 
 #[rstest]
-fn whoever_is_cut_off_from_all_accuses_few_and_the_fleet_forgives_it() {
+fn a_partitioned_member_suspects_few_and_the_fleet_recovers() {
     let mut world = World::new(9);
     world.run(PERIOD * 5);
     let (all, alone) = (std::mem::replace(&mut world.up, vec![false; 9]), 4);
@@ -156,7 +161,7 @@
     world.run(PERIOD * 30);
     assert_eq!(
         (0..9)
-            .flat_map(|n| world.thought(n))
+            .flat_map(|n| world.states_of(n))
             .filter(|s| *s != MemberState::Alive)
             .count(),
         0
@@ -166,7 +171,7 @@
 #[rstest]
 #[case::few(5)]
 #[case::many(120)]
-fn datagrams_are_bounded_whatever_the_size(#[case] members: usize) {
+fn datagrams_are_bounded_for_any_fleet_size(#[case] members: usize) {
     let mut world = World::new(members);
     world.up[1] = false;
     world.run(PERIOD * 20);
@@ -177,7 +182,7 @@
 }
 
 #[rstest]
-fn a_fact_comes_to_all_and_an_older_one_does_not_undo_it() {
+fn a_fact_reaches_all_and_an_older_one_does_not_replace_it() {
     let mut world = World::new(30);
     let fact = |version, holder| GossipFact {
         topic: 9,
@@ -198,7 +203,7 @@
 }
 
 #[rstest]
-fn a_datagram_of_an_incarnation_that_is_over_is_not_heard() {
+fn a_datagram_of_an_earlier_process_is_not_accepted() {
     let mut membership = membership(0, 3);
     assert!(membership.accept_sender(PERIOD, 1, 500).0);
     assert!(membership.accept_sender(PERIOD, 1, 700).0);
@@ -209,17 +214,18 @@
 
 #[rstest]
 #[case::empty(vec![], FrameError::UnknownMagic)]
-#[case::foreign(b"GET / HTTP/1.1".to_vec(), FrameError::UnknownMagic)]
+#[case::unknown_magic(b"GET / HTTP/1.1".to_vec(), FrameError::UnknownMagic)]
 #[case::another_version(vec![0xb5, 2, 9], FrameError::UnsupportedVersion)]
 #[case::cut(encode_frame(1, 7, b"body").unwrap()[..15].to_vec(), FrameError::LengthMismatch)]
-#[case::more([encode_frame(1, 7, b"body").unwrap(), vec![0]].concat(), FrameError::LengthMismatch)]
-fn what_is_no_frame_is_told_apart(#[case] bytes: Vec<u8>, #[case] ill: FrameError) {
-    assert_eq!(decode_frame(&bytes), Err(ill));
+#[case::trailing_byte([encode_frame(1, 7, b"body").unwrap(), vec![0]].concat(), FrameError::LengthMismatch)]
+fn malformed_frames_are_told_apart(#[case] bytes: Vec<u8>, #[case] error: FrameError) {
+    assert_eq!(decode_frame(&bytes), Err(error));
 }
 
-// work-late: each doubt that one refuted voided what it had acknowledged, and no machine was ever empty.
+// In the work-late experiment each refuted suspicion voided what the member had acknowledged, so that no machine ever
+// counted as idle.
 #[rstest]
-fn one_that_refutes_a_doubt_lives_on() {
+fn refuting_a_suspicion_keeps_the_process_identity() {
     let mut membership = Membership::new(
         MembershipConfig {
             incarnation: incarnation_at(PERIOD),
@@ -242,7 +248,7 @@
         membership.incarnation() > before
             && process_start_ms(membership.incarnation()) == process_start_ms(before)
     );
-    // Another process of this name has had a later one.
+    // Another process of this name had a later start.
     membership.apply_update(
         PERIOD,
         MemberUpdate {
@@ -253,7 +259,7 @@
         &mut actions,
     );
     assert!(process_start_ms(membership.incarnation()) > process_start_ms(9 << 20));
-    // What it said before the doubt is still heard of it elsewhere.
+    // What it sent before the suspicion is still accepted elsewhere.
     let mut other = self::membership(1, 3);
     assert!(
         other.accept_sender(PERIOD, 0, before + 1).0 && other.accept_sender(PERIOD, 0, before).0
@@ -266,7 +272,7 @@
     ))]
 
     #[test]
-    fn no_bytes_bring_it_down(bodies in prop::collection::vec(prop::collection::vec(any::<u8>(), 0..256), 1..8)) {
+    fn no_bytes_cause_a_panic(bodies in prop::collection::vec(prop::collection::vec(any::<u8>(), 0..256), 1..8)) {
         let mut membership = membership(0, 5);
         for body in bodies {
             let _ = decode_frame(&body);
@@ -280,7 +286,7 @@
     }
 
     #[test]
-    fn a_frame_comes_back_as_it_was(channel: u8, incarnation: u64, body in prop::collection::vec(any::<u8>(), 0..300)) {
+    fn a_frame_round_trips(channel: u8, incarnation: u64, body in prop::collection::vec(any::<u8>(), 0..300)) {
         match encode_frame(channel, incarnation, &body) {
             Some(bytes) => prop_assert_eq!(decode_frame(&bytes), Ok((channel, incarnation, &body[..]))),
             None => prop_assert!(body.len() + frame::HEADER_BYTES > MAX_DATAGRAM_BYTES),
