--- a/crates/passroad-upkeep/src/lib.rs
+++ b/crates/passroad-upkeep/src/lib.rs
@@ -1,13 +1,14 @@
-//! Machines out for work, one after the other, in one order for all sidecars. Each sidecar is a *hand*: it keeps the
-//! order as far as it has heard of it, keeps off what is out, and says when nothing of its own is on it any more. Whoever
-//! owns the duty of the order, by an epoch, is the *conductor*: it takes requests into the order and moves each machine on.
-//! Nothing here does input or output or reads a clock.
+//! Takes machines out for maintenance one after the other, by an operation log that all sidecars share. Each sidecar is
+//! a participant: it stores the entries that it has received, sends nothing to machines that are out, and reports when
+//! it has nothing left on them. The owner of the log's lease is the coordinator of that epoch: it takes requests into
+//! the log and advances each machine. Nothing here does I/O or reads a clock.
 //!
-//! - A new conductor first hears what a majority of the keepers knows, and only then goes on; a keeper that has started
-//!   from nothing says so and does not count. No step is taken further before a majority has it.
-//! - A hand obeys no conductor of an epoch lower than the highest that it has heard of.
-//! - A machine is at work only when every sidecar has said, of this very step and since it started, that nothing of its
-//!   is on it; of one that says nothing nobody can know, so the order waits for it, or for an operator's word.
+//! - A new coordinator first reads the log from a majority of the voters. A voter that restarted without state says so
+//!   and doesn't count. No entry advances before a majority has its current step.
+//! - A participant ignores coordinators of an epoch lower than the highest that it has seen.
+//! - A machine is under maintenance only once every sidecar has reported, for this very step and since its own start,
+//!   that it has nothing on the machine. What a silent sidecar still sends can't be known, so the log waits for it or
+//!   for an operator.
 
 mod capacity;
 mod operation_log;
@@ -25,28 +26,30 @@
 pub type Member = u16;
 pub type Incarnation = u64;
 
-/// Entries in one datagram.
+/// Entries per datagram, at most.
 const ENTRIES_PER_DATAGRAM: usize = 4;
-/// Machines of one request.
+/// Machines per request, at most.
 pub const MAX_MACHINES_PER_REQUEST: usize = 20;
-/// Entries that are kept; what is over goes first.
+/// Entries that are stored; finished ones are removed first.
 const MAX_ENTRIES: usize = 500;
-/// Words that the conductor says at a turn, and how far apart turns are: its part of the datagrams.
+/// Updates that the coordinator sends per tick, at most: its share of the datagrams.
 const UPDATES_PER_TICK: usize = 5;
 pub const TICK_INTERVAL: Duration = Duration::from_millis(50);
-/// Rounds of questions before others than the keepers are asked.
+/// Rounds of queries before members other than the voters are queried.
 const VOTERS_ONLY_ROUNDS: u32 = 4;
-/// What is not answered is said again.
+/// A message without an answer is sent again after this.
 const RESEND_INTERVAL: Duration = Duration::from_millis(400);
 
 #[derive(Serialize, Deserialize, Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Message {
-    /// The conductor of this epoch: what do you know? Or a hand that has just begun, with no epoch.
+    /// Asks for log entries from an offset on. Sent by a new coordinator, or with epoch 0 by a participant that has
+    /// just started.
     Query {
         coordinator_epoch: Epoch,
         offset: u32,
     },
-    /// So much from that place on, of so many; blank where the sidecar has heard of no order since it started.
+    /// Entries from an offset on, and how many there are. Uninformed if the sender has received no log since it
+    /// started.
     QueryReply {
         coordinator_epoch: Epoch,
         offset: u32,
@@ -54,31 +57,31 @@
         uninformed: bool,
         entries: Vec<Entry>,
     },
-    /// The conductor of this epoch tells of steps; of so many entries that are not over.
+    /// The coordinator's current steps of some entries, and how many entries are unfinished.
     Update {
         coordinator_epoch: Epoch,
         open_entries: u32,
         entries: Vec<Entry>,
     },
-    /// Heard, of these versions; and of each whether nothing of this sidecar's is on the machine.
+    /// Acknowledges versions of entries, each with whether the sender has nothing on the machine.
     Ack {
         coordinator_epoch: Epoch,
         acks: Vec<(MachineId, Epoch, u32, bool)>,
     },
-    /// An operator asks for machines.
+    /// An operator's request to take machines out.
     Schedule {
         request: u64,
         duration_s: u32,
         auto_return: bool,
         machines: Vec<MachineId>,
     },
-    /// An operator's word on one.
+    /// An operator's action on one machine.
     Operate {
         request: u64,
         machine: MachineId,
         action: OperatorAction,
     },
-    /// The conductor has it, and so has a majority; or why not.
+    /// The coordinator and a majority have the request, or why it is rejected.
     Response {
         request: u64,
         rejected: Option<Rejection>,
@@ -87,20 +90,20 @@
 
 #[derive(Serialize, Deserialize, Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum OperatorAction {
-    /// Not any more, if it has not begun.
+    /// Cancels it, if maintenance has not begun.
     Withdraw,
-    /// The work is done: back into use.
+    /// Ends the maintenance and returns the machine to use.
     Complete,
-    /// Take it for empty, whoever has said nothing.
+    /// Treats the machine as idle although some sidecars have not reported it.
     Force,
-    /// Begin with what is known, though a majority of the keepers has forgotten.
+    /// Starts the coordinator with the entries it knows, although a majority of the voters has lost its state.
     Bootstrap,
 }
 
 #[derive(Serialize, Deserialize, Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Rejection {
     UnknownMachine,
-    /// Its work has begun; it can only be done.
+    /// Maintenance has begun; it can only be completed.
     AlreadyStarted,
     NotUnderMaintenance,
     NotDraining,
@@ -111,7 +114,7 @@
         postcard::to_stdvec(self).unwrap_or_default()
     }
 
-    /// None for what is no word, or has something behind it.
+    /// None for bytes that are no message or have trailing bytes.
     pub fn decode(bytes: &[u8]) -> Option<Message> {
         postcard::take_from_bytes(bytes)
             .ok()
@@ -120,19 +123,19 @@
     }
 }
 
-/// What is to be done.
+/// Actions for the caller.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Action {
     Send {
         to: Member,
         message: Message,
     },
-    /// Keep off a machine, or use it again.
+    /// Stop sending to a machine, or use it again.
     SetExcluded {
         machine: MachineId,
         excluded: bool,
     },
-    /// An operator's request has its answer.
+    /// The answer to an operator's request.
     Respond {
         request: u64,
         rejected: Option<Rejection>,
@@ -143,24 +146,24 @@
     },
 }
 
-/// What is told of a machine, once each.
+/// Events of a machine for the log, each reported once.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum MachineEvent {
     StateChanged(MaintenanceState),
-    /// Some sidecars say nothing: the order waits for them, or for an operator.
+    /// Some sidecars have not replied: the machine waits for them, or for an operator.
     WaitingForReplies {
         missing_replies: usize,
     },
     Forced {
         not_idle: usize,
     },
-    /// Its time is over, and it is still out.
+    /// Its duration is over, and it is still out.
     Overdue,
-    /// Others are down: it goes back before its work has begun.
+    /// Other machines are down: it goes back to the queue before its maintenance has begun.
     Requeued,
 }
 
-/// Where a sidecar stands.
+/// The settings of this sidecar.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct MaintenanceConfig {
     pub me: Member,
@@ -169,29 +172,30 @@
     pub limits: Limits,
 }
 
-/// What the caller knows at a turn.
+/// What the caller knows at the time of a call.
 pub struct Context<'a> {
-    pub now: Duration, // steady
+    pub now: Duration, // monotonic
     pub wall: Duration,
-    /// The epoch by which this sidecar owns the order's duty, if it does.
+    /// The epoch by which this sidecar owns the log's lease, if it does.
     pub owned_epoch: Option<Epoch>,
-    /// Of each member the incarnation that was last heard of.
+    /// The last known incarnation of each member.
     pub incarnations: &'a [Incarnation],
-    /// Whose the duty is, as far as is known.
+    /// The owner of the lease, as far as known.
     pub coordinator: Option<Member>,
-    /// Machines as this sidecar's list has them.
+    /// Machines in this sidecar's endpoint list.
     pub machines: &'a [ListedMachine],
-    /// Whether nothing of this sidecar's is on a machine.
+    /// Whether this sidecar has nothing on a machine.
     pub idle: &'a dyn Fn(MachineId) -> bool,
 }
 
+/// A new coordinator's progress in reading the log from the others.
 #[derive(Debug, Default)]
 struct Recovery {
-    /// Who has told all that it knows, and was not blank.
+    /// Voters that have sent their whole log and were informed.
     informed_replies: BTreeSet<Member>,
-    /// Who has told all that it knows, much or nothing.
+    /// Members that have sent their whole log, informed or not.
     replied: BTreeSet<Member>,
-    /// Whether any of them had not forgotten.
+    /// Whether any of them was informed.
     any_informed: bool,
     offsets: BTreeMap<Member, u32>,
     queried_at: Duration,
@@ -206,10 +210,10 @@
     Coordinator(Epoch),
 }
 
-/// What a member has said: by its incarnation, of each machine the version and whether it is free of it.
+/// What a member has acknowledged: its incarnation, and for each machine the version and whether it has nothing on it.
 type MemberAcks = (Incarnation, BTreeMap<MachineId, (Epoch, u32, bool)>);
 
-/// Something an operator asked here that the conductor has not answered.
+/// An operator's request that the coordinator has not answered.
 #[derive(Debug, Clone)]
 struct PendingRequest {
     message: Message,
@@ -220,10 +224,11 @@
     config: MaintenanceConfig,
     pub operation_log: OperationLog,
     uninformed: bool,
-    /// Whether what it knows counts: it has heard all from a conductor since it started, or was one. What it has only
-    /// asked others for may be old, and they are asked themselves.
+    /// Whether this sidecar's log counts towards a majority: it has received the whole log from a coordinator since it
+    /// started, or was the coordinator. A log that it only queried from others may be outdated; the coordinator queries
+    /// those others itself.
     authoritative: bool,
-    /// Keepers from whom it has heard all since it started.
+    /// Voters that have sent their whole log since this sidecar started.
     complete_replies: BTreeSet<Member>,
     highest_epoch: Epoch,
     role: Role,
@@ -231,13 +236,13 @@
     last_sent: BTreeMap<(Member, MachineId), (Duration, Epoch, u32)>,
     sent_incarnations: BTreeMap<Member, Incarnation>,
     excluded: BTreeSet<MachineId>,
-    /// Bans that the caller has put into effect: those that it was handed before it turned again.
+    /// Exclusions that the caller has put into effect: those that it was given before the latest tick.
     effective_exclusions: BTreeSet<MachineId>,
-    /// Machines that were called back, and at which place in the order.
+    /// Machines whose exclusion was lifted, and their position in the log.
     readmitted: BTreeMap<MachineId, u32>,
     own_acks: BTreeMap<MachineId, (Epoch, u32, bool)>,
     pending_requests: BTreeMap<u64, PendingRequest>,
-    /// Requests whose first step is not yet with a majority, and who asked.
+    /// Requests whose entries a majority doesn't have yet, and which member sent them.
     open_requests: BTreeMap<u64, Member>,
     forced: BTreeSet<MachineId>,
     reported: BTreeSet<(MachineId, Epoch, u32)>,
@@ -273,12 +278,12 @@
         }
     }
 
-    /// Whether this sidecar knows of an order, or that there is none.
+    /// Whether this sidecar knows the log, even if it is empty.
     pub fn is_informed(&self) -> bool {
         !self.uninformed
     }
 
-    /// Whether there is something to do soon.
+    /// Whether ticks are due at [`TICK_INTERVAL`].
     pub fn is_active(&self) -> bool {
         self.uninformed
             || !self.pending_requests.is_empty()
@@ -298,7 +303,7 @@
         self.config.voters.len() / 2 + 1
     }
 
-    /// An operator asks here; the answer comes by [`Out::Answer`].
+    /// Takes an operator's request; the answer comes as [`Action::Respond`].
     pub fn submit(&mut self, message: Message) {
         if let Message::Schedule { request, .. } | Message::Operate { request, .. } = message {
             self.pending_requests
@@ -317,7 +322,7 @@
                 coordinator_epoch,
                 offset,
             } => {
-                // A hand that begins asks with no epoch; a conductor of an old one is not answered.
+                // A participant that starts sends epoch 0; an outdated coordinator gets no answer.
                 if coordinator_epoch > 0 && coordinator_epoch < self.highest_epoch {
                     return actions;
                 }
@@ -361,7 +366,7 @@
                 }
                 self.highest_epoch = coordinator_epoch;
                 self.operation_log.apply_all(&entries);
-                // Guards against taking a part of the order for the whole.
+                // Prevents mistaking a part of the log for the whole.
                 let open = self
                     .operation_log
                     .ordered()
@@ -419,7 +424,7 @@
         actions
     }
 
-    /// What time brings; the caller turns every [`TURN`].
+    /// Handles timers; the caller calls it every [`TICK_INTERVAL`].
     pub fn tick(&mut self, context: &Context) -> Vec<Action> {
         let mut actions = Vec::new();
         self.effective_exclusions.clone_from(&self.excluded);
@@ -430,7 +435,7 @@
                 .is_none_or(|at| context.now >= at + RESEND_INTERVAL)
         {
             self.last_query = Some(context.now);
-            // One that has just begun learns what is out, from some of the keepers.
+            // A sidecar that has just started queries the voters for machines that are out.
             let others = self.config.voters.iter().filter(|k| **k != self.config.me);
             actions.extend(others.map(|to| Action::Send {
                 to: *to,
@@ -458,13 +463,13 @@
         actions
     }
 
-    /// Sits down, stands up, or begins anew by another epoch.
+    /// Starts or ends coordinating, or starts again by a new epoch.
     fn update_role(&mut self, context: &Context) {
         let epoch = match &self.role {
             Role::Participant => None,
             Role::Recovering(epoch, _) | Role::Coordinator(epoch) => Some(*epoch),
         };
-        // One that was outrun has nothing more to say.
+        // An owner with an outdated epoch doesn't coordinate.
         let owned = context
             .owned_epoch
             .filter(|epoch| *epoch >= self.highest_epoch);
@@ -491,8 +496,8 @@
         };
     }
 
-    /// Asks the keepers what they know, again and again until a majority has told all. Where a majority of them has
-    /// forgotten all sidecars are asked: what none of them knows is in effect nowhere.
+    /// Queries the voters until a majority has sent its whole log. If a majority of them has lost its state, all
+    /// sidecars are queried: an entry that none of them knows is in effect nowhere.
     fn recover(&mut self, context: &Context, actions: &mut Vec<Action>) {
         let (majority, me, members) = (
             self.majority(),
@@ -557,7 +562,7 @@
         let next = offset.saturating_add(entries.len() as u32);
         let more = !entries.is_empty() && next < total;
         if coordinator_epoch == 0 {
-            // For a hand that begins: what a majority of the keepers knows holds all that is at work.
+            // For a participant that starts: a majority of the voters knows every machine that is out.
             if !uninformed && self.uninformed {
                 self.operation_log.apply_all(&entries);
                 if more {
@@ -607,10 +612,10 @@
         }
     }
 
-    /// Whether nobody can have forgotten an order: none of the keepers has begun anew since the first of them did.
+    /// Whether no voter can have lost a log: a majority is known, and all known ones started within the window.
     fn is_fresh_fleet(&self, context: &Context) -> bool {
-        // A whole fleet that starts for the first time starts together; who is alone in being young may have forgotten.
-        let of = |member: &Member| {
+        // A new fleet starts together. A single voter that started late may have lost its state.
+        let incarnation_of = |member: &Member| {
             context
                 .incarnations
                 .get(usize::from(*member))
@@ -621,7 +626,7 @@
             .config
             .voters
             .iter()
-            .map(of)
+            .map(incarnation_of)
             .filter(|n| *n > 0)
             .collect();
         let (least, most) = (
@@ -632,7 +637,7 @@
             && most - least < self.config.limits.fleet_start_window.as_millis() as u64
     }
 
-    /// Puts bans into effect.
+    /// Excludes machines that are out, and lifts exclusions of those that no longer are.
     fn apply_exclusions(&mut self, actions: &mut Vec<Action>) {
         let now: BTreeSet<MachineId> = self
             .operation_log
@@ -652,14 +657,14 @@
             });
         }
         self.excluded = now;
-        // Guards against a ban that was taken over from the process before, and ended before this one had heard of it.
-        let auto_return: Vec<Entry> = self
+        // Also lifts an exclusion that was inherited in a handover, if it ended before this process received the entry.
+        let returning: Vec<Entry> = self
             .operation_log
             .ordered()
             .into_iter()
             .filter(|e| e.state == MaintenanceState::WarmingUp)
             .collect();
-        for entry in auto_return {
+        for entry in returning {
             if self.readmitted.insert(entry.machine, entry.position) != Some(entry.position) {
                 actions.push(Action::SetExcluded {
                     machine: entry.machine,
@@ -669,7 +674,8 @@
         }
     }
 
-    /// Guards against a command that goes out between the look and the ban: free is only what is looked at behind it.
+    /// Acknowledges an entry. Idle is only what was checked after the exclusion took effect, or a command could be sent
+    /// between the check and the exclusion.
     fn acknowledge(&mut self, context: &Context, entry: &Entry) -> (MachineId, Epoch, u32, bool) {
         let idle =
             self.effective_exclusions.contains(&entry.machine) && (context.idle)(entry.machine);
@@ -678,22 +684,22 @@
         (entry.machine, ack.0, ack.1, ack.2)
     }
 
-    /// Says by itself when a machine that leaves has come free.
+    /// Reports draining machines that have become idle, without being asked.
     fn report_idle(&mut self, context: &Context, actions: &mut Vec<Action>) {
-        let leaving: Vec<Entry> = self
+        let draining: Vec<Entry> = self
             .operation_log
             .out()
             .filter(|e| e.state == MaintenanceState::Draining)
             .copied()
             .collect();
         let mut acks = Vec::new();
-        for entry in leaving {
+        for entry in draining {
             let before = self.own_acks.get(&entry.machine).copied();
-            let said =
+            let reported =
                 matches!(before, Some((epoch, step, true)) if (epoch, step) == entry.version());
             let idle =
                 self.effective_exclusions.contains(&entry.machine) && (context.idle)(entry.machine);
-            if !said && idle && acks.len() < ENTRIES_PER_DATAGRAM {
+            if !reported && idle && acks.len() < ENTRIES_PER_DATAGRAM {
                 acks.push(self.acknowledge(context, &entry));
             }
         }
@@ -712,7 +718,7 @@
         }
     }
 
-    /// Operators' requests go to the conductor until it answers.
+    /// Sends operators' requests to the coordinator until it answers.
     fn forward_requests(&mut self, context: &Context, actions: &mut Vec<Action>) {
         let Some(to) = context.coordinator else {
             return;
@@ -741,13 +747,13 @@
     }
 
     fn receive_own(&mut self, context: &Context, replies: Vec<Action>, actions: &mut Vec<Action>) {
-        for what in replies {
-            match what {
+        for action in replies {
+            match action {
                 Action::Send { to, message } if to == self.config.me => {
                     let replies = self.receive(context, to, message);
                     self.receive_own(context, replies, actions);
                 }
-                what => actions.push(what),
+                action => actions.push(action),
             }
         }
     }
@@ -764,14 +770,14 @@
             .copied()
             .unwrap_or(0);
         let (of, stored) = self.member_acks.entry(from).or_default();
-        // What one said before it began anew says nothing of it now.
+        // Acknowledgements from before the member restarted no longer count.
         if *of != incarnation {
             (*of, *stored) = (incarnation, BTreeMap::new());
         }
         for (machine, epoch, step, idle) in acks {
             let known = stored.entry(machine).or_insert((0, 0, false));
             if (epoch, step) >= (known.0, known.1) {
-                // Free once is free: nothing new goes there.
+                // Once idle, a machine stays idle: nothing new is sent to it.
                 let idle = idle || (epoch, step) == (known.0, known.1) && known.2;
                 *known = (epoch, step, idle);
             }
@@ -789,24 +795,24 @@
         let Role::Coordinator(epoch) = self.role else {
             return;
         };
-        let taken = |message| Action::Send { to: from, message };
+        let reply = |message| Action::Send { to: from, message };
         let known = |machine: &MachineId| {
             context
                 .machines
                 .iter()
-                .any(|machines| machines.machine == *machine)
+                .any(|listed| listed.machine == *machine)
         };
         if machines.is_empty()
             || machines.len() > MAX_MACHINES_PER_REQUEST
             || !machines.iter().all(known)
         {
-            return actions.push(taken(Message::Response {
+            return actions.push(reply(Message::Response {
                 request,
                 rejected: Some(Rejection::UnknownMachine),
             }));
         }
         for machine in machines {
-            // Each machine once: asked twice, or at two sidecars, it stays where it is.
+            // A machine that is already in the log keeps its position.
             if self
                 .operation_log
                 .get(*machine)
@@ -814,7 +820,7 @@
             {
                 continue;
             }
-            // What is over and was this very request has been done.
+            // This very request has been completed.
             if self
                 .operation_log
                 .get(*machine)
@@ -844,7 +850,7 @@
         self.open_requests.insert(request, from);
     }
 
-    /// An operator's word that nothing is out but what is known.
+    /// Starts coordinating with the known entries, as an operator declared that no other machine is out.
     fn bootstrap(&mut self) {
         if let Role::Recovering(epoch, _) = self.role {
             (self.uninformed, self.authoritative) = (false, true);
@@ -938,7 +944,7 @@
             MaintenanceState::UnderMaintenance => {
                 (context.wall.as_secs() as u32).saturating_add(entry.duration_s)
             }
-            // Until it is warm.
+            // The end of the warm-up.
             MaintenanceState::WarmingUp => {
                 (context.wall + self.config.limits.warm_up_time).as_secs() as u32 + 1
             }
@@ -967,36 +973,37 @@
         self.record_acks(context, self.config.me, vec![own]);
     }
 
-    /// Of a version of a machine's entry: how many keepers have it, and how many sidecars have not said that they are free.
+    /// For the current version of an entry: how many voters have it, and how many sidecars have not reported to be
+    /// idle.
     fn count_acks(&self, context: &Context, entry: &Entry) -> (usize, usize) {
-        let (mut keep, mut unfree) = (0, 0);
+        let (mut holders, mut not_idle) = (0, 0);
         for member in 0..self.config.members as Member {
             let incarnation = context
                 .incarnations
                 .get(usize::from(member))
                 .copied()
                 .unwrap_or(0);
-            let said = self
+            let ack = self
                 .member_acks
                 .get(&member)
                 .filter(|(of, _)| *of == incarnation);
-            let said = said.and_then(|(_, acks)| acks.get(&entry.machine));
+            let ack = ack.and_then(|(_, acks)| acks.get(&entry.machine));
             let has = member == self.config.me
-                || said.is_some_and(|(epoch, step, _)| (*epoch, *step) >= entry.version());
+                || ack.is_some_and(|(epoch, step, _)| (*epoch, *step) >= entry.version());
             let idle =
-                said.is_some_and(|(epoch, step, idle)| (*epoch, *step) == entry.version() && *idle);
-            keep += usize::from(has && self.config.voters.contains(&member));
-            unfree += usize::from(!idle);
+                ack.is_some_and(|(epoch, step, idle)| (*epoch, *step) == entry.version() && *idle);
+            holders += usize::from(has && self.config.voters.contains(&member));
+            not_idle += usize::from(!idle);
         }
-        (keep, unfree)
+        (holders, not_idle)
     }
 
-    /// Moves each machine on by a step, where a majority has the one before.
+    /// Advances each machine by a step once a majority has the current one.
     fn coordinate(&mut self, context: &Context, epoch: Epoch, actions: &mut Vec<Action>) {
         let majority = self.majority();
-        let order = self.operation_log.ordered();
-        // Entries of an earlier conductor become this one's, so that all hear them again by its epoch.
-        for entry in order
+        let ordered = self.operation_log.ordered();
+        // Takes over entries of an earlier coordinator under the own epoch, so that all sidecars receive them again.
+        for entry in ordered
             .iter()
             .filter(|e| e.epoch != epoch && !e.state.is_finished())
         {
@@ -1006,20 +1013,20 @@
                 ..*entry
             });
         }
-        let order = self.operation_log.ordered();
+        let ordered = self.operation_log.ordered();
         let mut replicated = Vec::new();
-        for entry in order.iter().filter(|e| !e.state.is_finished()) {
-            let (keep, unfree) = self.count_acks(context, entry);
-            if keep < majority {
+        for entry in ordered.iter().filter(|e| !e.state.is_finished()) {
+            let (holders, not_idle) = self.count_acks(context, entry);
+            if holders < majority {
                 continue;
             }
             replicated.push(entry.machine);
             match entry.state {
                 MaintenanceState::Draining
-                    if unfree == 0 || self.forced.contains(&entry.machine) =>
+                    if not_idle == 0 || self.forced.contains(&entry.machine) =>
                 {
-                    if unfree > 0 {
-                        let event = MachineEvent::Forced { not_idle: unfree };
+                    if not_idle > 0 {
+                        let event = MachineEvent::Forced { not_idle };
                         actions.push(Action::Report {
                             machine: entry.machine,
                             event,
@@ -1087,10 +1094,10 @@
                 _ => {}
             }
         }
-        // A request has its answer once a majority has all of it.
+        // A request is answered once a majority has all its entries.
         let done = |request: &u64| {
-            let mut of = order.iter().filter(|e| e.request == *request);
-            of.all(|entry| entry.state.is_finished() || replicated.contains(&entry.machine))
+            let mut entries = ordered.iter().filter(|e| e.request == *request);
+            entries.all(|entry| entry.state.is_finished() || replicated.contains(&entry.machine))
         };
         let answered: Vec<(u64, Member)> = self
             .open_requests
@@ -1114,7 +1121,7 @@
         self.start_next(context, epoch, &replicated, actions);
     }
 
-    /// How many have not said anything of a step.
+    /// How many sidecars have not acknowledged the current version.
     fn missing_replies(&self, context: &Context, entry: &Entry) -> usize {
         let has = |member: &Member| {
             let incarnation = context
@@ -1122,11 +1129,11 @@
                 .get(usize::from(*member))
                 .copied()
                 .unwrap_or(0);
-            let said = self
+            let ack = self
                 .member_acks
                 .get(member)
                 .filter(|(of, _)| *of == incarnation);
-            said.and_then(|(_, acks)| acks.get(&entry.machine))
+            ack.and_then(|(_, acks)| acks.get(&entry.machine))
                 .is_some_and(|(e, s, _)| (*e, *s) >= entry.version())
         };
         (0..self.config.members as Member)
@@ -1134,7 +1141,8 @@
             .count()
     }
 
-    /// The first of the queue leaves, if there is room; strictly in order, so that nobody waits behind a later one.
+    /// Starts to drain the first machine of the queue, if the limits allow it. Strictly in order, so that no machine is
+    /// overtaken.
     fn start_next(
         &mut self,
         context: &Context,
@@ -1142,20 +1150,20 @@
         replicated: &[MachineId],
         actions: &mut Vec<Action>,
     ) {
-        let order = self.operation_log.ordered();
-        let away: BTreeSet<MachineId> = order
+        let ordered = self.operation_log.ordered();
+        let unavailable: BTreeSet<MachineId> = ordered
             .iter()
             .filter(|e| e.state.is_out() || e.state == MaintenanceState::WarmingUp)
             .map(|e| e.machine)
             .collect();
-        let leaving = order
+        let draining = ordered
             .iter()
             .rev()
             .find(|e| e.state == MaintenanceState::Draining);
-        // Others have failed meanwhile: what has not begun goes back, and its turn comes again.
-        if let Some(entry) = leaving
-            .filter(|_| capacity::exceeds_limit(&self.config.limits, context.machines, &away))
-        {
+        // Other machines have failed in the meantime: one whose maintenance has not begun returns to the queue.
+        if let Some(entry) = draining.filter(|_| {
+            capacity::exceeds_limit(&self.config.limits, context.machines, &unavailable)
+        }) {
             let machine = entry.machine;
             actions.push(Action::Report {
                 machine,
@@ -1163,9 +1171,14 @@
             });
             return self.advance(context, epoch, machine, MaintenanceState::Queued, actions);
         }
-        let first = order.iter().find(|e| e.state == MaintenanceState::Queued);
+        let first = ordered.iter().find(|e| e.state == MaintenanceState::Queued);
         if let Some(entry) = first.filter(|e| replicated.contains(&e.machine))
-            && can_take_out(&self.config.limits, context.machines, &away, entry.machine)
+            && can_take_out(
+                &self.config.limits,
+                context.machines,
+                &unavailable,
+                entry.machine,
+            )
         {
             self.advance(
                 context,
@@ -1177,7 +1190,7 @@
         }
     }
 
-    /// Tells each sidecar what it has not acknowledged, some at a turn.
+    /// Sends each sidecar the entries that it has not acknowledged, to some sidecars per tick.
     fn send_updates(&mut self, context: &Context, epoch: Epoch, actions: &mut Vec<Action>) {
         if self
             .last_update
@@ -1186,18 +1199,18 @@
             return;
         }
         self.last_update = Some(context.now);
-        let order = self.operation_log.ordered();
-        // What is over is told to those who may still keep off it.
-        let open_entries = order
+        let ordered = self.operation_log.ordered();
+        // Finished entries are sent too, to sidecars that may still exclude the machine.
+        let open_entries = ordered
             .iter()
             .filter(|entry| !entry.state.is_finished())
             .count() as u32;
-        let news: Vec<Entry> = order.into_iter().filter(|e| e.epoch == epoch).collect();
+        let own_entries: Vec<Entry> = ordered.into_iter().filter(|e| e.epoch == epoch).collect();
         let members = self.config.members as Member;
-        let mut said = 0;
+        let mut updates = 0;
         for n in 0..members {
             let to = ((self.next_member + usize::from(n)) % usize::from(members)) as Member;
-            if to == self.config.me || said >= UPDATES_PER_TICK {
+            if to == self.config.me || updates >= UPDATES_PER_TICK {
                 continue;
             }
             let incarnation = context
@@ -1205,7 +1218,7 @@
                 .get(usize::from(to))
                 .copied()
                 .unwrap_or(0);
-            // What was said to one before it began anew is to be said again at once.
+            // After a restart of the member everything is sent again at once.
             if self.sent_incarnations.insert(to, incarnation) != Some(incarnation) {
                 self.last_sent.retain(|(member, _), _| *member != to);
             }
@@ -1214,35 +1227,35 @@
                 .get(&to)
                 .filter(|(of, _)| *of == incarnation)
                 .map(|(_, acks)| acks);
-            let unheard = |entry: &&Entry| {
+            let unacknowledged = |entry: &&Entry| {
                 let has = acks.and_then(|acks| acks.get(&entry.machine));
-                let lately =
+                let sent_recently =
                     self.last_sent
                         .get(&(to, entry.machine))
                         .is_some_and(|(at, epoch, step)| {
                             context.now < *at + RESEND_INTERVAL
                                 && (*epoch, *step) == entry.version()
                         });
-                // That one has come free may have been lost on its way.
-                let leaving = entry.state == MaintenanceState::Draining;
-                !lately
+                // The report that the machine is idle may have been lost.
+                let draining = entry.state == MaintenanceState::Draining;
+                !sent_recently
                     && has.is_none_or(|(epoch, step, idle)| {
-                        (*epoch, *step) < entry.version() || leaving && !*idle
+                        (*epoch, *step) < entry.version() || draining && !*idle
                     })
             };
-            let entries: Vec<Entry> = news
+            let entries: Vec<Entry> = own_entries
                 .iter()
-                .filter(unheard)
+                .filter(unacknowledged)
                 .take(ENTRIES_PER_DATAGRAM)
                 .copied()
                 .collect();
-            // Also that there is nothing: who has heard of a conductor has not forgotten an order.
-            let first = acks.is_none()
+            // An empty update is sent too: it informs the sidecar that the log holds nothing else.
+            let first_contact = acks.is_none()
                 && self
                     .last_sent
                     .get(&(to, 0))
                     .is_none_or(|(at, ..)| context.now >= *at + RESEND_INTERVAL);
-            if entries.is_empty() && !first {
+            if entries.is_empty() && !first_contact {
                 continue;
             }
             self.last_sent.insert((to, 0), (context.now, epoch, 0));
@@ -1258,7 +1271,7 @@
                     entries,
                 },
             });
-            (said, self.next_member) = (said + 1, usize::from(to) + 1);
+            (updates, self.next_member) = (updates + 1, usize::from(to) + 1);
         }
     }
 }
--- a/crates/passroad-upkeep/src/tests.rs
+++ b/crates/passroad-upkeep/src/tests.rs
@@ -16,7 +16,7 @@
     }
 }
 
-fn machines(machine: MachineId) -> ListedMachine {
+fn listed(machine: MachineId) -> ListedMachine {
     ListedMachine {
         machine,
         zone: 0,
@@ -28,13 +28,13 @@
     }
 }
 
-/// Some sidecars, machines 1 to 6, and the words between them, which may be lost.
+/// Some sidecars, machines 1 to 6, and the messages between them, which may be lost.
 struct World {
     nodes: Vec<Option<MaintenanceManager>>,
     incarnations: Vec<Incarnation>,
     now: Duration,
     owner: Option<(Member, Epoch)>,
-    busy: RefCell<BTreeSet<(Member, MachineId)>>, // what is on a machine of whose
+    busy: RefCell<BTreeSet<(Member, MachineId)>>, // who has commands on which machine
     excluded: Vec<BTreeSet<MachineId>>,
     cut: BTreeSet<Member>,
     lost: u32, // of a hundred
@@ -57,7 +57,7 @@
             cut: BTreeSet::new(),
             lost: 0,
             dice: 7,
-            machines: (1..7).map(machines).collect(),
+            machines: (1..7).map(listed).collect(),
             answers: Vec::new(),
             events: Vec::new(),
             broken: Vec::new(),
@@ -103,14 +103,14 @@
         let end = self.now + span;
         while self.now < end {
             self.now += 10 * MS;
-            let mut mail = Vec::new();
+            let mut in_flight = Vec::new();
             for me in 0..self.nodes.len() {
                 let actions = self
                     .with(me, |node, context| node.tick(context))
                     .unwrap_or_default();
-                self.post(me, actions, &mut mail);
+                self.post(me, actions, &mut in_flight);
             }
-            while let Some((from, to, message)) = mail.pop() {
+            while let Some((from, to, message)) = in_flight.pop() {
                 let (from, at) = (from as Member, usize::from(to));
                 self.dice = self
                     .dice
@@ -126,21 +126,27 @@
                 let actions = self
                     .with(at, |node, context| node.receive(context, from, message))
                     .unwrap_or_default();
-                self.post(at, actions, &mut mail);
+                self.post(at, actions, &mut in_flight);
             }
             self.check();
         }
     }
 
-    fn post(&mut self, me: usize, actions: Vec<Action>, mail: &mut Vec<(usize, Member, Vec<u8>)>) {
+    fn post(
+        &mut self,
+        me: usize,
+        actions: Vec<Action>,
+        in_flight: &mut Vec<(usize, Member, Vec<u8>)>,
+    ) {
         for action in actions {
             match action {
                 Action::Send { to, message } => {
                     let bytes = message.encode();
                     if bytes.len() > 244 {
-                        self.broken.push(format!("a word of {} bytes", bytes.len()));
+                        self.broken
+                            .push(format!("a message of {} bytes", bytes.len()));
                     }
-                    mail.push((me, to, bytes));
+                    in_flight.push((me, to, bytes));
                 }
                 Action::SetExcluded {
                     machine,
@@ -160,7 +166,8 @@
         }
     }
 
-    /// What must never be: a machine at work to which a sidecar that has not been forced past may send, or two at once.
+    /// Invariants: no sidecar may send to a machine under maintenance unless it was forced, and no two machines are
+    /// under maintenance at once.
     fn check(&mut self) {
         let Some((owner, _)) = self.owner else { return };
         let Some(node) = self.nodes[usize::from(owner)]
@@ -177,7 +184,8 @@
             .map(|e| e.machine)
             .collect();
         if at_work.len() > limits().max_out {
-            self.broken.push(format!("{at_work:?} at work at once"));
+            self.broken
+                .push(format!("{at_work:?} under maintenance at once"));
         }
         let forced: Vec<MachineId> = self
             .events
@@ -192,14 +200,14 @@
                     .is_some_and(MaintenanceManager::is_informed);
                 if informed && !self.excluded[me].contains(machine) {
                     self.broken.push(format!(
-                        "sidecar {me} may send to {machine}, which is at work"
+                        "sidecar {me} may send to {machine}, which is under maintenance"
                     ));
                 }
             }
         }
     }
 
-    /// Work of a second, after which the machine comes back by itself.
+    /// Maintenance of a second, after which the machine returns by itself.
     fn request(&mut self, at: usize, request: u64, machines: &[MachineId]) {
         let message = Message::Schedule {
             request,
@@ -210,7 +218,7 @@
         self.nodes[at].as_mut().unwrap().submit(message);
     }
 
-    /// Work of an hour.
+    /// Maintenance of an hour.
     fn request_long(&mut self, at: usize, request: u64, machines: &[MachineId]) {
         let message = Message::Schedule {
             request,
@@ -221,7 +229,7 @@
         self.nodes[at].as_mut().unwrap().submit(message);
     }
 
-    fn order(&mut self, at: usize, request: u64, machine: MachineId, action: OperatorAction) {
+    fn operate(&mut self, at: usize, request: u64, machine: MachineId, action: OperatorAction) {
         self.nodes[at].as_mut().unwrap().submit(Message::Operate {
             request,
             machine,
@@ -246,12 +254,12 @@
             .collect()
     }
 
-    /// Starts from nothing.
+    /// Restarts a sidecar without state.
     fn restart(&mut self, me: usize) {
         self.incarnations[me] += 100_000;
         self.excluded[me].clear();
         self.nodes[me] = Some(self.node(me));
-        // What it owned by its epoch it owns no more.
+        // It no longer owns the lease.
         if let Some((owner, epoch)) = self.owner.filter(|(owner, _)| usize::from(*owner) == me) {
             self.owner = Some(((owner + 1) % self.nodes.len() as Member, epoch + 1));
         }
@@ -261,7 +269,7 @@
 #[rstest]
 #[case::healthy(0)]
 #[case::lossy(30)]
-fn three_go_out_one_after_the_other_and_come_back_warm(#[case] lost: u32) {
+fn three_machines_go_out_one_after_the_other_and_return_warm(#[case] lost: u32) {
     let mut world = World::new(5);
     world.lost = lost;
     world.request(4, 77, &[3, 5, 2]);
@@ -280,7 +288,7 @@
 }
 
 #[rstest]
-fn one_is_at_work_only_when_all_have_nothing_on_it() {
+fn a_machine_is_under_maintenance_only_once_all_sidecars_are_idle() {
     let mut world = World::new(4);
     world.busy.borrow_mut().insert((2, 3));
     world.request_long(1, 5, &[3]);
@@ -295,9 +303,10 @@
     );
 }
 
-// In real processes a machine was told empty with a command on its way to it: the look was older than the ban.
+// In real processes a machine was reported idle while a command was on its way to it: the check was older than the
+// exclusion.
 #[rstest]
-fn free_is_said_only_behind_the_ban() {
+fn idle_is_reported_only_after_the_exclusion() {
     let mut world = World::new(3);
     world.run(MS * 200);
     let entry = Entry {
@@ -311,13 +320,13 @@
         ends_at_s: 0,
         auto_return: false,
     };
-    let tell = Message::Update {
+    let update = Message::Update {
         coordinator_epoch: 1,
         open_entries: 1,
         entries: vec![entry],
     };
     let actions = world
-        .with(2, |node, context| node.receive(context, 0, tell))
+        .with(2, |node, context| node.receive(context, 0, update))
         .unwrap();
     assert_eq!(
         actions[0],
@@ -349,9 +358,9 @@
     );
 }
 
-// Nobody can know what one that says nothing still sends: the order waits for it, or for an operator, and says so.
+// What a silent sidecar still sends can't be known: the log waits for it or for an operator, and reports so.
 #[rstest]
-fn who_is_cut_off_is_waited_for_or_forced_past() {
+fn a_partitioned_sidecar_is_waited_for_or_overridden() {
     let mut world = World::new(4);
     world.cut.insert(3);
     world.request_long(1, 5, &[3]);
@@ -364,7 +373,7 @@
         "{:?}",
         world.events
     );
-    world.order(2, 6, 3, OperatorAction::Force);
+    world.operate(2, 6, 3, OperatorAction::Force);
     world.run(Duration::from_secs(1));
     assert_eq!(world.state(3), Some(MaintenanceState::UnderMaintenance));
     assert!(
@@ -375,9 +384,9 @@
     assert_eq!(world.answers, [(5, None), (6, None)]);
 }
 
-// The next conductor takes up from what a majority knows, at each step of the one before.
+// The next coordinator continues from what a majority knows, at each step of its predecessor.
 #[rstest]
-fn a_conductor_killed_at_any_time_is_followed(
+fn a_coordinator_killed_at_any_time_is_succeeded(
     #[values(150, 300, 800, 1500, 2500, 4000, 6000)] after: u32,
 ) {
     let mut world = World::new(5);
@@ -395,9 +404,9 @@
     assert_eq!(world.broken, Vec::<String>::new());
 }
 
-// It wakes when another conducts, and goes on as if nothing had been.
+// It wakes while another coordinates, and continues as if nothing had happened.
 #[rstest]
-fn a_conductor_that_wakes_late_is_not_obeyed() {
+fn an_outdated_coordinator_is_ignored() {
     let mut world = World::new(5);
     world.request(4, 77, &[3, 5]);
     world.run(Duration::from_secs(1));
@@ -432,9 +441,9 @@
     );
 }
 
-// An upgrade: the next process has the ban from the one before, and hears of the machine only when it is back.
+// In an upgrade the new process inherits the exclusion and receives the entry only once the machine is back.
 #[rstest]
-fn a_ban_that_was_taken_over_ends_with_the_work() {
+fn an_inherited_exclusion_ends_with_the_maintenance() {
     let mut world = World::new(3);
     let entry = Entry {
         machine: 3,
@@ -447,12 +456,12 @@
         ends_at_s: 0,
         auto_return: false,
     };
-    let tell = |step| Message::Update {
+    let update = |step| Message::Update {
         coordinator_epoch: 1,
         open_entries: 1,
         entries: vec![Entry { step, ..entry }],
     };
-    let lifts = |actions: Vec<Action>| {
+    let readmissions = |actions: Vec<Action>| {
         actions
             .iter()
             .filter(|action| {
@@ -469,9 +478,9 @@
     let counts: Vec<usize> = [5, 6]
         .iter()
         .map(|step| {
-            lifts(
+            readmissions(
                 world
-                    .with(2, |node, context| node.receive(context, 0, tell(*step)))
+                    .with(2, |node, context| node.receive(context, 0, update(*step)))
                     .unwrap(),
             )
         })
@@ -479,9 +488,9 @@
     assert_eq!(counts, [1, 0]);
 }
 
-// It learns the bans before anything else, from those that know.
+// It learns the exclusions before anything else, from sidecars that know them.
 #[rstest]
-fn one_that_starts_from_nothing_learns_what_is_out() {
+fn a_sidecar_without_state_learns_which_machines_are_out() {
     let mut world = World::new(5);
     world.request_long(4, 77, &[3]);
     world.run(Duration::from_secs(1));
@@ -492,9 +501,10 @@
     assert!(world.nodes[4].as_ref().unwrap().is_informed() && world.excluded[4].contains(&3));
 }
 
-// A majority of the keepers forgets at once: nothing is done on what they say, until those that know have told it again.
+// A majority of the voters loses its state at once: nothing is based on their replies until others have sent the log
+// again.
 #[rstest]
-fn a_majority_that_forgot_does_not_count() {
+fn a_majority_without_state_does_not_count() {
     let mut world = World::new(5);
     world.request(4, 77, &[3, 5]);
     world.run(Duration::from_secs(1));
@@ -513,9 +523,9 @@
     assert_eq!(world.broken, Vec::<String>::new());
 }
 
-// All that knew have gone: nobody can tell whether a machine is out, so an operator is asked.
+// No sidecar that knew the log is left, so an operator has to decide.
 #[rstest]
-fn where_all_forgot_an_operator_is_asked() {
+fn without_any_state_left_an_operator_decides() {
     let mut world = World::new(3);
     world.request_long(2, 7, &[3]);
     world.run(Duration::from_secs(1));
@@ -524,15 +534,16 @@
     world.owner = Some((1, 2));
     world.run(Duration::from_secs(10));
     assert!(!world.nodes[1].as_ref().unwrap().is_coordinator());
-    world.order(0, 8, 0, OperatorAction::Bootstrap);
+    world.operate(0, 8, 0, OperatorAction::Bootstrap);
     world.run(Duration::from_secs(1));
     assert!(world.nodes[1].as_ref().unwrap().is_coordinator());
     assert_eq!(world.answers.last(), Some(&(8, None)));
 }
 
-// A random history: what was said to it before it began anew was not said again at once, and the rest was taken for all.
+// Found by a random history: entries sent to a sidecar before its restart were not sent again at once, and the rest was
+// taken for the whole log.
 #[rstest]
-fn a_part_of_the_order_is_not_taken_for_the_whole() {
+fn a_part_of_the_log_is_not_taken_for_the_whole() {
     let mut world = World::new(3);
     world.restart(2);
     let entry = Entry {
@@ -557,9 +568,9 @@
     }
 }
 
-// A random history: a keeper that began anew had asked another one, and counted as if it had known itself.
+// Found by a random history: a restarted voter that had queried another one counted as if it had known the log itself.
 #[rstest]
-fn a_keeper_that_has_only_asked_does_not_count() {
+fn a_voter_that_has_only_queried_does_not_count() {
     let mut world = World::new(3);
     world.request_long(2, 7, &[3]);
     world.run(Duration::from_secs(1));
@@ -567,12 +578,12 @@
     world.owner = None;
     world.run(Duration::from_secs(1));
     assert!(world.nodes[1].as_ref().unwrap().is_informed());
-    let recall = Message::Query {
+    let query = Message::Query {
         coordinator_epoch: 9,
         offset: 0,
     };
     let actions = world
-        .with(1, |node, context| node.receive(context, 2, recall))
+        .with(1, |node, context| node.receive(context, 2, query))
         .unwrap();
     assert!(
         matches!(
@@ -590,7 +601,7 @@
 }
 
 #[rstest]
-fn what_is_asked_twice_or_in_two_places_is_one_order() {
+fn repeated_and_overlapping_requests_are_one_entry_per_machine() {
     let mut world = World::new(5);
     world.request(4, 77, &[3, 5]);
     world.request(2, 78, &[5, 3, 6]);
@@ -603,41 +614,41 @@
 }
 
 #[rstest]
-#[case::unknown(Message::Schedule { request: 9, duration_s: 1, auto_return: true, machines: vec![99] }, Some(Rejection::UnknownMachine))]
+#[case::unknown_machine(Message::Schedule { request: 9, duration_s: 1, auto_return: true, machines: vec![99] }, Some(Rejection::UnknownMachine))]
 #[case::done_too_soon(Message::Operate { request: 9, machine: 5, action: OperatorAction::Complete }, Some(Rejection::NotUnderMaintenance))]
 #[case::not_queued(Message::Operate { request: 9, machine: 6, action: OperatorAction::Withdraw }, Some(Rejection::UnknownMachine))]
-#[case::begun(Message::Operate { request: 9, machine: 3, action: OperatorAction::Withdraw }, Some(Rejection::AlreadyStarted))]
+#[case::already_started(Message::Operate { request: 9, machine: 3, action: OperatorAction::Withdraw }, Some(Rejection::AlreadyStarted))]
 #[case::withdrawn(Message::Operate { request: 9, machine: 5, action: OperatorAction::Withdraw }, None)]
 #[case::done(Message::Operate { request: 9, machine: 3, action: OperatorAction::Complete }, None)]
-fn operators_are_told_what_can_not_be(
+fn impossible_operator_actions_are_rejected(
     #[case] message: Message,
     #[case] rejected: Option<Rejection>,
 ) {
     let mut world = World::new(3);
-    let want = Message::Schedule {
+    let request = Message::Schedule {
         request: 7,
         duration_s: 3600,
         auto_return: false,
         machines: vec![3, 5],
     };
-    world.nodes[2].as_mut().unwrap().submit(want);
+    world.nodes[2].as_mut().unwrap().submit(request);
     world.run(Duration::from_secs(2));
     world.nodes[1].as_mut().unwrap().submit(message);
     world.run(Duration::from_secs(1));
     assert_eq!(world.answers.last(), Some(&(9, rejected)));
 }
 
-// Nothing stays out in silence: its time is told, and it comes back only where the request said so.
+// An overdue machine is reported, and it returns by itself only if the request said so.
 #[rstest]
-fn work_that_takes_too_long_is_told_and_stays_out() {
+fn overdue_maintenance_is_reported_and_stays_out() {
     let mut world = World::new(3);
-    let want = Message::Schedule {
+    let request = Message::Schedule {
         request: 7,
         duration_s: 2,
         auto_return: false,
         machines: vec![3],
     };
-    world.nodes[2].as_mut().unwrap().submit(want);
+    world.nodes[2].as_mut().unwrap().submit(request);
     world.run(Duration::from_secs(10));
     assert_eq!(world.state(3), Some(MaintenanceState::UnderMaintenance));
     assert_eq!(
@@ -651,7 +662,7 @@
 }
 
 #[rstest]
-fn what_has_not_begun_goes_back_when_another_fails() {
+fn a_draining_machine_is_requeued_when_another_fails() {
     let mut world = World::new(3);
     world.busy.borrow_mut().insert((1, 3));
     world.request_long(2, 7, &[3]);
@@ -669,20 +680,20 @@
     );
 }
 
-// Two may be out, but not in the same zone, or the same cell of one.
+// Two may be out, but not in the same zone, nor in the same cell of a zone.
 #[rstest]
 #[case::elsewhere(2, 1, 1, 1, true)]
 #[case::same_zone(1, 2, 0, 1, false)]
 #[case::same_cell(2, 1, 0, 0, false)]
 #[case::another_cell(2, 1, 0, 1, true)]
-fn zones_and_cells_have_bounds_of_their_own(
+fn zones_and_cells_have_limits_of_their_own(
     #[case] zone_most: usize,
     #[case] cell_most: usize,
     #[case] zone: usize,
     #[case] cell: usize,
     #[case] may: bool,
 ) {
-    let mut all: Vec<ListedMachine> = (1..7).map(machines).collect();
+    let mut all: Vec<ListedMachine> = (1..7).map(listed).collect();
     (all[1].zone, all[1].cell) = (zone, cell);
     let limits = Limits {
         max_out: 2,
@@ -694,18 +705,18 @@
 }
 
 #[rstest]
-#[case::room(|_: &mut Vec<ListedMachine>, _: &mut BTreeSet<MachineId>| {}, true)]
+#[case::enough_capacity(|_: &mut Vec<ListedMachine>, _: &mut BTreeSet<MachineId>| {}, true)]
 #[case::one_is_out(|_: &mut Vec<ListedMachine>, away: &mut BTreeSet<MachineId>| { away.insert(2); }, false)]
 #[case::one_is_down(|machines: &mut Vec<ListedMachine>, _: &mut BTreeSet<MachineId>| machines[4].healthy = false, false)]
 #[case::itself_is_down(|machines: &mut Vec<ListedMachine>, _: &mut BTreeSet<MachineId>| machines[0].healthy = false, true)]
 #[case::last_of_its_kind(|machines: &mut Vec<ListedMachine>, _: &mut BTreeSet<MachineId>| machines[0].kind = 1, false)]
-#[case::no_room(|machines: &mut Vec<ListedMachine>, _: &mut BTreeSet<MachineId>| machines.iter_mut().for_each(|s| s.utilization = Some(0.8)), false)]
-#[case::not_there(|machines: &mut Vec<ListedMachine>, _: &mut BTreeSet<MachineId>| { machines.remove(0); }, false)]
-fn one_more_may_be_out_only_where_the_rest_bears_it(
+#[case::not_enough_capacity(|machines: &mut Vec<ListedMachine>, _: &mut BTreeSet<MachineId>| machines.iter_mut().for_each(|s| s.utilization = Some(0.8)), false)]
+#[case::not_listed(|machines: &mut Vec<ListedMachine>, _: &mut BTreeSet<MachineId>| { machines.remove(0); }, false)]
+fn one_more_may_be_out_only_if_the_rest_has_the_capacity(
     #[case] turn: fn(&mut Vec<ListedMachine>, &mut BTreeSet<MachineId>),
     #[case] may: bool,
 ) {
-    let (mut all, mut away) = ((1..7).map(machines).collect(), BTreeSet::new());
+    let (mut all, mut away) = ((1..7).map(listed).collect(), BTreeSet::new());
     turn(&mut all, &mut away);
     assert_eq!(can_take_out(&limits(), &all, &away, 1), may);
 }
@@ -715,9 +726,9 @@
         std::env::var("PROPTEST_CASES").ok().and_then(|n| n.parse().ok()).unwrap_or(60)
     ))]
 
-    // Cuts, losses, restarts from nothing and changes of the conductor at any time.
+    // Partitions, losses, restarts without state and changes of the coordinator at any time.
     #[test]
-    fn in_no_history_is_one_at_work_to_which_somebody_sends(
+    fn in_no_history_does_a_sidecar_send_to_a_machine_under_maintenance(
         lost in 0u32..40,
         turns in prop::collection::vec((0u32..2500, 0usize..5, 0usize..5), 1..10),
     ) {
@@ -747,11 +758,11 @@
     }
 
     #[test]
-    fn no_words_bring_it_down(words in prop::collection::vec(prop::collection::vec(any::<u8>(), 0..80), 1..9)) {
+    fn no_sequence_of_messages_panics(messages in prop::collection::vec(prop::collection::vec(any::<u8>(), 0..80), 1..9)) {
         let mut world = World::new(3);
         world.request(0, 77, &[3]);
         world.run(MS * 100);
-        for bytes in words {
+        for bytes in messages {
             if let Some(message) = Message::decode(&bytes) {
                 world.with(0, |node, context| drop(node.receive(context, 1, message)));
             }
