--- a/crates/passroad-routes/src/router.rs
+++ b/crates/passroad-routes/src/router.rs
@@ -3,9 +3,11 @@
 //! No input or output, no clock: what is seen comes in, plays go out.
 
 use crate::spill::Spill;
-use crate::text::{Place, PoolOrder, RouteOrders};
-use crate::zone::{Health, Sum, Zone};
-use passroad_choice::{EndpointIx, Listing, Mode, Outcome, Report, StandingOrders};
+use crate::text::{PoolConfig, RoutesConfig, ZoneSelector};
+use crate::zone::{Sum, Zone, ZoneHealth};
+use passroad_choice::{
+    BalancerConfig, EndpointIndex, EndpointState, ListedEndpoint, LoadReport, Outcome,
+};
 use std::time::Duration;
 
 /// Plays of a pool: three each, in this order.
@@ -64,7 +66,7 @@
 }
 
 struct Pool {
-    order: PoolOrder,
+    order: PoolConfig,
     tiers: Vec<Vec<usize>>, // zones, as far as they are known
     zones: Vec<Zone>,
     rate: Rate,
@@ -77,18 +79,18 @@
 
 /// What a command may do.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Ruling {
-    Go {
-        play: usize,
+pub enum RoutingDecision {
+    Admit {
+        weight_set: usize,
     },
     /// More than may spill: the answer is now, and when to come back.
-    Decline {
-        after: Duration,
+    Refuse {
+        retry_after: Duration,
     },
 }
 
 pub struct Router {
-    orders: RouteOrders,
+    orders: RoutesConfig,
     pools: Vec<Pool>,
     members: Vec<Option<Member>>,
     out: Vec<bool>,                       // by hand, by slot
@@ -105,9 +107,13 @@
 }
 
 impl Router {
-    pub fn new(routes: RouteOrders, orders: &StandingOrders) -> Self {
-        let best = orders.verbs.iter().map(|v| v.utility).fold(1e-9, f64::max);
-        let pool = |order: &PoolOrder| Pool {
+    pub fn new(routes: RoutesConfig, orders: &BalancerConfig) -> Self {
+        let best = orders
+            .classes
+            .iter()
+            .map(|v| v.utility)
+            .fold(1e-9, f64::max);
+        let pool = |order: &PoolConfig| Pool {
             tiers: Vec::new(),
             zones: Vec::new(),
             rate: Rate::default(),
@@ -124,11 +130,11 @@
             members: Vec::new(),
             out: Vec::new(),
             names: Vec::new(),
-            own_zone: orders.zone,
+            own_zone: orders.own_zone,
             zone_names: orders.zones.clone(),
-            worth: orders.verbs.iter().map(|v| v.utility / best).collect(),
-            cold_from: orders.cold_from.clamp(0.01, 1.0),
-            warm_within: orders.warm_within,
+            worth: orders.classes.iter().map(|v| v.utility / best).collect(),
+            cold_from: orders.cold_capacity.clamp(0.01, 1.0),
+            warm_within: orders.warm_up_time,
             dice: orders.seed.rotate_left(17) | 1,
             looked: None,
             dirty: true,
@@ -137,13 +143,17 @@
     }
 
     /// Whether the pools and zones are those in force; only which commands go where may change.
-    pub fn may_retune(&self, orders: &StandingOrders, routes: &RouteOrders) -> bool {
+    pub fn can_reconfigure(&self, orders: &BalancerConfig, routes: &RoutesConfig) -> bool {
         routes.pools == self.orders.pools && orders.zones == self.zone_names
     }
 
-    pub fn retune(&mut self, orders: &StandingOrders, routes: RouteOrders) {
-        let best = orders.verbs.iter().map(|v| v.utility).fold(1e-9, f64::max);
-        self.worth = orders.verbs.iter().map(|v| v.utility / best).collect();
+    pub fn reconfigure(&mut self, orders: &BalancerConfig, routes: RoutesConfig) {
+        let best = orders
+            .classes
+            .iter()
+            .map(|v| v.utility)
+            .fold(1e-9, f64::max);
+        self.worth = orders.classes.iter().map(|v| v.utility / best).collect();
         self.orders = routes;
     }
 
@@ -154,13 +164,13 @@
     }
 
     /// What the slot of an endpoint is called outside, before a list speaks of it.
-    pub fn name(&mut self, endpoint: EndpointIx, id: &str, kind: &str) {
+    pub fn register_endpoint(&mut self, endpoint: EndpointIndex, id: &str, kind: &str) {
         self.names.resize(self.names.len().max(endpoint + 1), None);
         self.names[endpoint] = Some((id.into(), kind.into()));
     }
 
     /// The slot is another's from here on.
-    pub fn release(&mut self, endpoint: EndpointIx) {
+    pub fn release_endpoint(&mut self, endpoint: EndpointIndex) {
         if let Some(member) = self.members.get_mut(endpoint) {
             *member = None;
             self.dirty = true;
@@ -168,14 +178,14 @@
     }
 
     /// Operators take an endpoint out or call it back.
-    pub fn cordoned(&mut self, endpoint: EndpointIx, out: bool) {
+    pub fn set_cordoned(&mut self, endpoint: EndpointIndex, out: bool) {
         self.out.resize(self.out.len().max(endpoint + 1), false);
         self.out[endpoint] = out;
         self.dirty = true;
     }
 
     /// Takes in a list; a whole one leaves out what is gone.
-    pub fn listed(&mut self, whole: bool, entries: &[Listing]) {
+    pub fn apply_list(&mut self, whole: bool, entries: &[ListedEndpoint]) {
         if whole {
             self.members.iter_mut().flatten().for_each(|m| m.up = false);
         }
@@ -184,7 +194,7 @@
                 .resize(self.members.len().max(entry.endpoint + 1), None);
             let name = self.names.get(entry.endpoint).and_then(Option::as_ref);
             let (id, kind) = name.map_or(("", ""), |(id, kind)| (id.as_str(), kind.as_str()));
-            let factor = |pool: &PoolOrder| {
+            let factor = |pool: &PoolConfig| {
                 let by_label = pool.labels.is_empty()
                     || pool.labels.iter().any(|l| id.starts_with(l.as_str()));
                 let by_kind = pool.kinds.is_empty() || pool.kinds.iter().any(|k| k == kind);
@@ -193,12 +203,12 @@
             };
             let factors = self.orders.pools.iter().map(factor).collect();
             let before = self.members[entry.endpoint].take();
-            let anew = before.as_ref().is_none_or(|m| entry.started > m.started);
+            let anew = before.as_ref().is_none_or(|m| entry.started_at > m.started);
             self.members[entry.endpoint] = Some(Member {
                 zone: entry.zone,
-                weight: entry.rating.clamp(0.01, 1e6),
-                up: entry.mode == Mode::Running,
-                started: entry.started.max(
+                weight: entry.weight.clamp(0.01, 1e6),
+                up: entry.state == EndpointState::Running,
+                started: entry.started_at.max(
                     before
                         .as_ref()
                         .filter(|_| !anew)
@@ -214,20 +224,20 @@
     }
 
     /// How a relay of a command ended, or a probe, which has no verb and no goal.
-    pub fn ended(
+    pub fn record_outcome(
         &mut self,
         now: Duration,
-        endpoint: EndpointIx,
+        endpoint: EndpointIndex,
         outcome: Outcome,
         lateness: Option<f64>,
-        report: Option<&Report>,
+        report: Option<&LoadReport>,
     ) {
         let Some(member) = self.members.get_mut(endpoint).and_then(Option::as_mut) else {
             return;
         };
         let before = member.misses >= MISSES;
         match outcome {
-            Outcome::NoConnection => member.away += 1,
+            Outcome::ConnectFailed => member.away += 1,
             Outcome::TimedOut if lateness.is_none() => member.away += 1,
             // As the module does: it may be another process than before, and gets its share by passes only.
             Outcome::Answered
@@ -240,13 +250,13 @@
             _ => {}
         }
         match outcome {
-            Outcome::Answered | Outcome::Error | Outcome::Full | Outcome::Unfit => {
+            Outcome::Answered | Outcome::Error | Outcome::Overloaded | Outcome::Rejected => {
                 member.misses = 0
             }
-            Outcome::NoConnection | Outcome::TimedOut => {
+            Outcome::ConnectFailed | Outcome::TimedOut => {
                 member.misses = member.misses.saturating_add(1)
             }
-            Outcome::Broken | Outcome::Recalled | Outcome::Moot => {}
+            Outcome::ConnectionLost | Outcome::Cancelled | Outcome::NotSent => {}
         }
         self.dirty |= before != (member.misses >= MISSES);
         for (pool, factor) in self.pools.iter_mut().zip(&member.factors) {
@@ -265,12 +275,12 @@
                     Outcome::Answered => late > LATE,
                     Outcome::TimedOut => true,
                     // Short of connections is not short of time: what is heard of the load says which it was.
-                    Outcome::Full => pool
+                    Outcome::Overloaded => pool
                         .spill
                         .load(now)
                         .is_none_or(|load| load > pool.order.ceiling),
-                    Outcome::NoConnection | Outcome::Recalled | Outcome::Moot => continue,
-                    Outcome::Error | Outcome::Broken | Outcome::Unfit => false,
+                    Outcome::ConnectFailed | Outcome::Cancelled | Outcome::NotSent => continue,
+                    Outcome::Error | Outcome::ConnectionLost | Outcome::Rejected => false,
                 };
                 pool.spill.ended(now, bad);
             }
@@ -287,21 +297,21 @@
     }
 
     /// Zones of each tier, as far as the list has named any.
-    fn tiers(&self, pool: &PoolOrder, zones: usize) -> Vec<Vec<usize>> {
+    fn tiers(&self, pool: &PoolConfig, zones: usize) -> Vec<Vec<usize>> {
         let named: Vec<usize> = pool
             .tiers
             .iter()
             .flatten()
             .filter_map(|place| match place {
-                Place::Own => Some(self.own_zone),
-                Place::Zone(zone) => Some(*zone),
-                Place::Rest => None,
+                ZoneSelector::Own => Some(self.own_zone),
+                ZoneSelector::Zone(zone) => Some(*zone),
+                ZoneSelector::Rest => None,
             })
             .collect();
-        let of = |place: &Place| match place {
-            Place::Own => vec![self.own_zone],
-            Place::Zone(zone) => vec![*zone],
-            Place::Rest => (0..zones).filter(|z| !named.contains(z)).collect(),
+        let of = |place: &ZoneSelector| match place {
+            ZoneSelector::Own => vec![self.own_zone],
+            ZoneSelector::Zone(zone) => vec![*zone],
+            ZoneSelector::Rest => (0..zones).filter(|z| !named.contains(z)).collect(),
         };
         pool.tiers
             .iter()
@@ -310,7 +320,7 @@
     }
 
     /// Looks at the zones and gives the weights that have changed: for each play, endpoints and theirs.
-    pub fn look(&mut self, now: Duration) -> Vec<(usize, EndpointIx, f64)> {
+    pub fn update_weights(&mut self, now: Duration) -> Vec<(usize, EndpointIndex, f64)> {
         let due = self.looked.is_none_or(|at| now.saturating_sub(at) >= LOOK);
         if !self.dirty && !due {
             return Vec::new();
@@ -374,7 +384,7 @@
         self.weights(now)
     }
 
-    fn weights(&mut self, now: Duration) -> Vec<(usize, EndpointIx, f64)> {
+    fn weights(&mut self, now: Duration) -> Vec<(usize, EndpointIndex, f64)> {
         let mut changed = Vec::new();
         for endpoint in 0..self.members.len() {
             let Some(member) = &self.members[endpoint] else {
@@ -404,16 +414,16 @@
     }
 
     /// Where a command may go. The zones are those of the last look.
-    pub fn rule(&mut self, now: Duration, verb: usize, company: Option<usize>) -> Ruling {
+    pub fn route(&mut self, now: Duration, verb: usize, company: Option<usize>) -> RoutingDecision {
         let n = self.orders.pool_of(verb, company);
         let (draw, worth) = (self.chance(), self.worth.get(verb).copied().unwrap_or(1.0));
         let pool = &mut self.pools[n];
         pool.rate.add(now);
         let carries = pool.carries(now);
-        let go = |play| Ruling::Go {
-            play: PLAYS * n + play,
+        let go = |play| RoutingDecision::Admit {
+            weight_set: PLAYS * n + play,
         };
-        let back = pool.home().any(|z| z.health == Health::Returning);
+        let back = pool.home().any(|z| z.health == ZoneHealth::Returning);
         if carries >= 1.0 && !back || pool.tiers.len() < 2 {
             return go(HOME);
         }
@@ -435,12 +445,12 @@
             }
             // What is left at home is better than nothing; the module's limits say how much of it.
             Err(_) if carries > 0.0 && !back => go(HOME),
-            Err(after) => Ruling::Decline { after },
+            Err(after) => RoutingDecision::Refuse { retry_after: after },
         }
     }
 
     /// Lines for the log, one for each change.
-    pub fn take_lines(&mut self) -> Vec<String> {
+    pub fn take_log_lines(&mut self) -> Vec<String> {
         std::mem::take(&mut self.lines)
     }
 }
@@ -460,7 +470,7 @@
         if known.is_empty() {
             return 0.0;
         }
-        if known.iter().all(|z| z.health == Health::Whole) {
+        if known.iter().all(|z| z.health == ZoneHealth::Whole) {
             return 1.0;
         }
         // Of several zones those that are well make up for the others while there is headroom.
@@ -486,13 +496,13 @@
         }
         let z = &self.zones[zone];
         match z.health {
-            Health::Whole | Health::Thinned => [1.0, 1.0, 0.0],
-            Health::Returning => {
+            ZoneHealth::Whole | ZoneHealth::Thinned => [1.0, 1.0, 0.0],
+            ZoneHealth::Returning => {
                 let back = z.back(now).max(BEYOND);
                 [back, back, 0.0]
             }
             // Still in play where commands look whether it is back.
-            Health::Dark => [1.0, 1.0, 0.0],
+            ZoneHealth::Dark => [1.0, 1.0, 0.0],
         }
     }
 
--- a/crates/passroad/src/fleet/part.rs
+++ b/crates/passroad/src/fleet/part.rs
@@ -172,7 +172,7 @@
     /// Has this part take its share in the order of work on machines.
     pub fn with_upkeep(mut self, order: &UpkeepOrder) -> Part {
         let members = self.peers.members().len();
-        let mark = passroad_choice::door::mark(UPKEEP);
+        let mark = passroad_choice::interner::stable_hash(UPKEEP);
         let limits = upkeep::Limits {
             max_out: order.at_once,
             max_out_per_zone: order.at_once_in_a_zone,
@@ -213,7 +213,7 @@
         let Some(mut work) = self.work.take() else {
             return todo;
         };
-        let mark = passroad_choice::door::mark(UPKEEP);
+        let mark = passroad_choice::interner::stable_hash(UPKEEP);
         let owned = self.lease.ownership(clocks, mark).map(|(epoch, _)| epoch);
         let note = self.peers.fact(mark).and_then(|note| note.holder);
         let incarnations: Vec<u64> = self
--- a/crates/passroad/src/fleet/work.rs
+++ b/crates/passroad/src/fleet/work.rs
@@ -3,7 +3,7 @@
 use super::orders::UpkeepOrder;
 use crate::desk::Desk;
 use crate::members::Member;
-use passroad_choice::Mode;
+use passroad_choice::EndpointState;
 use passroad_upkeep::{
     ListedMachine, MachineEvent, MachineId, MaintenanceState, OperatorAction, Rejection,
 };
@@ -52,14 +52,14 @@
                 })
         };
         for (member, busy, fails) in self.desk.machines() {
-            let machine = passroad_choice::door::mark(&member.id);
+            let machine = passroad_choice::interner::stable_hash(&member.id);
             let warm_at = Duration::from_millis(member.up_since_ms) + self.warm;
             self.seen.push(ListedMachine {
                 machine,
                 zone: number(&mut zones, &member.locality),
                 kind: number(&mut kinds, &member.flavor),
                 size: member.size,
-                healthy: member.mode() == Mode::Running
+                healthy: member.mode() == EndpointState::Running
                     && !fails
                     && (member.up_since_ms == 0 || wall >= warm_at),
                 cell: member.cell,
@@ -79,7 +79,7 @@
                 && is(&of.kind, &m.flavor)
                 && of.cell.is_none_or(|cell| cell == m.cell)
         };
-        all.filter(|m| fits(m) && m.mode() != Mode::Deleted)
+        all.filter(|m| fits(m) && m.mode() != EndpointState::Removed)
             .map(|m| m.id)
             .collect()
     }
