--- a/crates/passroad-rig/src/capacity/roles.rs
+++ b/crates/passroad-rig/src/capacity/roles.rs
@@ -132,12 +132,12 @@
     pub rows: &'static [Row],
 }
 
-const DESK: &str = "crates/passroad/src/desk.rs";
+const DESK: &str = "crates/passroad/src/dispatcher.rs";
 const RELAY: &str = "crates/passroad/src/relay.rs";
 const PROBE: &str = "crates/passroad/src/probe.rs";
-const LIST: &str = "crates/passroad/src/list.rs";
+const LIST: &str = "crates/passroad/src/discovery.rs";
 const FRONT: &str = "crates/passroad/src/listener.rs";
-const ROOM: &str = "crates/passroad/src/room.rs";
+const ROOM: &str = "crates/passroad/src/descriptors.rs";
 const CHOICE: &str = "crates/passroad-choice/src/choice.rs";
 const STATE: &str = "crates/passroad-choice/src/state.rs";
 const PEERS: &str = "crates/passroad-peers/src/lib.rs";
--- a/crates/passroad/src/command.rs
+++ b/crates/passroad/src/command.rs
@@ -1,7 +1,7 @@
 //! The life of one command, top to bottom; the module decides at each turn.
 
 use crate::body::{RelayBody, StreamedUpload};
-use crate::desk::{Desk, Order};
+use crate::dispatcher::{CommandAction, Dispatcher};
 use crate::listener::ClientConnection;
 use crate::relay::{self, CommandRequest, ExchangeResult};
 use crate::send_guard::SendGuard;
@@ -35,7 +35,7 @@
 }
 
 pub async fn run(
-    desk: Arc<Desk>,
+    desk: Arc<Dispatcher>,
     need: CommandParams,
     cargo: CommandRequest,
     front: oneshot::Sender<FinalResponse>,
@@ -64,17 +64,17 @@
     loop {
         tokio::select! {
             biased;
-            order = seat.order() => match order {
+            order = seat.next_action() => match order {
                 // Its module has forgotten the command: nothing of it is out any more.
                 None => return,
-                Some(Order::Relay { link, within, begin }) => {
+                Some(CommandAction::Relay { pool: link, timeout: within, send_by: begin }) => {
                     let (recall, recalled) = oneshot::channel();
                     recalls.push(Some(recall));
-                    let (n, began, cargo) = (seat.newest(), Instant::now(), Arc::clone(&cargo));
+                    let (n, began, cargo) = (seat.latest_relay(), Instant::now(), Arc::clone(&cargo));
                     let left = limit.deadline().saturating_duration_since(began);
                     let within = if upload.is_some() { need.budget } else { within.min(left) };
                     let until = upload.is_none().then(|| (began + within.min(begin)).into());
-                    let look = SendGuard::new(seat.over.clone(), link.invalidated.clone(), until, Arc::clone(&need.client));
+                    let look = SendGuard::new(seat.ended.clone(), link.invalidated.clone(), until, Arc::clone(&need.client));
                     let look = Arc::new(look);
                     relays.push(async move {
                         let ended = relay::run(*link, Arc::clone(&cargo), Arc::clone(&look), within, recalled).await;
@@ -82,26 +82,26 @@
                         (n, ended, since.map_or(began, |since| began.max(since)).elapsed(), look.client_left())
                     });
                 }
-                Some(Order::Recall { relay }) => {
+                Some(CommandAction::CancelRelay { relay }) => {
                     // The relay's future sees it and closes its connection.
                     recalls.get_mut(relay).and_then(Option::take);
                 }
-                Some(Order::Decline { not_before }) => answer(&mut front, FinalResponse::Refused { retry_after: not_before }),
-                Some(Order::Terminate) => answer(&mut front, FinalResponse::Failed),
-                Some(Order::OutOfTime) => {
+                Some(CommandAction::Refuse { retry_after: not_before }) => answer(&mut front, FinalResponse::Refused { retry_after: not_before }),
+                Some(CommandAction::Fail) => answer(&mut front, FinalResponse::Failed),
+                Some(CommandAction::Expire) => {
                     answer(&mut front, FinalResponse::DeadlineExceeded);
-                    seat.lapsed();
+                    seat.abandon();
                 }
             },
             Some((n, ended, spent, left)) = relays.next() => {
                 if left && front.take().is_some() {
-                    seat.lapsed();
+                    seat.abandon();
                 }
                 if cargo.upload().is_some_and(|upload| upload.is_partly_sent()) {
-                    seat.spent();
+                    seat.body_not_replayable();
                 }
                 let won = front.is_some() && ended.outcome == Outcome::Answered;
-                seat.finished(n, &ended, spent, won || front.is_none());
+                seat.relay_finished(n, &ended, spent, won || front.is_none());
                 if let (true, ExchangeResult { response: Some(body), .. }) = (won, ended) {
                     answer(&mut front, FinalResponse::FromEndpoint(body));
                 }
@@ -109,16 +109,16 @@
             () = whole(&upload), if upload.is_some() => {
                 upload = None;
                 limit.as_mut().reset(Instant::now() + need.time_limit);
-                seat.whole();
+                seat.body_complete();
             }
             () = gone(&mut front), if front.is_some() => {
                 front = None;
-                seat.lapsed();
+                seat.abandon();
             }
             // Guards against a command without an answer in time, whatever else went wrong.
             () = &mut limit, if front.is_some() => {
                 answer(&mut front, FinalResponse::DeadlineExceeded);
-                seat.lapsed();
+                seat.abandon();
             }
         }
     }
--- a/crates/passroad/src/start.rs
+++ b/crates/passroad/src/config.rs
@@ -1,8 +1,8 @@
 //! What a sidecar is told at its start, and anew on SIGHUP.
 
 use crate::Files;
+use crate::endpoint_list::EndpointList;
 use crate::fleet;
-use crate::members::List;
 use passroad_choice::BalancerConfig;
 use passroad_routes::RoutesConfig;
 use serde::Deserialize;
@@ -12,7 +12,7 @@
 use tokio::signal::unix::{Signal, SignalKind, signal};
 use tokio::sync::watch;
 
-pub struct Start {
+pub struct SidecarConfig {
     pub name: String,
     pub listen: SocketAddr,
     pub discovery: SocketAddr,
@@ -22,7 +22,7 @@
     pub management: Option<SocketAddr>,
     pub sockets: usize,
     pub memory: usize, // bytes
-    pub known: Option<List>,
+    pub known: Option<EndpointList>,
     pub orders: BalancerConfig,
     /// Orders that are only watched: what they would have decided otherwise is counted.
     pub watch: Option<Watch>,
@@ -37,18 +37,18 @@
 
 /// Times of the sidecar's own that follow from the orders.
 #[derive(Clone, Copy)]
-pub struct Pace {
+pub struct Timings {
     /// How long a watch on the list waits. Renewing one costs discovery nothing, and one whose connection fell silent
     /// is found out only at its end: a fraction of the time that a list may go unasked for.
-    pub hold: Duration,
+    pub poll_hold: Duration,
     /// The longest limit that a command may have come with.
-    pub longest: Duration,
-    /// Lists are pushed: who is asked is an agent beside this process, whose news counts as told at once. So long it has for
-    /// a whole list: well within the grace for drains.
-    pub agent: Option<Duration>,
+    pub max_time_limit: Duration,
+    /// Lists are pushed: who is asked is an agent beside this process, whose news counts as told at once. So long it
+    /// has for a whole list: well within the grace for drains.
+    pub agent_timeout: Option<Duration>,
 }
 
-impl Pace {
+impl Timings {
     pub fn of(orders: &BalancerConfig) -> Self {
         let longest = orders
             .classes
@@ -57,17 +57,17 @@
             .max()
             .unwrap_or_default();
         let agent = (!orders.list_on_request).then_some(orders.drain_grace / 2);
-        Pace {
-            hold: orders.list_poll_interval / 4,
-            longest,
-            agent,
+        Timings {
+            poll_hold: orders.list_poll_interval / 4,
+            max_time_limit: longest,
+            agent_timeout: agent,
         }
     }
 
     /// Other orders: commands of the ones before may be open.
-    pub fn then(self, other: Pace) -> Self {
-        Pace {
-            longest: self.longest.max(other.longest),
+    pub fn then(self, other: Timings) -> Self {
+        Timings {
+            max_time_limit: self.max_time_limit.max(other.max_time_limit),
             ..other
         }
     }
@@ -101,7 +101,7 @@
     seed: String,
     #[serde(default)]
     limits: Limits,
-    known: Option<List>,
+    known: Option<EndpointList>,
     settings: serde_json::Value,
     watch: Option<Watched>,
 }
@@ -124,7 +124,7 @@
 
 /// Reads the file that `LB_CONFIG` names, and the routes that `LB_ROUTES` names; the other variables stand in for what
 /// the first leaves out.
-pub fn read(files: &Files) -> Result<Start, String> {
+pub fn read(files: &Files) -> Result<SidecarConfig, String> {
     let named = |told: &Option<PathBuf>, name: &str| {
         told.clone()
             .or_else(|| std::env::var_os(name).map(PathBuf::from))
@@ -207,8 +207,8 @@
 pub async fn read_again(
     files: Files,
     mut hangups: Signal,
-    mut before: Kept,
-    retune: impl Fn(&Start) -> Result<(), String>,
+    mut before: ActiveConfig,
+    retune: impl Fn(&SidecarConfig) -> Result<(), String>,
 ) {
     while hangups.recv().await.is_some() {
         let now = read(&files).and_then(|now| {
@@ -245,7 +245,7 @@
 }
 
 /// The configuration in force, and what of it stays so until the process ends.
-pub struct Kept {
+pub struct ActiveConfig {
     told: serde_json::Value,
     routes: Option<RoutesConfig>,
     discovery: watch::Sender<SocketAddr>,
@@ -266,10 +266,10 @@
     .map(part)
 }
 
-impl Kept {
-    pub fn of(start: &Start, discovery: watch::Sender<SocketAddr>) -> Self {
+impl ActiveConfig {
+    pub fn of(start: &SidecarConfig, discovery: watch::Sender<SocketAddr>) -> Self {
         let (told, routes) = (start.told.clone(), start.routes.clone());
-        Kept {
+        ActiveConfig {
             at_start: fixed(&told),
             told,
             routes,
@@ -277,7 +277,7 @@
         }
     }
 
-    fn differs(&self, now: &Start) -> Vec<&'static str> {
+    fn differs(&self, now: &SidecarConfig) -> Vec<&'static str> {
         let all = self.at_start.iter().zip(fixed(&now.told));
         let mut parts: Vec<_> = all
             .filter(|(was, is)| was.1 != is.1)
@@ -288,7 +288,7 @@
     }
 
     /// Guards against a file that was cut short and is read as one with fewer orders.
-    fn complete(&self, now: &Start) -> Result<(), String> {
+    fn complete(&self, now: &SidecarConfig) -> Result<(), String> {
         match lacks(&self.told, &now.told, "") {
             Some(path) => Err(format!("{path} is missing")),
             None => Ok(()),
@@ -338,7 +338,7 @@
     }
 }
 
-fn parse(bytes: &[u8], variable: impl Fn(&str) -> Option<String>) -> Result<Start, String> {
+fn parse(bytes: &[u8], variable: impl Fn(&str) -> Option<String>) -> Result<SidecarConfig, String> {
     let told: Told = serde_json::from_slice(bytes).map_err(|e| e.to_string())?;
     let whole: serde_json::Value = serde_json::from_slice(bytes).map_err(|e| e.to_string())?;
     let seed = u64::from_str_radix(&told.seed, 16).map_err(|e| format!("seed: {e}"))?;
@@ -358,7 +358,7 @@
         .watch
         .map(|watch| watched(seed, &told.settings, watch))
         .transpose();
-    Ok(Start {
+    Ok(SidecarConfig {
         watch: watch.map_err(|fault| format!("watch: {fault}"))?,
         listen: address(told.listen, "LB_LISTEN")?,
         discovery: address(told.discovery, "LB_DISCOVERY")?,
--- a/crates/passroad/src/room.rs
+++ b/crates/passroad/src/descriptors.rs
@@ -1,12 +1,12 @@
 //! What the process may hold: its descriptors by use, and how it shares them, and room for bodies, with another process
 //! beside it.
 
+use crate::config::SidecarConfig;
 use crate::handover::{self, Inherited};
 use crate::listener::ClientConnections;
 use crate::management;
 use crate::relay::Dialer;
 use crate::request_handler::RequestHandler;
-use crate::start::Start;
 use std::sync::{Arc, Mutex, PoisonError};
 
 /// Descriptors that are neither a client's nor an endpoint's: standard streams, the runtime, discovery.
@@ -15,9 +15,9 @@
 const BESIDE: usize = 16;
 const LEAST: usize = 16;
 
-/// Descriptors that the process may hold by the system's limit, less those that it was started with beyond its own. Guards
-/// against clients that take the last of them where that is lower than what the configuration says: discovery, probes and
-/// attempts would have none.
+/// Descriptors that the process may hold by the system's limit, less those that it was started with beyond its own.
+/// Guards against clients that take the last of them where that is lower than what the configuration says: discovery,
+/// probes and attempts would have none.
 fn allowed() -> usize {
     let limits = std::fs::read_to_string("/proc/self/limits").unwrap_or_default();
     let open = std::fs::read_dir("/proc/self/fd").map_or(0, Iterator::count);
@@ -61,7 +61,7 @@
 }
 
 impl Limits {
-    pub fn of(start: &Start, before: Option<&Inherited>) -> Self {
+    pub fn of(start: &SidecarConfig, before: Option<&Inherited>) -> Self {
         let other = OTHER + start.management.map_or(0, |_| management::SOCKETS);
         let sockets = start.sockets.min(allowed()).saturating_sub(other);
         // What the process before holds is not free yet; where it does not say, half is.
--- a/crates/passroad/src/list.rs
+++ b/crates/passroad/src/discovery.rs
@@ -1,10 +1,10 @@
 //! Discovery: one watch, renewed at once; when it breaks the module says when to call again.
 
 use crate::body::RelayBody;
-use crate::desk::Desk;
-use crate::members::{Call, List, read};
+use crate::config::Timings;
+use crate::dispatcher::Dispatcher;
+use crate::endpoint_list::{DiscoveryRequest, EndpointList, parse_list};
 use crate::relay::{Dialer, PooledClient};
-use crate::start::Pace;
 use futures_util::future::{BoxFuture, select_all};
 use http_body_util::{BodyExt, Limited};
 use hyper::{Request, StatusCode};
@@ -25,9 +25,9 @@
 const FIRST_HOLD: Duration = Duration::from_secs(1);
 const SILENT: &str = "a watch fell silent";
 const NO_ANSWER: &str = "no answer";
-/// That a watch may ask for, however long the settings let a list go unasked for. STANDING: a change counts as told 6 s after
-/// discovery had it and could be reached. A silent watch is found out `RENEWED_GRACE` after its end, and the whole list is
-/// asked for: 2.5 + 1 + 0.1 s, and the answer.
+/// That a watch may ask for, however long the settings let a list go unasked for. STANDING: a change counts as told 6 s
+/// after discovery had it and could be reached. A silent watch is found out `RENEWED_GRACE` after its end, and the
+/// whole list is asked for: 2.5 + 1 + 0.1 s, and the answer.
 const LONGEST_HOLD: Duration = Duration::from_millis(2500);
 const KEPT: Duration = Duration::from_secs(60); // how long discovery keeps an idle connection
 const BREATH: Duration = Duration::from_millis(50); // between calls that bring nothing and don't wait, in the mean
@@ -46,7 +46,7 @@
 /// A call that is out.
 struct Out {
     at: SocketAddr,
-    answer: BoxFuture<'static, Result<List, Fault>>,
+    answer: BoxFuture<'static, Result<EndpointList, Fault>>,
     /// It is a watch, which may fall silent.
     waits: bool,
     until: Instant,
@@ -76,7 +76,7 @@
 }
 
 /// What a call brings, whenever that is; never if none is out.
-async fn brings(out: &mut Option<Out>) -> Result<List, Fault> {
+async fn brings(out: &mut Option<Out>) -> Result<EndpointList, Fault> {
     match out {
         Some(out) => out.answer.as_mut().await,
         None => std::future::pending().await,
@@ -84,7 +84,7 @@
 }
 
 /// The same of the calls that were given up, and which.
-async fn any_brings(overtaken: &mut [Out]) -> (Result<List, Fault>, usize) {
+async fn any_brings(overtaken: &mut [Out]) -> (Result<EndpointList, Fault>, usize) {
     if overtaken.is_empty() {
         return std::future::pending().await;
     }
@@ -92,8 +92,8 @@
     (answer, which)
 }
 
-/// One more that was given up. The first is kept, and the last. Guards against a discovery that works through calls in turn
-/// and has more of them than it can do in the time of one: what it answers has to be of use, or it never comes up.
+/// One more that was given up. The first is kept, and the last. Guards against a discovery that works through calls in
+/// turn and has more of them than it can do in the time of one: what it answers has to be of use, or it never comes up.
 fn overtake(overtaken: &mut Vec<Out>, call: Option<Out>) {
     if call.is_some() {
         overtaken.truncate(MOST_OVERTAKEN - 1);
@@ -102,7 +102,7 @@
 }
 
 /// The same in time. An answer that is there is read, however late the process comes to look.
-async fn answers(out: &mut Option<Out>) -> Result<List, Fault> {
+async fn answers(out: &mut Option<Out>) -> Result<EndpointList, Fault> {
     let (until, waits) = match out {
         Some(out) => (out.until, out.waits),
         None => return std::future::pending().await,
@@ -118,11 +118,11 @@
 
 /// Serves the module's calls for as long as the sidecar runs.
 pub async fn follow(
-    desk: Arc<Desk>,
+    desk: Arc<Dispatcher>,
     mut at: watch::Receiver<SocketAddr>,
-    paces: watch::Receiver<Pace>,
+    paces: watch::Receiver<Timings>,
     mut revision: Option<u64>,
-    mut calls: UnboundedReceiver<Call>,
+    mut calls: UnboundedReceiver<DiscoveryRequest>,
 ) {
     let dialer = Dialer::new(GRACE, KEPT, MOST_OVERTAKEN + 2).without_size_limit();
     let mut client = dialer.new_client();
@@ -134,10 +134,10 @@
     loop {
         let calls_next = out.is_none() && (watching || whole);
         if calls_next && rests <= Instant::now() {
-            let hold = paces.borrow().hold.clamp(FIRST_HOLD, LONGEST_HOLD);
+            let hold = paces.borrow().poll_hold.clamp(FIRST_HOLD, LONGEST_HOLD);
             // Without a list there is nothing to watch from.
             let from = revision.filter(|_| !whole);
-            let agent = paces.borrow().agent.filter(|_| revision.is_some());
+            let agent = paces.borrow().agent_timeout.filter(|_| revision.is_some());
             let (wait, grace) = match from {
                 Some(_) if sure => (hold, RENEWED_GRACE),
                 Some(_) => (FIRST_HOLD, GRACE),
@@ -154,8 +154,8 @@
             // A call that is out goes on: what its answer has to tell counts as told from when it is written.
             call = calls.recv() => {
                 match call {
-                    Some(Call::Watch(on)) => watching = on,
-                    Some(Call::Whole) => {
+                    Some(DiscoveryRequest::Watch(on)) => watching = on,
+                    Some(DiscoveryRequest::FullList) => {
                         whole = true;
                         overtake(&mut overtaken, out.take());
                     }
@@ -213,14 +213,16 @@
             // Guards against drains that an agent tells when it is back, and that count as told then: an agent that was
             // silent answers no whole call, but a watch that is out. So one always is, or was a moment before.
             Err(Fault::Refused(fault))
-                if fault == NO_ANSWER && paces.borrow().agent.is_some() && revision.is_some() =>
+                if fault == NO_ANSWER
+                    && paces.borrow().agent_timeout.is_some()
+                    && revision.is_some() =>
             {
                 log::warn!("discovery: {fault}; watched again");
                 (watching, whole, sure, silent) = (true, false, false, false);
                 continue;
             }
-            // Guards against a change that discovery had when the watch fell silent: with the module's wait behind a second
-            // silent call it would be heard 7 s later. Once only, as discovery may be in trouble.
+            // Guards against a change that discovery had when the watch fell silent: with the module's wait behind a
+            // second silent call it would be heard 7 s later. Once only, as discovery may be in trouble.
             Err(Fault::Refused(fault)) if fault == NO_ANSWER && silent => {
                 log::warn!(
                     "discovery: {fault} behind a watch that fell silent; asked again at once"
@@ -244,8 +246,9 @@
         };
         (whole, sure, silent) = (false, answer.is_ok(), false);
         // Guards against old news taken for new: from where it belongs is not known, so all is asked for next.
-        let older =
-            |list: &List| !list.complete && revision.is_some_and(|held| list.revision < held);
+        let older = |list: &EndpointList| {
+            !list.complete && revision.is_some_and(|held| list.revision < held)
+        };
         let old = answer.as_ref().is_ok_and(older);
         match answer {
             Ok(_) if old => {
@@ -258,7 +261,7 @@
                 revision = Some(list.revision);
                 take(&desk, &list);
                 // Guards against a discovery that answers watches at once with nothing: no busy loop.
-                if list.members.is_empty() && began.elapsed() < BREATH {
+                if list.entries.is_empty() && began.elapsed() < BREATH {
                     rests = Instant::now() + breath();
                 }
             }
@@ -280,7 +283,7 @@
     BREATH / 2 + BREATH.mul_f64(RandomState::new().hash_one(()) as f64 / u64::MAX as f64)
 }
 
-fn take(desk: &Arc<Desk>, list: &List) {
+fn take(desk: &Arc<Dispatcher>, list: &EndpointList) {
     let kind = if list.complete {
         ListUpdateKind::Full
     } else {
@@ -289,15 +292,15 @@
     log::debug!(
         "list {}: {} entries, {kind:?}",
         list.revision,
-        list.members.len()
+        list.entries.len()
     );
-    desk.listed(kind, list);
+    desk.apply_list(kind, list);
 }
 
 /// The module says when to call again.
-fn refused(desk: &Arc<Desk>, fault: &str) {
+fn refused(desk: &Arc<Dispatcher>, fault: &str) {
     log::warn!("discovery: {fault}; the list before stays in force");
-    desk.tell(Event::ListUpdated {
+    desk.handle_event(Event::ListUpdated {
         kind: ListUpdateKind::Failed,
         entries: Vec::new(),
     });
@@ -307,7 +310,7 @@
     client: PooledClient,
     at: SocketAddr,
     from: Option<(u64, Duration)>,
-) -> Result<List, Fault> {
+) -> Result<EndpointList, Fault> {
     let query = match from {
         Some((from, hold)) => format!("?from={from}&hold_ms={}", hold.as_millis()),
         None => String::new(),
@@ -323,5 +326,5 @@
     let body = Limited::new(answer.into_body(), LONGEST_LIST)
         .collect()
         .await;
-    read(&body.map_err(|e| Fault::Lost(e.to_string()))?.to_bytes()).map_err(Fault::Lost)
+    parse_list(&body.map_err(|e| Fault::Lost(e.to_string()))?.to_bytes()).map_err(Fault::Lost)
 }
--- a/crates/passroad/src/fleet/mod.rs
+++ b/crates/passroad/src/fleet/mod.rs
@@ -14,8 +14,8 @@
 pub use status::{Door, ask, table};
 pub use work::{Those, order, refusal, table as work_table};
 
-use crate::desk::Desk;
-use crate::stop::Stages;
+use crate::dispatcher::Dispatcher;
+use crate::shutdown::ShutdownWatch;
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::sync::mpsc::UnboundedSender;
@@ -38,7 +38,7 @@
     kept: Option<kept::Kept>,
     machines: Option<work::Machines>,
     asked: status::Asked,
-    stages: Stages,
+    stages: ShutdownWatch,
     turns: Option<UnboundedSender<Turned>>,
 }
 
@@ -46,8 +46,8 @@
 pub fn prepare(
     orders: FleetOrders,
     place: Place,
-    desk: &Arc<Desk>,
-    stages: Stages,
+    desk: &Arc<Dispatcher>,
+    stages: ShutdownWatch,
 ) -> Result<Option<(Door, Ready)>, String> {
     if !place.may_talk {
         log::info!("fleet: off, as the settings forbid talk between sidecars (allowed.may_tell)");
@@ -119,8 +119,8 @@
 pub fn begin(
     orders: FleetOrders,
     place: Place,
-    desk: &Arc<Desk>,
-    stages: Stages,
+    desk: &Arc<Dispatcher>,
+    stages: ShutdownWatch,
 ) -> Result<Option<Door>, String> {
     let Some((door, ready)) = prepare(orders, place, desk, stages)? else {
         return Ok(None);
--- a/crates/passroad/src/fleet/talk.rs
+++ b/crates/passroad/src/fleet/talk.rs
@@ -9,7 +9,7 @@
 use super::part::{Came, Do, Part, View, Who};
 use super::status::{Ask, Asked};
 use super::work::{self, Machines};
-use crate::stop::{Stage, Stages, reached};
+use crate::shutdown::{ShutdownStage, ShutdownWatch, stage_reached};
 use passroad_lease::{Clocks, Epoch};
 use passroad_upkeep::{MachineId, MaintenanceManager, Message, Rejection};
 use std::collections::{BTreeSet, HashMap};
@@ -132,7 +132,7 @@
         }
     }
 
-    pub async fn run(mut self, mut asked: Asked, mut stages: Stages) {
+    pub async fn run(mut self, mut asked: Asked, mut stages: ShutdownWatch) {
         let Some(mut came) = self.came.take() else {
             return;
         };
@@ -163,7 +163,7 @@
                     self.carry_out(todo);
                 }
                 Some(ask) = asked.recv() => self.asked(ask),
-                () = reached(&mut stages, Stage::Leaving), if leaves.is_none() => {
+                () = stage_reached(&mut stages, ShutdownStage::Draining), if leaves.is_none() => {
                     self.part.stop();
                     leaves = Some(Instant::now() + LAST_CALL);
                 }
--- a/crates/passroad/src/fleet/work.rs
+++ b/crates/passroad/src/fleet/work.rs
@@ -1,8 +1,8 @@
 //! Machines out for work, as this sidecar has them: what its list says, what is out on them, and what operators are told.
 
 use super::orders::UpkeepOrder;
-use crate::desk::Desk;
-use crate::members::Member;
+use crate::dispatcher::Dispatcher;
+use crate::endpoint_list::ListEntry;
 use passroad_choice::EndpointState;
 use passroad_upkeep::{
     ListedMachine, MachineEvent, MachineId, MaintenanceState, OperatorAction, Rejection,
@@ -23,14 +23,14 @@
 
 /// Machines as the desk has them, with their ids; what has left the list is still known by name.
 pub struct Machines {
-    desk: Arc<Desk>,
+    desk: Arc<Dispatcher>,
     warm: Duration,
     names: BTreeMap<MachineId, String>,
     pub seen: Vec<ListedMachine>,
 }
 
 impl Machines {
-    pub fn new(desk: Arc<Desk>, orders: &UpkeepOrder) -> Self {
+    pub fn new(desk: Arc<Dispatcher>, orders: &UpkeepOrder) -> Self {
         Machines {
             desk,
             warm: orders.warm,
@@ -56,10 +56,10 @@
             let warm_at = Duration::from_millis(member.up_since_ms) + self.warm;
             self.seen.push(ListedMachine {
                 machine,
-                zone: number(&mut zones, &member.locality),
-                kind: number(&mut kinds, &member.flavor),
+                zone: number(&mut zones, &member.zone),
+                kind: number(&mut kinds, &member.kind),
                 size: member.size,
-                healthy: member.mode() == EndpointState::Running
+                healthy: member.state() == EndpointState::Running
                     && !fails
                     && (member.up_since_ms == 0 || wall >= warm_at),
                 cell: member.cell,
@@ -74,12 +74,12 @@
         let is =
             |asked: &Option<String>, told: &str| asked.as_ref().is_none_or(|asked| asked == told);
         let all = self.desk.machines().into_iter().map(|(member, ..)| member);
-        let fits = |m: &Member| {
-            is(&of.zone, &m.locality)
-                && is(&of.kind, &m.flavor)
+        let fits = |m: &ListEntry| {
+            is(&of.zone, &m.zone)
+                && is(&of.kind, &m.kind)
                 && of.cell.is_none_or(|cell| cell == m.cell)
         };
-        all.filter(|m| fits(m) && m.mode() != EndpointState::Removed)
+        all.filter(|m| fits(m) && m.state() != EndpointState::Removed)
             .map(|m| m.id)
             .collect()
     }
@@ -94,7 +94,8 @@
     /// Puts a ban into effect; false where the machine was never listed here: there is nothing to keep off yet.
     pub fn turn(&self, machine: MachineId, out: bool) -> bool {
         let id = self.names.get(&machine);
-        id.into_iter().for_each(|id| self.desk.turn(id, out));
+        id.into_iter()
+            .for_each(|id| self.desk.set_cordoned(id, out));
         id.is_some()
     }
 
--- a/crates/passroad/src/handover.rs
+++ b/crates/passroad/src/handover.rs
@@ -1,10 +1,10 @@
 //! An upgrade: a process that starts takes the listening socket and what is known from the one beside it, and the two
 //! tell each other of bans until the old one ends.
 
-use crate::desk::Desk;
+use crate::dispatcher::Dispatcher;
+use crate::endpoint_list::HandoverState;
 use crate::in_flight::{IdChange, InFlightIds};
-use crate::members::Known;
-use crate::stop::{Stage, Stages};
+use crate::shutdown::{ShutdownStage, ShutdownWatch};
 use rustix::fd::OwnedFd;
 use rustix::net::{
     RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags, SendAncillaryBuffer,
@@ -51,7 +51,7 @@
 /// What came over from the process before.
 pub struct Inherited {
     pub listener: TcpListener,
-    pub known: Option<Known>,
+    pub known: Option<HandoverState>,
     link: Blocking,
 }
 
@@ -133,7 +133,7 @@
     })
 }
 
-fn read(link: &mut impl Read, size: usize, listen: SocketAddr) -> Result<Known, String> {
+fn read(link: &mut impl Read, size: usize, listen: SocketAddr) -> Result<HandoverState, String> {
     if size > LONGEST_STATE {
         return Err(format!("{size} bytes, over {LONGEST_STATE}"));
     }
@@ -146,7 +146,7 @@
     if version != Some(VERSION.into()) {
         return Err(format!("version {version:?}, not {VERSION}"));
     }
-    let known: Known = serde_json::from_value(value).map_err(|e| e.to_string())?;
+    let known: HandoverState = serde_json::from_value(value).map_err(|e| e.to_string())?;
     if known.listen != listen {
         return Err(format!("it is of {}, not {listen}", known.listen));
     }
@@ -171,9 +171,9 @@
 
 /// The process's part in upgrades, before and after it.
 pub struct Handover {
-    desk: Arc<Desk>,
+    desk: Arc<Dispatcher>,
     claims: Arc<InFlightIds>,
-    stages: Stages,
+    stages: ShutdownWatch,
     listen: SocketAddr,
     socket: OwnedFd, // a copy, to be handed on
     room: Box<dyn Room>,
@@ -183,9 +183,9 @@
 
 impl Handover {
     pub fn new(
-        desk: Arc<Desk>,
+        desk: Arc<Dispatcher>,
         claims: Arc<InFlightIds>,
-        stages: Stages,
+        stages: ShutdownWatch,
         socket: TcpListener,
         room: Box<dyn Room>,
     ) -> Result<Arc<Self>, String> {
@@ -302,7 +302,7 @@
                 line.push(stream.read_u8().await?);
             }
             if !matches!(serde_json::from_slice(&line), Ok(Line::Ask(_)))
-                || *self.stages.borrow() != Stage::Serving
+                || *self.stages.borrow() != ShutdownStage::Serving
             {
                 return Err(io::ErrorKind::InvalidData.into());
             }
@@ -337,10 +337,12 @@
     }
 
     async fn give(&self, stream: &mut UnixStream) -> io::Result<()> {
-        let known = self.desk.known(VERSION, self.listen, descriptors());
+        let known = self
+            .desk
+            .handover_state(VERSION, self.listen, descriptors());
         // Guards against an id that is taken there before the first line of the link is read.
-        let known = Known {
-            open: self.claims.open_ids(),
+        let known = HandoverState {
+            open_ids: self.claims.open_ids(),
             ..known
         };
         let state = serde_json::to_vec(&known).map_err(io::Error::other)?;
@@ -404,8 +406,8 @@
                             log::info!("the next process takes clients");
                             continue;
                         }
-                        Ok(Line::Out(id)) => self.desk.turn(&id, true),
-                        Ok(Line::Back(id)) => self.desk.turn(&id, false),
+                        Ok(Line::Out(id)) => self.desk.set_cordoned(&id, true),
+                        Ok(Line::Back(id)) => self.desk.set_cordoned(&id, false),
                         Ok(Line::Taken(id)) => {
                             self.claims.set_in_other_process(true, id);
                             continue;
--- a/crates/passroad/src/handover/tests.rs
+++ b/crates/passroad/src/handover/tests.rs
@@ -14,23 +14,23 @@
 ) {
     let listen: SocketAddr = "127.0.0.1:1".parse().unwrap();
     let learnt = serde_json::Value::Null;
-    let known = Known {
+    let known = HandoverState {
         version: VERSION,
         listen,
         revision: Some(7),
-        members: Vec::new(),
-        bans: vec!["s-1".into()],
-        left: vec![9],
-        open: Vec::new(),
+        entries: Vec::new(),
+        cordoned: vec!["s-1".into()],
+        removed: vec![9],
+        open_ids: Vec::new(),
         descriptors: 20,
-        learnt,
+        learned_state: learnt,
     };
     let mut state = serde_json::to_value(known).unwrap();
     turn(&mut state);
     let bytes = serde_json::to_vec(&state).unwrap();
     let whole = read(&mut &bytes[..], bytes.len(), listen);
     match fault {
-        "" => assert_eq!(whole.unwrap().bans, ["s-1"]),
+        "" => assert_eq!(whole.unwrap().cordoned, ["s-1"]),
         fault => assert!(
             whole.as_ref().is_err_and(|said| said.contains(fault)),
             "{whole:?}"
--- a/crates/passroad/src/hollow.rs
+++ b/crates/passroad/src/hollow.rs
@@ -1,12 +1,13 @@
-//! A sidecar without a front and without calls: list, membership, leases, upkeep and configuration by the same code, and
-//! on the same two threads, as in one of its own process. Many share a process, to see what control needs at a size.
+//! A sidecar without a front and without calls: list, membership, leases, upkeep and configuration by the same code,
+//! and on the same two threads, as in one of its own process. Many share a process, to see what control needs at a
+//! size.
 
-use crate::desk::Desk;
+use crate::config::{self, ActiveConfig, SidecarConfig, Timings};
+use crate::dispatcher::Dispatcher;
 use crate::fleet::{self, Door, Turned};
 use crate::relay::Dialer;
-use crate::start::{self, Kept, Pace, Start};
-use crate::stop::Stage;
-use crate::{Files, list, members};
+use crate::shutdown::ShutdownStage;
+use crate::{Files, discovery, endpoint_list};
 use passroad_choice::ListUpdateKind;
 use std::io;
 use std::path::PathBuf;
@@ -22,7 +23,7 @@
     pub door: Option<Door>,
     /// The kernel's names of its threads under `/proc`: that of the list, and that of the fleet.
     pub threads: Vec<PathBuf>,
-    stages: watch::Sender<Stage>,
+    stages: watch::Sender<ShutdownStage>,
     over: CancellationToken,
     lives: Vec<JoinHandle<()>>,
 }
@@ -43,14 +44,14 @@
     /// What is wrong with a file, or that the system gives no thread or runtime.
     pub fn begin(files: Files, turns: mpsc::UnboundedSender<Turned>) -> Result<Hollow, String> {
         let fault = |e: io::Error| format!("hollow: {e}");
-        let start = start::read(&files)?;
-        let (stages, stage) = watch::channel(Stage::Serving);
+        let start = config::read(&files)?;
+        let (stages, stage) = watch::channel(ShutdownStage::Serving);
         let over = CancellationToken::new();
         let (tell, told) = oneshot::channel();
         let (runtime, ends) = (runtime().map_err(fault)?, over.clone());
         let live = move || {
             runtime.block_on(async {
-                let begun = List::begin(start, files, turns, stage, ends.clone());
+                let begun = EndpointList::begin(start, files, turns, stage, ends.clone());
                 let failed = begun.is_err();
                 let _ = tell.send(begun.map(|begun| (thread_path(), begun)));
                 if !failed {
@@ -81,7 +82,7 @@
 
     /// The planned end: it gives up what it owns first. Returns when nothing of it is left.
     pub fn stop(mut self) {
-        self.stages.send_replace(Stage::Leaving);
+        self.stages.send_replace(ShutdownStage::Draining);
         // The fleet's thread ends by itself, the other is then ended.
         if self.lives.len() > 1
             && let Some(fleet) = self.lives.pop()
@@ -100,50 +101,56 @@
 }
 
 /// What runs on the thread of the list, and the fleet's thread beside it.
-struct List {
+struct EndpointList {
     door: Option<Door>,
     fleet: Option<(PathBuf, JoinHandle<()>)>,
 }
 
-impl List {
+impl EndpointList {
     /// The order is that of the program's own start.
     fn begin(
-        mut start: Start,
+        mut start: SidecarConfig,
         files: Files,
         turns: mpsc::UnboundedSender<Turned>,
-        stage: watch::Receiver<Stage>,
+        stage: watch::Receiver<ShutdownStage>,
         over: CancellationToken,
-    ) -> Result<List, String> {
+    ) -> Result<EndpointList, String> {
         let fault = |e: io::Error| format!("hollow: {e}");
-        let hangups = start::sighup()?;
+        let hangups = config::sighup()?;
         let (calls, called) = mpsc::unbounded_channel();
-        let (pace, paces) = watch::channel(Pace::of(&start.orders));
+        let (pace, paces) = watch::channel(Timings::of(&start.orders));
         if !start.orders.list_on_request {
-            let _ = calls.send(members::Call::Watch(true));
+            let _ = calls.send(endpoint_list::DiscoveryRequest::Watch(true));
         }
         let dialer = Dialer::new(start.connect_within, start.orders.idle_close, start.sockets);
         start.orders.idle_close = dialer.idle_timeout();
         let (moves, at) = watch::channel(start.discovery);
-        let kept = Kept::of(&start, moves);
+        let kept = ActiveConfig::of(&start, moves);
         let within = start.connect_within / 5;
-        let desk = Desk::new(start.orders, None, start.routes, dialer, within, calls);
+        let desk = Dispatcher::new(start.orders, None, start.routes, dialer, within, calls);
         let revision = start.known.as_ref().map(|list| list.revision);
-        desk.listed(ListUpdateKind::Cached, &start.known.unwrap_or_default());
-        tokio::spawn(Arc::clone(&desk).beat());
-        tokio::spawn(list::follow(Arc::clone(&desk), at, paces, revision, called));
+        desk.apply_list(ListUpdateKind::Cached, &start.known.unwrap_or_default());
+        tokio::spawn(Arc::clone(&desk).run_heartbeat());
+        tokio::spawn(discovery::follow(
+            Arc::clone(&desk),
+            at,
+            paces,
+            revision,
+            called,
+        ));
         let own = Arc::clone(&desk);
-        let retune = move |start: &Start| {
-            own.retune(start.orders.clone(), start.routes.clone())?;
-            pace.send_modify(|pace| *pace = pace.then(Pace::of(&start.orders)));
+        let retune = move |start: &SidecarConfig| {
+            own.reconfigure(start.orders.clone(), start.routes.clone())?;
+            pace.send_modify(|pace| *pace = pace.then(Timings::of(&start.orders)));
             Ok(())
         };
-        tokio::spawn(start::read_again(files, hangups, kept, retune));
+        tokio::spawn(config::read_again(files, hangups, kept, retune));
         let ready = match start.fleet {
             Some((orders, place)) => fleet::prepare(orders, place, &desk, stage)?,
             None => None,
         };
         let Some((door, ready)) = ready else {
-            return Ok(List {
+            return Ok(EndpointList {
                 door: None,
                 fleet: None,
             });
@@ -164,7 +171,7 @@
             .spawn(serve)
             .map_err(fault)?;
         let path = told.recv().map_err(|e| format!("hollow: {e}"))?;
-        Ok(List {
+        Ok(EndpointList {
             door: Some(door),
             fleet: Some((path, life)),
         })
--- a/crates/passroad/src/lib.rs
+++ b/crates/passroad/src/lib.rs
@@ -3,24 +3,24 @@
 
 mod body;
 mod command;
-mod desk;
+mod config;
+mod descriptors;
+mod discovery;
+mod dispatcher;
+mod endpoint_list;
 pub mod fleet;
 mod framing;
 mod handover;
 pub mod hollow;
 mod in_flight;
-mod list;
 mod listener;
 mod logging;
 mod management;
-mod members;
 mod probe;
 mod relay;
 mod request_handler;
-mod room;
 mod send_guard;
-mod start;
-mod stop;
+mod shutdown;
 
 use clap::{Parser, Subcommand};
 use std::future::Future;
@@ -32,15 +32,15 @@
 /// A sidecar that starts waits so long to hear what is out for work, where that is settled among the sidecars.
 const INFORMED_WITHIN: Duration = Duration::from_secs(1);
 
-/// A process before this one may hold an address for so long: it is killed 3.7 s after SIGTERM, and later where the machine is
-/// busy. PROTOCOL: a start may take half a minute.
+/// A process before this one may hold an address for so long: it is killed 3.7 s after SIGTERM, and later where the
+/// machine is busy. PROTOCOL: a start may take half a minute.
 const HELD_WITHIN: Duration = Duration::from_secs(25);
 const TRIES_APART: Duration = Duration::from_millis(20);
 
 /// passroad: a load balancer of which every client process runs its own copy.
 ///
-/// Without a command it is the sidecar, as `run` without options. SIGHUP has the configuration read again, SIGTERM ends it
-/// once all that was taken is answered. Faulty input ends it with one line on standard error and exit code 2.
+/// Without a command it is the sidecar, as `run` without options. SIGHUP has the configuration read again, SIGTERM ends
+/// it once all that was taken is answered. Faulty input ends it with one line on standard error and exit code 2.
 #[derive(Parser)]
 #[command(name = "passroad", version)]
 struct Told {
@@ -164,7 +164,7 @@
             what: FleetWhat::Status { door, json },
         }) => ended(fleet_status(door, json)),
         Some(What::Work { what, door }) => ended(work(what, door)),
-        Some(What::Check { files }) => ended(start::check(&files).map(|said| println!("{said}"))),
+        Some(What::Check { files }) => ended(config::check(&files).map(|said| println!("{said}"))),
     }
 }
 
@@ -175,7 +175,7 @@
 
 fn sidecar(files: Files, format: LogFormat) -> ExitCode {
     logging::begin(format == LogFormat::Json);
-    ended(start::read(&files).and_then(|start| {
+    ended(config::read(&files).and_then(|start| {
         let runtime = tokio::runtime::Builder::new_current_thread()
             .enable_all()
             .build();
@@ -293,22 +293,22 @@
     }
 }
 
-async fn run(mut start: start::Start, files: Files) -> Result<(), String> {
-    let hangups = start::sighup()?;
+async fn run(mut start: config::SidecarConfig, files: Files) -> Result<(), String> {
+    let hangups = config::sighup()?;
     let place = start
         .management
         .and_then(|_| handover::place(start.listen, start.folder.clone()));
     let mut before = place
         .as_ref()
         .and_then(|place| handover::ask(place, start.listen));
-    let limits = room::Limits::of(&start, before.as_ref());
+    let limits = descriptors::Limits::of(&start, before.as_ref());
     let (most_in, most_out) = (limits.now.clients, limits.now.endpoints);
     let listener = match before.as_mut().map(|before| before.listener.try_clone()) {
         Some(Ok(listener)) => listener::adopt_socket(listener)?,
         _ => once_free(|| listener::bind(start.listen, start.management.is_some())).await?,
     };
-    // Clients don't wait for the operators' door: it opens once the process before has given it up. In an upgrade each process
-    // has a door of its own.
+    // Clients don't wait for the operators' door: it opens once the process before has given it up. In an upgrade each
+    // process has a door of its own.
     let door = match start.management.map(|at| (at, management::listen(at))) {
         Some((at, Err(fault))) if before.is_none() && is_held(&fault) => {
             log::warn!("{fault}; it opens once that is free");
@@ -317,29 +317,29 @@
         Some((at, listener)) => Some((at, Some(listener?))),
         None => None,
     };
-    let stages = stop::Stage::on_sigterm()?;
+    let stages = shutdown::ShutdownStage::on_sigterm()?;
     log::info!(
         name = start.name.as_str(), listen:% = start.listen, most_in = most_in, most_out = most_out;
         "{} listens on {}, at most {most_in} connections in, {most_out} out", start.name, start.listen
     );
     let (calls, called) = tokio::sync::mpsc::unbounded_channel();
-    let (pace, paces) = tokio::sync::watch::channel(start::Pace::of(&start.orders));
+    let (pace, paces) = tokio::sync::watch::channel(config::Timings::of(&start.orders));
     if !start.orders.list_on_request {
         // The module takes it that changes come by themselves.
-        let _ = calls.send(members::Call::Watch(true));
+        let _ = calls.send(endpoint_list::DiscoveryRequest::Watch(true));
     }
     let dialer = relay::Dialer::new(start.connect_within, start.orders.idle_close, most_out);
     // The module is to count on a connection only as long as it is kept here.
     start.orders.idle_close = dialer.idle_timeout();
     let (moves, at) = tokio::sync::watch::channel(start.discovery);
-    let kept = start::Kept::of(&start, moves);
+    let kept = config::ActiveConfig::of(&start, moves);
     let orders = start.orders.clone();
     let watch = start.watch.map(|mut watch| {
         watch.orders.idle_close = dialer.idle_timeout();
         watch
     });
     let (every, watch) = watch.map(|watch| (watch.every, watch.orders)).unzip();
-    let desk = desk::Desk::new(
+    let desk = dispatcher::Dispatcher::new(
         start.orders,
         watch,
         start.routes,
@@ -348,14 +348,14 @@
         calls,
     );
     if let Some(every) = every {
-        tokio::spawn(Arc::clone(&desk).tell_watch(every));
+        tokio::spawn(Arc::clone(&desk).log_shadow_counts_periodically(every));
     }
     let revision = start.known.as_ref().map(|list| list.revision);
     let mut known = before.as_mut().and_then(|before| before.known.take());
     let claims = Arc::<in_flight::InFlightIds>::default();
     let open = known
         .as_mut()
-        .map(|known| std::mem::take(&mut known.open))
+        .map(|known| std::mem::take(&mut known.open_ids))
         .unwrap_or_default();
     open.into_iter()
         .for_each(|id| claims.set_in_other_process(true, id));
@@ -363,15 +363,15 @@
         Some(known) => desk.inherit(known),
         // An empty one, too: the module calls discovery from there on.
         None => {
-            desk.listed(
+            desk.apply_list(
                 passroad_choice::ListUpdateKind::Cached,
                 &start.known.unwrap_or_default(),
             );
             revision
         }
     };
-    tokio::spawn(Arc::clone(&desk).beat());
-    tokio::spawn(list::follow(
+    tokio::spawn(Arc::clone(&desk).run_heartbeat());
+    tokio::spawn(discovery::follow(
         Arc::clone(&desk),
         at,
         paces.clone(),
@@ -388,14 +388,14 @@
     ));
     let retune = {
         let (desk, intake) = (Arc::clone(&desk), Arc::clone(&intake));
-        move |start: &start::Start| {
-            let numbers = desk.retune(start.orders.clone(), start.routes.clone())?;
+        move |start: &config::SidecarConfig| {
+            let numbers = desk.reconfigure(start.orders.clone(), start.routes.clone())?;
             intake.reconfigure(&start.orders, &numbers);
-            pace.send_modify(|pace| *pace = pace.then(start::Pace::of(&start.orders)));
+            pace.send_modify(|pace| *pace = pace.then(config::Timings::of(&start.orders)));
             Ok(())
         }
     };
-    tokio::spawn(start::read_again(files, hangups, kept, retune));
+    tokio::spawn(config::read_again(files, hangups, kept, retune));
     let fleet = match start.fleet {
         Some((orders, place)) => fleet::begin(orders, place, &desk, stages.clone())?,
         None => None,
@@ -415,7 +415,7 @@
         }
         let (held_back, socket) = (Mutex::default(), listener::duplicate_socket(&listener)?);
         let (front, intake) = (Arc::clone(&front), Arc::clone(&intake));
-        let room = Box::new(room::Room {
+        let room = Box::new(descriptors::Room {
             limits,
             front,
             dialer,
@@ -444,6 +444,6 @@
         }
     }
     listener::serve(listener, front, intake, paces).await;
-    desk.say_watch();
+    desk.log_shadow_counts();
     Ok(())
 }
--- a/crates/passroad/src/listener.rs
+++ b/crates/passroad/src/listener.rs
@@ -1,11 +1,11 @@
 //! The connections of clients: let in, watched, given back. What comes over them is read in `intake`.
 
 use crate::body::NotifyOnDrop;
+use crate::config::Timings;
 use crate::framing::{FramedStream, MAX_HEAD_BYTES, RequestFraming, SharedStream};
 use crate::request_handler::{RequestHandler, handle_command, health};
 use crate::send_guard::peer_closed;
-use crate::start::Pace;
-use crate::stop::{Stage, Stages, reached};
+use crate::shutdown::{ShutdownStage, ShutdownWatch, stage_reached};
 use axum::Router;
 use axum::body::Body;
 use axum::http::{HeaderValue, header};
@@ -63,7 +63,7 @@
     crowd: Notify,       // others wait to get in
     may_go: AtomicUsize, // of a crowd
     left: Notify,        // a place is free again
-    stages: Stages,
+    stages: ShutdownWatch,
 }
 
 #[derive(Clone, Copy)]
@@ -134,7 +134,7 @@
 }
 
 impl ClientConnections {
-    pub fn new(most: usize, most_kept: usize, stages: Stages) -> Arc<Self> {
+    pub fn new(most: usize, most_kept: usize, stages: ShutdownWatch) -> Arc<Self> {
         Arc::new(ClientConnections {
             most: AtomicUsize::new(most),
             short: Mutex::new(None),
@@ -202,7 +202,7 @@
         self.kept.load(Relaxed) <= self.most_kept / 2
     }
 
-    fn stage(&self) -> Stage {
+    fn stage(&self) -> ShutdownStage {
         *self.stages.borrow()
     }
 }
@@ -212,7 +212,7 @@
     listener: TcpListener,
     front: Arc<ClientConnections>,
     intake: Arc<RequestHandler>,
-    paces: watch::Receiver<Pace>,
+    paces: watch::Receiver<Timings>,
 ) {
     let router = Router::new()
         .route("/healthz", get(health))
@@ -230,7 +230,7 @@
         full = full.or((!room).then(Instant::now));
         tokio::select! {
             biased;
-            () = reached(&mut stages, Stage::Closed) => break,
+            () = stage_reached(&mut stages, ShutdownStage::NotAccepting) => break,
             _ = crowds.tick(), if count >= most / 4 * 3 => front.crowds(),
             came = listener.accept(), if room && takes => match came {
                 Ok((stream, _)) => open(stream, &router, &front, accepted.waits_since(full)),
@@ -263,10 +263,10 @@
     };
     let mut over = stages.clone();
     tokio::spawn(async move {
-        reached(&mut over, Stage::Over).await;
+        stage_reached(&mut over, ShutdownStage::Expiring).await;
         intake.expire_open_commands();
     });
-    let longest = paces.borrow().longest;
+    let longest = paces.borrow().max_time_limit;
     match timeout(longest + Duration::from_secs(1), all_closed).await {
         Ok(()) => log::info!("stopped: all that was taken is answered"),
         Err(_) => log::warn!("stopped with {} connections open", front.open.load(Relaxed)),
@@ -473,7 +473,7 @@
                     // connection ends with this answer, and nothing more is read from it. So it does while the
                     // sidecar stops.
                     let usable = !answer.status().is_client_error();
-                    let stays = front.stage() == Stage::Serving && *front.taking.borrow();
+                    let stays = front.stage() == ShutdownStage::Serving && *front.taking.borrow();
                     let on = usable && !talk.framing.must_close() && stays;
                     // Guards against clients that ask once and stay: what they may hold is soon taken up by connections
                     // that nobody uses. Past half of it each goes with its answer.
@@ -511,23 +511,23 @@
                 }),
                 service,
             );
-        let mut next = Stage::Leaving;
+        let mut next = ShutdownStage::Draining;
         let ended = loop {
             tokio::select! {
                 biased;
                 ended = &mut connection => break Some(ended),
-                () = crowded_out(front, &talk), if next == Stage::Leaving => {
+                () = crowded_out(front, &talk), if next == ShutdownStage::Draining => {
                     // What has come is read first.
                     if !talk.unread() {
                         break None;
                     }
                 }
                 () = talk.late(front) => break None,
-                () = reached(&mut stages, next) => {
-                    if next == Stage::Ending {
+                () = stage_reached(&mut stages, next) => {
+                    if next == ShutdownStage::ClosingIdle {
                         break None;
                     }
-                    next = Stage::Ending;
+                    next = ShutdownStage::ClosingIdle;
                     // One that was never answered may have its first command on the way, another its next: its answer ends
                     // the connection.
                     let sends = talk.framing.has_partial_head() || talk.unread();
--- a/crates/passroad/src/listener/tests.rs
+++ b/crates/passroad/src/listener/tests.rs
@@ -9,7 +9,7 @@
 async fn what_has_come_by_the_end_of_a_quiet_time_is_read() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
-    let (_serving, stages) = watch::channel(Stage::Serving);
+    let (_serving, stages) = watch::channel(ShutdownStage::Serving);
     // So few may be kept that none is for long.
     let front = ClientConnections::new(100, 10, stages);
     let router = Router::new().fallback(async || "ok");
--- a/crates/passroad/src/management.rs
+++ b/crates/passroad/src/management.rs
@@ -2,7 +2,7 @@
 
 use crate::fleet;
 use crate::handover::{Handover, Inherited};
-use crate::stop::{Stage, Stages};
+use crate::shutdown::{ShutdownStage, ShutdownWatch};
 use axum::Router;
 use axum::body::{Body, to_bytes};
 use axum::extract::{Path, State};
@@ -37,7 +37,7 @@
 struct Door {
     handover: Arc<Handover>,
     fleet: Option<fleet::Door>,
-    stages: Stages,
+    stages: ShutdownWatch,
 }
 
 #[derive(Deserialize)]
@@ -68,7 +68,7 @@
     handover: Arc<Handover>,
     upgrade: Option<(Option<Inherited>, PathBuf)>,
     fleet: Option<fleet::Door>,
-    stages: Stages,
+    stages: ShutdownWatch,
 ) -> Result<(), String> {
     let fault = |e: std::io::Error| format!("management: {e}");
     let runtime = tokio::runtime::Builder::new_current_thread()
@@ -125,7 +125,7 @@
 
 async fn health(State(door): State<Door>) -> Response {
     match *door.stages.borrow() {
-        Stage::Serving => said(StatusCode::OK, "clients are taken"),
+        ShutdownStage::Serving => said(StatusCode::OK, "clients are taken"),
         _ => said(StatusCode::SERVICE_UNAVAILABLE, "stopping"),
     }
 }
--- a/crates/passroad/src/request_handler.rs
+++ b/crates/passroad/src/request_handler.rs
@@ -4,11 +4,11 @@
     BodyError, MAX_BODY_BYTES, MAX_BUFFERED_REQUEST_BYTES, MinRateTimer, StreamedUpload,
 };
 use crate::command::{self, CommandParams, FinalResponse};
-use crate::desk::Desk;
+use crate::dispatcher::Dispatcher;
 use crate::in_flight::InFlightIds;
 use crate::listener::ClientConnection;
 use crate::relay::{CommandRequest, IDEMPOTENCY_KEY};
-use crate::stop::{Stage, Stages};
+use crate::shutdown::{ShutdownStage, ShutdownWatch};
 use axum::body::{Body, HttpBody};
 use axum::extract::{Extension, Request, State};
 use axum::http::{HeaderMap, HeaderValue, Method, StatusCode, header};
@@ -29,9 +29,9 @@
 const ROOM: usize = 4 << 10; // one step of it
 
 pub struct RequestHandler {
-    desk: Arc<Desk>,
+    desk: Arc<Dispatcher>,
     table: Mutex<Arc<Table>>,
-    stages: Stages,
+    stages: ShutdownWatch,
     room: Arc<Semaphore>, // for bodies that are held, in steps
     claims: Arc<InFlightIds>,
     half: usize,       // of the room
@@ -148,11 +148,11 @@
 impl RequestHandler {
     /// `memory` in bytes, of which a share may hold bodies.
     pub fn new(
-        desk: Arc<Desk>,
+        desk: Arc<Dispatcher>,
         orders: &BalancerConfig,
         memory: usize,
         claims: Arc<InFlightIds>,
-        stages: Stages,
+        stages: ShutdownWatch,
     ) -> Self {
         // At the start the module numbers verbs as the orders do.
         let numbers: Vec<_> = (0..orders.classes.len()).collect();
@@ -172,7 +172,7 @@
 
     /// Has every open command answered.
     pub fn expire_open_commands(&self) {
-        self.desk.out_of_time();
+        self.desk.expire_open_commands();
     }
 
     /// Takes other orders, whose verbs the module has numbered.
@@ -198,7 +198,7 @@
     }
 
     fn serving(&self) -> bool {
-        *self.stages.borrow() == Stage::Serving
+        *self.stages.borrow() == ShutdownStage::Serving
     }
 
     async fn read(
@@ -238,7 +238,7 @@
         if talk.framing.has_early_bytes() {
             return Err(StatusCode::BAD_REQUEST);
         }
-        let waited = self.desk.may_have_waited().max(talk.backlog_wait());
+        let waited = self.desk.possible_delay().max(talk.backlog_wait());
         if !waited.is_zero() {
             // Only here: to the module an odd budget tells that a client's earlier tries have spent the rest.
             need.time_limit = need.budget.saturating_sub(waited);
