--- a/crates/passroad-rig/src/capacity/roles.rs
+++ b/crates/passroad-rig/src/capacity/roles.rs
@@ -141,13 +141,13 @@
 const CHOICE: &str = "crates/passroad-choice/src/choice.rs";
 const STATE: &str = "crates/passroad-choice/src/state.rs";
 const PEERS: &str = "crates/passroad-peers/src/lib.rs";
-const TALK: &str = "crates/passroad/src/fleet/talk.rs";
+const TALK: &str = "crates/passroad/src/fleet/event_loop.rs";
 const LEASE: &str = "crates/passroad-lease/src/lib.rs";
 const VOTER: &str = "crates/passroad-lease/src/voter.rs";
 const CALLS: &str = "crates/passroad/src/fleet/calls.rs";
 const UPKEEP: &str = "crates/passroad-upkeep/src/lib.rs";
 const BOOK: &str = "crates/passroad-upkeep/src/operation_log.rs";
-const WORK: &str = "crates/passroad/src/fleet/work.rs";
+const WORK: &str = "crates/passroad/src/fleet/machines.rs";
 
 const GOSSIP: Mechanism = by(
     "one question a period, 8 datagrams of 256 bytes a second at most",
--- a/crates/passroad-rig/src/fleet/mod.rs
+++ b/crates/passroad-rig/src/fleet/mod.rs
@@ -5,7 +5,7 @@
 pub mod wires;
 pub mod world;
 
-use passroad::fleet::DutyOrder;
+use passroad::fleet::LeasedTask;
 use passroad_lease::{candidate_order, voters_for};
 use std::time::Duration;
 
@@ -139,14 +139,14 @@
         passroad_choice::interner::stable_hash(&self.name)
     }
 
-    pub fn orders(&self) -> DutyOrder {
+    pub fn orders(&self) -> LeasedTask {
         let call = Some(hyper::Uri::from_static("http://127.0.0.1:1/"));
-        DutyOrder {
+        LeasedTask {
             name: self.name.clone(),
-            mark: self.mark(),
-            every: self.every,
+            key: self.mark(),
+            interval: self.every,
             call,
-            within: self.within,
+            timeout: self.within,
         }
     }
 }
--- a/crates/passroad-rig/src/fleet/world.rs
+++ b/crates/passroad-rig/src/fleet/world.rs
@@ -4,7 +4,7 @@
 use super::wires::Wires;
 use super::{Act, FleetDay, FleetPlan, RESTART, What};
 use crate::chance::Chance;
-use passroad::fleet::part::{Came, Do, Part, View, Who};
+use passroad::fleet::node::{CallOutcome, FleetNode, MachineView, NodeAction, NodeIdentity};
 use passroad_lease::{Clocks, Epoch, Fence, LeaseKey, Vote};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -50,7 +50,7 @@
 }
 
 struct Node {
-    part: Option<Part>,
+    part: Option<FleetNode>,
     began: Duration,
     rate: f64,
     turn: u64,
@@ -149,7 +149,11 @@
         world.happens(ev);
     }
     for node in &world.nodes {
-        let counts = node.part.as_ref().map(Part::counts).unwrap_or_default();
+        let counts = node
+            .part
+            .as_ref()
+            .map(FleetNode::counts)
+            .unwrap_or_default();
         world.day.doubts += counts.suspicions;
         world.day.refuted += counts.refuted;
     }
@@ -199,13 +203,13 @@
             Ev::Datagram { from, to, bytes } => {
                 let times = self.times(to);
                 if let Some(part) = &mut self.nodes[to].part {
-                    let todo = part.hear(
+                    let todo = part.receive(
                         times,
                         from as u16,
                         &bytes,
-                        &View {
-                            seen: &[],
-                            free: &|_| false,
+                        &MachineView {
+                            machines: &[],
+                            is_idle: &|_| false,
                         },
                     );
                     self.carry_out(to, todo);
@@ -232,20 +236,22 @@
             Ev::Commits { call } => self.commit(call),
             Ev::Answers { call } => {
                 let came = match self.calls[call].accepted {
-                    Some(Ok(())) => Came::Done,
-                    Some(Err(highest)) => Came::Stale(highest),
+                    Some(Ok(())) => CallOutcome::Succeeded,
+                    Some(Err(highest)) => CallOutcome::StaleEpoch(highest),
                     None => return,
                 };
                 self.ended(call, came);
             }
-            Ev::GivenUp { call } => self.ended(call, Came::Open("no answer in time".into())),
+            Ev::GivenUp { call } => {
+                self.ended(call, CallOutcome::Unknown("no answer in time".into()))
+            }
             Ev::Starts(node) => self.start(node),
             Ev::Begins(n) => self.begin(n),
             Ev::Ends(n) => self.end(n),
             Ev::Leaves(node) => {
                 let times = self.times(node);
                 if let Some(part) = &mut self.nodes[node].part {
-                    let todo = part.leave(times);
+                    let todo = part.release_all(times);
                     self.carry_out(node, todo);
                     self.turn(node);
                     self.at(self.now + LAST_WORDS, Ev::Down(node));
@@ -263,7 +269,7 @@
         n.began = self.now;
         let incarnation = passroad_peers::incarnation_at(WALL + self.now);
         let seed = n.chance.number();
-        let who = Who {
+        let who = NodeIdentity {
             me: node as u16,
             members: self.instances,
             incarnation,
@@ -273,7 +279,9 @@
         let duties = self.plan.duties.iter().map(|duty| duty.orders()).collect();
         let (voters, lease, period) = (self.plan.voters, self.plan.lease, self.plan.period);
         let times = self.times(node);
-        self.nodes[node].part = Some(Part::new(&who, voters, lease, period, duties, times, votes));
+        self.nodes[node].part = Some(FleetNode::new(
+            &who, voters, lease, period, duties, times, votes,
+        ));
         self.turn(node);
     }
 
@@ -295,13 +303,13 @@
         let Some(part) = &mut self.nodes[node].part else {
             return;
         };
-        let todo = part.turn(times);
+        let todo = part.tick(times);
         self.carry_out(node, todo);
         let n = &mut self.nodes[node];
         let Some(part) = &mut n.part else { return };
         let (wait, owned) = (
             part.wait(times),
-            (!self.plan.duties.is_empty()).then(|| part.owned(times, 0)),
+            (!self.plan.duties.is_empty()).then(|| part.owned_epoch(times, 0)),
         );
         n.turn += 1;
         let ev = Ev::Wake { node, turn: n.turn };
@@ -322,7 +330,7 @@
                 let still = self.nodes[node]
                     .part
                     .as_mut()
-                    .and_then(|part| part.owned(times, 0))
+                    .and_then(|part| part.owned_epoch(times, 0))
                     .is_some();
                 believers += usize::from(still);
             }
@@ -330,10 +338,10 @@
         self.day.believers = self.day.believers.max(Some(believers));
     }
 
-    fn carry_out(&mut self, node: usize, todo: Vec<Do>) {
+    fn carry_out(&mut self, node: usize, todo: Vec<NodeAction>) {
         for what in todo {
             match what {
-                Do::Send { to, bytes } => {
+                NodeAction::Send { to, bytes } => {
                     self.day.datagrams[node] += 1;
                     self.day.longest = self.day.longest.max(bytes.len());
                     let to = usize::from(to);
@@ -347,8 +355,12 @@
                         self.at(self.now + self.trip + odd + after, ev);
                     }
                 }
-                Do::Keep { duty, vote } => drop(self.nodes[node].disk.insert(duty, vote)),
-                Do::Begin { n, epoch, within } => {
+                NodeAction::Persist { key, vote } => drop(self.nodes[node].disk.insert(key, vote)),
+                NodeAction::BeginCall {
+                    task: n,
+                    epoch,
+                    timeout: within,
+                } => {
                     let call = self.calls.len();
                     self.calls.push(Call {
                         node,
@@ -362,17 +374,17 @@
                     let rate = self.nodes[node].rate;
                     self.at(self.now + within.div_f64(rate), Ev::GivenUp { call });
                 }
-                Do::Drop { n } => {
+                NodeAction::AbortCall { task: n } => {
                     if let Some(call) = self.nodes[node].calls[n].take() {
                         self.calls[call].dropped = true;
                     }
                 }
-                Do::Say { .. }
-                | Do::Turned { .. }
-                | Do::Unheard(_)
-                | Do::Ban { .. }
-                | Do::Answer { .. }
-                | Do::Machine { .. } => {}
+                NodeAction::Log { .. }
+                | NodeAction::StateChanged { .. }
+                | NodeAction::Dropped(_)
+                | NodeAction::SetExcluded { .. }
+                | NodeAction::Respond { .. }
+                | NodeAction::Report { .. } => {}
             }
         }
     }
@@ -398,7 +410,7 @@
         self.at(self.now + self.trip, Ev::Answers { call });
     }
 
-    fn ended(&mut self, call: usize, came: Came) {
+    fn ended(&mut self, call: usize, came: CallOutcome) {
         let (node, duty, epoch) = (
             self.calls[call].node,
             self.calls[call].duty,
@@ -410,7 +422,7 @@
         self.nodes[node].calls[duty] = None;
         let times = self.times(node);
         if let Some(part) = &mut self.nodes[node].part {
-            let todo = part.ended(times, duty, epoch, came);
+            let todo = part.call_ended(times, duty, epoch, came);
             self.carry_out(node, todo);
             self.turn(node);
         }
@@ -446,7 +458,7 @@
                 for node in whom {
                     if let Some(part) = &mut self.nodes[node].part {
                         part.stop();
-                        let wait = if part.any_out() {
+                        let wait = if part.any_call_open() {
                             LAST_CALL
                         } else {
                             Duration::ZERO
--- a/crates/passroad-rig/src/scale/host.rs
+++ b/crates/passroad-rig/src/scale/host.rs
@@ -2,7 +2,7 @@
 //! and telling on standard output.
 
 use passroad::Files;
-use passroad::fleet::Turned;
+use passroad::fleet::MemberStateChange;
 use passroad::hollow::Hollow;
 use std::collections::BTreeMap;
 use std::io::{BufRead, Write};
@@ -97,13 +97,8 @@
     // Many at once where a region is cut off: a line and a write each would be load of its own.
     let mut some = Vec::new();
     while turned.recv_many(&mut some, 1024).await > 0 {
-        let line = |turn: Turned| {
-            format!(
-                "turned {n} {} {:?} {}",
-                turn.member,
-                turn.standing,
-                unix_us()
-            )
+        let line = |turn: MemberStateChange| {
+            format!("turned {n} {} {:?} {}", turn.member, turn.state, unix_us())
         };
         say(&some.drain(..).map(line).collect::<Vec<_>>().join("\n"));
     }
--- a/crates/passroad-rig/src/scale/processes.rs
+++ b/crates/passroad-rig/src/scale/processes.rs
@@ -288,7 +288,7 @@
         for n in these {
             if let Some(door) = self.doors.get(n) {
                 let asked = tokio::task::block_in_place(|| {
-                    passroad::fleet::ask(*door, "GET", "/admin/fleet", "")
+                    passroad::fleet::request_json(*door, "GET", "/admin/fleet", "")
                 });
                 if let Ok(said) = asked {
                     all.insert(*n, super::brief(&said));
--- a/crates/passroad/src/config.rs
+++ b/crates/passroad/src/config.rs
@@ -30,7 +30,7 @@
     /// Which pool serves what, where a file says so.
     pub routes: Option<RoutesConfig>,
     /// Its part in the fleet, where a file asks for one.
-    pub fleet: Option<(fleet::FleetOrders, fleet::Place)>,
+    pub fleet: Option<(fleet::FleetConfig, fleet::PeerConfig)>,
     /// The whole file.
     told: serde_json::Value,
 }
@@ -141,15 +141,18 @@
         let text =
             std::fs::read_to_string(&path).map_err(|e| format!("{}: {e}", path.display()))?;
         let mut orders =
-            fleet::read(&text).map_err(|wrong| format!("{}: {wrong}", path.display()))?;
+            fleet::parse(&text).map_err(|wrong| format!("{}: {wrong}", path.display()))?;
         // As long as the settings say, where the file does not.
         let warm = start.orders.warm_up_time;
         orders
-            .upkeep
+            .maintenance
             .iter_mut()
-            .filter(|upkeep| upkeep.warm.is_zero())
-            .for_each(|upkeep| upkeep.warm = warm);
-        start.fleet = Some((orders, fleet::Place::of(&start.name, &start.told)?));
+            .filter(|maintenance| maintenance.warm_up_time.is_zero())
+            .for_each(|maintenance| maintenance.warm_up_time = warm);
+        start.fleet = Some((
+            orders,
+            fleet::PeerConfig::from_value(&start.name, &start.told)?,
+        ));
     }
     Ok(start)
 }
@@ -172,11 +175,11 @@
         None => "no routes".into(),
     };
     let fleet = match &start.fleet {
-        Some((orders, place)) if place.may_talk => {
+        Some((config, peers)) if peers.messages_allowed => {
             format!(
                 ", {} duties among {} sidecars",
-                orders.duties.len(),
-                place.peers.len()
+                config.tasks.len(),
+                peers.addresses.len()
             )
         }
         Some(_) => ", a fleet's file but no leave to talk".into(),
--- a/crates/passroad/src/fleet/calls.rs
+++ b/crates/passroad/src/fleet/calls.rs
@@ -1,7 +1,7 @@
-//! The calls of duties: at most one out for each, by the epoch that is owned, ended before the lease is.
+//! The calls of leased tasks: at most one open per task, with the owned epoch, ended before the lease expires.
 
-use super::orders::DutyOrder;
-use super::part::Came;
+use super::config::LeasedTask;
+use super::node::CallOutcome;
 use crate::body::RelayBody;
 use crate::relay::{Dialer, PooledClient};
 use hyper::{Request, StatusCode};
@@ -11,72 +11,86 @@
 use tokio::task::AbortHandle;
 use tokio::time::timeout;
 
-const CONNECT: Duration = Duration::from_secs(2);
-const IDLE: Duration = Duration::from_secs(10);
-const SOCKETS: usize = 8;
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
+const MAX_CONNECTIONS: usize = 8;
 
 pub struct Calls {
     client: PooledClient,
-    out: Vec<Option<AbortHandle>>,
-    done: mpsc::UnboundedSender<(usize, Epoch, Came)>,
+    open: Vec<Option<AbortHandle>>,
+    ended: mpsc::UnboundedSender<(usize, Epoch, CallOutcome)>,
 }
 
 impl Calls {
-    pub fn new(duties: usize) -> (Calls, mpsc::UnboundedReceiver<(usize, Epoch, Came)>) {
-        let (done, came) = mpsc::unbounded_channel();
-        let client = Dialer::new(CONNECT, IDLE, SOCKETS)
+    pub fn new(tasks: usize) -> (Calls, mpsc::UnboundedReceiver<(usize, Epoch, CallOutcome)>) {
+        let (ended, outcomes) = mpsc::unbounded_channel();
+        let client = Dialer::new(CONNECT_TIMEOUT, IDLE_TIMEOUT, MAX_CONNECTIONS)
             .without_size_limit()
             .new_client();
-        let out = (0..duties).map(|_| None).collect();
-        (Calls { client, out, done }, came)
+        let open = (0..tasks).map(|_| None).collect();
+        (
+            Calls {
+                client,
+                open,
+                ended,
+            },
+            outcomes,
+        )
     }
 
-    pub fn begin(&mut self, n: usize, duty: &DutyOrder, epoch: Epoch, me: u16, within: Duration) {
-        let request = Request::post(duty.call.clone().unwrap_or_default())
-            .header("Duty", duty.name.as_str())
+    pub fn begin(
+        &mut self,
+        index: usize,
+        task: &LeasedTask,
+        epoch: Epoch,
+        me: u16,
+        limit: Duration,
+    ) {
+        let request = Request::post(task.call.clone().unwrap_or_default())
+            .header("Duty", task.name.as_str())
             .header("Epoch", epoch)
             .header("Owner", me)
             .header("Content-Length", 0)
             .body(RelayBody::default());
-        let (client, done) = (self.client.clone(), self.done.clone());
+        let (client, ended) = (self.client.clone(), self.ended.clone());
         let call = async move {
-            let came = match request {
-                Ok(request) => timeout(within, exchange(&client, request)).await,
-                Err(fault) => Ok(Came::Open(fault.to_string())),
+            let outcome = match request {
+                Ok(request) => timeout(limit, exchange(&client, request)).await,
+                Err(error) => Ok(CallOutcome::Unknown(error.to_string())),
             };
-            let _ = done.send((
-                n,
+            let _ = ended.send((
+                index,
                 epoch,
-                came.unwrap_or_else(|_| Came::Open("no answer in time".into())),
+                outcome.unwrap_or_else(|_| CallOutcome::Unknown("no answer in time".into())),
             ));
         };
-        self.out[n] = Some(tokio::spawn(call).abort_handle());
+        self.open[index] = Some(tokio::spawn(call).abort_handle());
     }
 
-    pub fn ended(&mut self, n: usize) {
-        self.out[n] = None;
+    pub fn ended(&mut self, index: usize) {
+        self.open[index] = None;
     }
 
-    /// Drops what is out: its connection closes. It may have been done, or may yet, which the fence is for.
-    pub fn drop(&mut self, n: usize) {
-        if let Some(out) = self.out[n].take() {
-            out.abort();
+    /// Aborts an open call by closing its connection. It may still have an effect, which the fence has to reject.
+    pub fn abort(&mut self, index: usize) {
+        if let Some(call) = self.open[index].take() {
+            call.abort();
         }
     }
 }
 
-async fn exchange(client: &PooledClient, request: Request<RelayBody>) -> Came {
+async fn exchange(client: &PooledClient, request: Request<RelayBody>) -> CallOutcome {
     match client.request(request).await {
-        Err(fault) => Came::Open(fault.to_string()),
-        Ok(answer) if answer.status().is_success() => Came::Done,
-        Ok(answer) => {
-            let highest = answer
+        Err(error) => CallOutcome::Unknown(error.to_string()),
+        Ok(response) if response.status().is_success() => CallOutcome::Succeeded,
+        Ok(response) => {
+            let highest = response
                 .headers()
                 .get("epoch")
                 .and_then(|v| v.to_str().ok()?.parse().ok());
-            match (answer.status(), highest) {
-                (StatusCode::CONFLICT, Some(epoch)) => Came::Stale(epoch),
-                (status, _) => Came::Open(format!("answered {status}")),
+            match (response.status(), highest) {
+                (StatusCode::CONFLICT, Some(epoch)) => CallOutcome::StaleEpoch(epoch),
+                (status, _) => CallOutcome::Unknown(format!("answered {status}")),
             }
         }
     }
--- a/crates/passroad/src/fleet/mod.rs
+++ b/crates/passroad/src/fleet/mod.rs
@@ -1,18 +1,19 @@
-//! The sidecar's part in the fleet: one thread that owns the socket to the others, the timers of membership and leases,
-//! and the calls of duties that are owned here. The desk knows nothing of it; without a file nothing of it is there.
+//! This sidecar as a member of the fleet: one thread owns the socket to the others, the timers of membership and
+//! leases, and the calls of the tasks that it holds leases for. The dispatcher doesn't depend on it; without a fleet
+//! file none of it runs.
 
 mod calls;
+mod config;
 mod drops;
-mod kept;
-mod orders;
-pub mod part;
+mod event_loop;
+mod machines;
+pub mod node;
 mod status;
-mod talk;
-mod work;
+mod vote_store;
 
-pub use orders::{DutyOrder, FleetOrders, Place, read};
-pub use status::{Door, ask, table};
-pub use work::{Those, order, refusal, table as work_table};
+pub use config::{FleetConfig, LeasedTask, PeerConfig, parse};
+pub use machines::{MachineFilter, format_log, parse_action, rejection_text};
+pub use status::{FleetHandle, format_status, request_json};
 
 use crate::dispatcher::Dispatcher;
 use crate::shutdown::ShutdownWatch;
@@ -20,130 +21,132 @@
 use std::time::Duration;
 use tokio::sync::mpsc::UnboundedSender;
 
-/// For the address to come free: the process before this one gives it up when it stops.
-const ADDRESS_WITHIN: Duration = Duration::from_secs(60);
-const ADDRESS_EVERY: Duration = Duration::from_millis(20);
+/// How long to try to bind the peer address: the old process releases it when it stops.
+const BIND_TIMEOUT: Duration = Duration::from_secs(60);
+const BIND_INTERVAL: Duration = Duration::from_millis(20);
 
-/// A member that this sidecar thinks otherwise of from now on.
+/// A change of a member's state, as this sidecar sees it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Turned {
+pub struct MemberStateChange {
     pub member: u16,
-    pub standing: passroad_peers::MemberState,
+    pub state: passroad_peers::MemberState,
 }
 
-/// A sidecar's part that can begin; its socket is not open yet.
-pub struct Ready {
-    orders: FleetOrders,
-    place: Place,
-    kept: Option<kept::Kept>,
-    machines: Option<work::Machines>,
-    asked: status::Asked,
+/// A fleet member that is ready to start; its socket is not open yet.
+pub struct PreparedFleet {
+    config: FleetConfig,
+    peers: PeerConfig,
+    vote_store: Option<vote_store::VoteStore>,
+    machines: Option<machines::Machines>,
+    requests: status::FleetRequests,
     stages: ShutdownWatch,
-    turns: Option<UnboundedSender<Turned>>,
+    state_changes: Option<UnboundedSender<MemberStateChange>>,
 }
 
-/// None where the settings forbid talk between sidecars.
+/// None if the settings forbid messages between sidecars.
 pub fn prepare(
-    orders: FleetOrders,
-    place: Place,
-    desk: &Arc<Dispatcher>,
+    config: FleetConfig,
+    peers: PeerConfig,
+    dispatcher: &Arc<Dispatcher>,
     stages: ShutdownWatch,
-) -> Result<Option<(Door, Ready)>, String> {
-    if !place.may_talk {
-        log::info!("fleet: off, as the settings forbid talk between sidecars (allowed.may_tell)");
+) -> Result<Option<(FleetHandle, PreparedFleet)>, String> {
+    if !peers.messages_allowed {
+        log::info!(
+            "fleet: off, as the settings forbid messages between sidecars (allowed.may_tell)"
+        );
         return Ok(None);
     }
-    let kept = orders
+    let vote_store = config
         .state
         .as_deref()
-        .map(|path| kept::Kept::open(path, &place.name))
+        .map(|path| vote_store::VoteStore::open(path, &peers.name))
         .transpose()?;
-    let (door, asked) = status::door(orders.upkeep.is_some());
-    let machines = orders
-        .upkeep
+    let (handle, requests) = status::fleet_handle(config.maintenance.is_some());
+    let machines = config
+        .maintenance
         .as_ref()
-        .map(|upkeep| work::Machines::new(Arc::clone(desk), upkeep));
+        .map(|settings| machines::Machines::new(Arc::clone(dispatcher), settings));
     Ok(Some((
-        door,
-        Ready {
-            orders,
-            place,
-            kept,
+        handle,
+        PreparedFleet {
+            config,
+            peers,
+            vote_store,
             machines,
-            asked,
+            requests,
             stages,
-            turns: None,
+            state_changes: None,
         },
     )))
 }
 
-impl Ready {
-    /// Has each change of what is thought of a member told there, too.
-    pub fn telling(self, turns: UnboundedSender<Turned>) -> Ready {
-        Ready {
-            turns: Some(turns),
+impl PreparedFleet {
+    /// Also sends each change of a member's state to this channel.
+    pub fn reporting_to(self, state_changes: UnboundedSender<MemberStateChange>) -> PreparedFleet {
+        PreparedFleet {
+            state_changes: Some(state_changes),
             ..self
         }
     }
 
-    /// Talks until it is to stop.
+    /// Runs until shutdown.
     pub async fn serve(self) {
-        let Ready {
-            orders,
-            place,
-            kept,
+        let PreparedFleet {
+            config,
+            peers,
+            vote_store,
             machines,
-            asked,
+            requests,
             stages,
-            turns,
+            state_changes,
         } = self;
-        let began = tokio::time::Instant::now();
+        let started = tokio::time::Instant::now();
         let socket = loop {
-            match tokio::net::UdpSocket::bind(place.listen).await {
+            match tokio::net::UdpSocket::bind(peers.listen).await {
                 Ok(socket) => break socket,
-                Err(fault) if began.elapsed() > ADDRESS_WITHIN => {
-                    return log::error!("fleet: off: {}: {fault}", place.listen);
+                Err(error) if started.elapsed() > BIND_TIMEOUT => {
+                    return log::error!("fleet: off: {}: {error}", peers.listen);
                 }
-                Err(_) => tokio::time::sleep(ADDRESS_EVERY).await,
+                Err(_) => tokio::time::sleep(BIND_INTERVAL).await,
             }
         };
-        talk::Talk::new(orders, place, kept, socket, machines)
-            .telling(turns)
-            .run(asked, stages)
+        event_loop::EventLoop::new(config, peers, vote_store, socket, machines)
+            .reporting_to(state_changes)
+            .run(requests, stages)
             .await;
     }
 }
 
-/// Begins the sidecar's part, on a thread of its own, so that load on the front can't make it late. None where the
-/// settings forbid talk between sidecars.
-pub fn begin(
-    orders: FleetOrders,
-    place: Place,
-    desk: &Arc<Dispatcher>,
+/// Starts the fleet member on a thread of its own, so that client load can't delay it. None if the settings forbid
+/// messages between sidecars.
+pub fn start(
+    config: FleetConfig,
+    peers: PeerConfig,
+    dispatcher: &Arc<Dispatcher>,
     stages: ShutdownWatch,
-) -> Result<Option<Door>, String> {
-    let Some((door, ready)) = prepare(orders, place, desk, stages)? else {
+) -> Result<Option<FleetHandle>, String> {
+    let Some((handle, prepared)) = prepare(config, peers, dispatcher, stages)? else {
         return Ok(None);
     };
-    let fault = |e: std::io::Error| format!("fleet: {e}");
+    let describe = |e: std::io::Error| format!("fleet: {e}");
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
-        .map_err(fault)?;
-    let (listen, members) = (ready.place.listen, ready.place.peers.len());
-    let (voters, lease) = (ready.orders.voters, ready.orders.lease);
-    let memory = if ready.kept.is_some() {
+        .map_err(describe)?;
+    let (listen, members) = (prepared.peers.listen, prepared.peers.addresses.len());
+    let (voters, lease) = (prepared.config.voters, prepared.config.lease);
+    let state_file = if prepared.vote_store.is_some() {
         "a state file"
     } else {
         "no state file"
     };
-    let serve = move || runtime.block_on(ready.serve());
+    let serve = move || runtime.block_on(prepared.serve());
     std::thread::Builder::new()
         .name("fleet".into())
         .spawn(serve)
-        .map_err(fault)?;
+        .map_err(describe)?;
     log::info!(
-        "fleet: one of {members} sidecars, at {listen}; {voters} voters a duty, leases of {lease:?}, {memory}"
+        "fleet: one of {members} sidecars, at {listen}; {voters} voters a duty, leases of {lease:?}, {state_file}"
     );
-    Ok(Some(door))
+    Ok(Some(handle))
 }
--- a/crates/passroad/src/fleet/status.rs
+++ b/crates/passroad/src/fleet/status.rs
@@ -1,6 +1,6 @@
-//! What operators are told of the fleet: asked for at their door, answered by the fleet's thread.
+//! The fleet's status for operators: the management endpoint asks, the fleet's thread answers.
 
-use super::work::Those;
+use super::machines::MachineFilter;
 use passroad_upkeep::{Message, Rejection};
 use serde_json::Value;
 use std::fmt::Write as _;
@@ -9,125 +9,152 @@
 use std::time::Duration;
 use tokio::sync::{mpsc, oneshot};
 
-const ANSWER_WITHIN: Duration = Duration::from_millis(800);
-const CALL_WITHIN: Duration = Duration::from_secs(3);
-const LONGEST: u64 = 4 << 20;
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(800);
+const CALL_TIMEOUT: Duration = Duration::from_secs(3);
+const MAX_RESPONSE_BYTES: u64 = 4 << 20;
 
-pub type Asked = mpsc::UnboundedReceiver<Ask>;
+pub type FleetRequests = mpsc::UnboundedReceiver<FleetRequest>;
 
-/// What the fleet's thread is asked.
-pub enum Ask {
+/// Requests to the fleet's thread.
+pub enum FleetRequest {
     Status(oneshot::Sender<Value>),
-    /// The order of work, as far as it is known here; none where the file does not ask for one.
-    Work(oneshot::Sender<Value>),
-    /// The ids of machines by what the list says of them.
-    Those(Those, oneshot::Sender<Vec<String>>),
-    /// An operator asks for machines, or gives a word on one; answered once the conductor has it.
-    Operator {
-        word: Message,
+    /// The operation log as far as it is known here; no answer if the fleet file doesn't configure maintenance.
+    Log(oneshot::Sender<Value>),
+    /// The ids of the listed machines that match.
+    FindMachines(MachineFilter, oneshot::Sender<Vec<String>>),
+    /// An operator's request or action; answered once the coordinator has it.
+    Submit {
+        message: Message,
         answer: oneshot::Sender<Option<Rejection>>,
     },
-    /// Answered once this sidecar knows what is out for work.
-    Informed(oneshot::Sender<()>),
+    /// Answered once this sidecar knows which machines are out.
+    WaitInformed(oneshot::Sender<()>),
 }
 
+/// Sends requests to the fleet's thread.
 #[derive(Clone)]
-pub struct Door {
-    ask: mpsc::UnboundedSender<Ask>,
-    pub upkeep: bool,
+pub struct FleetHandle {
+    requests: mpsc::UnboundedSender<FleetRequest>,
+    /// Whether the fleet file configures maintenance.
+    pub maintenance: bool,
 }
 
-pub fn door(upkeep: bool) -> (Door, Asked) {
-    let (ask, asked) = mpsc::unbounded_channel();
-    (Door { ask, upkeep }, asked)
+pub fn fleet_handle(maintenance: bool) -> (FleetHandle, FleetRequests) {
+    let (sender, requests) = mpsc::unbounded_channel();
+    (
+        FleetHandle {
+            requests: sender,
+            maintenance,
+        },
+        requests,
+    )
 }
 
-impl Door {
-    async fn answer<T>(
+impl FleetHandle {
+    async fn call<T>(
         &self,
-        ask: impl FnOnce(oneshot::Sender<T>) -> Ask,
-        within: Duration,
+        request: impl FnOnce(oneshot::Sender<T>) -> FleetRequest,
+        timeout: Duration,
     ) -> Option<T> {
-        let (tell, told) = oneshot::channel();
-        self.ask.send(ask(tell)).ok()?;
-        tokio::time::timeout(within, told).await.ok()?.ok()
+        let (sender, answer) = oneshot::channel();
+        self.requests.send(request(sender)).ok()?;
+        tokio::time::timeout(timeout, answer).await.ok()?.ok()
     }
 
-    /// None where the fleet's thread has ended or is too busy.
+    /// None if the fleet's thread has ended or is too busy.
     pub async fn status(&self) -> Option<Value> {
-        self.answer(Ask::Status, ANSWER_WITHIN).await
+        self.call(FleetRequest::Status, ANSWER_TIMEOUT).await
     }
 
-    pub async fn those(&self, of: Those) -> Option<Vec<String>> {
-        self.answer(|tell| Ask::Those(of, tell), ANSWER_WITHIN)
-            .await
+    pub async fn find_machines(&self, filter: MachineFilter) -> Option<Vec<String>> {
+        self.call(
+            |answer| FleetRequest::FindMachines(filter, answer),
+            ANSWER_TIMEOUT,
+        )
+        .await
     }
 
-    pub async fn work(&self) -> Option<Value> {
-        self.answer(Ask::Work, ANSWER_WITHIN).await
+    pub async fn operation_log(&self) -> Option<Value> {
+        self.call(FleetRequest::Log, ANSWER_TIMEOUT).await
     }
 
-    /// None where no conductor has answered yet: the request stands, and goes on being said.
-    pub async fn operator(&self, word: Message) -> Option<Option<Rejection>> {
-        self.answer(|answer| Ask::Operator { word, answer }, ANSWER_WITHIN)
-            .await
+    /// None if no coordinator has answered yet: the request stands and is sent again until one does.
+    pub async fn submit(&self, message: Message) -> Option<Option<Rejection>> {
+        self.call(
+            |answer| FleetRequest::Submit { message, answer },
+            ANSWER_TIMEOUT,
+        )
+        .await
     }
 
-    /// Waits until this sidecar knows what is out for work, but no longer than so.
-    pub async fn informed(&self, within: Duration) -> bool {
-        self.answer(Ask::Informed, within).await.is_some()
+    /// Waits until this sidecar knows which machines are out, up to a timeout. Returns whether it does.
+    pub async fn wait_informed(&self, timeout: Duration) -> bool {
+        self.call(FleetRequest::WaitInformed, timeout)
+            .await
+            .is_some()
     }
 }
 
-/// Asks a running sidecar at its operators' door.
-pub fn ask(door: SocketAddr, method: &str, path: &str, body: &str) -> Result<Value, String> {
-    let fault = |e: std::io::Error| format!("{door}: {e}");
-    let mut to = TcpStream::connect_timeout(&door, CALL_WITHIN).map_err(fault)?;
-    to.set_read_timeout(Some(CALL_WITHIN)).map_err(fault)?;
+/// Sends a request to the management endpoint of a running sidecar.
+pub fn request_json(
+    endpoint: SocketAddr,
+    method: &str,
+    path: &str,
+    body: &str,
+) -> Result<Value, String> {
+    let describe = |e: std::io::Error| format!("{endpoint}: {e}");
+    let mut stream = TcpStream::connect_timeout(&endpoint, CALL_TIMEOUT).map_err(describe)?;
+    stream
+        .set_read_timeout(Some(CALL_TIMEOUT))
+        .map_err(describe)?;
     let length = body.len();
     let head = format!(
-        "{method} {path} HTTP/1.1\r\nHost: {door}\r\nConnection: close\r\nContent-Length: {length}\r\n\r\n"
+        "{method} {path} HTTP/1.1\r\nHost: {endpoint}\r\nConnection: close\r\nContent-Length: {length}\r\n\r\n"
     );
-    to.write_all(format!("{head}{body}").as_bytes())
-        .map_err(fault)?;
+    stream
+        .write_all(format!("{head}{body}").as_bytes())
+        .map_err(describe)?;
     let mut bytes = Vec::new();
-    to.take(LONGEST).read_to_end(&mut bytes).map_err(fault)?;
-    let mut room = [httparse::EMPTY_HEADER; 32];
-    let mut head = httparse::Response::new(&mut room);
+    stream
+        .take(MAX_RESPONSE_BYTES)
+        .read_to_end(&mut bytes)
+        .map_err(describe)?;
+    let mut headers = [httparse::EMPTY_HEADER; 32];
+    let mut head = httparse::Response::new(&mut headers);
     let length = match head.parse(&bytes) {
         Ok(httparse::Status::Complete(length)) => length,
-        _ => return Err(format!("{door}: no answer that can be read")),
+        _ => return Err(format!("{endpoint}: malformed response")),
     };
-    let said: Value =
-        serde_json::from_slice(&bytes[length..]).map_err(|e| format!("{door}: {e}"))?;
+    let response: Value =
+        serde_json::from_slice(&bytes[length..]).map_err(|e| format!("{endpoint}: {e}"))?;
     match head.code {
-        Some(200 | 202) => Ok(said),
+        Some(200 | 202) => Ok(response),
         _ => Err(format!(
-            "{door}: {}",
-            said["error"].as_str().unwrap_or("it said no")
+            "{endpoint}: {}",
+            response["error"].as_str().unwrap_or("request refused")
         )),
     }
 }
 
-/// For people.
-pub fn table(said: &Value) -> String {
+/// The fleet's status as text.
+pub fn format_status(status: &Value) -> String {
     let mut text = String::new();
     let number = |v: &Value| v.as_u64().unwrap_or_default();
-    let members = said["members"]
+    let members = status["members"]
         .as_array()
         .map(Vec::as_slice)
         .unwrap_or_default();
-    let count = |word: &str| members.iter().filter(|m| m["standing"] == word).count();
+    let count = |state: &str| members.iter().filter(|m| m["standing"] == state).count();
     let _ = writeln!(
         text,
-        "sidecar {} of {}: {} here, {} in doubt, {} gone{}",
-        number(&said["me"]),
+        "sidecar {} of {}: {} alive, {} suspect, {} dead{}",
+        number(&status["me"]),
         members.len(),
         count("here"),
         count("doubt"),
         count("gone"),
-        if said["mute"] == true {
-            "; mute as a voter"
+        if status["mute"] == true {
+            "; recovering as a voter"
         } else {
             ""
         }
@@ -137,7 +164,7 @@
         "{:<16} {:>7} {:>15} {:>8}  voters",
         "duty", "owner", "epoch", "left ms"
     );
-    for duty in said["duties"].as_array().into_iter().flatten() {
+    for duty in status["duties"].as_array().into_iter().flatten() {
         let owner = duty["owner"]
             .as_u64()
             .map_or("none".into(), |n| n.to_string());
@@ -158,14 +185,14 @@
             voters.join(" ")
         );
     }
-    for word in ["doubt", "gone"] {
-        let those = members
+    for (state, title) in [("doubt", "suspect"), ("gone", "dead")] {
+        let indices = members
             .iter()
-            .filter(|m| m["standing"] == word)
+            .filter(|m| m["standing"] == state)
             .map(|m| number(&m["n"]).to_string());
-        let those: Vec<String> = those.collect();
-        if !those.is_empty() {
-            let _ = writeln!(text, "{word}: {}", those.join(" "));
+        let indices: Vec<String> = indices.collect();
+        if !indices.is_empty() {
+            let _ = writeln!(text, "{title}: {}", indices.join(" "));
         }
     }
     text
--- a/crates/passroad/src/hollow.rs
+++ b/crates/passroad/src/hollow.rs
@@ -4,7 +4,7 @@
 
 use crate::config::{self, ActiveConfig, SidecarConfig, Timings};
 use crate::dispatcher::Dispatcher;
-use crate::fleet::{self, Door, Turned};
+use crate::fleet::{self, FleetHandle, MemberStateChange};
 use crate::relay::Dialer;
 use crate::shutdown::ShutdownStage;
 use crate::{Files, discovery, endpoint_list};
@@ -20,7 +20,7 @@
 /// One that lives; dropped, it is killed.
 pub struct Hollow {
     /// What its fleet's part is asked by; none where the settings forbid talk.
-    pub door: Option<Door>,
+    pub door: Option<FleetHandle>,
     /// The kernel's names of its threads under `/proc`: that of the list, and that of the fleet.
     pub threads: Vec<PathBuf>,
     stages: watch::Sender<ShutdownStage>,
@@ -42,7 +42,10 @@
     ///
     /// # Errors
     /// What is wrong with a file, or that the system gives no thread or runtime.
-    pub fn begin(files: Files, turns: mpsc::UnboundedSender<Turned>) -> Result<Hollow, String> {
+    pub fn begin(
+        files: Files,
+        turns: mpsc::UnboundedSender<MemberStateChange>,
+    ) -> Result<Hollow, String> {
         let fault = |e: io::Error| format!("hollow: {e}");
         let start = config::read(&files)?;
         let (stages, stage) = watch::channel(ShutdownStage::Serving);
@@ -102,7 +105,7 @@
 
 /// What runs on the thread of the list, and the fleet's thread beside it.
 struct EndpointList {
-    door: Option<Door>,
+    door: Option<FleetHandle>,
     fleet: Option<(PathBuf, JoinHandle<()>)>,
 }
 
@@ -111,7 +114,7 @@
     fn begin(
         mut start: SidecarConfig,
         files: Files,
-        turns: mpsc::UnboundedSender<Turned>,
+        turns: mpsc::UnboundedSender<MemberStateChange>,
         stage: watch::Receiver<ShutdownStage>,
         over: CancellationToken,
     ) -> Result<EndpointList, String> {
@@ -161,7 +164,7 @@
             let _ = tell.send(thread_path());
             runtime.block_on(async {
                 tokio::select! {
-                    () = ready.telling(turns).serve() => {}
+                    () = ready.reporting_to(turns).serve() => {}
                     () = over.cancelled() => {}
                 }
             });
--- a/crates/passroad/src/lib.rs
+++ b/crates/passroad/src/lib.rs
@@ -201,7 +201,7 @@
 fn work(what: WorkWhat, door: Option<std::net::SocketAddr>) -> Result<(), String> {
     let door = operators_door(door)?;
     let word = |path: &str, machine: &str| {
-        fleet::ask(
+        fleet::request_json(
             door,
             "POST",
             &format!("/admin/work/{path}"),
@@ -210,13 +210,13 @@
     };
     let said = match what {
         WorkWhat::Status { json } => {
-            let said = fleet::ask(door, "GET", "/admin/work", "")?;
+            let said = fleet::request_json(door, "GET", "/admin/work", "")?;
             print!(
                 "{}",
                 if json {
                     format!("{said}\n")
                 } else {
-                    fleet::work_table(&said)
+                    fleet::format_log(&said)
                 }
             );
             return Ok(());
@@ -238,7 +238,7 @@
             let body = serde_json::json!({
                 "machines": machines, "all": all, "for_s": lasts.as_secs().max(1), "back": back, "name": name,
             });
-            fleet::ask(door, "POST", "/admin/work", &body.to_string())?
+            fleet::request_json(door, "POST", "/admin/work", &body.to_string())?
         }
         WorkWhat::Done { machine } => word("done", &machine)?,
         WorkWhat::Withdraw { machine } => word("withdraw", &machine)?,
@@ -251,13 +251,13 @@
 
 fn fleet_status(door: Option<std::net::SocketAddr>, json: bool) -> Result<(), String> {
     let door = operators_door(door)?;
-    let said = fleet::ask(door, "GET", "/admin/fleet", "")?;
+    let said = fleet::request_json(door, "GET", "/admin/fleet", "")?;
     print!(
         "{}",
         if json {
             format!("{said}\n")
         } else {
-            fleet::table(&said)
+            fleet::format_status(&said)
         }
     );
     Ok(())
@@ -397,12 +397,12 @@
     };
     tokio::spawn(config::read_again(files, hangups, kept, retune));
     let fleet = match start.fleet {
-        Some((orders, place)) => fleet::begin(orders, place, &desk, stages.clone())?,
+        Some((orders, place)) => fleet::start(orders, place, &desk, stages.clone())?,
         None => None,
     };
     // Guards against commands to what is out for work, which a list may show as up.
-    if let Some(fleet) = fleet.as_ref().filter(|fleet| fleet.upkeep)
-        && !fleet.informed(INFORMED_WITHIN).await
+    if let Some(fleet) = fleet.as_ref().filter(|fleet| fleet.maintenance)
+        && !fleet.wait_informed(INFORMED_WITHIN).await
     {
         log::warn!(
             "fleet: work: nobody has said within {INFORMED_WITHIN:?} what is out; the list alone is gone by until then"
--- a/crates/passroad/src/management.rs
+++ b/crates/passroad/src/management.rs
@@ -36,7 +36,7 @@
 #[derive(Clone)]
 struct Door {
     handover: Arc<Handover>,
-    fleet: Option<fleet::Door>,
+    fleet: Option<fleet::FleetHandle>,
     stages: ShutdownWatch,
 }
 
@@ -67,7 +67,7 @@
     listener: std::net::TcpListener,
     handover: Arc<Handover>,
     upgrade: Option<(Option<Inherited>, PathBuf)>,
-    fleet: Option<fleet::Door>,
+    fleet: Option<fleet::FleetHandle>,
     stages: ShutdownWatch,
 ) -> Result<(), String> {
     let fault = |e: std::io::Error| format!("management: {e}");
@@ -165,7 +165,7 @@
     machines: Vec<String>,
     /// In place of ids: all in a zone, of a kind, in a cell.
     #[serde(default)]
-    all: Option<fleet::Those>,
+    all: Option<fleet::MachineFilter>,
     #[serde(default = "ten_minutes")]
     for_s: u32,
     #[serde(default)]
@@ -184,8 +184,8 @@
 }
 
 /// The fleet's part, where it settles the order of work.
-fn upkeep(door: &Door) -> Option<&fleet::Door> {
-    door.fleet.as_ref().filter(|fleet| fleet.upkeep)
+fn upkeep(door: &Door) -> Option<&fleet::FleetHandle> {
+    door.fleet.as_ref().filter(|fleet| fleet.maintenance)
 }
 
 fn no_upkeep() -> Response {
@@ -199,7 +199,7 @@
     let Some(fleet) = upkeep(&door) else {
         return no_upkeep();
     };
-    known(fleet.work().await)
+    known(fleet.operation_log().await)
 }
 
 async fn work_request(State(door): State<Door>, body: Body) -> Response {
@@ -231,7 +231,7 @@
         Some(all) if all.zone.is_none() && all.kind.is_none() && all.cell.is_none() => {
             return said(StatusCode::BAD_REQUEST, "all of which zone, kind or cell");
         }
-        Some(all) => request.machines = fleet.those(all).await.unwrap_or_default(),
+        Some(all) => request.machines = fleet.find_machines(all).await.unwrap_or_default(),
         None => {}
     }
     if request.machines.is_empty()
@@ -256,14 +256,14 @@
         auto_return: request.back,
         machines: request.machines.iter().map(|id| stable_hash(id)).collect(),
     };
-    told(fleet.operator(word).await, "taken into the order")
+    told(fleet.submit(word).await, "taken into the order")
 }
 
 async fn work_word(State(door): State<Door>, Path(word): Path<String>, body: Body) -> Response {
     let Some(fleet) = upkeep(&door) else {
         return no_upkeep();
     };
-    let Some(what) = fleet::order(&word) else {
+    let Some(what) = fleet::parse_action(&word) else {
         return said(StatusCode::NOT_FOUND, "no such call");
     };
     let body = to_bytes(body, LONGEST_BODY).await.unwrap_or_default();
@@ -289,14 +289,14 @@
         machine: stable_hash(&of.machine),
         action: what,
     };
-    told(fleet.operator(word).await, "done")
+    told(fleet.submit(word).await, "done")
 }
 
 /// The conductor's answer to an operator.
 fn told(answer: Option<Option<passroad_upkeep::Rejection>>, yes: &str) -> Response {
     match answer {
         Some(None) => said(StatusCode::OK, yes),
-        Some(Some(refused)) => said(StatusCode::CONFLICT, fleet::refusal(refused)),
+        Some(Some(refused)) => said(StatusCode::CONFLICT, fleet::rejection_text(refused)),
         None => said(
             StatusCode::ACCEPTED,
             "no conductor has answered yet; it goes on being asked, see the status",
--- a/crates/passroad/tests/fleet.rs
+++ b/crates/passroad/tests/fleet.rs
@@ -226,7 +226,7 @@
     };
     let table = run(&[]);
     assert!(
-        table.contains("sidecar 0 of 3: 3 here, 0 in doubt, 0 gone") && table.contains("sweep"),
+        table.contains("sidecar 0 of 3: 3 alive, 0 suspect, 0 dead") && table.contains("sweep"),
         "{table}"
     );
     assert!(run(&["--json"]).contains(&word));
@@ -277,7 +277,7 @@
     drop(UdpSocket::bind(peers[1]).unwrap());
     let said = std::fs::read_to_string(log).unwrap();
     assert_eq!(
-        said.matches("the settings forbid talk between sidecars")
+        said.matches("the settings forbid messages between sidecars")
             .count(),
         1,
         "{said}"
