--- a/crates/passroad-rig/src/scale/host.rs
+++ b/crates/passroad-rig/src/scale/host.rs
@@ -81,7 +81,7 @@
 
 async fn start(folder: PathBuf, n: usize, lives: Lives) {
     let (turns, mut turned) = mpsc::unbounded_channel();
-    let begun = tokio::task::spawn_blocking(move || Hollow::begin(files(&folder, n), turns)).await;
+    let begun = tokio::task::spawn_blocking(move || Hollow::start(files(&folder, n), turns)).await;
     match begun.unwrap_or_else(|e| Err(e.to_string())) {
         Ok(life) => {
             let paths: Vec<String> = life
@@ -105,7 +105,7 @@
 }
 
 async fn status(n: usize, lives: Lives) {
-    let door = held(&lives).get(&n).and_then(|life| life.door.clone());
+    let door = held(&lives).get(&n).and_then(|life| life.fleet.clone());
     let said = match door {
         Some(door) => tokio::time::timeout(Duration::from_secs(5), door.status())
             .await
--- a/crates/passroad/src/config.rs
+++ b/crates/passroad/src/config.rs
@@ -1,4 +1,4 @@
-//! What a sidecar is told at its start, and anew on SIGHUP.
+//! The sidecar's configuration: loaded at the start, and reloaded on SIGHUP.
 
 use crate::Files;
 use crate::endpoint_list::EndpointList;
@@ -16,55 +16,55 @@
     pub name: String,
     pub listen: SocketAddr,
     pub discovery: SocketAddr,
-    /// Shared with the processes before and after this one, where it is.
-    pub folder: Option<PathBuf>,
-    /// The operators' door, where there is one.
+    /// Directory of the handover socket, shared with the old and the new process, if there is one.
+    pub handover_dir: Option<PathBuf>,
+    /// Address of the management endpoint, if there is one.
     pub management: Option<SocketAddr>,
-    pub sockets: usize,
-    pub memory: usize, // bytes
-    pub known: Option<EndpointList>,
-    pub orders: BalancerConfig,
-    /// Orders that are only watched: what they would have decided otherwise is counted.
-    pub watch: Option<Watch>,
-    pub connect_within: Duration,
-    /// Which pool serves what, where a file says so.
+    pub max_sockets: usize,
+    pub memory_bytes: usize,
+    pub initial_list: Option<EndpointList>,
+    pub balancer: BalancerConfig,
+    /// Settings for shadow evaluation: what they would have decided differently is counted.
+    pub shadow: Option<ShadowConfig>,
+    pub connect_timeout: Duration,
+    /// Which pool serves which request, if a file says so.
     pub routes: Option<RoutesConfig>,
-    /// Its part in the fleet, where a file asks for one.
+    /// The fleet member's configuration, if there is a fleet file.
     pub fleet: Option<(fleet::FleetConfig, fleet::PeerConfig)>,
-    /// The whole file.
-    told: serde_json::Value,
+    /// The whole configuration file.
+    document: serde_json::Value,
 }
 
-/// Times of the sidecar's own that follow from the orders.
+/// Timings of the sidecar itself that follow from the configuration.
 #[derive(Clone, Copy)]
 pub struct Timings {
-    /// How long a watch on the list waits. Renewing one costs discovery nothing, and one whose connection fell silent
-    /// is found out only at its end: a fraction of the time that a list may go unasked for.
+    /// How long a watch on the list waits: a fraction of the time after which a list has to be polled. Renewing a watch
+    /// costs discovery nothing, and one whose connection fell silent is noticed only at its end.
     pub poll_hold: Duration,
-    /// The longest limit that a command may have come with.
+    /// The longest time limit that an open command may have.
     pub max_time_limit: Duration,
-    /// Lists are pushed: who is asked is an agent beside this process, whose news counts as told at once. So long it
-    /// has for a whole list: well within the grace for drains.
+    /// How long the agent has for a full list, well within the grace for drains. Set if lists are pushed: discovery is
+    /// then an agent on this machine, whose news counts as received at once.
     pub agent_timeout: Option<Duration>,
 }
 
 impl Timings {
-    pub fn of(orders: &BalancerConfig) -> Self {
-        let longest = orders
+    pub fn of(config: &BalancerConfig) -> Self {
+        let longest = config
             .classes
             .iter()
-            .map(|v| v.time_limit)
+            .map(|class| class.time_limit)
             .max()
             .unwrap_or_default();
-        let agent = (!orders.list_on_request).then_some(orders.drain_grace / 2);
+        let agent = (!config.list_on_request).then_some(config.drain_grace / 2);
         Timings {
-            poll_hold: orders.list_poll_interval / 4,
+            poll_hold: config.list_poll_interval / 4,
             max_time_limit: longest,
             agent_timeout: agent,
         }
     }
 
-    /// Other orders: commands of the ones before may be open.
+    /// The timings after a reconfiguration; commands of the previous one may still be open.
     pub fn then(self, other: Timings) -> Self {
         Timings {
             max_time_limit: self.max_time_limit.max(other.max_time_limit),
@@ -73,100 +73,101 @@
     }
 }
 
-/// Settings of another shape, and how often the log says what they would have decided otherwise.
-pub struct Watch {
-    pub orders: BalancerConfig,
-    pub every: Duration,
+/// Settings for shadow evaluation, and how often the log reports what they would have decided differently.
+pub struct ShadowConfig {
+    pub balancer: BalancerConfig,
+    pub log_interval: Duration,
 }
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct Watched {
-    /// Laid over `settings`, key by key; null takes a key out.
+struct ShadowSection {
+    /// Merged into `settings` key by key; null removes a key.
     settings: serde_json::Value,
-    #[serde(default = "each_minute")]
+    #[serde(default = "default_interval_s")]
     every_s: f64,
 }
 
-fn each_minute() -> f64 {
+fn default_interval_s() -> f64 {
     60.0
 }
 
 #[derive(Deserialize)]
-struct Told {
+struct ConfigFile {
     name: Option<String>,
     listen: Option<SocketAddr>,
     discovery: Option<SocketAddr>,
     management: Option<SocketAddr>,
     seed: String,
     #[serde(default)]
-    limits: Limits,
+    limits: LimitsSection,
     known: Option<EndpointList>,
     settings: serde_json::Value,
-    watch: Option<Watched>,
+    watch: Option<ShadowSection>,
 }
 
 #[derive(Deserialize)]
 #[serde(default)]
-struct Limits {
+struct LimitsSection {
     sockets: usize,
     memory_mb: f64,
 }
 
-impl Default for Limits {
+impl Default for LimitsSection {
     fn default() -> Self {
-        Limits {
+        LimitsSection {
             sockets: 1024,
             memory_mb: 192.0,
         }
     }
 }
 
-/// Reads the file that `LB_CONFIG` names, and the routes that `LB_ROUTES` names; the other variables stand in for what
-/// the first leaves out.
-pub fn read(files: &Files) -> Result<SidecarConfig, String> {
-    let named = |told: &Option<PathBuf>, name: &str| {
-        told.clone()
-            .or_else(|| std::env::var_os(name).map(PathBuf::from))
+/// Loads the configuration file that `LB_CONFIG` names, the routes that `LB_ROUTES` names and the fleet file that
+/// `LB_FLEET` names. Other variables stand in for what the configuration file leaves out.
+pub fn load(files: &Files) -> Result<SidecarConfig, String> {
+    let path_of = |option: &Option<PathBuf>, variable: &str| {
+        option
+            .clone()
+            .or_else(|| std::env::var_os(variable).map(PathBuf::from))
     };
     let path =
-        named(&files.config, "LB_CONFIG").ok_or_else(|| "LB_CONFIG is not set".to_string())?;
+        path_of(&files.config, "LB_CONFIG").ok_or_else(|| "LB_CONFIG is not set".to_string())?;
     let bytes = std::fs::read(&path).map_err(|e| format!("{}: {e}", path.display()))?;
-    let read = parse(&bytes, |name| std::env::var(name).ok());
-    let mut start = read.map_err(|fault| format!("{}: {fault}", path.display()))?;
-    if let Some(path) = named(&files.routes, "LB_ROUTES") {
-        start.routes = Some(read_routes(&path, &start.orders)?);
+    let parsed = parse(&bytes, |name| std::env::var(name).ok());
+    let mut config = parsed.map_err(|error| format!("{}: {error}", path.display()))?;
+    if let Some(path) = path_of(&files.routes, "LB_ROUTES") {
+        config.routes = Some(load_routes(&path, &config.balancer)?);
     }
-    if let Some(path) = named(&files.fleet, "LB_FLEET") {
+    if let Some(path) = path_of(&files.fleet, "LB_FLEET") {
         let text =
             std::fs::read_to_string(&path).map_err(|e| format!("{}: {e}", path.display()))?;
-        let mut orders =
-            fleet::parse(&text).map_err(|wrong| format!("{}: {wrong}", path.display()))?;
-        // As long as the settings say, where the file does not.
-        let warm = start.orders.warm_up_time;
-        orders
+        let mut fleet =
+            fleet::parse(&text).map_err(|error| format!("{}: {error}", path.display()))?;
+        // The settings apply if the file doesn't say.
+        let default = config.balancer.warm_up_time;
+        fleet
             .maintenance
             .iter_mut()
             .filter(|maintenance| maintenance.warm_up_time.is_zero())
-            .for_each(|maintenance| maintenance.warm_up_time = warm);
-        start.fleet = Some((
-            orders,
-            fleet::PeerConfig::from_value(&start.name, &start.told)?,
+            .for_each(|maintenance| maintenance.warm_up_time = default);
+        config.fleet = Some((
+            fleet,
+            fleet::PeerConfig::from_value(&config.name, &config.document)?,
         ));
     }
-    Ok(start)
+    Ok(config)
 }
 
-/// What a start would say of these files, without one.
+/// Checks these files as a start would; returns a summary.
 pub fn check(files: &Files) -> Result<String, String> {
-    let start = read(files)?;
-    let watch = if start.watch.is_some() {
-        ", with other settings watched"
+    let config = load(files)?;
+    let shadow = if config.shadow.is_some() {
+        ", with shadow settings"
     } else {
         ""
     };
-    let (verbs, zones) = (start.orders.classes.len(), start.orders.zones.len());
-    let routes = match &start.routes {
+    let (classes, zones) = (config.balancer.classes.len(), config.balancer.zones.len());
+    let routes = match &config.routes {
         Some(routes) => format!(
             "{} routes to {} pools",
             routes.routes.len(),
@@ -174,50 +175,52 @@
         ),
         None => "no routes".into(),
     };
-    let fleet = match &start.fleet {
-        Some((config, peers)) if peers.messages_allowed => {
+    let fleet = match &config.fleet {
+        Some((fleet, peers)) if peers.messages_allowed => {
             format!(
                 ", {} duties among {} sidecars",
-                config.tasks.len(),
+                fleet.tasks.len(),
                 peers.addresses.len()
             )
         }
-        Some(_) => ", a fleet's file but no leave to talk".into(),
+        Some(_) => ", a fleet file but messages are forbidden".into(),
         None => String::new(),
     };
-    let door = start
+    let management = config
         .management
-        .map_or_else(String::new, |at| format!(", operators at {at}"));
+        .map_or_else(String::new, |at| format!(", management at {at}"));
     Ok(format!(
-        "{}: {verbs} verbs, {zones} zones, {routes}{fleet}{door}{watch}: nothing is wrong",
-        start.name
+        "{}: {classes} request classes, {zones} zones, {routes}{fleet}{management}{shadow}: nothing is wrong",
+        config.name
     ))
 }
 
-/// Reads the file of routes that `LB_ROUTES` names, against the settings that it is to work with.
-fn read_routes(path: &Path, orders: &BalancerConfig) -> Result<RoutesConfig, String> {
+/// Loads the routes file against the settings that it is used with.
+fn load_routes(path: &Path, config: &BalancerConfig) -> Result<RoutesConfig, String> {
     let text = std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))?;
-    passroad_routes::parse_routes(&text, orders)
-        .map_err(|wrong| format!("{}: {wrong}", path.display()))
+    passroad_routes::parse_routes(&text, config)
+        .map_err(|error| format!("{}: {error}", path.display()))
 }
 
-/// Caught from before the sidecar says that it is ready: by default the signal would end it.
+/// Registered before the sidecar reports that it is ready: by default the signal would end the process.
 pub fn sighup() -> Result<Signal, String> {
     signal(SignalKind::hangup()).map_err(|e| format!("SIGHUP: {e}"))
 }
 
-/// Reads the file again on each SIGHUP, and takes it whole or not at all: a faulty file leaves all as it was.
-pub async fn read_again(
+/// Reloads the files on each SIGHUP, and applies them whole or not at all: an invalid file changes nothing.
+pub async fn reload_on_sighup(
     files: Files,
     mut hangups: Signal,
     mut before: ActiveConfig,
-    retune: impl Fn(&SidecarConfig) -> Result<(), String>,
+    reconfigure: impl Fn(&SidecarConfig) -> Result<(), String>,
 ) {
     while hangups.recv().await.is_some() {
-        let now = read(&files).and_then(|now| {
-            before.complete(&now)?;
-            if before.told["settings"] != now.told["settings"] || before.routes != now.routes {
-                retune(&now)?;
+        let now = load(&files).and_then(|now| {
+            before.check_complete(&now)?;
+            if before.document["settings"] != now.document["settings"]
+                || before.routes != now.routes
+            {
+                reconfigure(&now)?;
             }
             Ok(now)
         });
@@ -226,38 +229,38 @@
                 let moved = before
                     .discovery
                     .send_if_modified(|at| std::mem::replace(at, now.discovery) != now.discovery);
-                let waiting = before.differs(&now);
-                let rest = if waiting.is_empty() {
+                let pending = before.changed_fixed_parts(&now);
+                let pending = if pending.is_empty() {
                     "nothing".into()
                 } else {
-                    waiting.join(", ")
+                    pending.join(", ")
                 };
-                let word = if moved { "now" } else { "still" };
+                let still = if moved { "now" } else { "still" };
                 log::info!(
-                    "configuration read again: discovery is {word} at {}; for the next start: {rest}",
+                    "configuration read again: discovery is {still} at {}; for the next start: {pending}",
                     now.discovery
                 );
-                (before.told, before.routes) = (now.told, now.routes);
+                (before.document, before.routes) = (now.document, now.routes);
             }
-            Err(fault) => log::warn!(
-                "configuration not taken, the one before stays in force: {}",
-                fault.replace('\n', " ")
+            Err(error) => log::warn!(
+                "configuration not applied, the previous one stays in force: {}",
+                error.replace('\n', " ")
             ),
         }
     }
 }
 
-/// The configuration in force, and what of it stays so until the process ends.
+/// The configuration in force, and the parts of it that stay until the process ends.
 pub struct ActiveConfig {
-    told: serde_json::Value,
+    document: serde_json::Value,
     routes: Option<RoutesConfig>,
     discovery: watch::Sender<SocketAddr>,
-    at_start: [(&'static str, serde_json::Value); 6],
+    fixed: [(&'static str, serde_json::Value); 6],
 }
 
 /// Parts of the file that a running process can't change.
-fn fixed(told: &serde_json::Value) -> [(&'static str, serde_json::Value); 6] {
-    let part = |path: &'static str| (path, told.pointer(path).cloned().unwrap_or_default());
+fn fixed_parts(document: &serde_json::Value) -> [(&'static str, serde_json::Value); 6] {
+    let part = |path: &'static str| (path, document.pointer(path).cloned().unwrap_or_default());
     [
         "/name",
         "/listen",
@@ -270,36 +273,36 @@
 }
 
 impl ActiveConfig {
-    pub fn of(start: &SidecarConfig, discovery: watch::Sender<SocketAddr>) -> Self {
-        let (told, routes) = (start.told.clone(), start.routes.clone());
+    pub fn of(config: &SidecarConfig, discovery: watch::Sender<SocketAddr>) -> Self {
+        let (document, routes) = (config.document.clone(), config.routes.clone());
         ActiveConfig {
-            at_start: fixed(&told),
-            told,
+            fixed: fixed_parts(&document),
+            document,
             routes,
             discovery,
         }
     }
 
-    fn differs(&self, now: &SidecarConfig) -> Vec<&'static str> {
-        let all = self.at_start.iter().zip(fixed(&now.told));
+    fn changed_fixed_parts(&self, now: &SidecarConfig) -> Vec<&'static str> {
+        let all = self.fixed.iter().zip(fixed_parts(&now.document));
         let mut parts: Vec<_> = all
             .filter(|(was, is)| was.1 != is.1)
             .map(|(was, _)| &was.0[1..])
             .collect();
-        parts.extend((self.told.get("watch") != now.told.get("watch")).then_some("watch"));
+        parts.extend((self.document.get("watch") != now.document.get("watch")).then_some("watch"));
         parts
     }
 
-    /// Guards against a file that was cut short and is read as one with fewer orders.
-    fn complete(&self, now: &SidecarConfig) -> Result<(), String> {
-        match lacks(&self.told, &now.told, "") {
+    /// Prevents applying a truncated file, which would be read as one with fewer settings.
+    fn check_complete(&self, now: &SidecarConfig) -> Result<(), String> {
+        match missing_key(&self.document, &now.document, "") {
             Some(path) => Err(format!("{path} is missing")),
             None => Ok(()),
         }
     }
 }
 
-/// What may be left out of a file that takes the place of one which has it.
+/// Keys that a new file may lack although the previous one has them.
 const OPTIONAL: [&str; 6] = [
     "/known",
     "/watch",
@@ -309,24 +312,24 @@
     "/aim_stretch",
 ];
 
-/// The first key that is there before and not now; of a list of objects, one that all had.
-fn lacks(before: &serde_json::Value, now: &serde_json::Value, path: &str) -> Option<String> {
+/// The first key of the previous file that the new one lacks. For a list of objects, a key that all of them had.
+fn missing_key(before: &serde_json::Value, now: &serde_json::Value, path: &str) -> Option<String> {
     use serde_json::Value::{Array, Object};
     match (before, now) {
-        (Object(before), Object(now)) => before.iter().find_map(|(key, held)| {
+        (Object(before), Object(now)) => before.iter().find_map(|(key, value)| {
             let path = format!("{path}/{key}");
             if OPTIONAL.iter().any(|optional| path.ends_with(optional)) {
                 return None;
             }
             match now.get(key) {
-                Some(now) => lacks(held, now, &path),
+                Some(now) => missing_key(value, now, &path),
                 None => Some(path),
             }
         }),
         (Array(before), Array(now)) => {
-            let mut all = before.iter().filter_map(|held| held.as_object());
+            let mut all = before.iter().filter_map(|element| element.as_object());
             let mut common = all.next()?.clone();
-            all.for_each(|held| common.retain(|key, _| held.contains_key(key)));
+            all.for_each(|element| common.retain(|key, _| element.contains_key(key)));
             let common = Object(
                 common
                     .into_iter()
@@ -335,96 +338,101 @@
             );
             now.iter()
                 .enumerate()
-                .find_map(|(n, now)| lacks(&common, now, &format!("{path}/{n}")))
+                .find_map(|(index, now)| missing_key(&common, now, &format!("{path}/{index}")))
         }
         _ => None,
     }
 }
 
 fn parse(bytes: &[u8], variable: impl Fn(&str) -> Option<String>) -> Result<SidecarConfig, String> {
-    let told: Told = serde_json::from_slice(bytes).map_err(|e| e.to_string())?;
-    let whole: serde_json::Value = serde_json::from_slice(bytes).map_err(|e| e.to_string())?;
-    let seed = u64::from_str_radix(&told.seed, 16).map_err(|e| format!("seed: {e}"))?;
-    let address = |told: Option<SocketAddr>, name: &str| match (told, variable(name)) {
+    let file: ConfigFile = serde_json::from_slice(bytes).map_err(|e| e.to_string())?;
+    let document: serde_json::Value = serde_json::from_slice(bytes).map_err(|e| e.to_string())?;
+    let seed = u64::from_str_radix(&file.seed, 16).map_err(|e| format!("seed: {e}"))?;
+    let address = |value: Option<SocketAddr>, name: &str| match (value, variable(name)) {
         (Some(address), _) => Ok(address),
         (None, Some(text)) => text.parse().map_err(|e| format!("{name}: {e}")),
         (None, None) => Err(format!("no address: {name} is not set either")),
     };
     let management = match (
-        told.management,
+        file.management,
         variable("LB_MANAGEMENT").filter(|text| !text.is_empty()),
     ) {
         (None, Some(text)) => Some(text.parse().map_err(|e| format!("LB_MANAGEMENT: {e}"))?),
-        (told, _) => told,
+        (value, _) => value,
     };
-    let watch = told
+    let shadow = file
         .watch
-        .map(|watch| watched(seed, &told.settings, watch))
+        .map(|section| parse_shadow(seed, &file.settings, section))
         .transpose();
     Ok(SidecarConfig {
-        watch: watch.map_err(|fault| format!("watch: {fault}"))?,
-        listen: address(told.listen, "LB_LISTEN")?,
-        discovery: address(told.discovery, "LB_DISCOVERY")?,
+        shadow: shadow.map_err(|error| format!("watch: {error}"))?,
+        listen: address(file.listen, "LB_LISTEN")?,
+        discovery: address(file.discovery, "LB_DISCOVERY")?,
         management,
-        folder: variable("TMPDIR").map(PathBuf::from),
-        sockets: told.limits.sockets,
-        memory: (told.limits.memory_mb.clamp(1.0, 1e6) * 1e6) as usize,
-        known: told.known,
-        connect_within: passroad_orders::connect_timeout(&told.settings)?,
-        orders: passroad_orders::config_from_value(seed, &told.settings)?,
+        handover_dir: variable("TMPDIR").map(PathBuf::from),
+        max_sockets: file.limits.sockets,
+        memory_bytes: (file.limits.memory_mb.clamp(1.0, 1e6) * 1e6) as usize,
+        initial_list: file.known,
+        connect_timeout: passroad_orders::connect_timeout(&file.settings)?,
+        balancer: passroad_orders::config_from_value(seed, &file.settings)?,
         routes: None,
         fleet: None,
-        name: told
+        name: file
             .name
             .or_else(|| variable("LB_NAME"))
             .unwrap_or_else(|| "passroad".into()),
-        told: whole,
+        document,
     })
 }
 
-/// Guards against a watch that counts nothing comparable: what commands are and where the sidecar stands can't differ.
-fn watched(seed: u64, settings: &serde_json::Value, watch: Watched) -> Result<Watch, String> {
-    let over = watch
+/// Parses the shadow section. What commands are and where the sidecar is located can't differ, or the counts would not
+/// be comparable.
+fn parse_shadow(
+    seed: u64,
+    settings: &serde_json::Value,
+    section: ShadowSection,
+) -> Result<ShadowConfig, String> {
+    let patch = section
         .settings
         .as_object()
         .ok_or("settings: not an object")?;
     if let Some(key) = ["verbs", "tenants", "dcs", "az", "discovery", "tick"]
         .iter()
-        .find(|key| over.contains_key(**key))
+        .find(|key| patch.contains_key(**key))
     {
         return Err(format!("settings: /{key} must be as it is"));
     }
-    if !(0.1..=86_400.0).contains(&watch.every_s) {
+    if !(0.1..=86_400.0).contains(&section.every_s) {
         return Err(format!(
             "every_s: {} is not from 0.1 to 86400",
-            watch.every_s
+            section.every_s
         ));
     }
-    let mut whole = settings.clone();
-    lay_over(&mut whole, &watch.settings);
-    let orders = passroad_orders::config_from_value(seed, &whole)?;
-    Ok(Watch {
-        orders,
-        every: Duration::from_secs_f64(watch.every_s),
+    let mut patched = settings.clone();
+    merge_patch(&mut patched, &section.settings);
+    let balancer = passroad_orders::config_from_value(seed, &patched)?;
+    Ok(ShadowConfig {
+        balancer,
+        log_interval: Duration::from_secs_f64(section.every_s),
     })
 }
 
-/// As RFC 7396 has it.
-fn lay_over(under: &mut serde_json::Value, over: &serde_json::Value) {
-    let Some(keys) = over.as_object() else {
-        return under.clone_from(over);
+/// JSON merge patch (RFC 7396).
+fn merge_patch(target: &mut serde_json::Value, patch: &serde_json::Value) {
+    let Some(keys) = patch.as_object() else {
+        return target.clone_from(patch);
     };
-    if !under.is_object() {
-        *under = serde_json::json!({});
+    if !target.is_object() {
+        *target = serde_json::json!({});
     }
-    let Some(held) = under.as_object_mut() else {
+    let Some(object) = target.as_object_mut() else {
         return;
     };
     for (key, value) in keys {
         if value.is_null() {
-            held.remove(key);
+            object.remove(key);
         } else {
-            lay_over(held.entry(key).or_insert(serde_json::Value::Null), value);
+            merge_patch(object.entry(key).or_insert(serde_json::Value::Null), value);
         }
     }
 }
--- a/crates/passroad/src/config/tests.rs
+++ b/crates/passroad/src/config/tests.rs
@@ -20,13 +20,13 @@
         "LB_LISTEN" => Some("127.0.0.1:9".to_string()),
         _ => None,
     };
-    let start = parse(text.as_bytes(), variable);
-    let read = start
+    let config = parse(text.as_bytes(), variable);
+    let read = config
         .as_ref()
         .map(|s| (s.name.as_str(), s.listen.port()))
         .map_err(String::as_str);
     assert_eq!(
-        (read, start.as_ref().ok().map(|s| s.sockets)),
+        (read, config.as_ref().ok().map(|s| s.max_sockets)),
         (expected, expected.ok().map(|_| 1024))
     );
 }
--- a/crates/passroad/src/descriptors.rs
+++ b/crates/passroad/src/descriptors.rs
@@ -1,8 +1,8 @@
-//! What the process may hold: its descriptors by use, and how it shares them, and room for bodies, with another process
-//! beside it.
+//! The budget of descriptors by use, and how it and the budget for bodies are shared with the other process of a
+//! handover.
 
 use crate::config::SidecarConfig;
-use crate::handover::{self, Inherited};
+use crate::handover::{Inherited, SharedResources};
 use crate::listener::ClientConnections;
 use crate::management;
 use crate::relay::Dialer;
@@ -10,31 +10,31 @@
 use std::sync::{Arc, Mutex, PoisonError};
 
 /// Descriptors that are neither a client's nor an endpoint's: standard streams, the runtime, discovery.
-const OTHER: usize = 32;
-/// Descriptors that a process which gives way may still come to hold.
-const BESIDE: usize = 16;
-const LEAST: usize = 16;
+const OTHER_DESCRIPTORS: usize = 32;
+/// Descriptors that the old process may still open after it has yielded its clients.
+const OLD_PROCESS_RESERVE: usize = 16;
+const MIN_SOCKETS: usize = 16;
 
-/// Descriptors that the process may hold by the system's limit, less those that it was started with beyond its own.
-/// Guards against clients that take the last of them where that is lower than what the configuration says: discovery,
-/// probes and attempts would have none.
-fn allowed() -> usize {
+/// Descriptors that the process may hold by the system's limit, less those that it inherited at its start. Prevents
+/// clients from taking the last ones where this is lower than the configured limit: discovery, probes and attempts
+/// would have none.
+fn system_limit() -> usize {
     let limits = std::fs::read_to_string("/proc/self/limits").unwrap_or_default();
     let open = std::fs::read_dir("/proc/self/fd").map_or(0, Iterator::count);
-    limit(&limits).map_or(usize::MAX, |limit| {
-        limit.saturating_sub(open.saturating_sub(OTHER / 2))
+    soft_limit(&limits).map_or(usize::MAX, |limit| {
+        limit.saturating_sub(open.saturating_sub(OTHER_DESCRIPTORS / 2))
     })
 }
 
-/// The soft limit on descriptors; none where there is none.
-fn limit(limits: &str) -> Option<usize> {
+/// The soft limit on descriptors; none if it is unlimited.
+fn soft_limit(limits: &str) -> Option<usize> {
     let line = limits
         .lines()
         .find_map(|line| line.strip_prefix("Max open files"))?;
     line.split_whitespace().next()?.parse().ok()
 }
 
-/// Connections of clients and to endpoints, at most.
+/// The most connections from clients and to endpoints.
 #[derive(Clone, Copy)]
 pub struct Shares {
     pub clients: usize,
@@ -42,10 +42,10 @@
 }
 
 impl Shares {
-    /// Commands hold a third of all at most, and each needs a connection to an endpoint; the rest is for clients, who
-    /// may come in crowds.
+    /// At most a third of the sockets belongs to commands, each of which needs a connection to an endpoint. The rest is
+    /// for clients, many of which may connect at once.
     fn of(sockets: usize) -> Self {
-        let sockets = sockets.max(LEAST);
+        let sockets = sockets.max(MIN_SOCKETS);
         let endpoints = sockets * 2 / 5;
         Shares {
             clients: sockets - endpoints,
@@ -54,19 +54,19 @@
     }
 }
 
-/// The shares while another process may be beside this one, and those that it has alone.
+/// The shares while the old process may still run, and those that this process has alone.
 pub struct Limits {
     pub now: Shares,
     alone: Shares,
 }
 
 impl Limits {
-    pub fn of(start: &SidecarConfig, before: Option<&Inherited>) -> Self {
-        let other = OTHER + start.management.map_or(0, |_| management::SOCKETS);
-        let sockets = start.sockets.min(allowed()).saturating_sub(other);
-        // What the process before holds is not free yet; where it does not say, half is.
-        let theirs = before.map_or(0, |before| match &before.known {
-            Some(known) => known.descriptors + BESIDE,
+    pub fn of(config: &SidecarConfig, predecessor: Option<&Inherited>) -> Self {
+        let other = OTHER_DESCRIPTORS + config.management.map_or(0, |_| management::SOCKETS);
+        let sockets = config.max_sockets.min(system_limit()).saturating_sub(other);
+        // What the old process holds isn't free yet. If its state is unknown, half is assumed.
+        let theirs = predecessor.map_or(0, |predecessor| match &predecessor.state {
+            Some(state) => state.descriptors + OLD_PROCESS_RESERVE,
             None => sockets / 2,
         });
         Limits {
@@ -76,33 +76,30 @@
     }
 }
 
-pub struct Room {
+pub struct DescriptorBudget {
     pub limits: Limits,
-    pub front: Arc<ClientConnections>,
+    pub connections: Arc<ClientConnections>,
     pub dialer: Dialer,
-    pub intake: Arc<RequestHandler>,
-    pub held_back: Mutex<usize>, // connections to endpoints, for the next process
+    pub request_handler: Arc<RequestHandler>,
+    pub withheld: Mutex<usize>, // connections to endpoints that are left to the new process
 }
 
-impl handover::Room for Room {
-    fn give_way(&self, away: bool) {
-        self.front.set_accepting(!away);
-        self.intake.share_body_budget(away);
-        let mut held_back = self
-            .held_back
-            .lock()
-            .unwrap_or_else(PoisonError::into_inner);
-        if away {
-            *held_back += self.dialer.release_unused();
+impl SharedResources for DescriptorBudget {
+    fn yield_clients(&self, yielded: bool) {
+        self.connections.set_accepting(!yielded);
+        self.request_handler.share_body_budget(yielded);
+        let mut withheld = self.withheld.lock().unwrap_or_else(PoisonError::into_inner);
+        if yielded {
+            *withheld += self.dialer.release_unused();
         } else {
-            self.dialer.add_permits(std::mem::take(&mut *held_back));
+            self.dialer.add_permits(std::mem::take(&mut *withheld));
         }
     }
 
-    fn whole(&self) {
+    fn predecessor_ended(&self) {
         let Limits { now, alone } = &self.limits;
-        self.front.raise_limit(alone.clients);
-        self.intake.share_body_budget(false);
+        self.connections.raise_limit(alone.clients);
+        self.request_handler.share_body_budget(false);
         self.dialer.add_permits(alone.endpoints - now.endpoints);
     }
 }
--- a/crates/passroad/src/discovery.rs
+++ b/crates/passroad/src/discovery.rs
@@ -1,4 +1,5 @@
-//! Discovery: one watch, renewed at once; when it breaks the module says when to call again.
+//! Discovery: one watch (a long poll) that is renewed at once. When it breaks, the decision module sets the time of the
+//! next call.
 
 use crate::body::RelayBody;
 use crate::config::Timings;
@@ -18,272 +19,297 @@
 use tokio::sync::watch;
 use tokio::time::{Instant, sleep_until};
 
-const LONGEST_LIST: usize = 8 << 20; // bytes
-const GRACE: Duration = Duration::from_secs(2); // for the answer, on top of the wait that a watch asks for
-const RENEWED_GRACE: Duration = Duration::from_secs(1); // the same where a watch goes on: no queue lies ahead of it
-/// Guards against a known list of a revision that discovery has not come to: the first wait soon tells.
+const MAX_LIST_BYTES: usize = 8 << 20;
+/// For the answer, in addition to the wait that a watch requests.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
+/// The same for a watch that is renewed: no other calls are queued before it.
+const RENEWED_ANSWER_TIMEOUT: Duration = Duration::from_secs(1);
+/// The first watch is short, so that an initial list of a revision that discovery has not reached yet is noticed soon.
 const FIRST_HOLD: Duration = Duration::from_secs(1);
-const SILENT: &str = "a watch fell silent";
+const SILENT_WATCH: &str = "a watch fell silent";
 const NO_ANSWER: &str = "no answer";
-/// That a watch may ask for, however long the settings let a list go unasked for. STANDING: a change counts as told 6 s
-/// after discovery had it and could be reached. A silent watch is found out `RENEWED_GRACE` after its end, and the
-/// whole list is asked for: 2.5 + 1 + 0.1 s, and the answer.
-const LONGEST_HOLD: Duration = Duration::from_millis(2500);
-const KEPT: Duration = Duration::from_secs(60); // how long discovery keeps an idle connection
-const BREATH: Duration = Duration::from_millis(50); // between calls that bring nothing and don't wait, in the mean
-const MOST_OVERTAKEN: usize = 2;
-/// Calls that broke off, asked again a breath apart: half of the shortest grace for drains is not used up by them.
-const MOST_AGAIN: u32 = 6;
+/// The longest wait that a watch requests, however rarely the settings have the list polled. STANDING: a change counts
+/// as received 6 s after discovery had it and could be reached. A silent watch is noticed `RENEWED_ANSWER_TIMEOUT`
+/// after its end, and the full list is requested then: 2.5 + 1 + 0.1 s, and the answer.
+const MAX_HOLD: Duration = Duration::from_millis(2500);
+/// How long discovery keeps an idle connection.
+const IDLE_CLOSE: Duration = Duration::from_secs(60);
+/// Mean pause between calls that return nothing and don't wait.
+const RETRY_PAUSE: Duration = Duration::from_millis(50);
+const MAX_SUPERSEDED: usize = 2;
+/// Retries of broken calls, each after a retry pause: they use up less than half of the shortest grace for drains.
+const MAX_QUICK_RETRIES: u32 = 6;
 
-/// Why a call brought no list.
-enum Fault {
-    /// Nobody there, or turned away.
+/// Why a call returned no list.
+enum CallError {
+    /// Not reachable, or refused.
     Refused(String),
-    /// Something came or may have; what it had to tell counts as told.
+    /// Part of an answer arrived, or may have; its news counts as received.
     Lost(String),
 }
 
-/// A call that is out.
-struct Out {
-    at: SocketAddr,
-    answer: BoxFuture<'static, Result<EndpointList, Fault>>,
-    /// It is a watch, which may fall silent.
-    waits: bool,
-    until: Instant,
-    began: Instant,
+/// An open call.
+struct PendingCall {
+    address: SocketAddr,
+    response: BoxFuture<'static, Result<EndpointList, CallError>>,
+    /// A watch may fall silent.
+    is_watch: bool,
+    deadline: Instant,
+    started: Instant,
 }
 
-impl Out {
-    fn ask(
+impl PendingCall {
+    fn start(
         client: &PooledClient,
-        at: SocketAddr,
+        address: SocketAddr,
         from: Option<(u64, Duration)>,
-        grace: Duration,
+        timeout: Duration,
     ) -> Self {
-        let (began, wait) = (
+        let (started, wait) = (
             Instant::now(),
             from.map_or(Duration::ZERO, |(_, wait)| wait),
         );
-        let answer = Box::pin(ask(client.clone(), at, from));
-        Out {
-            at,
-            answer,
-            waits: from.is_some(),
-            until: began + wait + grace,
-            began,
+        let response = Box::pin(fetch_list(client.clone(), address, from));
+        PendingCall {
+            address,
+            response,
+            is_watch: from.is_some(),
+            deadline: started + wait + timeout,
+            started,
         }
     }
 }
 
-/// What a call brings, whenever that is; never if none is out.
-async fn brings(out: &mut Option<Out>) -> Result<EndpointList, Fault> {
-    match out {
-        Some(out) => out.answer.as_mut().await,
+/// The response of an open call, at any time; never if there is none.
+async fn response_of(pending: &mut Option<PendingCall>) -> Result<EndpointList, CallError> {
+    match pending {
+        Some(pending) => pending.response.as_mut().await,
         None => std::future::pending().await,
     }
 }
 
-/// The same of the calls that were given up, and which.
-async fn any_brings(overtaken: &mut [Out]) -> (Result<EndpointList, Fault>, usize) {
-    if overtaken.is_empty() {
+/// The first response of the superseded calls, and of which.
+async fn any_superseded_response(
+    superseded: &mut [PendingCall],
+) -> (Result<EndpointList, CallError>, usize) {
+    if superseded.is_empty() {
         return std::future::pending().await;
     }
-    let (answer, which, _) = select_all(overtaken.iter_mut().map(|out| out.answer.as_mut())).await;
+    let (answer, which, _) = select_all(
+        superseded
+            .iter_mut()
+            .map(|pending| pending.response.as_mut()),
+    )
+    .await;
     (answer, which)
 }
 
-/// One more that was given up. The first is kept, and the last. Guards against a discovery that works through calls in
-/// turn and has more of them than it can do in the time of one: what it answers has to be of use, or it never comes up.
-fn overtake(overtaken: &mut Vec<Out>, call: Option<Out>) {
+/// Adds a superseded call. The first and the last are kept. Prevents a discovery that handles calls one by one, and
+/// receives more than it can, from never recovering: what it answers has to be of use.
+fn supersede(superseded: &mut Vec<PendingCall>, call: Option<PendingCall>) {
     if call.is_some() {
-        overtaken.truncate(MOST_OVERTAKEN - 1);
+        superseded.truncate(MAX_SUPERSEDED - 1);
     }
-    overtaken.extend(call);
+    superseded.extend(call);
 }
 
-/// The same in time. An answer that is there is read, however late the process comes to look.
-async fn answers(out: &mut Option<Out>) -> Result<EndpointList, Fault> {
-    let (until, waits) = match out {
-        Some(out) => (out.until, out.waits),
+/// The response of an open call until its deadline. A response that has arrived is read, however late this process
+/// runs.
+async fn response_in_time(pending: &mut Option<PendingCall>) -> Result<EndpointList, CallError> {
+    let (deadline, is_watch) = match pending {
+        Some(pending) => (pending.deadline, pending.is_watch),
         None => return std::future::pending().await,
     };
     tokio::select! {
         biased;
-        answer = brings(out) => answer,
-        () = sleep_until(until) => {
-            Err(if waits { Fault::Lost(SILENT.into()) } else { Fault::Refused(NO_ANSWER.into()) })
+        answer = response_of(pending) => answer,
+        () = sleep_until(deadline) => {
+            Err(if is_watch {
+                CallError::Lost(SILENT_WATCH.into())
+            } else {
+                CallError::Refused(NO_ANSWER.into())
+            })
         }
     }
 }
 
-/// Serves the module's calls for as long as the sidecar runs.
+/// Serves the decision module's requests for as long as the sidecar runs.
 pub async fn follow(
-    desk: Arc<Dispatcher>,
-    mut at: watch::Receiver<SocketAddr>,
-    paces: watch::Receiver<Timings>,
+    dispatcher: Arc<Dispatcher>,
+    mut address: watch::Receiver<SocketAddr>,
+    timings: watch::Receiver<Timings>,
     mut revision: Option<u64>,
-    mut calls: UnboundedReceiver<DiscoveryRequest>,
+    mut requests: UnboundedReceiver<DiscoveryRequest>,
 ) {
-    let dialer = Dialer::new(GRACE, KEPT, MOST_OVERTAKEN + 2).without_size_limit();
+    let dialer = Dialer::new(ANSWER_TIMEOUT, IDLE_CLOSE, MAX_SUPERSEDED + 2).without_size_limit();
     let mut client = dialer.new_client();
-    let (mut watching, mut whole, mut sure) = (false, false, false);
-    let (mut discovery, mut again) = (*at.borrow_and_update(), 0);
-    let (mut out, mut overtaken): (Option<Out>, Vec<Out>) = (None, Vec::new());
-    let mut rests = Instant::now(); // no call goes out before
-    let mut silent = false; // the whole call that is out follows a watch that fell silent
+    let (mut watching, mut want_full_list, mut renewing) = (false, false, false);
+    let (mut server, mut quick_retries) = (*address.borrow_and_update(), 0);
+    let (mut pending, mut superseded): (Option<PendingCall>, Vec<PendingCall>) = (None, Vec::new());
+    let mut not_before = Instant::now(); // no call starts before this
+    let mut after_silent_watch = false; // the open full-list call follows a silent watch
     loop {
-        let calls_next = out.is_none() && (watching || whole);
-        if calls_next && rests <= Instant::now() {
-            let hold = paces.borrow().poll_hold.clamp(FIRST_HOLD, LONGEST_HOLD);
-            // Without a list there is nothing to watch from.
-            let from = revision.filter(|_| !whole);
-            let agent = paces.borrow().agent_timeout.filter(|_| revision.is_some());
-            let (wait, grace) = match from {
-                Some(_) if sure => (hold, RENEWED_GRACE),
-                Some(_) => (FIRST_HOLD, GRACE),
+        let may_call = pending.is_none() && (watching || want_full_list);
+        if may_call && not_before <= Instant::now() {
+            let hold = timings.borrow().poll_hold.clamp(FIRST_HOLD, MAX_HOLD);
+            // Without a list there is no revision to watch from.
+            let from = revision.filter(|_| !want_full_list);
+            let agent = timings
+                .borrow()
+                .agent_timeout
+                .filter(|_| revision.is_some());
+            let (wait, timeout) = match from {
+                Some(_) if renewing => (hold, RENEWED_ANSWER_TIMEOUT),
+                Some(_) => (FIRST_HOLD, ANSWER_TIMEOUT),
                 None => (
                     Duration::ZERO,
-                    agent.map_or(GRACE, |grace| grace.min(GRACE)),
+                    agent.map_or(ANSWER_TIMEOUT, |grace| grace.min(ANSWER_TIMEOUT)),
                 ),
             };
             let from = from.map(|from| (from, wait));
-            out = Some(Out::ask(&client, discovery, from, grace));
+            pending = Some(PendingCall::start(&client, server, from, timeout));
         }
         let answer = tokio::select! {
             biased;
-            // A call that is out goes on: what its answer has to tell counts as told from when it is written.
-            call = calls.recv() => {
-                match call {
+            // An open call continues: the news in its answer counts as received from when it is written.
+            request = requests.recv() => {
+                match request {
                     Some(DiscoveryRequest::Watch(on)) => watching = on,
                     Some(DiscoveryRequest::FullList) => {
-                        whole = true;
-                        overtake(&mut overtaken, out.take());
+                        want_full_list = true;
+                        supersede(&mut superseded, pending.take());
                     }
                     None => return,
                 }
                 continue;
             }
-            // Guards against drains that an overtaken call was told of: until another has answered, it is heard.
-            (late, which) = any_brings(&mut overtaken) => {
-                let here = overtaken.remove(which).at == discovery;
+            // A superseded call may have been answered with drains, so it is read until another call is answered.
+            (late, which) = any_superseded_response(&mut superseded) => {
+                let same_server = superseded.remove(which).address == server;
                 match late {
-                    // From where these changes belong is known no more, and all is asked for.
-                    Ok(list) if !list.complete && revision.is_none_or(|held| list.revision < held) && here => {}
+                    // The revision that these changes apply to is no longer known; the full list is requested.
+                    Ok(list)
+                        if !list.complete
+                            && revision.is_none_or(|held| list.revision < held)
+                            && same_server => {}
                     Ok(list) => {
-                        take(&desk, &list);
-                        // It is as good as the answer that is awaited: the watch goes on from there.
-                        if here {
-                            (out, revision) = (None, Some(list.revision));
-                            overtaken.clear();
-                            (watching, whole, sure, again) = (true, false, true, 0);
+                        apply(&dispatcher, &list);
+                        // As good as the awaited answer: the watch continues from there.
+                        if same_server {
+                            (pending, revision) = (None, Some(list.revision));
+                            superseded.clear();
+                            (watching, want_full_list, renewing, quick_retries) =
+                                (true, false, true, 0);
                         }
                     }
                     Err(_) => {}
                 }
                 continue;
             }
-            answer = answers(&mut out) => answer,
-            () = sleep_until(rests), if calls_next && out.is_none() => continue,
-            // Guards against a list that stays behind where discovery has moved: its revisions there may be any.
-            Ok(()) = at.changed() => {
-                overtake(&mut overtaken, out.take());
-                (client, discovery, again) = (dialer.new_client(), *at.borrow_and_update(), 0);
-                (watching, whole, sure, revision) = (true, true, false, None);
+            answer = response_in_time(&mut pending) => answer,
+            () = sleep_until(not_before), if may_call && pending.is_none() => continue,
+            // Discovery has moved. Its revisions there may differ, so the full list is requested.
+            Ok(()) = address.changed() => {
+                supersede(&mut superseded, pending.take());
+                (client, server, quick_retries) =
+                    (dialer.new_client(), *address.borrow_and_update(), 0);
+                (watching, want_full_list, renewing, revision) = (true, true, false, None);
                 continue;
             }
         };
-        let call = out.take();
-        let began = call.as_ref().map_or_else(Instant::now, |call| call.began);
-        // Guards against drains that count as told and were not heard: of an answer that broke off, and of a watch that
-        // fell silent, as an open connection may. Neither is discovery's word, so it is asked at once, over another.
+        let call = pending.take();
+        let started = call.as_ref().map_or_else(Instant::now, |call| call.started);
+        // Prevents missing drains that count as received: in an answer that broke off, or on a watch that fell silent,
+        // as an open connection may. Neither is an answer from discovery, so it is called again at once, over another
+        // connection.
         let answer = match answer {
-            Err(Fault::Lost(fault)) if fault == SILENT => {
-                log::warn!("discovery: {fault}; asked again at once");
-                overtake(&mut overtaken, call);
-                (whole, sure, silent) = (true, false, true);
-                rests = Instant::now() + breath();
+            Err(CallError::Lost(error)) if error == SILENT_WATCH => {
+                log::warn!("discovery: {error}; retried at once");
+                supersede(&mut superseded, call);
+                (want_full_list, renewing, after_silent_watch) = (true, false, true);
+                not_before = Instant::now() + retry_pause();
                 continue;
             }
-            Err(Fault::Lost(fault)) if again < MOST_AGAIN => {
-                log::warn!("discovery: {fault}; asked again at once");
-                (sure, again) = (false, again + 1);
-                rests = Instant::now() + breath();
+            Err(CallError::Lost(error)) if quick_retries < MAX_QUICK_RETRIES => {
+                log::warn!("discovery: {error}; retried at once");
+                (renewing, quick_retries) = (false, quick_retries + 1);
+                not_before = Instant::now() + retry_pause();
                 continue;
             }
-            // Guards against drains that an agent tells when it is back, and that count as told then: an agent that was
-            // silent answers no whole call, but a watch that is out. So one always is, or was a moment before.
-            Err(Fault::Refused(fault))
-                if fault == NO_ANSWER
-                    && paces.borrow().agent_timeout.is_some()
+            // Prevents missing drains that an agent sends when it is back, which count as received then: a silent agent
+            // answers no full-list call, but it answers an open watch. So one is always open, or was a moment ago.
+            Err(CallError::Refused(error))
+                if error == NO_ANSWER
+                    && timings.borrow().agent_timeout.is_some()
                     && revision.is_some() =>
             {
-                log::warn!("discovery: {fault}; watched again");
-                (watching, whole, sure, silent) = (true, false, false, false);
+                log::warn!("discovery: {error}; watch started again");
+                (watching, want_full_list, renewing, after_silent_watch) =
+                    (true, false, false, false);
                 continue;
             }
-            // Guards against a change that discovery had when the watch fell silent: with the module's wait behind a
-            // second silent call it would be heard 7 s later. Once only, as discovery may be in trouble.
-            Err(Fault::Refused(fault)) if fault == NO_ANSWER && silent => {
-                log::warn!(
-                    "discovery: {fault} behind a watch that fell silent; asked again at once"
-                );
-                overtake(&mut overtaken, call);
-                (whole, sure, silent) = (true, false, false);
-                rests = Instant::now() + breath();
+            // Prevents missing a change that discovery had when the watch fell silent: after the module's wait behind a
+            // second silent call it would arrive 7 s later. Only once, as discovery may be in trouble.
+            Err(CallError::Refused(error)) if error == NO_ANSWER && after_silent_watch => {
+                log::warn!("discovery: {error} after a watch fell silent; retried at once");
+                supersede(&mut superseded, call);
+                (want_full_list, renewing, after_silent_watch) = (true, false, false);
+                not_before = Instant::now() + retry_pause();
                 continue;
             }
-            // Guards against six quick repeats by every sidecar each time that the module calls a discovery that only
-            // breaks off: they are used up until it has said something.
-            Err(Fault::Lost(fault)) => Err(fault),
-            Err(Fault::Refused(fault)) => {
-                again = 0;
-                Err(fault)
+            // The quick retries stay used up until discovery answers. Prevents six retries by every sidecar each time
+            // the module calls a discovery that only breaks off.
+            Err(CallError::Lost(error)) => Err(error),
+            Err(CallError::Refused(error)) => {
+                quick_retries = 0;
+                Err(error)
             }
             Ok(list) => {
-                again = 0;
+                quick_retries = 0;
                 Ok(list)
             }
         };
-        (whole, sure, silent) = (false, answer.is_ok(), false);
-        // Guards against old news taken for new: from where it belongs is not known, so all is asked for next.
-        let older = |list: &EndpointList| {
+        (want_full_list, renewing, after_silent_watch) = (false, answer.is_ok(), false);
+        // Changes older than the list must not be applied: the revision they apply to isn't known, so the full list is
+        // next.
+        let is_older = |list: &EndpointList| {
             !list.complete && revision.is_some_and(|held| list.revision < held)
         };
-        let old = answer.as_ref().is_ok_and(older);
+        let outdated = answer.as_ref().is_ok_and(is_older);
         match answer {
-            Ok(_) if old => {
+            Ok(_) if outdated => {
                 revision = None;
                 watching = false;
-                refused(&desk, "changes older than the list");
+                report_failure(&dispatcher, "changes older than the list");
             }
             Ok(list) => {
-                overtaken.clear();
+                superseded.clear();
                 revision = Some(list.revision);
-                take(&desk, &list);
-                // Guards against a discovery that answers watches at once with nothing: no busy loop.
-                if list.entries.is_empty() && began.elapsed() < BREATH {
-                    rests = Instant::now() + breath();
+                apply(&dispatcher, &list);
+                // Prevents a busy loop with a discovery that answers watches at once with nothing.
+                if list.entries.is_empty() && started.elapsed() < RETRY_PAUSE {
+                    not_before = Instant::now() + retry_pause();
                 }
             }
-            Err(fault) => {
-                // One that was only late may come yet.
-                overtake(
-                    &mut overtaken,
-                    call.filter(|call| call.until <= Instant::now()),
+            Err(error) => {
+                // A late answer may still come.
+                supersede(
+                    &mut superseded,
+                    call.filter(|call| call.deadline <= Instant::now()),
                 );
                 watching = false;
-                refused(&desk, &fault);
+                report_failure(&dispatcher, &error);
             }
         }
     }
 }
 
-/// `BREATH` with jitter. Guards against sidecars whose watches broke off at one moment and that call again in step.
-fn breath() -> Duration {
-    BREATH / 2 + BREATH.mul_f64(RandomState::new().hash_one(()) as f64 / u64::MAX as f64)
+/// `RETRY_PAUSE` with jitter, so that sidecars whose watches broke off at the same moment don't retry in step.
+fn retry_pause() -> Duration {
+    RETRY_PAUSE / 2 + RETRY_PAUSE.mul_f64(RandomState::new().hash_one(()) as f64 / u64::MAX as f64)
 }
 
-fn take(desk: &Arc<Dispatcher>, list: &EndpointList) {
+fn apply(dispatcher: &Arc<Dispatcher>, list: &EndpointList) {
     let kind = if list.complete {
         ListUpdateKind::Full
     } else {
@@ -294,37 +320,42 @@
         list.revision,
         list.entries.len()
     );
-    desk.apply_list(kind, list);
+    dispatcher.apply_list(kind, list);
 }
 
-/// The module says when to call again.
-fn refused(desk: &Arc<Dispatcher>, fault: &str) {
-    log::warn!("discovery: {fault}; the list before stays in force");
-    desk.handle_event(Event::ListUpdated {
+/// Reports a failed call; the module sets the time of the next one.
+fn report_failure(dispatcher: &Arc<Dispatcher>, error: &str) {
+    log::warn!("discovery: {error}; the previous list stays in force");
+    dispatcher.handle_event(Event::ListUpdated {
         kind: ListUpdateKind::Failed,
         entries: Vec::new(),
     });
 }
 
-async fn ask(
+async fn fetch_list(
     client: PooledClient,
-    at: SocketAddr,
+    address: SocketAddr,
     from: Option<(u64, Duration)>,
-) -> Result<EndpointList, Fault> {
+) -> Result<EndpointList, CallError> {
     let query = match from {
         Some((from, hold)) => format!("?from={from}&hold_ms={}", hold.as_millis()),
         None => String::new(),
     };
-    let request = Request::get(format!("http://{at}/v1/servers{query}")).body(RelayBody::default());
-    let request = request.map_err(|e| Fault::Refused(e.to_string()))?;
-    let refused = |e: &legacy::Error| e.is_connect();
-    let fault = |e: legacy::Error| if refused(&e) { Fault::Refused } else { Fault::Lost }(e.to_string());
-    let answer = client.request(request).await.map_err(fault)?;
-    if answer.status() != StatusCode::OK {
-        return Err(Fault::Refused(format!("answered {}", answer.status())));
+    let request =
+        Request::get(format!("http://{address}/v1/servers{query}")).body(RelayBody::default());
+    let request = request.map_err(|e| CallError::Refused(e.to_string()))?;
+    let is_refused = |e: &legacy::Error| e.is_connect();
+    let classify = |e: legacy::Error| if is_refused(&e) { CallError::Refused } else { CallError::Lost }(e.to_string());
+    let response = client.request(request).await.map_err(classify)?;
+    if response.status() != StatusCode::OK {
+        return Err(CallError::Refused(format!(
+            "answered {}",
+            response.status()
+        )));
     }
-    let body = Limited::new(answer.into_body(), LONGEST_LIST)
+    let body = Limited::new(response.into_body(), MAX_LIST_BYTES)
         .collect()
         .await;
-    parse_list(&body.map_err(|e| Fault::Lost(e.to_string()))?.to_bytes()).map_err(Fault::Lost)
+    parse_list(&body.map_err(|e| CallError::Lost(e.to_string()))?.to_bytes())
+        .map_err(CallError::Lost)
 }
--- a/crates/passroad/src/handover.rs
+++ b/crates/passroad/src/handover.rs
@@ -1,5 +1,5 @@
-//! An upgrade: a process that starts takes the listening socket and what is known from the one beside it, and the two
-//! tell each other of bans until the old one ends.
+//! Handover in an upgrade: a new process takes the listening socket and the state of the old one. Until the old process
+//! ends the two send each other cordons and the ids of open commands.
 
 use crate::dispatcher::Dispatcher;
 use crate::endpoint_list::HandoverState;
@@ -25,46 +25,53 @@
 use tokio::time::timeout;
 
 const VERSION: u32 = 1;
-const LONGEST_STATE: usize = 8 << 20;
-const LONGEST_LINE: usize = 4 << 10;
-/// Well within the time that a start may take; whoever does not answer by then is gone or stuck.
-const ANSWER_WITHIN: Duration = Duration::from_millis(1500);
-/// For the other process to take a ban; operators are owed their answer within a second.
-const TOLD_WITHIN: Duration = Duration::from_millis(400);
+const MAX_STATE_BYTES: usize = 8 << 20;
+const MAX_LINE_BYTES: usize = 4 << 10;
+/// Well within the time that a start may take; a process that doesn't answer by then has ended or hangs.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(1500);
+/// How long the other process has to apply a cordon; operators get their answer within a second.
+const CORDON_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// A line between the two.
+/// A line between the two processes.
 #[derive(Serialize, Deserialize, Debug, PartialEq)]
 #[serde(rename_all = "lowercase", deny_unknown_fields)]
-enum Line {
-    Ask(u32),
-    /// The new one takes clients.
+enum Message {
+    /// The new process requests a handover, in this version.
+    #[serde(rename = "ask")]
+    Request(u32),
+    /// The new process accepts clients.
     Ready,
-    Out(String),
-    Back(String),
-    /// The last ban or call back is in effect here, too.
-    Done,
+    #[serde(rename = "out")]
+    Cordoned(String),
+    #[serde(rename = "back")]
+    Uncordoned(String),
+    /// The last cordon, or the end of one, is in effect here, too.
+    #[serde(rename = "done")]
+    Applied,
     /// A command of this id is open here, or no longer.
-    Taken(String),
-    Given(String),
+    #[serde(rename = "taken")]
+    IdOpened(String),
+    #[serde(rename = "given")]
+    IdClosed(String),
 }
 
-/// What came over from the process before.
+/// What the old process has handed over.
 pub struct Inherited {
     pub listener: TcpListener,
-    pub known: Option<HandoverState>,
+    pub state: Option<HandoverState>,
     link: Blocking,
 }
 
-/// Where processes of the same clients' address meet; none without a folder to share.
-pub fn place(listen: SocketAddr, folder: Option<PathBuf>) -> Option<PathBuf> {
+/// Path of the handover socket of processes with the same client address; none without a shared directory.
+pub fn socket_path(listen: SocketAddr, folder: Option<PathBuf>) -> Option<PathBuf> {
     let name = listen.to_string().replace([':', '[', ']'], "-");
     folder
         .filter(|folder| !folder.as_os_str().is_empty())
         .map(|folder| folder.join(format!("passroad-{name}.sock")))
 }
 
-/// A path that fits an address of a Unix socket, as long as the folder is held open.
-fn short(path: &Path) -> io::Result<(PathBuf, std::fs::File)> {
+/// A path that is short enough for a Unix socket address, valid as long as the returned folder is held open.
+fn short_path(path: &Path) -> io::Result<(PathBuf, std::fs::File)> {
     use std::os::fd::AsRawFd;
     let (folder, name) = (
         path.parent().unwrap_or(Path::new(".")),
@@ -77,181 +84,185 @@
     ))
 }
 
-/// Asks the process that serves there. None if there is none; a fault is told in one line, and the start goes on
-/// without.
-pub fn ask(place: &Path, listen: SocketAddr) -> Option<Inherited> {
-    let (path, _folder) = short(place).ok()?;
-    // Nobody, or a socket that a killed process left behind.
+/// Requests a handover from the process that serves there. None if there is none; an error is logged, and the start
+/// goes on without a handover.
+pub fn request(path: &Path, listen: SocketAddr) -> Option<Inherited> {
+    let (path, _folder) = short_path(path).ok()?;
+    // Nobody listens, or a killed process left its socket behind.
     let link = Blocking::connect(path).ok()?;
-    match take(link, listen) {
+    match receive(link, listen) {
         Ok(inherited) => Some(inherited),
-        Err(fault) => {
-            log::warn!("nothing is taken over from the process before: {fault}");
+        Err(error) => {
+            log::warn!("nothing is taken over from the old process: {error}");
             None
         }
     }
 }
 
-fn take(mut link: Blocking, listen: SocketAddr) -> Result<Inherited, String> {
-    let said = |e: io::Error| e.to_string();
-    link.set_read_timeout(Some(ANSWER_WITHIN)).map_err(said)?;
-    link.set_write_timeout(Some(ANSWER_WITHIN)).map_err(said)?;
-    link.write_all(&text(&Line::Ask(VERSION))).map_err(said)?;
+fn receive(mut link: Blocking, listen: SocketAddr) -> Result<Inherited, String> {
+    let describe = |e: io::Error| e.to_string();
+    link.set_read_timeout(Some(ANSWER_TIMEOUT))
+        .map_err(describe)?;
+    link.set_write_timeout(Some(ANSWER_TIMEOUT))
+        .map_err(describe)?;
+    link.write_all(&encode(&Message::Request(VERSION)))
+        .map_err(describe)?;
     let mut size = [0; 4];
     let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))];
-    let mut beside = RecvAncillaryBuffer::new(&mut space);
-    let got = rustix::net::recvmsg(
+    let mut ancillary = RecvAncillaryBuffer::new(&mut space);
+    let received = rustix::net::recvmsg(
         &link,
         &mut [IoSliceMut::new(&mut size)],
-        &mut beside,
+        &mut ancillary,
         RecvFlags::CMSG_CLOEXEC,
     )
     .map_err(|e| e.to_string())?;
-    let sockets = beside.drain().filter_map(|message| match message {
+    let sockets = ancillary.drain().filter_map(|message| match message {
         RecvAncillaryMessage::ScmRights(sockets) => Some(sockets),
         _ => None,
     });
     let socket: Option<OwnedFd> = sockets.flatten().next();
     let listener = TcpListener::from(
         socket
-            .filter(|_| got.bytes == size.len())
-            .ok_or("no socket came")?,
+            .filter(|_| received.bytes == size.len())
+            .ok_or("no socket received")?,
     );
-    let at = listener.local_addr().map_err(said)?;
-    if at != listen {
-        return Err(format!("its socket listens on {at}, not {listen}"));
+    let address = listener.local_addr().map_err(describe)?;
+    if address != listen {
+        return Err(format!("its socket listens on {address}, not {listen}"));
     }
-    let known = read(&mut link, u32::from_be_bytes(size) as usize, listen);
+    let state = read(&mut link, u32::from_be_bytes(size) as usize, listen);
     // The socket is of use whatever came with it.
-    let known = known
-        .map_err(|fault| log::warn!("what the process before knows is not taken over: {fault}"))
+    let state = state
+        .map_err(|error| log::warn!("the state of the old process is not taken over: {error}"))
         .ok();
     Ok(Inherited {
         listener,
-        known,
+        state,
         link,
     })
 }
 
 fn read(link: &mut impl Read, size: usize, listen: SocketAddr) -> Result<HandoverState, String> {
-    if size > LONGEST_STATE {
-        return Err(format!("{size} bytes, over {LONGEST_STATE}"));
+    if size > MAX_STATE_BYTES {
+        return Err(format!("{size} bytes, over {MAX_STATE_BYTES}"));
     }
     let mut bytes = vec![0; size];
     link.read_exact(&mut bytes)
-        .map_err(|e| format!("cut short: {e}"))?;
-    // The version first: of another one nothing else may be readable.
+        .map_err(|e| format!("truncated: {e}"))?;
+    // Checks the version first: nothing else may be readable in another one.
     let value: serde_json::Value = serde_json::from_slice(&bytes).map_err(|e| e.to_string())?;
     let version = value.get("version").and_then(serde_json::Value::as_u64);
     if version != Some(VERSION.into()) {
         return Err(format!("version {version:?}, not {VERSION}"));
     }
-    let known: HandoverState = serde_json::from_value(value).map_err(|e| e.to_string())?;
-    if known.listen != listen {
-        return Err(format!("it is of {}, not {listen}", known.listen));
+    let state: HandoverState = serde_json::from_value(value).map_err(|e| e.to_string())?;
+    if state.listen != listen {
+        return Err(format!("it is of {}, not {listen}", state.listen));
     }
-    Ok(known)
+    Ok(state)
 }
 
-fn text(line: &Line) -> Vec<u8> {
-    let mut bytes = serde_json::to_vec(line).unwrap_or_default();
+fn encode(message: &Message) -> Vec<u8> {
+    let mut bytes = serde_json::to_vec(message).unwrap_or_default();
     bytes.push(b'\n');
     bytes
 }
 
-/// What a process does as it gives way, or has its place again.
-pub trait Room: Send + Sync + 'static {
-    /// Another process takes clients from here on, or no longer does.
-    fn give_way(&self, away: bool);
-    /// The process before has ended: all descriptors are this one's.
-    fn whole(&self);
+/// How a process shares its resources with the other process of a handover.
+pub trait SharedResources: Send + Sync + 'static {
+    /// The new process accepts clients from now on, or no longer does.
+    fn yield_clients(&self, yielded: bool);
+    /// The old process has ended: all descriptors are available here.
+    fn predecessor_ended(&self);
 }
 
-type Told = (Line, oneshot::Sender<()>);
+type Notification = (Message, oneshot::Sender<()>);
 
-/// The process's part in upgrades, before and after it.
+/// The handovers of this process: from its predecessor, and to its successor.
 pub struct Handover {
-    desk: Arc<Dispatcher>,
-    claims: Arc<InFlightIds>,
+    dispatcher: Arc<Dispatcher>,
+    in_flight_ids: Arc<InFlightIds>,
     stages: ShutdownWatch,
     listen: SocketAddr,
-    socket: OwnedFd, // a copy, to be handed on
-    room: Box<dyn Room>,
-    links: Mutex<Vec<mpsc::UnboundedSender<Told>>>,
-    away: watch::Sender<bool>,
+    socket: OwnedFd, // a duplicate, to be handed over
+    resources: Box<dyn SharedResources>,
+    links: Mutex<Vec<mpsc::UnboundedSender<Notification>>>,
+    yielded: watch::Sender<bool>,
 }
 
 impl Handover {
     pub fn new(
-        desk: Arc<Dispatcher>,
-        claims: Arc<InFlightIds>,
+        dispatcher: Arc<Dispatcher>,
+        in_flight_ids: Arc<InFlightIds>,
         stages: ShutdownWatch,
         socket: TcpListener,
-        room: Box<dyn Room>,
+        resources: Box<dyn SharedResources>,
     ) -> Result<Arc<Self>, String> {
         let listen = socket.local_addr().map_err(|e| e.to_string())?;
-        let (links, away) = (Mutex::default(), watch::channel(false).0);
+        let (links, yielded) = (Mutex::default(), watch::channel(false).0);
         Ok(Arc::new(Handover {
-            desk,
-            claims,
+            dispatcher,
+            in_flight_ids,
             stages,
             listen,
             socket: socket.into(),
-            room,
+            resources,
             links,
-            away,
+            yielded,
         }))
     }
 
-    /// Bans an endpoint or calls it back, here and in the process beside this one. False for an id never listed.
-    pub async fn cordon(&self, id: &str, out: bool) -> bool {
-        if !self.desk.cordon(id, out) {
+    /// Cordons an endpoint or lifts its cordon, here and in the other process of a handover. False for an id that was
+    /// never listed.
+    pub async fn cordon(&self, id: &str, cordoned: bool) -> bool {
+        if !self.dispatcher.cordon(id, cordoned) {
             return false;
         }
-        let mut waits = Vec::new();
+        let mut pending = Vec::new();
         for link in self
             .links
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
             .iter()
         {
-            let (done, told) = oneshot::channel();
-            let line = if out {
-                Line::Out(id.into())
+            let (done, applied) = oneshot::channel();
+            let message = if cordoned {
+                Message::Cordoned(id.into())
             } else {
-                Line::Back(id.into())
+                Message::Uncordoned(id.into())
             };
-            if link.send((line, done)).is_ok() {
-                waits.push(told);
+            if link.send((message, done)).is_ok() {
+                pending.push(applied);
             }
         }
         let all = async {
-            for told in waits {
-                let _ = told.await;
+            for applied in pending {
+                let _ = applied.await;
             }
         };
-        // One that does not answer must not cost the operator the answer.
-        if timeout(TOLD_WITHIN, all).await.is_err() {
+        // The operator gets an answer even if the other process doesn't reply.
+        if timeout(CORDON_TIMEOUT, all).await.is_err() {
             log::warn!(
-                "the process beside this one has not taken what was told of {id} in {TOLD_WITHIN:?}"
+                "the other process has not applied the change of {id} within {CORDON_TIMEOUT:?}"
             );
         }
         true
     }
 
-    /// Takes over from the process before, then waits for the next one, for as long as this one runs.
-    pub async fn serve(self: Arc<Self>, before: Option<Inherited>, place: PathBuf) {
-        if let Some(before) = before {
-            tokio::spawn(Arc::clone(&self).follow(before));
+    /// Takes over from the old process, then waits for a new one, for as long as this process runs.
+    pub async fn serve(self: Arc<Self>, predecessor: Option<Inherited>, path: PathBuf) {
+        if let Some(predecessor) = predecessor {
+            tokio::spawn(Arc::clone(&self).take_over(predecessor));
         }
-        let mut away = self.away.subscribe();
+        let mut yielded = self.yielded.subscribe();
         loop {
-            let listener = match bind(&place) {
+            let listener = match bind(&path) {
                 Ok(listener) => listener,
-                Err(fault) => {
+                Err(error) => {
                     return log::warn!(
-                        "no upgrade beside this process: {}: {fault}",
-                        place.display()
+                        "no handover from this process: {}: {error}",
+                        path.display()
                     );
                 }
             };
@@ -259,76 +270,78 @@
                 tokio::select! {
                     accepted = listener.accept() => match accepted {
                         Ok((stream, _)) => drop(tokio::spawn(Arc::clone(&self).hand_over(stream))),
-                        Err(fault) => {
-                            log::warn!("upgrade: accept: {fault}");
-                            tokio::time::sleep(TOLD_WITHIN).await;
+                        Err(error) => {
+                            log::warn!("upgrade: accept: {error}");
+                            tokio::time::sleep(CORDON_TIMEOUT).await;
                         }
                     },
-                    // The next process has the place now.
-                    () = turned(&mut away, true) => break,
+                    // The new process has bound the socket now.
+                    () = yielded_is(&mut yielded, true) => break,
                 }
             }
             drop(listener);
-            // Unless it ends first.
-            turned(&mut away, false).await;
+            // Serves again if the new process ends first.
+            yielded_is(&mut yielded, false).await;
         }
     }
 
-    /// This process is the new one.
-    async fn follow(self: Arc<Self>, before: Inherited) {
-        let link = before
+    /// Takes over as the new process.
+    async fn take_over(self: Arc<Self>, predecessor: Inherited) {
+        let link = predecessor
             .link
             .set_nonblocking(true)
-            .and_then(|()| UnixStream::from_std(before.link));
+            .and_then(|()| UnixStream::from_std(predecessor.link));
         match link {
             Ok(mut link) => {
-                if link.write_all(&text(&Line::Ready)).await.is_ok() {
-                    log::info!("took over from the process before");
+                if link.write_all(&encode(&Message::Ready)).await.is_ok() {
+                    log::info!("took over from the old process");
                 }
-                self.keep(link, false).await;
-                log::info!("the process before has ended");
+                self.exchange_as(link, false).await;
+                log::info!("the old process has ended");
             }
-            Err(fault) => log::warn!("the process before: {fault}"),
+            Err(error) => log::warn!("the old process: {error}"),
         }
-        self.room.whole();
+        self.resources.predecessor_ended();
     }
 
-    /// This process is the old one.
+    /// Hands over as the old process.
     async fn hand_over(self: Arc<Self>, mut stream: UnixStream) {
-        let handed = timeout(ANSWER_WITHIN, async {
+        let handed = timeout(ANSWER_TIMEOUT, async {
             let mut line = Vec::new();
-            // What comes behind it is for the link.
-            while line.last() != Some(&b'\n') && line.len() < LONGEST_LINE {
+            // Reads no further: what follows belongs to the link.
+            while line.last() != Some(&b'\n') && line.len() < MAX_LINE_BYTES {
                 line.push(stream.read_u8().await?);
             }
-            if !matches!(serde_json::from_slice(&line), Ok(Line::Ask(_)))
+            if !matches!(serde_json::from_slice(&line), Ok(Message::Request(_)))
                 || *self.stages.borrow() != ShutdownStage::Serving
             {
                 return Err(io::ErrorKind::InvalidData.into());
             }
-            // From here on bans are told over the link: none falls between.
-            let (tell, told) = mpsc::unbounded_channel();
+            // From here on cordons are sent over the link, so that none is missed.
+            let (sender, notifications) = mpsc::unbounded_channel();
             self.links
                 .lock()
                 .unwrap_or_else(PoisonError::into_inner)
-                .push(tell);
-            // So are ids that turn; those that are open now go along.
-            let ids = self.claims.subscribe();
-            self.give(&mut stream).await?;
-            Ok::<_, io::Error>((told, ids))
+                .push(sender);
+            // So are changes of open ids; those that are open now are part of the state.
+            let ids = self.in_flight_ids.subscribe();
+            self.send_state(&mut stream).await?;
+            Ok::<_, io::Error>((notifications, ids))
         });
         match handed.await {
-            Ok(Ok((told, ids))) => {
-                log::info!("the next process was handed the listening socket");
-                self.run(stream, told, ids, true).await;
-                self.claims.clear_other_process();
-                if self.away.send_replace(false) {
-                    self.room.give_way(false);
-                    log::info!("the next process has ended; clients are taken here again");
+            Ok(Ok((notifications, ids))) => {
+                log::info!("the listening socket was handed over to a new process");
+                self.run(stream, notifications, ids, true).await;
+                self.in_flight_ids.clear_other_process();
+                if self.yielded.send_replace(false) {
+                    self.resources.yield_clients(false);
+                    log::info!("the new process has ended; clients are accepted here again");
                 }
             }
-            Ok(Err(fault)) => log::warn!("upgrade: nothing handed over: {fault}"),
-            Err(_) => log::warn!("upgrade: whoever asked did not take it in {ANSWER_WITHIN:?}"),
+            Ok(Err(error)) => log::warn!("upgrade: nothing handed over: {error}"),
+            Err(_) => log::warn!(
+                "upgrade: the new process did not receive the state within {ANSWER_TIMEOUT:?}"
+            ),
         }
         self.links
             .lock()
@@ -336,105 +349,106 @@
             .retain(|link| !link.is_closed());
     }
 
-    async fn give(&self, stream: &mut UnixStream) -> io::Result<()> {
-        let known = self
-            .desk
-            .handover_state(VERSION, self.listen, descriptors());
-        // Guards against an id that is taken there before the first line of the link is read.
-        let known = HandoverState {
-            open_ids: self.claims.open_ids(),
-            ..known
+    async fn send_state(&self, stream: &mut UnixStream) -> io::Result<()> {
+        let state = self
+            .dispatcher
+            .handover_state(VERSION, self.listen, open_descriptors());
+        // Prevents the new process from admitting an open id before it has read the first line of the link.
+        let state = HandoverState {
+            open_ids: self.in_flight_ids.open_ids(),
+            ..state
         };
-        let state = serde_json::to_vec(&known).map_err(io::Error::other)?;
-        let size = (state.len() as u32).to_be_bytes();
+        let bytes = serde_json::to_vec(&state).map_err(io::Error::other)?;
+        let size = (bytes.len() as u32).to_be_bytes();
         loop {
             stream.writable().await?;
             let sent = stream.try_io(Interest::WRITABLE, || {
                 let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))];
-                let mut beside = SendAncillaryBuffer::new(&mut space);
+                let mut ancillary = SendAncillaryBuffer::new(&mut space);
                 let sockets = [rustix::fd::AsFd::as_fd(&self.socket)];
-                beside.push(SendAncillaryMessage::ScmRights(&sockets));
+                ancillary.push(SendAncillaryMessage::ScmRights(&sockets));
                 Ok(rustix::net::sendmsg(
                     &*stream,
                     &[IoSlice::new(&size)],
-                    &mut beside,
+                    &mut ancillary,
                     SendFlags::empty(),
                 )?)
             });
             match sent {
-                Ok(4) => return stream.write_all(&state).await,
+                Ok(4) => return stream.write_all(&bytes).await,
                 Ok(_) => return Err(io::ErrorKind::WriteZero.into()),
-                Err(fault) if fault.kind() == io::ErrorKind::WouldBlock => {}
-                Err(fault) => return Err(fault),
+                Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
+                Err(error) => return Err(error),
             }
         }
     }
 
-    async fn keep(&self, stream: UnixStream, old: bool) {
-        let (tell, told) = mpsc::unbounded_channel();
+    async fn exchange_as(&self, stream: UnixStream, old: bool) {
+        let (sender, notifications) = mpsc::unbounded_channel();
         self.links
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
-            .push(tell);
-        self.run(stream, told, self.claims.subscribe(), old).await;
-        self.claims.clear_other_process();
+            .push(sender);
+        self.run(stream, notifications, self.in_flight_ids.subscribe(), old)
+            .await;
+        self.in_flight_ids.clear_other_process();
         self.links
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
             .retain(|link| !link.is_closed());
     }
 
-    /// Tells and hears over a link until it ends.
+    /// Exchanges messages over a link until it ends. `old` says whether this is the old process.
     async fn run(
         &self,
         stream: UnixStream,
-        mut told: mpsc::UnboundedReceiver<Told>,
+        mut notifications: mpsc::UnboundedReceiver<Notification>,
         mut ids: mpsc::UnboundedReceiver<IdChange>,
         old: bool,
     ) {
-        let (from, mut to) = stream.into_split();
-        let mut from = BufReader::new(from).lines();
-        let mut open: VecDeque<oneshot::Sender<()>> = VecDeque::new();
+        let (reader, mut writer) = stream.into_split();
+        let mut lines = BufReader::new(reader).lines();
+        let mut unconfirmed: VecDeque<oneshot::Sender<()>> = VecDeque::new();
         loop {
             tokio::select! {
-                line = from.next_line() => {
+                line = lines.next_line() => {
                     let Ok(Some(line)) = line else { return };
                     match serde_json::from_str(&line) {
-                        Ok(Line::Ready) if old => {
-                            self.away.send_replace(true);
-                            self.room.give_way(true);
-                            log::info!("the next process takes clients");
+                        Ok(Message::Ready) if old => {
+                            self.yielded.send_replace(true);
+                            self.resources.yield_clients(true);
+                            log::info!("the new process accepts clients");
                             continue;
                         }
-                        Ok(Line::Out(id)) => self.desk.set_cordoned(&id, true),
-                        Ok(Line::Back(id)) => self.desk.set_cordoned(&id, false),
-                        Ok(Line::Taken(id)) => {
-                            self.claims.set_in_other_process(true, id);
+                        Ok(Message::Cordoned(id)) => self.dispatcher.set_cordoned(&id, true),
+                        Ok(Message::Uncordoned(id)) => self.dispatcher.set_cordoned(&id, false),
+                        Ok(Message::IdOpened(id)) => {
+                            self.in_flight_ids.set_in_other_process(true, id);
                             continue;
                         }
-                        Ok(Line::Given(id)) => {
-                            self.claims.set_in_other_process(false, id);
+                        Ok(Message::IdClosed(id)) => {
+                            self.in_flight_ids.set_in_other_process(false, id);
                             continue;
                         }
-                        Ok(Line::Done) => {
-                            open.pop_front().map(|done| done.send(()));
+                        Ok(Message::Applied) => {
+                            unconfirmed.pop_front().map(|done| done.send(()));
                             continue;
                         }
-                        _ => return log::warn!("upgrade: the process beside this one says what can't be read"),
+                        _ => return log::warn!("upgrade: malformed message from the other process"),
                     }
-                    if to.write_all(&text(&Line::Done)).await.is_err() {
+                    if writer.write_all(&encode(&Message::Applied)).await.is_err() {
                         return;
                     }
                 }
-                Some((taken, id)) = ids.recv() => {
-                    let line = if taken { Line::Taken(id) } else { Line::Given(id) };
-                    if to.write_all(&text(&line)).await.is_err() {
+                Some((opened, id)) = ids.recv() => {
+                    let message = if opened { Message::IdOpened(id) } else { Message::IdClosed(id) };
+                    if writer.write_all(&encode(&message)).await.is_err() {
                         return;
                     }
                 }
-                Some((line, done)) = told.recv() => {
-                    open.push_back(done);
-                    if to.write_all(&text(&line)).await.is_err() {
+                Some((message, done)) = notifications.recv() => {
+                    unconfirmed.push_back(done);
+                    if writer.write_all(&encode(&message)).await.is_err() {
                         return;
                     }
                 }
@@ -443,15 +457,15 @@
     }
 }
 
-/// Waits until this process has given way, or has its place again.
-async fn turned(away: &mut watch::Receiver<bool>, to: bool) {
+/// Waits until this process has yielded its clients, or accepts them again.
+async fn yielded_is(yielded: &mut watch::Receiver<bool>, expected: bool) {
     // The sender lives as long as the process.
-    let _ = away.wait_for(|away| *away == to).await;
+    let _ = yielded.wait_for(|now| *now == expected).await;
 }
 
-/// A socket at the place, whoever had it before.
-fn bind(place: &Path) -> io::Result<UnixListener> {
-    let (path, _folder) = short(place)?;
+/// Binds the handover socket, replacing one that another process has bound there.
+fn bind(path: &Path) -> io::Result<UnixListener> {
+    let (path, _folder) = short_path(path)?;
     let fresh = path.with_extension(std::process::id().to_string());
     let _ = std::fs::remove_file(&fresh);
     let listener = UnixListener::bind(&fresh)?;
@@ -460,7 +474,7 @@
 }
 
 /// How many descriptors this process holds.
-fn descriptors() -> usize {
+fn open_descriptors() -> usize {
     std::fs::read_dir("/proc/self/fd").map_or(0, |open| open.count())
 }
 
--- a/crates/passroad/src/hollow.rs
+++ b/crates/passroad/src/hollow.rs
@@ -1,6 +1,6 @@
-//! A sidecar without a front and without calls: list, membership, leases, upkeep and configuration by the same code,
-//! and on the same two threads, as in one of its own process. Many share a process, to see what control needs at a
-//! size.
+//! A simulated sidecar process without traffic ("hollow"): discovery, membership, leases, maintenance and configuration
+//! run the same code on the same two threads as in a real process. Many of them share one process, to measure what the
+//! control plane needs at a given fleet size.
 
 use crate::config::{self, ActiveConfig, SidecarConfig, Timings};
 use crate::dispatcher::Dispatcher;
@@ -17,78 +17,81 @@
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio_util::sync::CancellationToken;
 
-/// One that lives; dropped, it is killed.
+/// A running simulated sidecar. Dropping it kills it.
 pub struct Hollow {
-    /// What its fleet's part is asked by; none where the settings forbid talk.
-    pub door: Option<FleetHandle>,
-    /// The kernel's names of its threads under `/proc`: that of the list, and that of the fleet.
+    /// Handle of its fleet member; none if the settings forbid messages between sidecars.
+    pub fleet: Option<FleetHandle>,
+    /// Paths of its threads under `/proc`: the one of discovery, and the one of the fleet.
     pub threads: Vec<PathBuf>,
     stages: watch::Sender<ShutdownStage>,
-    over: CancellationToken,
-    lives: Vec<JoinHandle<()>>,
+    killed: CancellationToken,
+    handles: Vec<JoinHandle<()>>,
 }
 
 fn runtime() -> io::Result<Runtime> {
     Builder::new_current_thread().enable_all().build()
 }
 
-/// The name of the calling thread under `/proc`.
+/// Path of the calling thread under `/proc`.
 fn thread_path() -> PathBuf {
     std::fs::read_link("/proc/thread-self").unwrap_or_default()
 }
 
 impl Hollow {
-    /// Begins one by its files, as a process would, and tells on what it thinks of the others.
+    /// Starts one from its files, as a process would. Changes of member states that it sees are sent to the channel.
     ///
     /// # Errors
-    /// What is wrong with a file, or that the system gives no thread or runtime.
-    pub fn begin(
+    /// An invalid file, or no thread or runtime from the system.
+    pub fn start(
         files: Files,
-        turns: mpsc::UnboundedSender<MemberStateChange>,
+        state_changes: mpsc::UnboundedSender<MemberStateChange>,
     ) -> Result<Hollow, String> {
-        let fault = |e: io::Error| format!("hollow: {e}");
-        let start = config::read(&files)?;
+        let describe = |e: io::Error| format!("hollow: {e}");
+        let config = config::load(&files)?;
         let (stages, stage) = watch::channel(ShutdownStage::Serving);
-        let over = CancellationToken::new();
-        let (tell, told) = oneshot::channel();
-        let (runtime, ends) = (runtime().map_err(fault)?, over.clone());
-        let live = move || {
+        let killed = CancellationToken::new();
+        let (sender, result) = oneshot::channel();
+        let (runtime, killed_here) = (runtime().map_err(describe)?, killed.clone());
+        let run = move || {
             runtime.block_on(async {
-                let begun = EndpointList::begin(start, files, turns, stage, ends.clone());
-                let failed = begun.is_err();
-                let _ = tell.send(begun.map(|begun| (thread_path(), begun)));
+                let started =
+                    ControlPlane::start(config, files, state_changes, stage, killed_here.clone());
+                let failed = started.is_err();
+                let _ = sender.send(started.map(|started| (thread_path(), started)));
                 if !failed {
-                    ends.cancelled().await;
+                    killed_here.cancelled().await;
                 }
             });
         };
-        let mut lives = vec![
+        let mut handles = vec![
             std::thread::Builder::new()
                 .name("list".into())
-                .spawn(live)
-                .map_err(fault)?,
+                .spawn(run)
+                .map_err(describe)?,
         ];
-        let (path, begun) = told.blocking_recv().map_err(|e| format!("hollow: {e}"))??;
+        let (path, started) = result
+            .blocking_recv()
+            .map_err(|e| format!("hollow: {e}"))??;
         let mut threads = vec![path];
-        if let Some((path, life)) = begun.fleet {
+        if let Some((path, handle)) = started.fleet {
             threads.push(path);
-            lives.push(life);
+            handles.push(handle);
         }
         Ok(Hollow {
-            door: begun.door,
+            fleet: started.handle,
             threads,
             stages,
-            over,
-            lives,
+            killed,
+            handles,
         })
     }
 
-    /// The planned end: it gives up what it owns first. Returns when nothing of it is left.
+    /// Shuts down as planned: releases its leases first. Returns once nothing of it is left.
     pub fn stop(mut self) {
         self.stages.send_replace(ShutdownStage::Draining);
-        // The fleet's thread ends by itself, the other is then ended.
-        if self.lives.len() > 1
-            && let Some(fleet) = self.lives.pop()
+        // The fleet's thread ends by itself; dropping ends the other one.
+        if self.handles.len() > 1
+            && let Some(fleet) = self.handles.pop()
         {
             let _ = fleet.join();
         }
@@ -96,87 +99,109 @@
 }
 
 impl Drop for Hollow {
-    /// As SIGKILL would: nobody is told. Returns when its sockets are closed.
+    /// Ends it as SIGKILL would, without notifying others. Returns once its sockets are closed.
     fn drop(&mut self) {
-        self.over.cancel();
-        self.lives.drain(..).for_each(|life| drop(life.join()));
+        self.killed.cancel();
+        self.handles
+            .drain(..)
+            .for_each(|handle| drop(handle.join()));
     }
 }
 
-/// What runs on the thread of the list, and the fleet's thread beside it.
-struct EndpointList {
-    door: Option<FleetHandle>,
+/// What runs on the thread of discovery, and the fleet's thread next to it.
+struct ControlPlane {
+    handle: Option<FleetHandle>,
     fleet: Option<(PathBuf, JoinHandle<()>)>,
 }
 
-impl EndpointList {
-    /// The order is that of the program's own start.
-    fn begin(
-        mut start: SidecarConfig,
+impl ControlPlane {
+    /// Starts in the same order as the program itself.
+    fn start(
+        mut config: SidecarConfig,
         files: Files,
-        turns: mpsc::UnboundedSender<MemberStateChange>,
+        state_changes: mpsc::UnboundedSender<MemberStateChange>,
         stage: watch::Receiver<ShutdownStage>,
-        over: CancellationToken,
-    ) -> Result<EndpointList, String> {
-        let fault = |e: io::Error| format!("hollow: {e}");
-        let hangups = config::sighup()?;
-        let (calls, called) = mpsc::unbounded_channel();
-        let (pace, paces) = watch::channel(Timings::of(&start.orders));
-        if !start.orders.list_on_request {
-            let _ = calls.send(endpoint_list::DiscoveryRequest::Watch(true));
+        killed: CancellationToken,
+    ) -> Result<ControlPlane, String> {
+        let describe = |e: io::Error| format!("hollow: {e}");
+        let sighups = config::sighup()?;
+        let (discovery_sender, discovery_requests) = mpsc::unbounded_channel();
+        let (timings_sender, timings) = watch::channel(Timings::of(&config.balancer));
+        if !config.balancer.list_on_request {
+            let _ = discovery_sender.send(endpoint_list::DiscoveryRequest::Watch(true));
         }
-        let dialer = Dialer::new(start.connect_within, start.orders.idle_close, start.sockets);
-        start.orders.idle_close = dialer.idle_timeout();
-        let (moves, at) = watch::channel(start.discovery);
-        let kept = ActiveConfig::of(&start, moves);
-        let within = start.connect_within / 5;
-        let desk = Dispatcher::new(start.orders, None, start.routes, dialer, within, calls);
-        let revision = start.known.as_ref().map(|list| list.revision);
-        desk.apply_list(ListUpdateKind::Cached, &start.known.unwrap_or_default());
-        tokio::spawn(Arc::clone(&desk).run_heartbeat());
+        let dialer = Dialer::new(
+            config.connect_timeout,
+            config.balancer.idle_close,
+            config.max_sockets,
+        );
+        config.balancer.idle_close = dialer.idle_timeout();
+        let (discovery_address_sender, discovery_address) = watch::channel(config.discovery);
+        let active = ActiveConfig::of(&config, discovery_address_sender);
+        let probe_timeout = config.connect_timeout / 5;
+        let dispatcher = Dispatcher::new(
+            config.balancer,
+            None,
+            config.routes,
+            dialer,
+            probe_timeout,
+            discovery_sender,
+        );
+        let revision = config.initial_list.as_ref().map(|list| list.revision);
+        dispatcher.apply_list(
+            ListUpdateKind::Cached,
+            &config.initial_list.unwrap_or_default(),
+        );
+        tokio::spawn(Arc::clone(&dispatcher).run_heartbeat());
         tokio::spawn(discovery::follow(
-            Arc::clone(&desk),
-            at,
-            paces,
+            Arc::clone(&dispatcher),
+            discovery_address,
+            timings,
             revision,
-            called,
+            discovery_requests,
         ));
-        let own = Arc::clone(&desk);
-        let retune = move |start: &SidecarConfig| {
-            own.reconfigure(start.orders.clone(), start.routes.clone())?;
-            pace.send_modify(|pace| *pace = pace.then(Timings::of(&start.orders)));
+        let own_dispatcher = Arc::clone(&dispatcher);
+        let reconfigure = move |config: &SidecarConfig| {
+            own_dispatcher.reconfigure(config.balancer.clone(), config.routes.clone())?;
+            timings_sender
+                .send_modify(|timings| *timings = timings.then(Timings::of(&config.balancer)));
             Ok(())
         };
-        tokio::spawn(config::read_again(files, hangups, kept, retune));
-        let ready = match start.fleet {
-            Some((orders, place)) => fleet::prepare(orders, place, &desk, stage)?,
+        tokio::spawn(config::reload_on_sighup(
+            files,
+            sighups,
+            active,
+            reconfigure,
+        ));
+        let prepared = match config.fleet {
+            Some((fleet, peers)) => fleet::prepare(fleet, peers, &dispatcher, stage)?,
             None => None,
         };
-        let Some((door, ready)) = ready else {
-            return Ok(EndpointList {
-                door: None,
+        let Some((fleet_handle, prepared)) = prepared else {
+            return Ok(ControlPlane {
+                handle: None,
                 fleet: None,
             });
         };
-        let runtime = runtime().map_err(fault)?;
-        let (tell, told) = std::sync::mpsc::channel();
+        let runtime = runtime().map_err(describe)?;
+        let (sender, thread) = std::sync::mpsc::channel();
         let serve = move || {
-            let _ = tell.send(thread_path());
+            let _ = sender.send(thread_path());
             runtime.block_on(async {
                 tokio::select! {
-                    () = ready.reporting_to(turns).serve() => {}
-                    () = over.cancelled() => {}
+                    () = prepared.reporting_to(state_changes).serve() => {}
+                    () = killed.cancelled() => {}
                 }
             });
         };
-        let life = std::thread::Builder::new()
+        let handle = std::thread::Builder::new()
             .name("fleet".into())
             .spawn(serve)
-            .map_err(fault)?;
-        let path = told.recv().map_err(|e| format!("hollow: {e}"))?;
-        Ok(EndpointList {
-            door: Some(door),
-            fleet: Some((path, life)),
+            .map_err(describe)?;
+        let path = thread.recv().map_err(|e| format!("hollow: {e}"))?;
+        Ok(ControlPlane {
+            handle: Some(fleet_handle),
+            fleet: Some((path, handle)),
         })
     }
 }
--- a/crates/passroad/src/lib.rs
+++ b/crates/passroad/src/lib.rs
@@ -1,5 +1,6 @@
-//! The sidecar. A command comes in at `front`, lives in `command`, goes out by `relay`; `probe` and `list` tell
-//! how the endpoints are; `desk` holds the decision module and hands what it decides to its owners.
+//! The sidecar. Client connections come in at `listener` and are read by `request_handler`; each command runs in
+//! `command` and goes out by `relay`. `probe` and `discovery` report the state of the endpoints. `dispatcher` holds the
+//! decision module and passes on what it decides.
 
 mod body;
 mod command;
@@ -24,123 +25,125 @@
 
 use clap::{Parser, Subcommand};
 use std::future::Future;
+use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::process::ExitCode;
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// A sidecar that starts waits so long to hear what is out for work, where that is settled among the sidecars.
-const INFORMED_WITHIN: Duration = Duration::from_secs(1);
+/// How long a start waits to learn which machines are out, if the fleet takes machines out for maintenance.
+const INFORMED_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// A process before this one may hold an address for so long: it is killed 3.7 s after SIGTERM, and later where the
-/// machine is busy. PROTOCOL: a start may take half a minute.
-const HELD_WITHIN: Duration = Duration::from_secs(25);
-const TRIES_APART: Duration = Duration::from_millis(20);
+/// How long an old process may hold an address: it is killed 3.7 s after SIGTERM, and later if the machine is busy.
+/// PROTOCOL: a start may take half a minute.
+const ADDRESS_TIMEOUT: Duration = Duration::from_secs(25);
+const ADDRESS_RETRY_INTERVAL: Duration = Duration::from_millis(20);
 
-/// passroad: a load balancer of which every client process runs its own copy.
+/// passroad: a load balancer that runs as a sidecar of each client process.
 ///
-/// Without a command it is the sidecar, as `run` without options. SIGHUP has the configuration read again, SIGTERM ends
-/// it once all that was taken is answered. Faulty input ends it with one line on standard error and exit code 2.
+/// Without a command it runs the sidecar, like `run` without options. SIGHUP reloads the configuration. SIGTERM ends
+/// it once every command is answered. Invalid input ends it with one line on standard error and exit code 2.
 #[derive(Parser)]
 #[command(name = "passroad", version)]
-struct Told {
+struct Arguments {
     #[command(subcommand)]
-    what: Option<What>,
+    command: Option<Command>,
 }
 
 #[derive(Subcommand)]
-enum What {
-    /// Be the sidecar.
+enum Command {
+    /// Run the sidecar.
     Run {
         #[command(flatten)]
         files: Files,
-        /// How log lines are written to standard error; RUST_LOG sets their level.
+        /// Format of the log lines on standard error; RUST_LOG sets their level.
         #[arg(long, value_enum, default_value_t)]
         log_format: LogFormat,
     },
-    /// Ask a running sidecar what it knows of the fleet.
+    /// Ask a running sidecar about the fleet.
     Fleet {
         #[command(subcommand)]
-        what: FleetWhat,
+        command: FleetCommand,
     },
-    /// Have machines taken out for work, one after the other, by all sidecars; ask any one of them.
+    /// Take machines out for maintenance on all sidecars, one after the other; any sidecar takes the request.
     Work {
         #[command(subcommand)]
-        what: WorkWhat,
-        /// The sidecar's operators' door; else LB_MANAGEMENT.
-        #[arg(long, global = true, value_name = "ADDRESS")]
-        door: Option<std::net::SocketAddr>,
+        command: WorkCommand,
+        /// The sidecar's management address; else LB_MANAGEMENT.
+        #[arg(long = "door", global = true, value_name = "ADDRESS")]
+        management: Option<SocketAddr>,
     },
-    /// Read configuration and routes, and say what is wrong with them: 0 if nothing is, 2 if something is.
+    /// Validate the configuration and the routes: exit code 0 if they are valid, 2 if not.
     Check {
         #[command(flatten)]
         files: Files,
     },
 }
 
-/// Where the sidecar's files are.
+/// Paths of the sidecar's files.
 #[derive(clap::Args, Debug, Clone, Default)]
 pub struct Files {
-    /// The configuration; else the file that LB_CONFIG names.
+    /// The configuration file; else the one that LB_CONFIG names.
     #[arg(long, value_name = "FILE")]
     pub config: Option<PathBuf>,
-    /// The routes; else the file that LB_ROUTES names, if any.
+    /// The routes file; else the one that LB_ROUTES names, if any.
     #[arg(long, value_name = "FILE")]
     pub routes: Option<PathBuf>,
-    /// The fleet's file; else the file that LB_FLEET names, if any.
+    /// The fleet file; else the one that LB_FLEET names, if any.
     #[arg(long, value_name = "FILE")]
     pub fleet: Option<PathBuf>,
 }
 
 #[derive(Subcommand)]
-enum WorkWhat {
-    /// Take these out, in this order, each when the one before is back and warm.
+enum WorkCommand {
+    /// Take machines out in this order, each once the previous one is back and warm.
     Request {
-        /// Ids of endpoints, as discovery has them.
+        /// Ids of endpoints, as in discovery.
         #[arg(required_unless_present_any = ["zone", "kind", "cell"], conflicts_with_all = ["zone", "kind", "cell"])]
         machines: Vec<String>,
-        /// All in this zone.
+        /// All machines in this zone.
         #[arg(long)]
         zone: Option<String>,
-        /// All of this kind.
+        /// All machines of this kind.
         #[arg(long)]
         kind: Option<String>,
-        /// All in this cell.
+        /// All machines in this cell.
         #[arg(long)]
         cell: Option<usize>,
-        /// How long the work on one may take: 30s, 10m. After that it is told, or with --back the machine comes back.
+        /// How long the maintenance of a machine may take: 30s, 10m. After that it is logged, or with --back the
+        /// machine returns.
         #[arg(long = "for", default_value = "10m", value_name = "TIME")]
-        lasts: String,
-        /// Bring each back by itself when that time is over.
+        duration: String,
+        /// Return each machine by itself when that time is over.
         #[arg(long)]
         back: bool,
-        /// A name for the request: asked twice by it, it is one.
+        /// A name for the request: sent again by the same name, it counts once.
         #[arg(long)]
         name: Option<String>,
     },
-    /// What is out, what waits, and in which order.
+    /// Show which machines are out or waiting, and in which order.
     Status {
         #[arg(long)]
         json: bool,
     },
-    /// The work on a machine is done: back into use.
+    /// End the maintenance of a machine and return it to use.
     Done { machine: String },
-    /// Not any more, if its work has not begun.
+    /// Cancel the request for a machine, if its maintenance has not begun.
     Withdraw { machine: String },
-    /// Take a machine for empty though some sidecars say nothing: they may still send to it.
+    /// Treat a machine as idle although some sidecars have not replied: they may still send to it.
     Force { machine: String },
-    /// Go on with what is known, where a majority of the sidecars that keep the order has forgotten it.
+    /// Continue with the known entries, if a majority of the voters has lost the operation log.
     Begin,
 }
 
 #[derive(Subcommand)]
-enum FleetWhat {
-    /// Who is here, in doubt or gone, and who owns what by which epoch.
+enum FleetCommand {
+    /// Show which sidecars are alive, suspect or dead, and the owner and epoch of each lease.
     Status {
-        /// The sidecar's operators' door; else LB_MANAGEMENT.
-        #[arg(long, value_name = "ADDRESS")]
-        door: Option<std::net::SocketAddr>,
-        /// All that is known, as JSON.
+        /// The sidecar's management address; else LB_MANAGEMENT.
+        #[arg(long = "door", value_name = "ADDRESS")]
+        management: Option<SocketAddr>,
+        /// The whole status, as JSON.
         #[arg(long)]
         json: bool,
     },
@@ -148,302 +151,337 @@
 
 #[derive(clap::ValueEnum, Debug, Clone, Copy, Default, PartialEq, Eq)]
 enum LogFormat {
-    /// Lines for people.
+    /// Text lines.
     #[default]
     Text,
-    /// One JSON object a line, with the line's values apart.
+    /// One JSON object per line, with the line's values as fields.
     Json,
 }
 
-/// The program as its arguments ask for it, to its exit code.
+/// Runs the program by its arguments; returns its exit code.
 pub fn from_arguments() -> ExitCode {
-    match Told::parse().what {
+    match Arguments::parse().command {
         None => main(),
-        Some(What::Run { files, log_format }) => sidecar(files, log_format),
-        Some(What::Fleet {
-            what: FleetWhat::Status { door, json },
-        }) => ended(fleet_status(door, json)),
-        Some(What::Work { what, door }) => ended(work(what, door)),
-        Some(What::Check { files }) => ended(config::check(&files).map(|said| println!("{said}"))),
+        Some(Command::Run { files, log_format }) => sidecar(files, log_format),
+        Some(Command::Fleet {
+            command: FleetCommand::Status { management, json },
+        }) => exit_code(fleet_status(management, json)),
+        Some(Command::Work {
+            command,
+            management,
+        }) => exit_code(work(command, management)),
+        Some(Command::Check { files }) => {
+            exit_code(config::check(&files).map(|summary| println!("{summary}")))
+        }
     }
 }
 
-/// The sidecar, from its variables to its exit code; whoever links it can start it from an executable of its own.
+/// Runs the sidecar as its environment variables say; returns its exit code. For programs that link the library.
 pub fn main() -> ExitCode {
     sidecar(Files::default(), LogFormat::Text)
 }
 
 fn sidecar(files: Files, format: LogFormat) -> ExitCode {
-    logging::begin(format == LogFormat::Json);
-    ended(config::read(&files).and_then(|start| {
+    logging::init(format == LogFormat::Json);
+    exit_code(config::load(&files).and_then(|config| {
         let runtime = tokio::runtime::Builder::new_current_thread()
             .enable_all()
             .build();
         runtime
             .map_err(|e| format!("runtime: {e}"))?
-            .block_on(run(start, files))
+            .block_on(run(config, files))
     }))
 }
 
-fn operators_door(door: Option<std::net::SocketAddr>) -> Result<std::net::SocketAddr, String> {
-    let named = || {
+fn management_address(option: Option<SocketAddr>) -> Result<SocketAddr, String> {
+    let variable = || {
         std::env::var("LB_MANAGEMENT")
             .ok()
             .filter(|text| !text.is_empty())
     };
-    match (door, named()) {
-        (Some(door), _) => Ok(door),
+    match (option, variable()) {
+        (Some(address), _) => Ok(address),
         (None, Some(text)) => text.parse().map_err(|e| format!("LB_MANAGEMENT: {e}")),
-        (None, None) => Err("no door: --door and LB_MANAGEMENT are not set".into()),
+        (None, None) => Err("no management address: --door and LB_MANAGEMENT are not set".into()),
     }
 }
 
-fn work(what: WorkWhat, door: Option<std::net::SocketAddr>) -> Result<(), String> {
-    let door = operators_door(door)?;
-    let word = |path: &str, machine: &str| {
+fn work(command: WorkCommand, management: Option<SocketAddr>) -> Result<(), String> {
+    let address = management_address(management)?;
+    let operate = |action: &str, machine: &str| {
         fleet::request_json(
-            door,
+            address,
             "POST",
-            &format!("/admin/work/{path}"),
+            &format!("/admin/work/{action}"),
             &serde_json::json!({ "machine": machine }).to_string(),
         )
     };
-    let said = match what {
-        WorkWhat::Status { json } => {
-            let said = fleet::request_json(door, "GET", "/admin/work", "")?;
+    let answer = match command {
+        WorkCommand::Status { json } => {
+            let status = fleet::request_json(address, "GET", "/admin/work", "")?;
             print!(
                 "{}",
                 if json {
-                    format!("{said}\n")
+                    format!("{status}\n")
                 } else {
-                    fleet::format_log(&said)
+                    fleet::format_log(&status)
                 }
             );
             return Ok(());
         }
-        WorkWhat::Request {
+        WorkCommand::Request {
             machines,
             zone,
             kind,
             cell,
-            lasts,
+            duration,
             back,
             name,
         } => {
-            let lasts = passroad_units::parse_duration(&lasts)
-                .map_err(|fault| format!("--for: {fault}"))?;
+            let duration = passroad_units::parse_duration(&duration)
+                .map_err(|error| format!("--for: {error}"))?;
             let all = machines
                 .is_empty()
                 .then(|| serde_json::json!({ "zone": zone, "kind": kind, "cell": cell }));
             let body = serde_json::json!({
-                "machines": machines, "all": all, "for_s": lasts.as_secs().max(1), "back": back, "name": name,
+                "machines": machines, "all": all, "for_s": duration.as_secs().max(1), "back": back, "name": name,
             });
-            fleet::request_json(door, "POST", "/admin/work", &body.to_string())?
+            fleet::request_json(address, "POST", "/admin/work", &body.to_string())?
         }
-        WorkWhat::Done { machine } => word("done", &machine)?,
-        WorkWhat::Withdraw { machine } => word("withdraw", &machine)?,
-        WorkWhat::Force { machine } => word("force", &machine)?,
-        WorkWhat::Begin => word("begin", "")?,
+        WorkCommand::Done { machine } => operate("done", &machine)?,
+        WorkCommand::Withdraw { machine } => operate("withdraw", &machine)?,
+        WorkCommand::Force { machine } => operate("force", &machine)?,
+        WorkCommand::Begin => operate("begin", "")?,
     };
-    println!("{}", said["ok"].as_str().unwrap_or("yes"));
+    println!("{}", answer["ok"].as_str().unwrap_or("yes"));
     Ok(())
 }
 
-fn fleet_status(door: Option<std::net::SocketAddr>, json: bool) -> Result<(), String> {
-    let door = operators_door(door)?;
-    let said = fleet::request_json(door, "GET", "/admin/fleet", "")?;
+fn fleet_status(management: Option<SocketAddr>, json: bool) -> Result<(), String> {
+    let address = management_address(management)?;
+    let status = fleet::request_json(address, "GET", "/admin/fleet", "")?;
     print!(
         "{}",
         if json {
-            format!("{said}\n")
+            format!("{status}\n")
         } else {
-            fleet::format_status(&said)
+            fleet::format_status(&status)
         }
     );
     Ok(())
 }
 
-fn ended(how: Result<(), String>) -> ExitCode {
-    match how {
+fn exit_code(result: Result<(), String>) -> ExitCode {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
-        Err(fault) => {
-            eprintln!("passroad: {}", fault.replace('\n', " "));
+        Err(error) => {
+            eprintln!("passroad: {}", error.replace('\n', " "));
             ExitCode::from(2)
         }
     }
 }
 
-/// Whether an address could not be taken as somebody else listens there.
-fn is_held(fault: &str) -> bool {
-    fault.ends_with(&std::io::Error::from(rustix::io::Errno::ADDRINUSE).to_string())
+/// Whether an error means that another process listens on the address.
+fn is_address_in_use(error: &str) -> bool {
+    error.ends_with(&std::io::Error::from(rustix::io::Errno::ADDRINUSE).to_string())
 }
 
-/// Takes an address, as soon as whoever holds it lets go of it.
-async fn once_free<T, F: Future<Output = Result<T, String>>>(
-    take: impl Fn() -> F,
+/// Binds an address as soon as the process that holds it releases it.
+async fn bind_when_free<T, F: Future<Output = Result<T, String>>>(
+    bind: impl Fn() -> F,
 ) -> Result<T, String> {
-    let began = std::time::Instant::now();
+    let started = std::time::Instant::now();
     loop {
-        match take().await {
-            Err(fault) if is_held(&fault) && began.elapsed() < HELD_WITHIN => {
-                tokio::time::sleep(TRIES_APART).await
+        match bind().await {
+            Err(error) if is_address_in_use(&error) && started.elapsed() < ADDRESS_TIMEOUT => {
+                tokio::time::sleep(ADDRESS_RETRY_INTERVAL).await
             }
-            taken => return taken,
+            result => return result,
         }
     }
 }
 
-async fn run(mut start: config::SidecarConfig, files: Files) -> Result<(), String> {
-    let hangups = config::sighup()?;
-    let place = start
+async fn run(mut config: config::SidecarConfig, files: Files) -> Result<(), String> {
+    let sighups = config::sighup()?;
+    let socket_path = config
         .management
-        .and_then(|_| handover::place(start.listen, start.folder.clone()));
-    let mut before = place
+        .and_then(|_| handover::socket_path(config.listen, config.handover_dir.clone()));
+    let mut predecessor = socket_path
         .as_ref()
-        .and_then(|place| handover::ask(place, start.listen));
-    let limits = descriptors::Limits::of(&start, before.as_ref());
+        .and_then(|path| handover::request(path, config.listen));
+    let limits = descriptors::Limits::of(&config, predecessor.as_ref());
     let (most_in, most_out) = (limits.now.clients, limits.now.endpoints);
-    let listener = match before.as_mut().map(|before| before.listener.try_clone()) {
+    let listener = match predecessor
+        .as_mut()
+        .map(|predecessor| predecessor.listener.try_clone())
+    {
         Some(Ok(listener)) => listener::adopt_socket(listener)?,
-        _ => once_free(|| listener::bind(start.listen, start.management.is_some())).await?,
+        _ => bind_when_free(|| listener::bind(config.listen, config.management.is_some())).await?,
     };
-    // Clients don't wait for the operators' door: it opens once the process before has given it up. In an upgrade each
-    // process has a door of its own.
-    let door = match start.management.map(|at| (at, management::listen(at))) {
-        Some((at, Err(fault))) if before.is_none() && is_held(&fault) => {
-            log::warn!("{fault}; it opens once that is free");
-            Some((at, None))
+    // Clients don't wait for the management endpoint: it opens once the old process has released its address. In an
+    // upgrade each process has a management address of its own.
+    let management = match config
+        .management
+        .map(|address| (address, management::listen(address)))
+    {
+        Some((address, Err(error))) if predecessor.is_none() && is_address_in_use(&error) => {
+            log::warn!("{error}; it opens once that is free");
+            Some((address, None))
         }
-        Some((at, listener)) => Some((at, Some(listener?))),
+        Some((address, listener)) => Some((address, Some(listener?))),
         None => None,
     };
     let stages = shutdown::ShutdownStage::on_sigterm()?;
     log::info!(
-        name = start.name.as_str(), listen:% = start.listen, most_in = most_in, most_out = most_out;
-        "{} listens on {}, at most {most_in} connections in, {most_out} out", start.name, start.listen
+        name = config.name.as_str(), listen:% = config.listen, most_in = most_in, most_out = most_out;
+        "{} listens on {}, at most {most_in} connections in, {most_out} out", config.name, config.listen
     );
-    let (calls, called) = tokio::sync::mpsc::unbounded_channel();
-    let (pace, paces) = tokio::sync::watch::channel(config::Timings::of(&start.orders));
-    if !start.orders.list_on_request {
-        // The module takes it that changes come by themselves.
-        let _ = calls.send(endpoint_list::DiscoveryRequest::Watch(true));
+    let (discovery_sender, discovery_requests) = tokio::sync::mpsc::unbounded_channel();
+    let (timings_sender, timings) =
+        tokio::sync::watch::channel(config::Timings::of(&config.balancer));
+    if !config.balancer.list_on_request {
+        // The module expects changes to be pushed.
+        let _ = discovery_sender.send(endpoint_list::DiscoveryRequest::Watch(true));
     }
-    let dialer = relay::Dialer::new(start.connect_within, start.orders.idle_close, most_out);
-    // The module is to count on a connection only as long as it is kept here.
-    start.orders.idle_close = dialer.idle_timeout();
-    let (moves, at) = tokio::sync::watch::channel(start.discovery);
-    let kept = config::ActiveConfig::of(&start, moves);
-    let orders = start.orders.clone();
-    let watch = start.watch.map(|mut watch| {
-        watch.orders.idle_close = dialer.idle_timeout();
-        watch
+    let dialer = relay::Dialer::new(config.connect_timeout, config.balancer.idle_close, most_out);
+    // The module must count on a connection only as long as it is kept here.
+    config.balancer.idle_close = dialer.idle_timeout();
+    let (discovery_address_sender, discovery_address) =
+        tokio::sync::watch::channel(config.discovery);
+    let active = config::ActiveConfig::of(&config, discovery_address_sender);
+    let balancer_config = config.balancer.clone();
+    let shadow = config.shadow.map(|mut shadow| {
+        shadow.balancer.idle_close = dialer.idle_timeout();
+        shadow
     });
-    let (every, watch) = watch.map(|watch| (watch.every, watch.orders)).unzip();
-    let desk = dispatcher::Dispatcher::new(
-        start.orders,
-        watch,
-        start.routes,
+    let (interval, shadow) = shadow
+        .map(|shadow| (shadow.log_interval, shadow.balancer))
+        .unzip();
+    let dispatcher = dispatcher::Dispatcher::new(
+        config.balancer,
+        shadow,
+        config.routes,
         dialer.clone(),
-        start.connect_within / 5,
-        calls,
+        config.connect_timeout / 5,
+        discovery_sender,
     );
-    if let Some(every) = every {
-        tokio::spawn(Arc::clone(&desk).log_shadow_counts_periodically(every));
+    if let Some(interval) = interval {
+        tokio::spawn(Arc::clone(&dispatcher).log_shadow_counts_periodically(interval));
     }
-    let revision = start.known.as_ref().map(|list| list.revision);
-    let mut known = before.as_mut().and_then(|before| before.known.take());
-    let claims = Arc::<in_flight::InFlightIds>::default();
-    let open = known
+    let revision = config.initial_list.as_ref().map(|list| list.revision);
+    let mut state = predecessor
+        .as_mut()
+        .and_then(|predecessor| predecessor.state.take());
+    let in_flight_ids = Arc::<in_flight::InFlightIds>::default();
+    let open_ids = state
         .as_mut()
-        .map(|known| std::mem::take(&mut known.open_ids))
+        .map(|state| std::mem::take(&mut state.open_ids))
         .unwrap_or_default();
-    open.into_iter()
-        .for_each(|id| claims.set_in_other_process(true, id));
-    let revision = match known {
-        Some(known) => desk.inherit(known),
-        // An empty one, too: the module calls discovery from there on.
+    open_ids
+        .into_iter()
+        .for_each(|id| in_flight_ids.set_in_other_process(true, id));
+    let revision = match state {
+        Some(state) => dispatcher.inherit(state),
+        // An empty list, too: the module polls discovery from then on.
         None => {
-            desk.apply_list(
+            dispatcher.apply_list(
                 passroad_choice::ListUpdateKind::Cached,
-                &start.known.unwrap_or_default(),
+                &config.initial_list.unwrap_or_default(),
             );
             revision
         }
     };
-    tokio::spawn(Arc::clone(&desk).run_heartbeat());
+    tokio::spawn(Arc::clone(&dispatcher).run_heartbeat());
     tokio::spawn(discovery::follow(
-        Arc::clone(&desk),
-        at,
-        paces.clone(),
+        Arc::clone(&dispatcher),
+        discovery_address,
+        timings.clone(),
         revision,
-        called,
+        discovery_requests,
     ));
-    let taken = Arc::clone(&claims);
-    let intake = Arc::new(request_handler::RequestHandler::new(
-        Arc::clone(&desk),
-        &orders,
-        start.memory,
-        taken,
+    let ids = Arc::clone(&in_flight_ids);
+    let request_handler = Arc::new(request_handler::RequestHandler::new(
+        Arc::clone(&dispatcher),
+        &balancer_config,
+        config.memory_bytes,
+        ids,
         stages.clone(),
     ));
-    let retune = {
-        let (desk, intake) = (Arc::clone(&desk), Arc::clone(&intake));
-        move |start: &config::SidecarConfig| {
-            let numbers = desk.reconfigure(start.orders.clone(), start.routes.clone())?;
-            intake.reconfigure(&start.orders, &numbers);
-            pace.send_modify(|pace| *pace = pace.then(config::Timings::of(&start.orders)));
+    let reconfigure = {
+        let (dispatcher, request_handler) = (Arc::clone(&dispatcher), Arc::clone(&request_handler));
+        move |config: &config::SidecarConfig| {
+            let class_indices =
+                dispatcher.reconfigure(config.balancer.clone(), config.routes.clone())?;
+            request_handler.reconfigure(&config.balancer, &class_indices);
+            timings_sender.send_modify(|timings| {
+                *timings = timings.then(config::Timings::of(&config.balancer))
+            });
             Ok(())
         }
     };
-    tokio::spawn(config::read_again(files, hangups, kept, retune));
-    let fleet = match start.fleet {
-        Some((orders, place)) => fleet::start(orders, place, &desk, stages.clone())?,
+    tokio::spawn(config::reload_on_sighup(
+        files,
+        sighups,
+        active,
+        reconfigure,
+    ));
+    let fleet = match config.fleet {
+        Some((fleet, peers)) => fleet::start(fleet, peers, &dispatcher, stages.clone())?,
         None => None,
     };
-    // Guards against commands to what is out for work, which a list may show as up.
+    // Prevents commands to machines under maintenance, which the list may show as up.
     if let Some(fleet) = fleet.as_ref().filter(|fleet| fleet.maintenance)
-        && !fleet.wait_informed(INFORMED_WITHIN).await
+        && !fleet.wait_informed(INFORMED_TIMEOUT).await
     {
         log::warn!(
-            "fleet: work: nobody has said within {INFORMED_WITHIN:?} what is out; the list alone is gone by until then"
+            "fleet: work: no sidecar has reported within {INFORMED_TIMEOUT:?} which machines are out; until one does, the list alone decides"
         );
     }
-    let front = listener::ClientConnections::new(most_in, start.sockets / 6, stages.clone());
-    if let Some((at, door)) = door {
-        if before.is_some() {
-            intake.share_body_budget(true);
+    let connections =
+        listener::ClientConnections::new(most_in, config.max_sockets / 6, stages.clone());
+    if let Some((address, management)) = management {
+        if predecessor.is_some() {
+            request_handler.share_body_budget(true);
         }
-        let (held_back, socket) = (Mutex::default(), listener::duplicate_socket(&listener)?);
-        let (front, intake) = (Arc::clone(&front), Arc::clone(&intake));
-        let room = Box::new(descriptors::Room {
+        let (withheld, socket) = (Mutex::default(), listener::duplicate_socket(&listener)?);
+        let (connections, request_handler) =
+            (Arc::clone(&connections), Arc::clone(&request_handler));
+        let budget = Box::new(descriptors::DescriptorBudget {
             limits,
-            front,
+            connections,
             dialer,
-            intake,
-            held_back,
+            request_handler,
+            withheld,
         });
-        let handover =
-            handover::Handover::new(Arc::clone(&desk), claims, stages.clone(), socket, room)?;
-        let open = move |door| {
+        let handover = handover::Handover::new(
+            Arc::clone(&dispatcher),
+            in_flight_ids,
+            stages.clone(),
+            socket,
+            budget,
+        )?;
+        let open = move |listener| {
             management::open(
-                door,
+                listener,
                 handover,
-                place.map(|place| (before, place)),
+                socket_path.map(|path| (predecessor, path)),
                 fleet,
                 stages,
             )
         };
-        match door {
-            Some(door) => open(door)?,
+        match management {
+            Some(listener) => open(listener)?,
             None => drop(tokio::spawn(async move {
-                let opened = once_free(|| std::future::ready(management::listen(at)))
+                let opened = bind_when_free(|| std::future::ready(management::listen(address)))
                     .await
                     .and_then(open);
-                opened.unwrap_or_else(|fault| log::error!("operators are not answered: {fault}"));
+                opened.unwrap_or_else(|error| {
+                    log::error!("the management endpoint is not available: {error}")
+                });
             })),
         }
     }
-    listener::serve(listener, front, intake, paces).await;
-    desk.log_shadow_counts();
+    listener::serve(listener, connections, request_handler, timings).await;
+    dispatcher.log_shadow_counts();
     Ok(())
 }
--- a/crates/passroad/src/logging.rs
+++ b/crates/passroad/src/logging.rs
@@ -1,16 +1,21 @@
-//! Log lines: text for people, or JSON with the values of a line apart.
+//! Log lines: text, or JSON with the values of a line as separate fields.
 
 use log::kv::{Error, Key, Value, VisitSource};
 use serde_json::{Map, json};
 use std::io::Write;
 
-/// Text lines stay as the on-call page has them: values that a line carries beside its text show in JSON only.
-pub fn begin(as_json: bool) {
+/// Initializes logging. Text lines have the form that the on-call page quotes; a line's separate values appear in JSON
+/// only.
+pub fn init(as_json: bool) {
     let mut builder =
         env_logger::Builder::from_env(env_logger::Env::default().default_filter_or("info"));
     if as_json {
         builder.format(|out, record| {
-            writeln!(out, "{}", line(&out.timestamp_millis().to_string(), record))
+            writeln!(
+                out,
+                "{}",
+                json_line(&out.timestamp_millis().to_string(), record)
+            )
         });
     } else {
         builder.format_key_values(|_, _| Ok(()));
@@ -18,9 +23,9 @@
     builder.init();
 }
 
-fn line(time: &str, record: &log::Record) -> serde_json::Value {
+fn json_line(time: &str, record: &log::Record) -> serde_json::Value {
     let mut values = Values(Map::new());
-    // A value that can't be written is left out; its line is not.
+    // A value that can't be converted is left out; the line is still written.
     let _ = record.key_values().visit(&mut values);
     let mut object = values.0;
     object.insert("time".into(), json!(time));
@@ -47,33 +52,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-    use rstest::rstest;
-
-    #[rstest]
-    fn a_line_of_json_keeps_text_and_values_apart() {
-        let values = [
-            ("endpoint", Value::from(7u64)),
-            ("id", Value::from("e \"7\"\n")),
-        ];
-        let source: &[(&str, Value)] = &values;
-        let args = format_args!("endpoint {} is up", 7);
-        let record = log::Record::builder()
-            .args(args)
-            .level(log::Level::Info)
-            .key_values(&source)
-            .build();
-        let text = line("now", &record).to_string();
-        assert_eq!(text.lines().count(), 1);
-        let read: serde_json::Value = serde_json::from_str(&text).unwrap();
-        assert_eq!(
-            (&read["endpoint"], &read["id"]),
-            (&json!(7), &json!("e \"7\"\n"))
-        );
-        assert_eq!(
-            (&read["message"], &read["level"]),
-            (&json!("endpoint 7 is up"), &json!("INFO"))
-        );
-    }
-}
+mod tests;
--- a/crates/passroad/src/main.rs
+++ b/crates/passroad/src/main.rs
@@ -1,4 +1,4 @@
-//! The program; all of it stands in the library.
+//! The program; everything is in the library.
 
 fn main() -> std::process::ExitCode {
     passroad::from_arguments()
--- a/crates/passroad/src/management.rs
+++ b/crates/passroad/src/management.rs
@@ -1,4 +1,4 @@
-//! The operators' door: an address of its own, served by a thread of its own, so that a busy front can't hold it up.
+//! The management endpoint: an address of its own, served by a thread of its own, so that client load can't delay it.
 
 use crate::fleet;
 use crate::handover::{Handover, Inherited};
@@ -23,46 +23,46 @@
 use tokio::task::AbortHandle;
 use tokio::time::{sleep, timeout};
 
-/// Descriptors that are set aside: those of callers, and of the runtime.
-pub const SOCKETS: usize = MOST_CALLERS + 8;
-const MOST_CALLERS: usize = 48;
+/// Descriptors that are reserved for callers and the runtime.
+pub const SOCKETS: usize = MAX_CALLERS + 8;
+const MAX_CALLERS: usize = 48;
 const BACKLOG: i32 = 256;
-const CALL_WITHIN: Duration = Duration::from_secs(3); // the whole call with its answer
-const LONGEST_HEAD: usize = 8 << 10;
-const LONGEST_BODY: usize = 4 << 10;
-const LONGEST_WORK: u32 = 30 * 24 * 3600; // on a machine, in seconds
-const TRIES_APART: Duration = Duration::from_millis(20); // to accept, after a failure
+const CALL_TIMEOUT: Duration = Duration::from_secs(3); // for request and response
+const MAX_HEAD_BYTES: usize = 8 << 10;
+const MAX_BODY_BYTES: usize = 4 << 10;
+const MAX_MAINTENANCE_S: u32 = 30 * 24 * 3600; // on one machine
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
 #[derive(Clone)]
-struct Door {
+struct AppState {
     handover: Arc<Handover>,
     fleet: Option<fleet::FleetHandle>,
     stages: ShutdownWatch,
 }
 
 #[derive(Deserialize)]
-struct Which {
+struct EndpointBody {
     id: String,
 }
 
-/// Takes the address.
-pub fn listen(at: SocketAddr) -> Result<std::net::TcpListener, String> {
+/// Binds the address.
+pub fn listen(address: SocketAddr) -> Result<std::net::TcpListener, String> {
     let bound = || {
         let socket = socket2::Socket::new(
-            socket2::Domain::for_address(at),
+            socket2::Domain::for_address(address),
             socket2::Type::STREAM,
             None,
         )?;
         socket.set_reuse_address(true)?;
         socket.set_nonblocking(true)?;
-        socket.bind(&at.into())?;
+        socket.bind(&address.into())?;
         socket.listen(BACKLOG)?;
         Ok::<_, std::io::Error>(socket.into())
     };
-    bound().map_err(|e| format!("management: listen on {at}: {e}"))
+    bound().map_err(|e| format!("management: listen on {address}: {e}"))
 }
 
-/// Serves calls for as long as the process runs.
+/// Serves requests for as long as the process runs.
 pub fn open(
     listener: std::net::TcpListener,
     handover: Arc<Handover>,
@@ -70,22 +70,22 @@
     fleet: Option<fleet::FleetHandle>,
     stages: ShutdownWatch,
 ) -> Result<(), String> {
-    let fault = |e: std::io::Error| format!("management: {e}");
+    let describe = |e: std::io::Error| format!("management: {e}");
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
-        .map_err(fault)?;
-    let at = listener.local_addr().map_err(fault)?;
+        .map_err(describe)?;
+    let address = listener.local_addr().map_err(describe)?;
     let serve = move || {
         runtime.block_on(async move {
-            if let Some((before, place)) = upgrade {
-                tokio::spawn(Arc::clone(&handover).serve(before, place));
+            if let Some((predecessor, path)) = upgrade {
+                tokio::spawn(Arc::clone(&handover).serve(predecessor, path));
             }
             match TcpListener::from_std(listener) {
                 Ok(listener) => {
                     serve(
                         listener,
-                        router(Door {
+                        router(AppState {
                             handover,
                             fleet,
                             stages,
@@ -93,244 +93,258 @@
                     )
                     .await
                 }
-                Err(fault) => log::error!("management: {fault}"),
+                Err(error) => log::error!("management: {error}"),
             }
         });
     };
     std::thread::Builder::new()
         .name("management".into())
         .spawn(serve)
-        .map_err(fault)?;
-    log::info!(management:% = at; "operators are answered on {at}");
+        .map_err(describe)?;
+    log::info!(management:% = address; "management endpoint listens on {address}");
     Ok(())
 }
 
-fn router(door: Door) -> Router {
+fn router(app: AppState) -> Router {
     Router::new()
         .route("/admin/health", get(health))
         .route("/admin/fleet", get(fleet_status))
         .route("/admin/work", get(work_status).post(work_request))
-        .route("/admin/work/{word}", post(work_word))
-        .route("/admin/cordon", post(|door, body| turn(door, body, true)))
+        .route("/admin/work/{action}", post(work_action))
+        .route(
+            "/admin/cordon",
+            post(|app, body| set_cordoned(app, body, true)),
+        )
         .route(
             "/admin/uncordon",
-            post(|door, body| turn(door, body, false)),
+            post(|app, body| set_cordoned(app, body, false)),
         )
         .method_not_allowed_fallback(async || {
-            said(StatusCode::METHOD_NOT_ALLOWED, "not by this method")
+            respond(StatusCode::METHOD_NOT_ALLOWED, "not by this method")
         })
-        .fallback(async || said(StatusCode::NOT_FOUND, "no such call"))
-        .with_state(door)
+        .fallback(async || respond(StatusCode::NOT_FOUND, "no such call"))
+        .with_state(app)
 }
 
-async fn health(State(door): State<Door>) -> Response {
-    match *door.stages.borrow() {
-        ShutdownStage::Serving => said(StatusCode::OK, "clients are taken"),
-        _ => said(StatusCode::SERVICE_UNAVAILABLE, "stopping"),
+async fn health(State(app): State<AppState>) -> Response {
+    match *app.stages.borrow() {
+        ShutdownStage::Serving => respond(StatusCode::OK, "clients are accepted"),
+        _ => respond(StatusCode::SERVICE_UNAVAILABLE, "stopping"),
     }
 }
 
-async fn fleet_status(State(door): State<Door>) -> Response {
-    let Some(fleet) = door.fleet else {
-        return said(
+async fn fleet_status(State(app): State<AppState>) -> Response {
+    let Some(fleet) = app.fleet else {
+        return respond(
             StatusCode::NOT_FOUND,
-            "this sidecar has no fleet's file, or may not talk to others",
+            "this sidecar has no fleet file, or messages between sidecars are forbidden",
         );
     };
-    known(fleet.status().await)
+    status_page(fleet.status().await)
 }
 
-/// What the fleet's thread knows, as it says it.
-fn known(told: Option<serde_json::Value>) -> Response {
-    match told {
-        Some(told) => {
+/// A status from the fleet's thread as a response.
+fn status_page(status: Option<serde_json::Value>) -> Response {
+    match status {
+        Some(status) => {
             let json = (
                 header::CONTENT_TYPE,
                 HeaderValue::from_static("application/json"),
             );
             let close = (header::CONNECTION, HeaderValue::from_static("close"));
-            (StatusCode::OK, [json, close], format!("{told}\n")).into_response()
+            (StatusCode::OK, [json, close], format!("{status}\n")).into_response()
         }
-        None => said(
+        None => respond(
             StatusCode::SERVICE_UNAVAILABLE,
-            "the fleet's part has ended or is too busy",
+            "the fleet's thread has ended or is too busy",
         ),
     }
 }
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct Request {
+struct MaintenanceRequest {
     #[serde(default)]
     machines: Vec<String>,
-    /// In place of ids: all in a zone, of a kind, in a cell.
+    /// Instead of ids: all machines in a zone, of a kind, in a cell.
     #[serde(default)]
     all: Option<fleet::MachineFilter>,
-    #[serde(default = "ten_minutes")]
-    for_s: u32,
-    #[serde(default)]
-    back: bool,
+    #[serde(default = "default_duration_s", rename = "for_s")]
+    duration_s: u32,
+    #[serde(default, rename = "back")]
+    auto_return: bool,
     #[serde(default)]
     name: Option<String>,
 }
 
-fn ten_minutes() -> u32 {
+fn default_duration_s() -> u32 {
     600
 }
 
 #[derive(Deserialize)]
-struct OfMachine {
+struct MachineBody {
     machine: String,
 }
 
-/// The fleet's part, where it settles the order of work.
-fn upkeep(door: &Door) -> Option<&fleet::FleetHandle> {
-    door.fleet.as_ref().filter(|fleet| fleet.maintenance)
+/// The fleet handle, if the fleet takes machines out for maintenance.
+fn maintenance(app: &AppState) -> Option<&fleet::FleetHandle> {
+    app.fleet.as_ref().filter(|fleet| fleet.maintenance)
 }
 
-fn no_upkeep() -> Response {
-    said(
+fn no_maintenance() -> Response {
+    respond(
         StatusCode::NOT_FOUND,
-        "no order of work here: no fleet's file with [upkeep], or no leave to talk",
+        "no maintenance here: no fleet file with [upkeep], or messages between sidecars are forbidden",
     )
 }
 
-async fn work_status(State(door): State<Door>) -> Response {
-    let Some(fleet) = upkeep(&door) else {
-        return no_upkeep();
+async fn work_status(State(app): State<AppState>) -> Response {
+    let Some(fleet) = maintenance(&app) else {
+        return no_maintenance();
     };
-    known(fleet.operation_log().await)
+    status_page(fleet.operation_log().await)
 }
 
-async fn work_request(State(door): State<Door>, body: Body) -> Response {
-    let Some(fleet) = upkeep(&door) else {
-        return no_upkeep();
+async fn work_request(State(app): State<AppState>, body: Body) -> Response {
+    let Some(fleet) = maintenance(&app) else {
+        return no_maintenance();
     };
-    let Ok(body) = to_bytes(body, LONGEST_BODY).await else {
-        return said(
+    let Ok(body) = to_bytes(body, MAX_BODY_BYTES).await else {
+        return respond(
             StatusCode::PAYLOAD_TOO_LARGE,
-            "the body is too large or breaks off",
+            "the body is too large or incomplete",
         );
     };
-    let mut request: Request = match serde_json::from_slice(&body) {
+    let mut request: MaintenanceRequest = match serde_json::from_slice(&body) {
         Ok(request) => request,
-        Err(fault) => {
-            return said(
+        Err(error) => {
+            return respond(
                 StatusCode::BAD_REQUEST,
-                &format!("not {{\"machines\":[\"ID\"]}}: {fault}"),
+                &format!("not {{\"machines\":[\"ID\"]}}: {error}"),
             );
         }
     };
     match request.all.take() {
         Some(_) if !request.machines.is_empty() => {
-            return said(
+            return respond(
                 StatusCode::BAD_REQUEST,
-                "machines by their ids, or all of some, not both",
+                "either machines by their ids or all of a zone, kind or cell, not both",
             );
         }
         Some(all) if all.zone.is_none() && all.kind.is_none() && all.cell.is_none() => {
-            return said(StatusCode::BAD_REQUEST, "all of which zone, kind or cell");
+            return respond(
+                StatusCode::BAD_REQUEST,
+                "all needs a zone, a kind or a cell",
+            );
         }
         Some(all) => request.machines = fleet.find_machines(all).await.unwrap_or_default(),
         None => {}
     }
     if request.machines.is_empty()
         || request.machines.len() > passroad_upkeep::MAX_MACHINES_PER_REQUEST
-        || !(1..=LONGEST_WORK).contains(&request.for_s)
+        || !(1..=MAX_MAINTENANCE_S).contains(&request.duration_s)
     {
-        let (count, most) = (
+        let (count, max) = (
             request.machines.len(),
             passroad_upkeep::MAX_MACHINES_PER_REQUEST,
         );
-        let what =
-            format!("from 1 to {most} machines, for a second to thirty days; these are {count}");
-        return said(StatusCode::BAD_REQUEST, &what);
+        let message = format!(
+            "from 1 to {max} machines, for a second to thirty days; the request has {count}"
+        );
+        return respond(StatusCode::BAD_REQUEST, &message);
     }
-    // Asked twice by its name, it is one request.
+    // Requests of the same name are one request.
     let name = request
         .name
         .unwrap_or_else(|| format!("{:?}", std::time::SystemTime::now()));
-    let word = passroad_upkeep::Message::Schedule {
+    let message = passroad_upkeep::Message::Schedule {
         request: stable_hash(&name),
-        duration_s: request.for_s,
-        auto_return: request.back,
+        duration_s: request.duration_s,
+        auto_return: request.auto_return,
         machines: request.machines.iter().map(|id| stable_hash(id)).collect(),
     };
-    told(fleet.submit(word).await, "taken into the order")
+    operator_response(fleet.submit(message).await, "added to the queue")
 }
 
-async fn work_word(State(door): State<Door>, Path(word): Path<String>, body: Body) -> Response {
-    let Some(fleet) = upkeep(&door) else {
-        return no_upkeep();
+async fn work_action(
+    State(app): State<AppState>,
+    Path(name): Path<String>,
+    body: Body,
+) -> Response {
+    let Some(fleet) = maintenance(&app) else {
+        return no_maintenance();
     };
-    let Some(what) = fleet::parse_action(&word) else {
-        return said(StatusCode::NOT_FOUND, "no such call");
+    let Some(action) = fleet::parse_action(&name) else {
+        return respond(StatusCode::NOT_FOUND, "no such call");
     };
-    let body = to_bytes(body, LONGEST_BODY).await.unwrap_or_default();
-    let of: OfMachine = match serde_json::from_slice(&body) {
-        Ok(of) => of,
-        Err(fault) => {
-            return said(
+    let body = to_bytes(body, MAX_BODY_BYTES).await.unwrap_or_default();
+    let target: MachineBody = match serde_json::from_slice(&body) {
+        Ok(target) => target,
+        Err(error) => {
+            return respond(
                 StatusCode::BAD_REQUEST,
-                &format!("not {{\"machine\":\"ID\"}}: {fault}"),
+                &format!("not {{\"machine\":\"ID\"}}: {error}"),
             );
         }
     };
     let request = stable_hash(&format!(
-        "{word} {} {:?}",
-        of.machine,
+        "{name} {} {:?}",
+        target.machine,
         std::time::SystemTime::now()
     ));
-    if word == "force" || word == "begin" {
-        log::warn!("fleet: work: an operator says {word} {}", of.machine);
+    if name == "force" || name == "begin" {
+        log::warn!("fleet: work: operator action {name} {}", target.machine);
     }
-    let word = passroad_upkeep::Message::Operate {
+    let message = passroad_upkeep::Message::Operate {
         request,
-        machine: stable_hash(&of.machine),
-        action: what,
+        machine: stable_hash(&target.machine),
+        action,
     };
-    told(fleet.submit(word).await, "done")
+    operator_response(fleet.submit(message).await, "done")
 }
 
-/// The conductor's answer to an operator.
-fn told(answer: Option<Option<passroad_upkeep::Rejection>>, yes: &str) -> Response {
+/// The coordinator's answer as a response.
+fn operator_response(
+    answer: Option<Option<passroad_upkeep::Rejection>>,
+    success: &str,
+) -> Response {
     match answer {
-        Some(None) => said(StatusCode::OK, yes),
-        Some(Some(refused)) => said(StatusCode::CONFLICT, fleet::rejection_text(refused)),
-        None => said(
+        Some(None) => respond(StatusCode::OK, success),
+        Some(Some(rejected)) => respond(StatusCode::CONFLICT, fleet::rejection_text(rejected)),
+        None => respond(
             StatusCode::ACCEPTED,
-            "no conductor has answered yet; it goes on being asked, see the status",
+            "no coordinator has answered yet; the request is sent again until one does, see the status",
         ),
     }
 }
 
-async fn turn(State(door): State<Door>, body: Body, out: bool) -> Response {
-    let Ok(body) = to_bytes(body, LONGEST_BODY).await else {
-        return said(
+async fn set_cordoned(State(app): State<AppState>, body: Body, cordoned: bool) -> Response {
+    let Ok(body) = to_bytes(body, MAX_BODY_BYTES).await else {
+        return respond(
             StatusCode::PAYLOAD_TOO_LARGE,
-            "the body is too large or breaks off",
+            "the body is too large or incomplete",
         );
     };
-    let which: Which = match serde_json::from_slice(&body) {
-        Ok(which) => which,
-        Err(fault) => {
-            return said(
+    let endpoint: EndpointBody = match serde_json::from_slice(&body) {
+        Ok(endpoint) => endpoint,
+        Err(error) => {
+            return respond(
                 StatusCode::BAD_REQUEST,
-                &format!("not {{\"id\":\"ID\"}}: {fault}"),
+                &format!("not {{\"id\":\"ID\"}}: {error}"),
             );
         }
     };
-    // The yes is said only once the ban is in effect.
-    match door.handover.cordon(&which.id, out).await {
-        true => said(StatusCode::OK, if out { "out" } else { "back in use" }),
-        false => said(StatusCode::NOT_FOUND, "no endpoint of this id was listed"),
+    // Answers only once the change is in effect.
+    match app.handover.cordon(&endpoint.id, cordoned).await {
+        true => respond(StatusCode::OK, if cordoned { "out" } else { "back in use" }),
+        false => respond(StatusCode::NOT_FOUND, "no endpoint of this id was listed"),
     }
 }
 
-/// One line of JSON.
-fn said(status: StatusCode, what: &str) -> Response {
+/// A response with one line of JSON.
+fn respond(status: StatusCode, message: &str) -> Response {
     let key = if status.is_success() { "ok" } else { "error" };
-    let line = format!("{}\n", serde_json::json!({ key: what }));
+    let line = format!("{}\n", serde_json::json!({ key: message }));
     let json = (
         header::CONTENT_TYPE,
         HeaderValue::from_static("application/json"),
@@ -345,27 +359,28 @@
         match listener.accept().await {
             Ok((stream, _)) => {
                 callers.retain(|caller| !caller.is_finished());
-                // Guards against callers that hold connections and say nothing: whoever has waited longest goes.
-                if callers.len() >= MOST_CALLERS {
+                // Closes the oldest connection, so that idle callers can't hold all of them.
+                if callers.len() >= MAX_CALLERS {
                     callers.pop_front().iter().for_each(AbortHandle::abort);
                 }
-                callers.push_back(tokio::spawn(call(stream, router.clone())).abort_handle());
+                callers
+                    .push_back(tokio::spawn(serve_caller(stream, router.clone())).abort_handle());
             }
-            Err(fault) => {
-                log::warn!("management: accept: {fault}");
-                sleep(TRIES_APART).await;
+            Err(error) => {
+                log::warn!("management: accept: {error}");
+                sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
 }
 
-/// One call of one caller.
-async fn call(stream: TcpStream, router: Router) {
+/// Serves one request of one caller.
+async fn serve_caller(stream: TcpStream, router: Router) {
     let _ = stream.set_nodelay(true);
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
         .keep_alive(false)
-        .max_buf_size(LONGEST_HEAD)
+        .max_buf_size(MAX_HEAD_BYTES)
         .serve_connection(TokioIo::new(stream), TowerToHyperService::new(router));
-    let _ = timeout(CALL_WITHIN, connection).await;
+    let _ = timeout(CALL_TIMEOUT, connection).await;
 }
