--- a/crates/passroad/src/dispatcher.rs
+++ b/crates/passroad/src/dispatcher.rs
@@ -402,7 +402,7 @@
         };
         if changed {
             let endpoint = state.endpoints.intern(&id.to_string());
-            log::info!(endpoint = endpoint, id = id; "endpoint {endpoint} ({id}) is {} by hand", if cordoned { "out" } else { "back" });
+            log::info!(endpoint = endpoint, id = id; "endpoint {endpoint} ({id}) is {}", if cordoned { "cordoned" } else { "no longer cordoned" });
             self.decide(&mut state, Event::CordonChanged { endpoint, cordoned });
         }
     }
@@ -453,7 +453,7 @@
                             send_by,
                         },
                     ),
-                    None => log::error!("a relay to endpoint {endpoint}, which has no address"),
+                    None => log::error!("no relay to endpoint {endpoint}, which has no address"),
                 },
                 // The module cancels only relays of concluded commands.
                 Action::CancelRelay { command, relay } => {
@@ -490,10 +490,14 @@
                 }
                 Action::PollList => drop(self.discovery.send(DiscoveryRequest::FullList)),
                 Action::ClassIndicesAssigned { .. } => {
-                    log::error!("the module assigned class indices without a reconfiguration")
+                    log::error!(
+                        "the decision module assigned class indices without a reconfiguration"
+                    )
                 }
                 Action::SendToPeer { .. } => {
-                    log::error!("the module has a message for peers; it can't be sent")
+                    log::error!(
+                        "the decision module has a message for peers, which is not supported"
+                    )
                 }
                 Action::SetTimer { after, token } => {
                     let dispatcher = Arc::clone(self);
@@ -570,7 +574,7 @@
             {
                 self.exhaustion_logged_at = Some(Instant::now());
                 log::warn!(
-                    "all connections to endpoints are taken; those to {count} idle ones are closed"
+                    "all connections to endpoints are in use; those to {count} unused endpoints are closed"
                 );
             }
         }
--- a/crates/passroad/src/fleet/machines.rs
+++ b/crates/passroad/src/fleet/machines.rs
@@ -182,7 +182,7 @@
 pub fn rejection_text(rejected: Rejection) -> &'static str {
     match rejected {
         Rejection::UnknownMachine => "no such machine is listed, or none was named",
-        Rejection::AlreadyStarted => "its work has begun; it can only be done",
+        Rejection::AlreadyStarted => "its maintenance has begun; it can only be ended with done",
         Rejection::NotUnderMaintenance => "it is not at work",
         Rejection::NotDraining => "it is not leaving",
     }
@@ -212,7 +212,7 @@
         );
     }
     if text.is_empty() {
-        "nothing is out for work, and nothing waits\n".into()
+        "no machine is out for maintenance or queued\n".into()
     } else {
         text
     }
--- a/crates/passroad/src/fleet/mod.rs
+++ b/crates/passroad/src/fleet/mod.rs
@@ -146,7 +146,7 @@
         .spawn(serve)
         .map_err(describe)?;
     log::info!(
-        "fleet: one of {members} sidecars, at {listen}; {voters} voters a duty, leases of {lease:?}, {state_file}"
+        "fleet: one of {members} sidecars, at {listen}; {voters} voters per duty, leases of {lease:?}, {state_file}"
     );
     Ok(Some(handle))
 }
--- a/crates/passroad/src/fleet/node.rs
+++ b/crates/passroad/src/fleet/node.rs
@@ -399,7 +399,7 @@
                 log(
                     Level::Warn,
                     format!(
-                        "duty {}: epoch {epoch} was refused, {highest} is known there",
+                        "duty {}: epoch {epoch} was refused, the resource knows {highest}",
                         task.name
                     ),
                 );
@@ -414,7 +414,7 @@
                     log(
                         Level::Warn,
                         format!(
-                            "duty {}: a call that may have been done or not: {reason}",
+                            "duty {}: it is not known whether a call had an effect: {reason}",
                             task.name
                         ),
                     );
