--- a/crates/passroad-upkeep/src/lib.rs
+++ b/crates/passroad-upkeep/src/lib.rs
@@ -13,6 +13,7 @@
 mod capacity;
 mod messages;
 mod operation_log;
+mod participant;
 
 #[cfg(test)]
 mod tests;
@@ -515,127 +516,6 @@
             && most - least < self.config.limits.fleet_start_window.as_millis() as u64
     }
 
-    /// Excludes machines that are out, and lifts exclusions of those that no longer are.
-    fn apply_exclusions(&mut self, actions: &mut Vec<Action>) {
-        let now: BTreeSet<MachineId> = self
-            .operation_log
-            .out()
-            .map(|entry| entry.machine)
-            .collect();
-        for machine in now.difference(&self.excluded) {
-            actions.push(Action::SetExcluded {
-                machine: *machine,
-                excluded: true,
-            });
-        }
-        for machine in self.excluded.difference(&now) {
-            actions.push(Action::SetExcluded {
-                machine: *machine,
-                excluded: false,
-            });
-        }
-        self.excluded = now;
-        // Also lifts an exclusion that was inherited in a handover, if it ended before this process received the entry.
-        let returning: Vec<Entry> = self
-            .operation_log
-            .ordered()
-            .into_iter()
-            .filter(|e| e.state == MaintenanceState::WarmingUp)
-            .collect();
-        for entry in returning {
-            if self.readmitted.insert(entry.machine, entry.position) != Some(entry.position) {
-                actions.push(Action::SetExcluded {
-                    machine: entry.machine,
-                    excluded: false,
-                });
-            }
-        }
-    }
-
-    /// Acknowledges an entry. Idle is only what was checked after the exclusion took effect, or a command could be sent
-    /// between the check and the exclusion.
-    fn acknowledge(&mut self, context: &Context, entry: &Entry) -> (MachineId, Epoch, u32, bool) {
-        let idle =
-            self.effective_exclusions.contains(&entry.machine) && (context.idle)(entry.machine);
-        let ack = (entry.epoch, entry.step, idle);
-        self.own_acks.insert(entry.machine, ack);
-        (entry.machine, ack.0, ack.1, ack.2)
-    }
-
-    /// Reports draining machines that have become idle, without being asked.
-    fn report_idle(&mut self, context: &Context, actions: &mut Vec<Action>) {
-        let draining: Vec<Entry> = self
-            .operation_log
-            .out()
-            .filter(|e| e.state == MaintenanceState::Draining)
-            .copied()
-            .collect();
-        let mut acks = Vec::new();
-        for entry in draining {
-            let before = self.own_acks.get(&entry.machine).copied();
-            let reported =
-                matches!(before, Some((epoch, step, true)) if (epoch, step) == entry.version());
-            let idle =
-                self.effective_exclusions.contains(&entry.machine) && (context.idle)(entry.machine);
-            if !reported && idle && acks.len() < ENTRIES_PER_DATAGRAM {
-                acks.push(self.acknowledge(context, &entry));
-            }
-        }
-        if let Some(to) = context.coordinator.filter(|_| !acks.is_empty()) {
-            let message = Message::Ack {
-                coordinator_epoch: self.highest_epoch,
-                acks,
-            };
-            if to == self.config.me {
-                if let Message::Ack { acks, .. } = message {
-                    self.record_acks(context, to, acks);
-                }
-            } else {
-                actions.push(Action::Send { to, message });
-            }
-        }
-    }
-
-    /// Sends operators' requests to the coordinator until it answers.
-    fn forward_requests(&mut self, context: &Context, actions: &mut Vec<Action>) {
-        let Some(to) = context.coordinator else {
-            return;
-        };
-        let mut own = Vec::new();
-        for pending in self.pending_requests.values_mut() {
-            if pending
-                .sent_at
-                .is_none_or(|at| context.now >= at + RESEND_INTERVAL)
-            {
-                pending.sent_at = Some(context.now);
-                if to == self.config.me {
-                    own.push(pending.message.clone());
-                } else {
-                    actions.push(Action::Send {
-                        to,
-                        message: pending.message.clone(),
-                    });
-                }
-            }
-        }
-        for message in own {
-            let replies = self.receive(context, to, message);
-            self.receive_own(context, replies, actions);
-        }
-    }
-
-    fn receive_own(&mut self, context: &Context, replies: Vec<Action>, actions: &mut Vec<Action>) {
-        for action in replies {
-            match action {
-                Action::Send { to, message } if to == self.config.me => {
-                    let replies = self.receive(context, to, message);
-                    self.receive_own(context, replies, actions);
-                }
-                action => actions.push(action),
-            }
-        }
-    }
-
     fn record_acks(
         &mut self,
         context: &Context,
