--- a/crates/passroad-upkeep/src/participant.rs
+++ b/crates/passroad-upkeep/src/participant.rs
@@ -1,7 +1,11 @@
 //! The participant: it excludes machines that are out, reports when it has nothing left on them, and forwards operators'
 //! requests.
 
-use crate::*;
+use crate::{
+    Action, Context, ENTRIES_PER_DATAGRAM, Entry, Epoch, MachineId, MaintenanceManager,
+    MaintenanceState, Message, RESEND_INTERVAL,
+};
+use std::collections::BTreeSet;
 
 impl MaintenanceManager {
     /// Excludes machines that are out, and lifts exclusions of those that no longer are.
--- a/crates/passroad-upkeep/src/recovery.rs
+++ b/crates/passroad-upkeep/src/recovery.rs
@@ -1,6 +1,11 @@
 //! How the owner of the lease becomes the coordinator: it reads the log from a majority first.
 
-use crate::*;
+use crate::{
+    Action, Context, Entry, Epoch, Incarnation, MaintenanceManager, Member, Message,
+    RESEND_INTERVAL, Role, UPDATES_PER_TICK, VOTERS_ONLY_ROUNDS,
+};
+use std::collections::{BTreeMap, BTreeSet};
+use std::time::Duration;
 
 /// A new coordinator's progress in reading the log from the others.
 #[derive(Debug, Default)]
