--- a/crates/passroad-peers/src/tests.rs
+++ b/crates/passroad-peers/src/tests.rs
@@ -64,9 +64,9 @@
                     continue;
                 }
                 let (_, incarnation, body) = decode_frame(&bytes).unwrap();
-                let (heard, mut actions) =
+                let (accepted, mut actions) =
                     self.all[to].accept_sender(self.now, from as Member, incarnation);
-                if heard {
+                if accepted {
                     actions.extend(self.all[to].receive(self.now, from as Member, body));
                 }
                 self.post(to, actions, &mut in_flight);
--- a/crates/passroad/src/dispatcher.rs
+++ b/crates/passroad/src/dispatcher.rs
@@ -180,7 +180,7 @@
                 same = counts.same, elsewhere = counts.elsewhere, turned_away = counts.refused,
                 waited = counts.queued, no_copy = counts.hedges, taken = counts.admitted, sooner = counts.earlier,
                 no_probe = counts.probes;
-                "watched settings: {counts}"
+                "shadow settings: {counts}"
             );
         }
     }
@@ -324,21 +324,21 @@
     }
 
     /// Takes over the old process's state, before any command is admitted.
-    pub fn inherit(self: &Arc<Self>, known: HandoverState) -> Option<u64> {
+    pub fn inherit(self: &Arc<Self>, inherited: HandoverState) -> Option<u64> {
         let list = EndpointList {
-            revision: known.revision.unwrap_or_default(),
+            revision: inherited.revision.unwrap_or_default(),
             complete: true,
-            entries: known.entries,
+            entries: inherited.entries,
         };
         self.apply_list(ListUpdateKind::Cached, &list);
-        known
+        inherited
             .removed
             .into_iter()
             .for_each(|id_hash| self.state().removed.note(id_hash));
-        for id in &known.cordoned {
+        for id in &inherited.cordoned {
             self.set_cordoned(id, true);
         }
-        match serde_json::from_value::<LearnedState>(known.learned_state) {
+        match serde_json::from_value::<LearnedState>(inherited.learned_state) {
             Ok(learned) => {
                 let mut state = self.state();
                 let slots = learned
@@ -357,7 +357,7 @@
                 log::warn!("the learned state of the old process is not taken over: {error}")
             }
         }
-        known.revision
+        inherited.revision
     }
 
     /// Cordons an endpoint or lifts its cordon, effective on return. False for an id that was never listed.
@@ -512,12 +512,12 @@
     }
 
     async fn probe(self: Arc<Self>, endpoint: EndpointIndex, pool: Option<EndpointPool>) {
-        let (began, report_mode) = (Instant::now(), self.state().report_mode);
+        let (started, report_mode) = (Instant::now(), self.state().report_mode);
         let result = match pool {
             Some(pool) => probe::run(pool, report_mode, self.probe_timeout).await,
             None => relay::ExchangeResult::from(passroad_choice::Outcome::ConnectFailed),
         };
-        let elapsed = began.elapsed();
+        let elapsed = started.elapsed();
         log::debug!(
             "probe of endpoint {endpoint}: {:?} in {elapsed:.1?}, {:?}",
             result.outcome,
@@ -586,7 +586,7 @@
         let stay: Vec<_> = list
             .entries
             .iter()
-            .filter_map(|m| self.endpoints.get(&m.id))
+            .filter_map(|entry| self.endpoints.get(&entry.id))
             .collect();
         for (endpoint, pool) in self
             .pools
--- a/crates/passroad/src/handover.rs
+++ b/crates/passroad/src/handover.rs
@@ -296,7 +296,7 @@
                 if link.write_all(&encode(&Message::Ready)).await.is_ok() {
                     log::info!("took over from the old process");
                 }
-                self.exchange_as(link, false).await;
+                self.serve_link(link, false).await;
                 log::info!("the old process has ended");
             }
             Err(error) => log::warn!("the old process: {error}"),
@@ -331,7 +331,7 @@
         match handed.await {
             Ok(Ok((notifications, ids))) => {
                 log::info!("the listening socket was handed over to a new process");
-                self.run(stream, notifications, ids, true).await;
+                self.exchange(stream, notifications, ids, true).await;
                 self.in_flight_ids.clear_other_process();
                 if self.yielded.send_replace(false) {
                     self.resources.yield_clients(false);
@@ -383,13 +383,13 @@
         }
     }
 
-    async fn exchange_as(&self, stream: UnixStream, old: bool) {
+    async fn serve_link(&self, stream: UnixStream, old: bool) {
         let (sender, notifications) = mpsc::unbounded_channel();
         self.links
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
             .push(sender);
-        self.run(stream, notifications, self.in_flight_ids.subscribe(), old)
+        self.exchange(stream, notifications, self.in_flight_ids.subscribe(), old)
             .await;
         self.in_flight_ids.clear_other_process();
         self.links
@@ -399,7 +399,7 @@
     }
 
     /// Exchanges messages over a link until it ends. `old` says whether this is the old process.
-    async fn run(
+    async fn exchange(
         &self,
         stream: UnixStream,
         mut notifications: mpsc::UnboundedReceiver<Notification>,
--- a/crates/passroad/tests/sidecar.rs
+++ b/crates/passroad/tests/sidecar.rs
@@ -479,7 +479,7 @@
     let _ = std::fs::remove_dir_all(folder);
     let last = said
         .lines()
-        .rfind(|line| line.contains("watched settings: same "))
+        .rfind(|line| line.contains("shadow settings: same "))
         .expect("a line of counts");
     let number = |name: &str| -> u64 {
         let rest = last.split_once(&format!("{name} ")).expect("the kind").1;
