--- a/crates/passroad-choice/src/shadow.rs
+++ b/crates/passroad-choice/src/shadow.rs
@@ -1,29 +1,35 @@
-//! Watch: beside the module that decides, a second one with other orders hears the same events. What it would have
-//! done is counted by kind and dropped; after each event it is brought back to what was done.
+//! Shadow evaluation: beside the balancer that decides, a second one with another configuration is
+//! given the same events. What it would have done is counted by kind and dropped; after each event
+//! its state is aligned with what was done.
 
 use crate::choice::Balancer;
+use crate::choice::endpoint::Endpoint;
 use crate::{Action, BalancerConfig, CommandIndex, EndpointIndex, Event, LearnedState};
 use std::fmt;
 use std::panic::{AssertUnwindSafe, catch_unwind};
 use std::time::Duration;
 
-/// Decisions of the module that leads, by what the watched orders would have made of them.
+#[cfg(test)]
+mod tests;
+
+/// Decisions of the leading balancer, by what the shadow would have done.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
 pub struct ShadowCounts {
+    /// The same decision.
     pub same: u64,
-    /// Sent to another endpoint, by weight or by a draw that fell otherwise.
+    /// Sent to another endpoint, by weight or by another random draw.
     pub elsewhere: u64,
-    /// Sent, where the other would have declined or terminated.
+    /// Sent, where the shadow would have refused or failed.
     pub refused: u64,
-    /// Sent, where the other would have waited.
+    /// Sent, where the shadow would have queued.
     pub queued: u64,
-    /// Second copies that the other would not have sent.
+    /// Hedges that the shadow would not have sent.
     pub hedges: u64,
-    /// Declined or terminated, where the other would have sent or waited.
+    /// Refused or failed, where the shadow would have sent or queued.
     pub admitted: u64,
-    /// Still waiting, where the other would have sent or turned away.
+    /// Still queued, where the shadow would have sent, refused or failed.
     pub earlier: u64,
-    /// Probes that the other would not have sent.
+    /// Probes that the shadow would not have sent.
     pub probes: u64,
 }
 
@@ -32,84 +38,88 @@
         let ShadowCounts {
             same,
             elsewhere,
-            refused: turned_away,
-            queued: waited,
-            hedges: copies,
-            admitted: taken,
-            earlier: sooner,
+            refused,
+            queued,
+            hedges,
+            admitted,
+            earlier,
             probes,
         } = self;
         write!(
             f,
-            "same {same}, elsewhere {elsewhere}, turned away {turned_away}, waited {waited}, no copy {copies}, \
-             taken {taken}, sooner {sooner}, no probe {probes}"
+            "same {same}, elsewhere {elsewhere}, turned away {refused}, waited {queued}, no copy {hedges}, \
+             taken {admitted}, sooner {earlier}, no probe {probes}"
         )
     }
 }
 
-/// The decision module, with a watched one beside it where there are orders for one.
+/// The balancer that decides, with a shadow beside it where a second configuration is given.
 pub struct ShadowedBalancer {
-    lead: Balancer,
-    beside: Option<Box<(Balancer, ShadowCounts)>>,
+    leader: Balancer,
+    shadow: Option<Box<(Balancer, ShadowCounts)>>,
 }
 
 impl ShadowedBalancer {
-    pub fn new(orders: BalancerConfig, watch: Option<BalancerConfig>) -> Self {
-        let beside = watch.map(|orders| Box::new((Balancer::new(orders), ShadowCounts::default())));
+    /// A balancer that decides by `config`, with a shadow if `shadow_config` is given.
+    pub fn new(config: BalancerConfig, shadow_config: Option<BalancerConfig>) -> Self {
+        let shadow =
+            shadow_config.map(|config| Box::new((Balancer::new(config), ShadowCounts::default())));
         ShadowedBalancer {
-            lead: Balancer::new(orders),
-            beside,
+            leader: Balancer::new(config),
+            shadow,
         }
     }
 
-    pub fn endpoint_load(&self, at: EndpointIndex) -> (Option<f64>, bool) {
-        self.lead.endpoint_load(at)
+    /// How an endpoint seems to the leading balancer; see [`Balancer::endpoint_load`].
+    pub fn endpoint_load(&self, index: EndpointIndex) -> (Option<f64>, bool) {
+        self.leader.endpoint_load(index)
     }
 
-    /// What the module that decides has learnt.
-    pub fn learned_state(&self, name: impl Fn(EndpointIndex) -> Option<String>) -> LearnedState {
-        self.lead.learned_state(name)
+    /// What the leading balancer has learnt; see [`Balancer::learned_state`].
+    pub fn learned_state(&self, id: impl Fn(EndpointIndex) -> Option<String>) -> LearnedState {
+        self.leader.learned_state(id)
     }
 
+    /// None where there is no shadow, or none any more.
     pub fn counts(&self) -> Option<ShadowCounts> {
-        self.beside.as_deref().map(|(_, counts)| *counts)
+        self.shadow.as_deref().map(|(_, counts)| *counts)
     }
 
-    /// As the module's own entry: what comes back is the lead's word alone.
+    /// As [`Balancer::decide`]: returns the actions of the leading balancer alone.
     pub fn decide(&mut self, now: Duration, event: Event) -> Vec<Action> {
-        let Some((other, counts)) = self.beside.as_deref_mut() else {
-            return self.lead.decide(now, event);
+        let Some((shadow, counts)) = self.shadow.as_deref_mut() else {
+            return self.leader.decide(now, event);
         };
-        other.dice = self.lead.dice; // the same draws as far as they are as many
-        // Under other orders the two would no longer speak of the same verbs.
+        // The shadow makes the same random draws, as long as it makes as many.
+        shadow.random_state = self.leader.random_state;
+        // After a change of configuration the two may number classes differently.
         if matches!(event, Event::Reconfigured(_)) {
-            self.beside = None;
-            return self.lead.decide(now, event);
+            self.shadow = None;
+            return self.leader.decide(now, event);
         }
-        let (lead, heard) = (&mut self.lead, event.clone());
-        let done = lead.decide(now, event);
-        let beside = catch_unwind(AssertUnwindSafe(|| {
-            let would = other.decide(now, heard);
-            counts.add(lead, &done, &would);
-            other.follow(now, lead, &done, &would);
+        let leader = &mut self.leader;
+        let shadow_event = event.clone();
+        let done = leader.decide(now, event);
+        let evaluated = catch_unwind(AssertUnwindSafe(|| {
+            let would_do = shadow.decide(now, shadow_event);
+            counts.add(leader, &done, &would_do);
+            shadow.align_with(now, leader, &done, &would_do);
         }));
-        // Guards against a fault in what is only watched that takes a command with it: the watch ends.
-        if beside.is_err() {
-            self.beside = None;
+        // Prevents a fault in the shadow from taking a command with it: the evaluation ends.
+        if evaluated.is_err() {
+            self.shadow = None;
         }
         done
     }
 }
 
-/// What becomes of a command in some actions: an endpoint, or turned away.
-fn fate(actions: &[Action], of: CommandIndex) -> Option<Option<EndpointIndex>> {
+/// What some actions do with a command: send it to an endpoint, or refuse or fail it.
+fn fate(actions: &[Action], command_index: CommandIndex) -> Option<Option<EndpointIndex>> {
     actions.iter().find_map(|action| match action {
         Action::Relay {
-            command: cmd,
-            endpoint,
-            ..
-        } if *cmd == of => Some(Some(*endpoint)),
-        Action::Refuse { command: cmd, .. } | Action::Fail { command: cmd } if *cmd == of => {
+            command, endpoint, ..
+        } if *command == command_index => Some(Some(*endpoint)),
+        Action::Refuse { command, .. } | Action::Fail { command } if *command == command_index => {
             Some(None)
         }
         _ => None,
@@ -117,225 +127,111 @@
 }
 
 impl ShadowCounts {
-    fn add(&mut self, lead: &Balancer, done: &[Action], would: &[Action]) {
-        let ended = |cmd: &CommandIndex| {
-            let cmd = *cmd;
-            matches!(fate(done, cmd), Some(None)) || lead.held(cmd).is_none_or(|c| c.over)
+    fn add(&mut self, leader: &Balancer, done: &[Action], would_do: &[Action]) {
+        let has_ended = |command: &CommandIndex| {
+            let command = *command;
+            matches!(fate(done, command), Some(None))
+                || leader.open_command(command).is_none_or(|c| c.concluded)
         };
         let mut seen = Vec::new();
-        for action in done.iter().chain(would) {
-            let (Action::Relay { command: cmd, .. }
-            | Action::Refuse { command: cmd, .. }
-            | Action::Fail { command: cmd }) = action
+        for action in done.iter().chain(would_do) {
+            let (Action::Relay { command, .. }
+            | Action::Refuse { command, .. }
+            | Action::Fail { command }) = action
             else {
                 continue;
             };
-            if seen.contains(cmd) {
+            if seen.contains(command) {
                 continue;
             }
-            seen.push(*cmd);
-            let copy = lead
-                .held(*cmd)
+            seen.push(*command);
+            let is_hedge = leader
+                .open_command(*command)
                 .is_some_and(|c| c.relays.iter().filter(|r| r.outcome.is_none()).count() > 1);
-            let kind = match (fate(done, *cmd), fate(would, *cmd)) {
+            let count = match (fate(done, *command), fate(would_do, *command)) {
                 (Some(a), Some(b)) if a == b => &mut self.same,
                 (Some(Some(_)), Some(Some(_))) => &mut self.elsewhere,
-                (Some(Some(_)), None) if copy => &mut self.hedges,
+                (Some(Some(_)), None) if is_hedge => &mut self.hedges,
                 (Some(Some(_)), Some(None)) => &mut self.refused,
                 (Some(Some(_)), None) => &mut self.queued,
                 (Some(None), _) => &mut self.admitted,
-                // Of what has ended the other may still speak.
-                (None, _) if ended(cmd) => continue,
+                // The shadow may still act on a command that has ended.
+                (None, _) if has_ended(command) => continue,
                 (None, _) => &mut self.earlier,
             };
-            *kind += 1;
+            *count += 1;
         }
-        let asked = |actions: &[Action]| {
+        let probes = |actions: &[Action]| {
             actions
                 .iter()
                 .filter(|a| matches!(a, Action::Probe { .. }))
                 .count()
         };
-        self.probes += asked(done).saturating_sub(asked(would)) as u64;
+        self.probes += probes(done).saturating_sub(probes(would_do)) as u64;
     }
 }
 
-#[cfg(test)]
-mod tests {
-    use super::*;
-    use crate::*;
-    use rstest::rstest;
-
-    fn orders(probes: bool, second_copies: bool, warm_keys: bool) -> BalancerConfig {
-        let ms = Duration::from_millis;
-        BalancerConfig {
-            seed: 7,
-            own_zone: 0,
-            zones: vec!["z".into()],
-            kinds: vec![],
-            classes: vec![RequestClassConfig {
-                name: "look".into(),
-                effect: Effect::Safe,
-                deduplication_scope: DeduplicationScope::All,
-                deduplication_window: Duration::ZERO,
-                deadline_target: ms(400),
-                time_limit: ms(1000),
-                target_per_work: 0.0,
-                utility: 1.0,
-                late_utility: 0.0,
-                stream: false,
-                allowed_zones: None,
-                allowed_kinds: None,
-            }],
-            tenants: vec![],
-            surplus_utility: 1.0,
-            objective_total: 1.0,
-            objective_worst_class: 0.0,
-            tick: ms(1),
-            max_relays: 3,
-            max_retry_after: None,
-            probes_allowed: probes,
-            cancellation_allowed: true,
-            hedging_allowed: second_copies,
-            list_on_request: false,
-            report_mode: ReportMode::Piggyback,
-            live_weights: false,
-            warm_keys,
-            probe_price: 0.0,
-            cross_zone_price: 0.0,
-            handshake_price: 0.0,
-            idle_close: Duration::from_secs(60),
-            streams_per_connection: 100,
-            list_poll_interval: Duration::from_secs(10),
-            drain_grace: Duration::from_millis(500),
-            cold_capacity: 0.2,
-            warm_up_time: Duration::from_secs(20),
-            overload_multiple: 3.0,
-            overload_window: Duration::from_secs(2),
-        }
-    }
-
-    /// A list of ten, then commands of a few keys that are answered 20 ms later; what the lead did.
-    fn run(mut watched: ShadowedBalancer) -> (Vec<Action>, Option<ShadowCounts>) {
-        let at = |n: u64| Duration::from_millis(100_000 + 10 * n);
-        let listing = |endpoint| {
-            let (mark, started) = (
-                interner::stable_hash(&format!("e{endpoint}")),
-                Duration::ZERO,
-            );
-            ListedEndpoint {
-                endpoint,
-                id_hash: mark,
-                zone: 0,
-                cell: 0,
-                kind: 0,
-                weight: 1.0,
-                started_at: started,
-                state: EndpointState::Running,
-            }
-        };
-        let entries = (0..10).map(listing).collect();
-        let mut all = watched.decide(
-            at(0),
-            Event::ListUpdated {
-                kind: ListUpdateKind::Full,
-                entries,
-            },
-        );
-        for n in 0..200u64 {
-            let cmd = n as usize;
-            let arrival = CommandArrival {
-                command: cmd,
-                class: 0,
-                tenant: None,
-                key: Some(n % 7),
-                budget: Duration::from_secs(1),
-                work: None,
-                is_retry: false,
-                is_write: false,
-                weight_set: 0,
-                body_pending: false,
-            };
-            let mut actions = watched.decide(at(2 * n + 1), Event::CommandArrived(arrival));
-            let asked: Vec<_> = actions
-                .iter()
-                .filter_map(|a| match a {
-                    Action::Probe { endpoint } => Some(*endpoint),
-                    _ => None,
-                })
-                .collect();
-            let (spent, outcome) = (Duration::from_millis(20), Outcome::Answered);
-            let report = Some(LoadReport {
-                outstanding: Some(0.0),
-                ..LoadReport::default()
-            });
-            for endpoint in asked {
-                actions.extend(watched.decide(
-                    at(2 * n + 1),
-                    Event::ProbeFinished {
-                        endpoint,
-                        outcome,
-                        elapsed: spent,
-                        report,
-                    },
-                ));
-            }
-            if fate(&actions, cmd).is_some() {
-                let ended = Event::RelayFinished {
-                    command: cmd,
-                    relay: 0,
-                    outcome,
-                    elapsed: spent,
-                    concluded: true,
-                    report,
+impl Balancer {
+    /// Takes over what the leading balancer did in place of what this one would have done.
+    pub(crate) fn align_with(
+        &mut self,
+        now: Duration,
+        leader: &Balancer,
+        done: &[Action],
+        would_do: &[Action],
+    ) {
+        let over = 4 * Duration::from_secs(2);
+        for (actions, take_back) in [(would_do, true), (done, false)] {
+            for action in actions {
+                let Action::Relay { endpoint, .. } = action else {
+                    continue;
                 };
-                actions.extend(watched.decide(at(2 * n + 3), ended));
+                let Some(endpoint) = self.endpoints.get_mut(*endpoint) else {
+                    continue;
+                };
+                if take_back {
+                    endpoint.sends.undo_increment();
+                    self.sends_short.undo_increment();
+                    self.sends_long.undo_increment();
+                    endpoint.load -= 1.0;
+                } else {
+                    endpoint.sends.increment(now, over);
+                    self.sends_short.increment(now, over / 4);
+                    self.sends_long.increment(now, over);
+                    endpoint.load = endpoint.load.max(0.0) + 1.0;
+                }
             }
-            all.extend(actions);
         }
-        (all, watched.counts())
-    }
-
-    #[rstest]
-    #[case::the_same(orders(true, true, false))]
-    #[case::another_shape(orders(false, false, true))]
-    fn what_is_watched_changes_nothing_that_is_done(#[case] watch: BalancerConfig) {
-        let (alone, none) = run(ShadowedBalancer::new(orders(true, true, false), None));
-        let (beside, counts) = run(ShadowedBalancer::new(
-            orders(true, true, false),
-            Some(watch),
-        ));
-        assert_eq!((alone, none, counts.is_some()), (beside, None, true));
-    }
-
-    #[rstest]
-    fn the_same_orders_never_decide_otherwise() {
-        let (_, counts) = run(ShadowedBalancer::new(
-            orders(true, true, false),
-            Some(orders(true, true, false)),
-        ));
-        let counts = counts.unwrap();
-        assert_eq!(
-            counts,
-            ShadowCounts {
-                same: 200,
-                ..ShadowCounts::default()
-            }
-        );
-    }
-
-    #[rstest]
-    fn another_shape_is_counted_by_kind() {
-        let (actions, counts) = run(ShadowedBalancer::new(
-            orders(true, true, false),
-            Some(orders(false, false, true)),
-        ));
-        let counts = counts.unwrap();
-        let probes = actions
+        // Each keeps its own keys: the leader's configuration may not use them.
+        let keys: Vec<_> = self
+            .commands
+            .iter()
+            .map(|command| command.as_ref().and_then(|command| command.key))
+            .collect();
+        self.commands = leader.commands.clone();
+        for (command, key) in self.commands.iter_mut().zip(keys) {
+            command.iter_mut().for_each(|command| command.key = key);
+        }
+        self.endpoints
+            .resize_with(leader.endpoints.len(), Endpoint::unused);
+        for (endpoint, of_leader) in self.endpoints.iter_mut().zip(&leader.endpoints) {
+            endpoint.in_flight.clone_from(&of_leader.in_flight);
+            endpoint.last_used = of_leader.last_used;
+            endpoint.probe_sent_at = of_leader.probe_sent_at;
+            endpoint.permit_until = of_leader.permit_until;
+            endpoint.trial_due = of_leader.trial_due;
+        }
+        self.queue.clone_from(&leader.queue);
+        self.retry_budget = leader.retry_budget;
+        self.queue_timer_at = leader.queue_timer_at;
+        self.next_queue_probe = leader.next_queue_probe;
+        self.shedding = leader.shedding;
+        self.overloaded_at = leader.overloaded_at;
+        self.subscribed = leader.subscribed;
+        self.in_flight = self
+            .endpoints
             .iter()
-            .filter(|a| matches!(a, Action::Probe { .. }))
-            .count() as u64;
-        assert_eq!(counts.probes, probes);
-        assert!(probes > 0 && counts.elsewhere > 50, "{counts}");
+            .map(|endpoint| endpoint.in_flight.len() as f64)
+            .sum();
     }
 }
