--- a/crates/passroad/src/body.rs
+++ b/crates/passroad/src/body.rs
@@ -1,4 +1,4 @@
-//! Bodies on their way: held whole where they are short, else passed on as they come, each with its own clock.
+//! Request and response bodies: short ones are buffered, long ones streamed, each with its own timeouts.
 
 use crate::relay::{EndpointPool, ExchangeGuard};
 use axum::body::Body;
@@ -14,57 +14,62 @@
 use tokio::sync::watch;
 use tokio::time::{Instant, Sleep, sleep, sleep_until};
 
-/// Of an answer that is held whole.
+/// Longest response body that is buffered.
 pub const MAX_BUFFERED_RESPONSE_BYTES: usize = 64 << 10;
-/// Of a command's body, as long as there is room: so its endpoint is chosen when it is there, and it can be sent again.
+/// Longest request body that is buffered, while the memory limit allows it. With a buffered body the endpoint is chosen once the
+/// body is complete, and the command can be retried.
 pub const MAX_BUFFERED_REQUEST_BYTES: usize = 1 << 20;
+/// Longest body of a request or response, streamed or not.
 pub const MAX_BODY_BYTES: usize = 32 << 20;
-/// Clients send at least 64 kB a second; a fifth less is not held against one.
-const SLOWEST: f64 = 0.8 * 64_000.0; // bytes a second
+/// Clients send at least 64 kB per second; a rate up to a fifth lower is tolerated.
+const MIN_BYTES_PER_SECOND: f64 = 0.8 * 64_000.0;
+/// Time for a body on top of what the minimum rate gives.
 const BODY_GRACE: Duration = Duration::from_secs(1);
-/// An endpoint that gives, or takes, nothing of a long body for so long is not heard of again.
-const LONG_STALL: Duration = Duration::from_secs(6);
+/// An endpoint that sends, or reads, nothing of a streamed body for this long is given up.
+const STREAM_STALL_TIMEOUT: Duration = Duration::from_secs(6);
 
-type Fault = Box<dyn Error + Send + Sync>;
+type BoxError = Box<dyn Error + Send + Sync>;
 
-/// Counts the time that is spent waiting for a client against the bytes that came.
+/// Enforces a minimum rate on a client's body: compares the time spent waiting for the client with the bytes received.
 pub struct MinRateTimer {
-    waited: Duration,
-    since: Option<Instant>,
-    least: Duration, // of the wait, whatever comes
-    came: usize,
+    waiting_time: Duration,
+    waiting_since: Option<Instant>,
+    min_time: Duration, // minimum time allowed, whatever the rate
+    received: usize,
     timer: Option<Pin<Box<Sleep>>>,
 }
 
 impl MinRateTimer {
-    pub fn new(least: Duration) -> Self {
-        let least = least.max(BODY_GRACE);
+    pub fn new(min_time: Duration) -> Self {
+        let min_time = min_time.max(BODY_GRACE);
         MinRateTimer {
-            waited: Duration::ZERO,
-            since: None,
-            least,
-            came: 0,
+            waiting_time: Duration::ZERO,
+            waiting_since: None,
+            min_time,
+            received: 0,
             timer: None,
         }
     }
 
-    fn all(&self) -> Duration {
-        let paced = BODY_GRACE + Duration::from_secs_f64(self.came as f64 / SLOWEST);
-        paced.max(self.least)
+    /// The waiting time allowed so far.
+    fn allowed_time(&self) -> Duration {
+        let at_min_rate =
+            BODY_GRACE + Duration::from_secs_f64(self.received as f64 / MIN_BYTES_PER_SECOND);
+        at_min_rate.max(self.min_time)
     }
 
-    fn came(&mut self, bytes: usize) {
-        self.came += bytes;
-        self.waited += self
-            .since
+    fn record_received(&mut self, bytes: usize) {
+        self.received += bytes;
+        self.waiting_time += self
+            .waiting_since
             .take()
             .map_or(Duration::ZERO, |since| since.elapsed());
     }
 
-    /// Nothing is there: ready once that has lasted too long.
-    fn poll_over(&mut self, cx: &mut Context<'_>) -> Poll<()> {
-        let since = *self.since.get_or_insert_with(Instant::now);
-        let until = since + self.all().saturating_sub(self.waited);
+    /// Called when no data is available; ready once the client has used up its time.
+    fn poll_expired(&mut self, cx: &mut Context<'_>) -> Poll<()> {
+        let since = *self.waiting_since.get_or_insert_with(Instant::now);
+        let until = since + self.allowed_time().saturating_sub(self.waiting_time);
         let timer = self
             .timer
             .get_or_insert_with(|| Box::pin(sleep_until(until)));
@@ -74,7 +79,7 @@
         timer.as_mut().poll(cx)
     }
 
-    /// The next piece of a client's body.
+    /// Reads the next chunk of a client's body.
     pub fn poll_next(
         &mut self,
         body: &mut Body,
@@ -83,17 +88,17 @@
         loop {
             return match Pin::new(&mut *body).poll_frame(cx) {
                 Poll::Pending => {
-                    ready!(self.poll_over(cx));
+                    ready!(self.poll_expired(cx));
                     Poll::Ready(Some(Err(BodyError::Slow)))
                 }
                 Poll::Ready(None) => Poll::Ready(None),
                 Poll::Ready(Some(Err(_))) => Poll::Ready(Some(Err(BodyError::Broken))),
                 Poll::Ready(Some(Ok(frame))) => match frame.into_data() {
                     Ok(data) => {
-                        self.came(data.len());
+                        self.record_received(data.len());
                         Poll::Ready(Some(Ok(data)))
                     }
-                    // Trailers end here.
+                    // Trailers are not forwarded.
                     Err(_) => continue,
                 },
             };
@@ -101,7 +106,7 @@
     }
 }
 
-/// What is wrong with a client's body.
+/// Why a client's body can't be used.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum BodyError {
     Slow,
@@ -116,96 +121,88 @@
     Failed(BodyError),
 }
 
-/// A client's long body, of which one relay is given all; what no relay takes is read and dropped.
+/// A client's long request body, streamed to a single relay. What no relay reads is read and discarded.
 pub struct StreamedUpload {
-    rest: Mutex<Rest>,
-    hint: SizeHint,
-    came: AtomicUsize,
-    spent: AtomicBool, // bytes have gone out
-    drains: AtomicBool,
+    reader: Mutex<UploadReader>,
+    size: SizeHint,
+    received: AtomicUsize,
+    partly_sent: AtomicBool, // a relay has read some of it
+    discarding: AtomicBool,
     state: watch::Sender<State>,
 }
 
-struct Rest {
+struct UploadReader {
     first: Option<Bytes>,
     body: Body,
-    patience: MinRateTimer,
+    rate: MinRateTimer,
 }
 
 impl StreamedUpload {
-    /// `first` is what has been read of it.
-    pub fn new(first: Bytes, body: Body, patience: MinRateTimer) -> Arc<Self> {
-        let mut hint = SizeHint::new();
+    /// `first` is the part that has been read already.
+    pub fn new(first: Bytes, body: Body, rate: MinRateTimer) -> Arc<Self> {
+        let mut size = SizeHint::new();
         if let Some(left) = body.size_hint().exact() {
-            hint.set_exact(left + first.len() as u64);
+            size.set_exact(left + first.len() as u64);
         }
         let first = Some(first).filter(|first| !first.is_empty());
         Arc::new(StreamedUpload {
-            rest: Mutex::new(Rest {
-                first,
-                body,
-                patience,
-            }),
-            hint,
-            came: AtomicUsize::new(0),
-            spent: AtomicBool::new(false),
-            drains: AtomicBool::new(false),
+            reader: Mutex::new(UploadReader { first, body, rate }),
+            size,
+            received: AtomicUsize::new(0),
+            partly_sent: AtomicBool::new(false),
+            discarding: AtomicBool::new(false),
             state: watch::channel(State::Receiving).0,
         })
     }
 
     fn poll_next(&self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, BodyError>>> {
-        let mut rest = self.rest.lock().unwrap_or_else(PoisonError::into_inner);
-        let Rest {
-            first,
-            body,
-            patience,
-        } = &mut *rest;
+        let mut reader = self.reader.lock().unwrap_or_else(PoisonError::into_inner);
+        let UploadReader { first, body, rate } = &mut *reader;
         let next = match first.take() {
             Some(first) => Some(Ok(first)),
-            None => ready!(patience.poll_next(body, cx)),
+            None => ready!(rate.poll_next(body, cx)),
         };
         let next = match next {
             Some(Ok(data))
-                if self.came.fetch_add(data.len(), Relaxed) + data.len() > MAX_BODY_BYTES =>
+                if self.received.fetch_add(data.len(), Relaxed) + data.len() > MAX_BODY_BYTES =>
             {
                 Some(Err(BodyError::TooLong))
             }
             next => next,
         };
         match &next {
-            // Of a stated length the end is not asked for.
-            Some(Ok(_)) if self.hint.exact() == Some(self.came.load(Relaxed) as u64) => {
+            // With a stated length, hyper doesn't poll for the end.
+            Some(Ok(_)) if self.size.exact() == Some(self.received.load(Relaxed) as u64) => {
                 self.state.send_replace(State::Complete(Instant::now()));
             }
             Some(Ok(_)) => {}
-            Some(Err(ill)) => drop(self.state.send_replace(State::Failed(*ill))),
+            Some(Err(error)) => drop(self.state.send_replace(State::Failed(*error))),
             None => {
                 self.state.send_if_modified(|state| {
-                    let new = *state == State::Receiving;
-                    *state = if new {
+                    let completes = *state == State::Receiving;
+                    *state = if completes {
                         State::Complete(Instant::now())
                     } else {
                         *state
                     };
-                    new
+                    completes
                 });
             }
         }
         Poll::Ready(next)
     }
 
-    /// Whether part of it has gone out and is gone.
+    /// Whether a part has been sent, so that the command can't be retried.
     pub fn is_partly_sent(&self) -> bool {
-        self.spent.load(Relaxed)
+        self.partly_sent.load(Relaxed)
     }
 
-    /// So many bytes at least are on the wire once it is written; none as long as it is not whole.
+    /// The body's length once it is complete.
     pub fn complete_len(&self) -> Option<usize> {
-        self.completed_at().map(|_| self.came.load(Relaxed))
+        self.completed_at().map(|_| self.received.load(Relaxed))
     }
 
-    /// Since when it is whole.
+    /// When the body was completed.
     pub fn completed_at(&self) -> Option<Instant> {
         match *self.state.borrow() {
             State::Complete(since) => Some(since),
@@ -213,61 +210,66 @@
         }
     }
 
-    async fn turned(&self, wanted: impl Fn(State) -> bool) -> State {
+    async fn wait_for_state(&self, matches: impl Fn(State) -> bool) -> State {
         // The sender lives as long as this does.
         let mut state = self.state.subscribe();
         state
-            .wait_for(|state| wanted(*state))
+            .wait_for(|state| matches(*state))
             .await
             .map_or(State::Receiving, |state| *state)
     }
 
-    /// Ends when all of it has come.
+    /// Completes when the whole body has been received.
     pub async fn completed(&self) {
-        self.turned(|state| matches!(state, State::Complete(_)))
+        self.wait_for_state(|state| matches!(state, State::Complete(_)))
             .await;
     }
 
-    /// Ends when it turns out that it can't be used.
+    /// Completes when the body turns out to be unusable.
     pub async fn failed(&self) -> BodyError {
-        match self.turned(|state| matches!(state, State::Failed(_))).await {
-            State::Failed(ill) => ill,
+        match self
+            .wait_for_state(|state| matches!(state, State::Failed(_)))
+            .await
+        {
+            State::Failed(error) => error,
             _ => BodyError::Broken,
         }
     }
 
-    /// Ends when nothing has been taken of it for long, though it is not whole. Guards against an endpoint that stops
-    /// reading: nothing else would end its relay.
+    /// Completes when nothing has been read from an incomplete body for `STREAM_STALL_TIMEOUT`. Prevents a relay from hanging
+    /// when its endpoint stops reading: nothing else would end it.
     pub async fn stalled(&self) {
         loop {
-            let before = self.came.load(Relaxed);
-            sleep(LONG_STALL).await;
-            if self.came.load(Relaxed) == before && *self.state.borrow() == State::Receiving {
+            let before = self.received.load(Relaxed);
+            sleep(STREAM_STALL_TIMEOUT).await;
+            if self.received.load(Relaxed) == before && *self.state.borrow() == State::Receiving {
                 return;
             }
         }
     }
 
-    /// Reads what is left for its client's sake, who may not read an answer before all is written. Nothing goes out
-    /// from here on.
+    /// Reads and discards the rest, since a client may not read the response before it has written the whole body. No relay
+    /// reads the body from here on.
     pub async fn drain(&self) {
-        self.drains.store(true, Relaxed);
+        self.discarding.store(true, Relaxed);
         while let Some(Ok(_)) = std::future::poll_fn(|cx| self.poll_next(cx)).await {}
     }
 
+    /// Whether the body is complete or has failed.
     pub fn is_finished(&self) -> bool {
         *self.state.borrow() != State::Receiving
     }
 
+    /// Why the body can't be used, if so.
     pub fn failure(&self) -> Option<BodyError> {
         match *self.state.borrow() {
-            State::Failed(ill) => Some(ill),
+            State::Failed(error) => Some(error),
             _ => None,
         }
     }
 }
 
-/// A body as it goes out to an endpoint, or back to a client.
+/// The body of a request to an endpoint or of a response to a client.
 pub enum RelayBody {
     Buffered(Option<Bytes>),
     Upload(Arc<StreamedUpload>),
@@ -287,7 +289,7 @@
 }
 
 impl RelayBody {
-    /// What is held of it.
+    /// The buffered bytes; empty for a streamed body.
     pub fn into_buffered(self) -> Bytes {
         match self {
             RelayBody::Buffered(Some(bytes)) => bytes,
@@ -296,19 +298,19 @@
     }
 }
 
-/// The rest of a long answer. Its client can tell when it is cut off: the length or the last chunk is missing.
+/// A streamed response body. The client can tell when it is cut off: bytes or the last chunk are missing.
 pub struct StreamedResponse {
     pub first: Option<Bytes>,
     pub rest: Incoming,
     pub guard: ExchangeGuard,
-    pub left: usize, // that may still come
+    pub left: usize, // bytes that may still be read, by the size limit
     pub stall: Option<Pin<Box<Sleep>>>,
-    /// Its endpoint counts as in use until it has ended.
-    pub link: Option<EndpointPool>,
+    /// Held so that the endpoint counts as in use until the response has ended.
+    pub pool: Option<EndpointPool>,
 }
 
 impl StreamedResponse {
-    fn poll_next(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, Fault>>> {
+    fn poll_next(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, BoxError>>> {
         if let Some(first) = self.first.take() {
             return Poll::Ready(Some(Ok(first)));
         }
@@ -316,9 +318,9 @@
             let Poll::Ready(frame) = Pin::new(&mut self.rest).poll_frame(cx) else {
                 let stall = self
                     .stall
-                    .get_or_insert_with(|| Box::pin(sleep(LONG_STALL)));
+                    .get_or_insert_with(|| Box::pin(sleep(STREAM_STALL_TIMEOUT)));
                 ready!(stall.as_mut().poll(cx));
-                return Poll::Ready(Some(Err("the endpoint stopped halfway".into())));
+                return Poll::Ready(Some(Err("the response stalled midway".into())));
             };
             self.stall = None;
             let Some(frame) = frame else {
@@ -329,10 +331,10 @@
                 continue;
             };
             let Some(left) = self.left.checked_sub(data.len()) else {
-                return Poll::Ready(Some(Err("an answer without end".into())));
+                return Poll::Ready(Some(Err("response is over the size limit".into())));
             };
             self.left = left;
-            // Of a stated length the end is not asked for.
+            // With a stated length, hyper doesn't poll for the end.
             if self.rest.is_end_stream() {
                 self.guard.response_complete();
             }
@@ -343,58 +345,60 @@
 
 impl hyper::body::Body for RelayBody {
     type Data = Bytes;
-    type Error = Fault;
+    type Error = BoxError;
 
     fn poll_frame(
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, Fault>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, BoxError>>> {
         let next = match self.get_mut() {
-            RelayBody::Buffered(held) => held.take().map(Ok),
-            RelayBody::Upload(coming) if coming.drains.load(Relaxed) => {
-                Some(Err("given up".into()))
+            RelayBody::Buffered(buffered) => buffered.take().map(Ok),
+            RelayBody::Upload(upload) if upload.discarding.load(Relaxed) => {
+                Some(Err("the upload was abandoned".into()))
             }
-            RelayBody::Upload(coming) => {
-                let next = ready!(coming.poll_next(cx));
-                coming.spent.fetch_or(next.is_some(), Relaxed);
-                next.map(|data| data.map_err(|ill| format!("the client's body: {ill:?}").into()))
+            RelayBody::Upload(upload) => {
+                let next = ready!(upload.poll_next(cx));
+                upload.partly_sent.fetch_or(next.is_some(), Relaxed);
+                next.map(|data| {
+                    data.map_err(|error| format!("the client's body: {error:?}").into())
+                })
             }
-            RelayBody::Streamed(long) => ready!(long.poll_next(cx)),
+            RelayBody::Streamed(response) => ready!(response.poll_next(cx)),
         };
         Poll::Ready(next.map(|data| data.map(Frame::data)))
     }
 
     fn is_end_stream(&self) -> bool {
         match self {
-            RelayBody::Buffered(held) => held.is_none(),
+            RelayBody::Buffered(buffered) => buffered.is_none(),
             _ => false,
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            RelayBody::Buffered(held) => {
-                SizeHint::with_exact(held.as_ref().map_or(0, Bytes::len) as u64)
+            RelayBody::Buffered(buffered) => {
+                SizeHint::with_exact(buffered.as_ref().map_or(0, Bytes::len) as u64)
             }
-            RelayBody::Upload(coming) => coming.hint,
-            RelayBody::Streamed(long) => {
-                let (first, mut hint) = (
-                    long.first.as_ref().map_or(0, Bytes::len) as u64,
+            RelayBody::Upload(upload) => upload.size,
+            RelayBody::Streamed(response) => {
+                let (first, mut size) = (
+                    response.first.as_ref().map_or(0, Bytes::len) as u64,
                     SizeHint::new(),
                 );
-                if let Some(left) = long.rest.size_hint().exact() {
-                    hint.set_exact(left + first);
+                if let Some(left) = response.rest.size_hint().exact() {
+                    size.set_exact(left + first);
                 }
-                hint
+                size
             }
         }
     }
 }
 
-/// An answer's body on its way to a client; `then` is called once it has been handed over, or dropped.
+/// A response body to a client that calls `on_drop` once hyper has taken all of it or dropped it.
 pub struct NotifyOnDrop<F: FnOnce()> {
     pub body: Body,
-    pub then: Option<F>,
+    pub on_drop: Option<F>,
 }
 
 impl<F: FnOnce() + Unpin> hyper::body::Body for NotifyOnDrop<F> {
@@ -419,8 +423,8 @@
 
 impl<F: FnOnce()> Drop for NotifyOnDrop<F> {
     fn drop(&mut self) {
-        if let Some(then) = self.then.take() {
-            then();
+        if let Some(on_drop) = self.on_drop.take() {
+            on_drop();
         }
     }
 }
--- a/crates/passroad/src/listener.rs
+++ b/crates/passroad/src/listener.rs
@@ -494,7 +494,7 @@
                     let passing = |body| {
                         Body::new(NotifyOnDrop {
                             body,
-                            then: Some(then),
+                            on_drop: Some(then),
                         })
                     };
                     Ok::<_, std::convert::Infallible>(answer.map(passing))
--- a/crates/passroad/src/relay.rs
+++ b/crates/passroad/src/relay.rs
@@ -1,4 +1,4 @@
-//! One relay to one endpoint, and the connections that relays and probes go over.
+//! Relays a command to an endpoint, and the connection pools that relays and probes use.
 
 use crate::body::{
     MAX_BODY_BYTES, MAX_BUFFERED_RESPONSE_BYTES, RelayBody, StreamedResponse, StreamedUpload,
@@ -33,40 +33,47 @@
 use tokio::time::{Instant, Sleep};
 use tokio_util::sync::CancellationToken;
 
-const HELD_BACK: usize = 8; // connections that a process which gives way may open
-const MOST_IDLE: usize = 16; // connections kept to one endpoint
-/// Of the time after which endpoints close: the pool looks once in so long, so none stays for twice that.
-const IDLE_SHARE: f64 = 0.45;
-const MAX_HEAD_BYTES: usize = 32 << 10; // of an answer, and what is buffered at once
-const LONGEST_AHEAD: usize = 4 * MAX_HEAD_BYTES; // of all that comes until its head is read
-/// An endpoint writes an answer at once: one that stops halfway for so long is spoilt.
-const STALL: Duration = Duration::from_millis(100);
-/// A connection rests behind an answer, so that what does not belong there shows before the next command is sent.
-const REST: Duration = Duration::from_millis(1);
-/// The same where an answer was spoilt lately. STANDING, `join+mass`: a second answer may come some milliseconds late; up to 4 ms
-/// were seen.
-const LONG_REST: Duration = Duration::from_millis(5);
-const LATELY: Duration = Duration::from_secs(60);
-/// An answer of no stated length that is this old is passed on as it comes: only its end would tell how long it is.
-const MOMENT: Duration = Duration::from_millis(10);
-const ID: HeaderName = HeaderName::from_static("req-id");
+/// Connections that the old process of a handover may still open, beyond those it has.
+const HANDOVER_SPARE_CONNECTIONS: usize = 8;
+const MAX_IDLE_PER_ENDPOINT: usize = 16;
+/// Share of the endpoints' own idle timeout. The pool evicts expired connections once per idle timeout, so a connection may
+/// stay for nearly twice as long; below one half it is still closed here before the endpoint closes it.
+const IDLE_TIMEOUT_SHARE: f64 = 0.45;
+/// Longest response head; also the size of the read buffer.
+const MAX_HEAD_BYTES: usize = 32 << 10;
+/// Limit on all bytes read until the final response's head is parsed, informational responses included.
+const MAX_BYTES_BEFORE_BODY: usize = 4 * MAX_HEAD_BYTES;
+/// Endpoints write a response in one go: one that pauses midway for this long counts as malformed.
+const RESPONSE_STALL_TIMEOUT: Duration = Duration::from_millis(100);
+/// Time between a response and the next request on a connection, so that surplus bytes after the response, such as a
+/// duplicate of it, show up before the next command is sent.
+const REUSE_HOLD_OFF: Duration = Duration::from_millis(1);
+/// The hold-off while malformed responses are recent. A duplicate response may arrive some milliseconds late: up to 4 ms were
+/// measured (STANDING, `join+mass`).
+const LONG_REUSE_HOLD_OFF: Duration = Duration::from_millis(5);
+/// For how long a malformed response counts as recent.
+const MALFORMED_MEMORY: Duration = Duration::from_secs(60);
+/// A response without a stated length that takes longer than this is streamed: only its end would tell how long it is.
+const UNSIZED_BUFFERING_TIME: Duration = Duration::from_millis(10);
+const REQUEST_ID: HeaderName = HeaderName::from_static("req-id");
 pub const IDEMPOTENCY_KEY: HeaderName = HeaderName::from_static("idempotency-key");
-const MARK: HeaderName = HeaderName::from_static("req-deadline-ms");
-const LOAD: &str = "srv-load";
-const BEHIND: &str = "something came behind an answer";
-const NEVER_RAN: &str = "srv-declined";
+const DEADLINE: HeaderName = HeaderName::from_static("req-deadline-ms");
+const LOAD_REPORT: &str = "srv-load";
+const DECLINED: &str = "srv-declined";
+const UNEXPECTED_INPUT: &str = "data or end of stream after a complete response";
 
+/// HTTP client with a connection pool.
 pub type PooledClient = legacy::Client<Dialer, RelayBody>;
-type Fault = Box<dyn Error + Send + Sync>;
+type BoxError = Box<dyn Error + Send + Sync>;
 
-/// Where an endpoint listens and the connections kept to it; they close with the last clone.
+/// An endpoint's address and the connection pool to it. The connections close when the last clone is dropped.
 #[derive(Clone)]
 pub struct EndpointPool {
     pub address: SocketAddr,
     pub client: PooledClient,
     dialer: Dialer,
     users: Arc<()>,
-    /// Turns when the endpoint is no longer as it was when this was handed out.
+    /// Cancelled when the endpoint's state is no longer the one for which this clone was handed out.
     pub invalidated: CancellationToken,
 }
 
@@ -82,7 +89,7 @@
         }
     }
 
-    /// In place of this one, with connections of its own; what is out counts on.
+    /// Returns a replacement with a fresh pool. Clones of the old one still count as users (see `is_unused`).
     pub fn replace(&mut self, address: SocketAddr) -> Self {
         self.cancel_unsent();
         let users = Arc::clone(&self.users);
@@ -92,18 +99,18 @@
         }
     }
 
-    /// What has not sent its first byte yet does not send it.
+    /// Cancels relays that haven't sent their first byte.
     pub fn cancel_unsent(&mut self) {
         std::mem::take(&mut self.invalidated).cancel();
     }
 
-    /// Whether nobody else has a clone.
+    /// Whether no relay, probe or streamed response holds a clone.
     pub fn is_unused(&self) -> bool {
         Arc::strong_count(&self.users) == 1
     }
 }
 
-/// What a relay or a probe came to.
+/// Result of one HTTP exchange with an endpoint, for a relay or a probe.
 pub struct ExchangeResult {
     pub outcome: Outcome,
     pub report: Option<LoadReport>,
@@ -111,8 +118,8 @@
 }
 
 impl From<SendBlocked> for ExchangeResult {
-    fn from(barred: SendBlocked) -> Self {
-        ExchangeResult::from(match barred {
+    fn from(blocked: SendBlocked) -> Self {
+        ExchangeResult::from(match blocked {
             SendBlocked::CommandFinished | SendBlocked::ClientGone => Outcome::Cancelled,
             SendBlocked::EndpointChanged | SendBlocked::TooLate => Outcome::NotSent,
         })
@@ -129,23 +136,23 @@
     }
 }
 
-/// The parts of a command that go on to an endpoint, as they came. No other header does: an odd one could spoil a
-/// connection that others use.
+/// The parts of a command that are relayed, unchanged. Other headers are not forwarded: a malformed one could corrupt a pooled
+/// connection that other commands use.
 pub struct CommandRequest {
     method: hyper::Method,
     target: String,
     pub id: HeaderValue,
-    key: Option<HeaderValue>, // by which endpoints drop a repeat
+    key: Option<HeaderValue>, // endpoints deduplicate by it
     body: Bytes,
-    upload: Option<Arc<StreamedUpload>>, // in place of it, if it is long
-    _room: Option<OwnedSemaphorePermit>, // of a long body
+    upload: Option<Arc<StreamedUpload>>, // replaces `body` if that is too long to buffer
+    _memory: Option<OwnedSemaphorePermit>, // held for the buffered body
 }
 
 impl CommandRequest {
     pub fn new(
         parts: request::Parts,
         body: Bytes,
-        room: Option<OwnedSemaphorePermit>,
+        memory: Option<OwnedSemaphorePermit>,
     ) -> Option<Self> {
         let target = parts
             .uri
@@ -153,7 +160,7 @@
             .map_or("/", |target| target.as_str())
             .to_string();
         let (id, key) = (
-            parts.headers.get(ID)?.clone(),
+            parts.headers.get(REQUEST_ID)?.clone(),
             parts.headers.get(IDEMPOTENCY_KEY).cloned(),
         );
         Some(CommandRequest {
@@ -163,11 +170,11 @@
             key,
             body,
             upload: None,
-            _room: room,
+            _memory: memory,
         })
     }
 
-    /// The same with a body that still comes.
+    /// Attaches a body that is still being received.
     pub fn with_upload(self, upload: Arc<StreamedUpload>) -> Self {
         CommandRequest {
             upload: Some(upload),
@@ -179,46 +186,46 @@
         self.upload.as_ref()
     }
 
-    /// A length that it surely has on the wire; none as long as that is not known.
-    fn least(&self) -> Option<usize> {
-        let body = self
+    /// Lower bound of the request's length on the wire; none while its body is incomplete.
+    fn min_wire_len(&self) -> Option<usize> {
+        let body_len = self
             .upload
             .as_ref()
             .map_or(Some(self.body.len()), |upload| upload.complete_len());
-        body.map(|body| self.target.len() + body)
+        body_len.map(|body_len| self.target.len() + body_len)
     }
 
-    /// None if it can't be sent, or not once more.
-    fn request(&self, to: SocketAddr, within: Duration) -> Option<Request<RelayBody>> {
+    /// Builds the request to an endpoint. None if the URI is invalid or part of a streamed body has been sent before.
+    fn build(&self, to: SocketAddr, timeout: Duration) -> Option<Request<RelayBody>> {
         let uri: Uri = format!("http://{to}{}", self.target).parse().ok()?;
-        let load = match &self.upload {
+        let body = match &self.upload {
             None => self.body.clone().into(),
             Some(upload) if !upload.is_partly_sent() => RelayBody::Upload(Arc::clone(upload)),
             Some(_) => return None,
         };
-        let mut request = Request::new(load);
+        let mut request = Request::new(body);
         *request.method_mut() = self.method.clone();
         *request.uri_mut() = uri;
-        let left = (within.as_millis() as u64).max(1);
-        request.headers_mut().insert(ID, self.id.clone());
-        // Guards against a receipted command that its endpoint can't tell from a new one.
+        let timeout_ms = (timeout.as_millis() as u64).max(1);
+        request.headers_mut().insert(REQUEST_ID, self.id.clone());
+        // Prevents a retried keyed command from being taken for a new one by the endpoint.
         self.key
             .iter()
             .for_each(|key| drop(request.headers_mut().insert(IDEMPOTENCY_KEY, key.clone())));
-        request.headers_mut().insert(MARK, left.into());
+        request.headers_mut().insert(DEADLINE, timeout_ms.into());
         Some(request)
     }
 }
 
-/// Headers that speak of one connection only stay behind.
+/// Removes hop-by-hop headers.
 fn end_to_end(mut headers: HeaderMap) -> HeaderMap {
-    let named: Vec<HeaderName> = headers
+    let listed: Vec<HeaderName> = headers
         .get_all(header::CONNECTION)
         .iter()
-        .flat_map(|v| v.to_str().unwrap_or_default().split(','))
+        .flat_map(|value| value.to_str().unwrap_or_default().split(','))
         .filter_map(|name| name.trim().parse().ok())
         .collect();
-    let always = [
+    let hop_by_hop = [
         header::CONNECTION,
         header::TRANSFER_ENCODING,
         header::CONTENT_LENGTH,
@@ -229,143 +236,146 @@
         HeaderName::from_static("keep-alive"),
         HeaderName::from_static("proxy-connection"),
     ];
-    for name in named.iter().chain(&always) {
+    for name in listed.iter().chain(&hop_by_hop) {
         headers.remove(name);
     }
     headers
 }
 
-/// Sends a command to an endpoint and waits for its whole answer. Ends early on recall: what it holds is
-/// dropped, and that closes its connection.
+/// Relays a command to an endpoint and waits for the response. Cancellation drops the exchange, which closes its
+/// connection.
 pub async fn run(
-    link: EndpointPool,
-    cargo: Arc<CommandRequest>,
-    look: Arc<SendGuard>,
-    within: Duration,
-    recall: oneshot::Receiver<()>,
+    pool: EndpointPool,
+    command: Arc<CommandRequest>,
+    guard: Arc<SendGuard>,
+    timeout: Duration,
+    cancel: oneshot::Receiver<()>,
 ) -> ExchangeResult {
-    // A connection of its own for a long body: a kept one that is of no use would have taken a part of it.
-    let client = cargo
+    // A streamed body gets a new connection: a stale pooled one would have consumed a part of it.
+    let client = command
         .upload()
-        .map_or_else(|| link.client.clone(), |_| link.dialer.new_client());
-    let exchanged = async {
-        // A kept connection that turns out to be of no use has taken nothing: the next one, or a new one, does.
+        .map_or_else(|| pool.client.clone(), |_| pool.dialer.new_client());
+    let exchange_loop = async {
+        // A pooled connection that turns out to be stale has sent nothing: try the next one, or a new one.
         loop {
-            if let Some(barred) = look.check() {
-                return barred.into();
+            if let Some(blocked) = guard.check() {
+                return blocked.into();
             }
-            let Some(request) = cargo.request(link.address, within) else {
+            let Some(request) = command.build(pool.address, timeout) else {
                 return Outcome::NotSent.into();
             };
-            let mut ended = exchange(&client, request, &|| cargo.least(), Some(&look)).await;
-            // An answer that can't be read, as against one that says it is an error.
-            if ended.outcome == Outcome::Error && ended.response.is_none() {
-                link.dialer.spoilt.note();
+            let mut result =
+                exchange(&client, request, &|| command.min_wire_len(), Some(&guard)).await;
+            // A malformed response, as opposed to one with an error status.
+            if result.outcome == Outcome::Error && result.response.is_none() {
+                pool.dialer.last_malformed.record();
             }
-            if let Some(RelayBody::Streamed(long)) =
-                ended.response.as_mut().map(hyper::Response::body_mut)
+            if let Some(RelayBody::Streamed(streamed)) =
+                result.response.as_mut().map(hyper::Response::body_mut)
             {
-                long.link = Some(link.clone());
+                streamed.pool = Some(pool.clone());
             }
-            if cargo
+            if command
                 .upload()
                 .is_some_and(|upload| upload.failure().is_some())
             {
                 return Outcome::NotSent.into();
             }
-            if ended.outcome != Outcome::NotSent {
-                return ended;
+            if result.outcome != Outcome::NotSent {
+                return result;
             }
         }
     };
     tokio::select! {
-        // Guards against a connection that comes up while the process stands still: past the time nothing goes out.
+        // Prevents a request from going out after its timeout when the connection came up while the process was suspended.
         biased;
-        _ = recall => Outcome::Cancelled.into(),
-        // Guards against a wait for a connection that nobody needs any more, where relays must not be recalled.
-        barred = look.cancelled_before_start() => barred.into(),
-        () = over(&cargo, within) => match look.has_started() {
+        _ = cancel => Outcome::Cancelled.into(),
+        // Prevents waiting for a connection that is no longer needed where the configuration forbids cancellation.
+        blocked = guard.cancelled_before_start() => blocked.into(),
+        () = timed_out(&command, timeout) => match guard.has_started() {
             true => Outcome::TimedOut.into(),
             false => Outcome::ConnectFailed.into(),
         },
-        // Not all of it was taken: it never ran.
-        () = stuck(&cargo) => Outcome::ConnectFailed.into(),
-        ended = exchanged => ended,
+        // The endpoint didn't take the whole body, so the command never ran.
+        () = upload_stalled(&command) => Outcome::ConnectFailed.into(),
+        result = exchange_loop => result,
     }
 }
 
-/// Its time runs from when all of it has come.
-async fn over(cargo: &CommandRequest, within: Duration) {
-    if let Some(upload) = cargo.upload() {
+/// Completes when the relay has timed out. With a streamed body the timeout starts once the body is complete.
+async fn timed_out(command: &CommandRequest, timeout: Duration) {
+    if let Some(upload) = command.upload() {
         upload.completed().await;
     }
-    tokio::time::sleep(within).await;
+    tokio::time::sleep(timeout).await;
 }
 
-async fn stuck(cargo: &CommandRequest) {
-    match cargo.upload() {
+/// Completes when the endpoint has stopped reading a streamed body.
+async fn upload_stalled(command: &CommandRequest) {
+    match command.upload() {
         Some(upload) => upload.stalled().await,
         None => std::future::pending().await,
     }
 }
 
-/// One request and its answer, whole or, if that is long, as it comes. `least` tells a length that the request surely
-/// has on the wire, once that is known.
-/// `look` is taken right before its first byte; a probe has none. Behind a probe's answer the connection does not rest,
-/// since the command that the probe was for goes out next, and most go where a probe has just been.
+/// Sends one request and reads its response; a long response is returned as a stream. `guard` is checked right before the
+/// first byte is written; a probe has none. After a probe there is no reuse hold-off, since the command that the probe was made for is sent next, and most
+/// commands go to an endpoint that has just been probed.
 pub async fn exchange(
     client: &PooledClient,
     mut request: Request<RelayBody>,
-    least: Least<'_>,
-    look: Option<&Arc<SendGuard>>,
+    min_wire_len: MinWireLen<'_>,
+    guard: Option<&Arc<SendGuard>>,
 ) -> ExchangeResult {
-    let way = capture_connection(&mut request);
-    let ahead = Arc::new(Mutex::new(None));
-    let told = Arc::clone(&ahead);
-    // What is said ahead of an answer is not its beginning.
+    let connection = capture_connection(&mut request);
+    let last_informational = Arc::new(Mutex::new(None));
+    let informational = Arc::clone(&last_informational);
+    // An informational (1xx) response is not the beginning of the final one.
     hyper::ext::on_informational(&mut request, move |_| {
-        told.lock()
+        informational
+            .lock()
             .iter_mut()
-            .for_each(|at| **at = Some(Instant::now()));
+            .for_each(|last| **last = Some(Instant::now()));
     });
-    let (chosen, rests) = (way.clone(), look.is_some());
-    let way = ExchangeGuard(way);
-    let (mut ended, rest) = tokio::select! {
+    let (assigned, hold_off) = (connection.clone(), guard.is_some());
+    let connection = ExchangeGuard(connection);
+    let (mut result, rest) = tokio::select! {
         biased;
-        ended = whole(client, request, &way, least, rests) => ended,
-        never = shown(chosen, look) => match never {},
-        () = stalled(&way, &ahead) => (spoilt("it stops halfway"), None),
+        result = send_and_read(client, request, &connection, min_wire_len, hold_off) => result,
+        never = set_guard(assigned, guard) => match never {},
+        () = response_stalled(&connection, &last_informational) => (malformed("it stalled midway"), None),
     };
     if let Some(rest) = rest {
-        ended.response = ended.response.map(|answer| {
-            answer.map(|first| {
+        result.response = result.response.map(|response| {
+            response.map(|first| {
                 let first = first.into_buffered();
                 let left = MAX_BODY_BYTES.saturating_sub(first.len());
                 RelayBody::Streamed(Box::new(StreamedResponse {
                     first: Some(first),
                     rest,
-                    guard: way,
+                    guard: connection,
                     left,
                     stall: None,
-                    link: None,
+                    pool: None,
                 }))
             })
         });
     }
-    ended
+    result
 }
 
-type Least<'a> = &'a (dyn Fn() -> Option<usize> + Sync);
+/// Returns a lower bound of a request's length on the wire, once that is known.
+type MinWireLen<'a> = &'a (dyn Fn() -> Option<usize> + Sync);
 
-/// The connection of a request for as long as its outcome is awaited. Given up earlier, the connection writes nothing
-/// more: what still rests in it must not go out after the command has its final answer.
+/// The connection of a request until its response is complete. Dropped earlier, it retires the connection, which then writes
+/// nothing more: bytes still buffered there must not be sent after the command has its final response.
 pub struct ExchangeGuard(CaptureConnection);
 
 impl ExchangeGuard {
-    /// The answer is read whole.
+    /// Marks the response as read completely, so that the connection may be reused.
     pub fn response_complete(&self) {
         if let Some(meter) = meter(self) {
-            meter.ends(true);
+            meter.end_response(true);
         }
     }
 }
@@ -382,44 +392,45 @@
     fn drop(&mut self) {
         meter(self)
             .iter()
-            .filter(|meter| !meter.done.load(Relaxed))
-            .for_each(|m| m.worn.store(true, Relaxed));
+            .filter(|meter| !meter.complete.load(Relaxed))
+            .for_each(|meter| meter.retired.store(true, Relaxed));
     }
 }
 
-async fn whole(
+/// Sends the request and reads the response, or its first part and the stream with the rest.
+async fn send_and_read(
     client: &PooledClient,
     request: Request<RelayBody>,
-    way: &CaptureConnection,
-    least: Least<'_>,
-    rests: bool,
+    connection: &CaptureConnection,
+    min_wire_len: MinWireLen<'_>,
+    hold_off: bool,
 ) -> (ExchangeResult, Option<Incoming>) {
     let (parts, body) = match client.request(request).await {
-        Ok(answer) => answer.into_parts(),
-        Err(fault) => return (broke(&fault, way, least()), None),
+        Ok(response) => response.into_parts(),
+        Err(error) => return (failure_outcome(&error, connection, min_wire_len()), None),
     };
     let report = parts
         .headers
-        .get(LOAD)
-        .and_then(|v| v.to_str().ok())
+        .get(LOAD_REPORT)
+        .and_then(|value| value.to_str().ok())
         .and_then(parse_load_report);
     if body.size_hint().lower() > MAX_BODY_BYTES as u64 {
         return (
             ExchangeResult {
                 report,
-                ..spoilt("it says that it is too long")
+                ..malformed("its stated length is over the limit")
             },
             None,
         );
     }
-    if let Some(meter) = meter(way) {
+    if let Some(meter) = meter(connection) {
         meter
-            .may_hear
-            .store(MAX_BODY_BYTES + LONGEST_AHEAD, Relaxed);
+            .read_limit
+            .store(MAX_BODY_BYTES + MAX_BYTES_BEFORE_BODY, Relaxed);
     }
-    let (held, rest) = match first_of(body).await {
+    let (buffered, rest) = match read_prefix(body).await {
         Ok(read) => read,
-        Err(fault) if !fault.is_parse() => {
+        Err(error) if !error.is_parse() => {
             return (
                 ExchangeResult {
                     report,
@@ -428,24 +439,24 @@
                 None,
             );
         }
-        Err(fault) => {
+        Err(error) => {
             return (
                 ExchangeResult {
                     report,
-                    ..spoilt(&fault)
+                    ..malformed(&error)
                 },
                 None,
             );
         }
     };
-    // Before the connection can be given the next request: that needs a turn of its own task.
-    if let Some(meter) = meter(way).filter(|_| rest.is_none()) {
-        meter.ends(rests);
+    // In time: the pool can't assign the next request before the connection's own task has run again.
+    if let Some(meter) = meter(connection).filter(|_| rest.is_none()) {
+        meter.end_response(hold_off);
     }
     let declined = parts
         .headers
-        .get(NEVER_RAN)
-        .is_some_and(|v| v.as_bytes() == b"1");
+        .get(DECLINED)
+        .is_some_and(|value| value.as_bytes() == b"1");
     let outcome = match parts.status {
         StatusCode::OK => Outcome::Answered,
         StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if declined => {
@@ -454,7 +465,7 @@
         status if status.is_client_error() => Outcome::Rejected,
         _ => Outcome::Error,
     };
-    // Only what serves a command is passed on as it comes.
+    // Only successful responses are streamed.
     if rest.is_some() && outcome != Outcome::Answered {
         return (
             ExchangeResult {
@@ -464,109 +475,131 @@
             None,
         );
     }
-    let mut answer = Response::new(held.into());
-    *answer.status_mut() = parts.status;
-    *answer.headers_mut() = end_to_end(parts.headers);
+    let mut response = Response::new(buffered.into());
+    *response.status_mut() = parts.status;
+    *response.headers_mut() = end_to_end(parts.headers);
     (
         ExchangeResult {
             outcome,
             report,
-            response: Some(answer),
+            response: Some(response),
         },
         rest,
     )
 }
 
-/// As much of an answer as is held at once, and the rest if there is more. One that says it is long is passed on from
-/// its first bytes; one that says nothing is, if it has not ended after a moment.
-async fn first_of(mut body: Incoming) -> Result<(Bytes, Option<Incoming>), hyper::Error> {
-    let mut held = BytesMut::new();
+/// Reads as much of a response as is buffered, and returns the stream with the rest if there is more. A response with a long
+/// stated length is streamed from its first bytes; one without a length is if it
+/// hasn't ended after `UNSIZED_BUFFERING_TIME`.
+async fn read_prefix(mut body: Incoming) -> Result<(Bytes, Option<Incoming>), hyper::Error> {
+    let mut buffered = BytesMut::new();
     let stated = body.size_hint().exact();
-    let most = if stated.is_some_and(|length| length > MAX_BUFFERED_RESPONSE_BYTES as u64) {
+    let max = if stated.is_some_and(|length| length > MAX_BUFFERED_RESPONSE_BYTES as u64) {
         0
     } else {
         MAX_BUFFERED_RESPONSE_BYTES
     };
-    let mut moment = std::pin::pin!(tokio::time::sleep(MOMENT));
+    let mut timeout = std::pin::pin!(tokio::time::sleep(UNSIZED_BUFFERING_TIME));
     loop {
         let frame = tokio::select! {
             biased;
             frame = body.frame() => frame,
-            () = &mut moment, if stated.is_none() && !held.is_empty() => return Ok((held.freeze(), Some(body))),
+            () = &mut timeout, if stated.is_none() && !buffered.is_empty() => return Ok((buffered.freeze(), Some(body))),
         };
         let Some(frame) = frame else {
-            return Ok((held.freeze(), None));
+            return Ok((buffered.freeze(), None));
         };
         let Ok(data) = frame?.into_data() else {
             continue;
         };
-        held.extend_from_slice(&data);
-        if held.len() > most {
-            return Ok((held.freeze(), Some(body)));
+        buffered.extend_from_slice(&data);
+        if buffered.len() > max {
+            return Ok((buffered.freeze(), Some(body)));
         }
     }
 }
 
-/// What came back is no answer, but the endpoint was reached and the command may have run.
-fn spoilt(why: impl std::fmt::Display) -> ExchangeResult {
-    log::debug!("spoilt answer: {why}");
+/// The result for a malformed response: the endpoint was reached and the command may have run.
+fn malformed(reason: impl std::fmt::Display) -> ExchangeResult {
+    log::debug!("malformed response: {reason}");
     Outcome::Error.into()
 }
 
-/// What a request that failed proves.
-fn broke(fault: &legacy::Error, way: &CaptureConnection, least: Option<usize>) -> ExchangeResult {
-    let below = fault
+/// Derives the outcome from a failed request: what the failure proves about whether the command ran.
+fn failure_outcome(
+    error: &legacy::Error,
+    connection: &CaptureConnection,
+    min_wire_len: Option<usize>,
+) -> ExchangeResult {
+    let cause = error
         .source()
         .and_then(|s| s.downcast_ref::<hyper::Error>());
-    let (meter, unstarted) = (meter(way), below.is_some_and(hyper::Error::is_canceled));
-    if meter.as_ref().is_some_and(|meter| meter.worn.load(Relaxed)) {
+    let (meter, unsent) = (
+        meter(connection),
+        cause.is_some_and(hyper::Error::is_canceled),
+    );
+    if meter
+        .as_ref()
+        .is_some_and(|meter| meter.retired.load(Relaxed))
+    {
         return Outcome::NotSent.into();
     }
-    // No connection came up, the library gave the request back unstarted, or the system took fewer bytes than it has.
-    if fault.is_connect()
-        || unstarted
-        || meter.as_ref().is_some_and(|meter| meter.fewer_than(least))
+    // No connection came up, hyper returned the request unsent, or the kernel took fewer bytes than the request has.
+    if error.is_connect()
+        || unsent
+        || meter
+            .as_ref()
+            .is_some_and(|meter| meter.wrote_less_than(min_wire_len))
     {
         return Outcome::ConnectFailed.into();
     }
-    let endless = meter.is_some_and(|meter| meter.heard.load(Relaxed) > LONGEST_AHEAD);
-    if endless || below.is_some_and(hyper::Error::is_parse) {
-        return spoilt(fault);
+    let over_limit =
+        meter.is_some_and(|meter| meter.bytes_read.load(Relaxed) > MAX_BYTES_BEFORE_BODY);
+    if over_limit || cause.is_some_and(hyper::Error::is_parse) {
+        return malformed(error);
     }
-    log::debug!("relay broke: {fault:?}");
+    log::debug!("relay failed: {error:?}");
     Outcome::ConnectionLost.into()
 }
 
-/// Shows a connection what to look at before the request, as soon as the request has it. Until then it writes nothing.
-async fn shown(mut chosen: CaptureConnection, look: Option<&Arc<SendGuard>>) -> Infallible {
-    drop(chosen.wait_for_connection_metadata().await);
-    if let Some(meter) = meter(&chosen) {
-        meter.show(look.cloned());
+/// Hands the send guard to the connection as soon as the pool has assigned one. Until then the connection writes nothing.
+async fn set_guard(mut assigned: CaptureConnection, guard: Option<&Arc<SendGuard>>) -> Infallible {
+    drop(assigned.wait_for_connection_metadata().await);
+    if let Some(meter) = meter(&assigned) {
+        meter.set_guard(guard.cloned());
     }
     std::future::pending().await
 }
 
-/// Ends when an answer has begun and does not go on.
-async fn stalled(way: &CaptureConnection, ahead: &Mutex<Option<Instant>>) {
+/// Completes when a response has begun and stalled midway.
+async fn response_stalled(
+    connection: &CaptureConnection,
+    last_informational: &Mutex<Option<Instant>>,
+) {
     loop {
-        tokio::time::sleep(STALL / 4).await;
-        let last = meter(way).and_then(|meter| meter.last_heard());
-        let said = ahead.lock().ok().and_then(|at| *at);
-        if last.is_some_and(|last| last.elapsed() > STALL && said.is_none_or(|at| at < last)) {
+        tokio::time::sleep(RESPONSE_STALL_TIMEOUT / 4).await;
+        let last = meter(connection).and_then(|meter| meter.last_response_read());
+        let informational = last_informational.lock().ok().and_then(|last| *last);
+        if last.is_some_and(|last| {
+            last.elapsed() > RESPONSE_STALL_TIMEOUT
+                && informational.is_none_or(|informational| informational < last)
+        }) {
             return;
         }
     }
 }
 
-fn meter(way: &CaptureConnection) -> Option<Arc<Meter>> {
+/// The meter of a request's connection, once it has one.
+fn meter(connection: &CaptureConnection) -> Option<Arc<ExchangeMeter>> {
     let mut extras = hyper::http::Extensions::new();
-    way.connection_metadata()
+    connection
+        .connection_metadata()
         .iter()
         .for_each(|info| info.get_extras(&mut extras));
-    extras.get::<Arc<Meter>>().cloned()
+    extras.get::<Arc<ExchangeMeter>>().cloned()
 }
 
-/// A load report, `TEXT name=value, name=value`; none if any of it is malformed.
+/// Parses a load report, `TEXT name=value, name=value`; none if any part of it is malformed. Unknown names are ignored.
 pub fn parse_load_report(text: &str) -> Option<LoadReport> {
     let mut report = LoadReport::default();
     for pair in text.trim().strip_prefix("TEXT ")?.split(',') {
@@ -591,288 +624,303 @@
     Some(report)
 }
 
-// ---- connections ----
-
-/// Opens connections to endpoints, so many at most; each holds its permit until it closes.
+/// Opens connections to endpoints up to a limit; each connection holds a permit until it closes.
 #[derive(Clone)]
 pub struct Dialer {
     http: HttpConnector,
-    within: Duration,
-    idle: Duration,
-    bounded: bool, // what is heard ahead of an answer
+    connect_timeout: Duration,
+    idle_timeout: Duration,
+    size_limited: bool, // response sizes are limited, and requests wait for a send guard
     permits: Arc<Semaphore>,
-    spoilt: Spoilt,
+    last_malformed: LastMalformed,
 }
 
-/// When an answer of any endpoint was spoilt last.
+/// Time of the last malformed response from any endpoint.
 #[derive(Clone, Default)]
-struct Spoilt(Arc<Mutex<Option<Instant>>>);
+struct LastMalformed(Arc<Mutex<Option<Instant>>>);
 
-impl Spoilt {
-    fn note(&self) {
+impl LastMalformed {
+    fn record(&self) {
         *self.0.lock().unwrap_or_else(PoisonError::into_inner) = Some(Instant::now());
     }
 
-    fn rest(&self) -> Duration {
+    fn hold_off(&self) -> Duration {
         let last = *self.0.lock().unwrap_or_else(PoisonError::into_inner);
-        if last.is_some_and(|at| at.elapsed() < LATELY) {
-            LONG_REST
+        if last.is_some_and(|at| at.elapsed() < MALFORMED_MEMORY) {
+            LONG_REUSE_HOLD_OFF
         } else {
-            REST
+            REUSE_HOLD_OFF
         }
     }
 }
 
 impl Dialer {
-    /// A connection that is to come up does so in a fraction of the time it may take; one that does not leaves
-    /// time for another endpoint. `idle_close` is when endpoints close an idle connection; here it goes well before.
-    pub fn new(allowed: Duration, idle_close: Duration, most: usize) -> Self {
-        let within = allowed / 4;
+    /// `total_connect_time` is the time that connecting may take in all. A single attempt gets a quarter of it: a connection that comes up
+    /// at all does so in a fraction of that, and time is left to try another endpoint. Idle connections are
+    /// closed well before `endpoint_idle_timeout`, after which endpoints close them.
+    pub fn new(
+        total_connect_time: Duration,
+        endpoint_idle_timeout: Duration,
+        max_connections: usize,
+    ) -> Self {
+        let connect_timeout = total_connect_time / 4;
         let mut http = HttpConnector::new();
         http.set_nodelay(true);
-        http.set_connect_timeout(Some(within));
-        let (idle, permits) = (
-            idle_close.mul_f64(IDLE_SHARE),
-            Arc::new(Semaphore::new(most)),
+        http.set_connect_timeout(Some(connect_timeout));
+        let (idle_timeout, permits) = (
+            endpoint_idle_timeout.mul_f64(IDLE_TIMEOUT_SHARE),
+            Arc::new(Semaphore::new(max_connections)),
         );
         Dialer {
             http,
-            within,
-            idle,
-            bounded: true,
+            connect_timeout,
+            idle_timeout,
+            size_limited: true,
             permits,
-            spoilt: Spoilt::default(),
+            last_malformed: LastMalformed::default(),
         }
     }
 
-    /// For whoever bounds by itself what it reads.
+    /// For callers that limit response sizes themselves and use no send guards.
     pub fn without_size_limit(self) -> Self {
         Dialer {
-            bounded: false,
+            size_limited: false,
             ..self
         }
     }
 
     /// How long an idle connection is kept at least.
     pub fn idle_timeout(&self) -> Duration {
-        self.idle
+        self.idle_timeout
     }
 
-    /// Keeps to the connections that are open and a few more, as another process needs the rest; how many fewer.
+    /// Gives up unused permits but a few, since another process needs the descriptors. Returns how many.
     pub fn release_unused(&self) -> usize {
-        let spare = self.permits.available_permits().saturating_sub(HELD_BACK);
-        self.permits.forget_permits(spare)
+        let unused = self
+            .permits
+            .available_permits()
+            .saturating_sub(HANDOVER_SPARE_CONNECTIONS);
+        self.permits.forget_permits(unused)
     }
 
-    /// May open so many more.
-    pub fn add_permits(&self, by: usize) {
-        self.permits.add_permits(by);
+    /// Raises the connection limit.
+    pub fn add_permits(&self, count: usize) {
+        self.permits.add_permits(count);
     }
 
+    /// Whether the connection limit is reached.
     pub fn is_exhausted(&self) -> bool {
         self.permits.available_permits() == 0
     }
 
-    /// A pool of its own.
+    /// Returns a client with a connection pool of its own.
     pub fn new_client(&self) -> PooledClient {
         legacy::Client::builder(TokioExecutor::new())
             .retry_canceled_requests(false)
-            .pool_idle_timeout(self.idle)
+            .pool_idle_timeout(self.idle_timeout)
             .pool_timer(TokioTimer::new())
-            .pool_max_idle_per_host(MOST_IDLE)
+            .pool_max_idle_per_host(MAX_IDLE_PER_ENDPOINT)
             .http1_max_buf_size(MAX_HEAD_BYTES)
             .build(self.clone())
     }
 }
 
 impl tower_service::Service<Uri> for Dialer {
-    type Response = TokioIo<Wire>;
-    type Error = Fault;
-    type Future = Pin<Box<dyn Future<Output = Result<TokioIo<Wire>, Fault>> + Send>>;
+    type Response = TokioIo<MeteredStream>;
+    type Error = BoxError;
+    type Future = Pin<Box<dyn Future<Output = Result<TokioIo<MeteredStream>, BoxError>> + Send>>;
 
-    fn poll_ready(&mut self, cx: &mut Context<'_>) -> Poll<Result<(), Fault>> {
+    fn poll_ready(&mut self, cx: &mut Context<'_>) -> Poll<Result<(), BoxError>> {
         self.http.poll_ready(cx).map_err(Into::into)
     }
 
     fn call(&mut self, to: Uri) -> Self::Future {
-        let (mut http, within, bounded) = (self.http.clone(), self.within, self.bounded);
-        let (permits, spoilt) = (Arc::clone(&self.permits), self.spoilt.clone());
+        let (mut http, connect_timeout, size_limited) =
+            (self.http.clone(), self.connect_timeout, self.size_limited);
+        let (permits, last_malformed) = (Arc::clone(&self.permits), self.last_malformed.clone());
         Box::pin(async move {
-            let permit = tokio::time::timeout(within, permits.acquire_owned()).await??;
+            let permit = tokio::time::timeout(connect_timeout, permits.acquire_owned()).await??;
             let stream = http.call(to).await?.into_inner();
             let meter = Arc::default();
-            Ok(TokioIo::new(Wire {
+            Ok(TokioIo::new(MeteredStream {
                 stream,
                 meter,
-                bounded,
-                spoilt,
-                rest: None,
+                size_limited,
+                last_malformed,
+                hold_off: None,
                 _permit: permit,
             }))
         })
     }
 }
 
-/// What passed of the present request and its answer.
+/// Counters and state of a connection's current request and response.
 #[derive(Default)]
-struct Meter {
-    written: AtomicUsize,         // of the request, taken by the system
-    heard: AtomicUsize,           // since
-    may_hear: AtomicUsize,        // of that answer, once its head is read
-    last: Mutex<Option<Instant>>, // when something was heard
-    done: AtomicBool,             // the answer is read whole
-    rests: AtomicBool,            // and the connection is to rest behind it
-    worn: AtomicBool,             // given up with nothing of the request written
-    shown: Mutex<Shown>,          // what to look at before the request
-}
-
+struct ExchangeMeter {
+    bytes_written: AtomicUsize, // bytes of the request that the kernel took
+    bytes_read: AtomicUsize,    // bytes of the response
+    read_limit: AtomicUsize,    // limit on those once the head is parsed
+    last_read: Mutex<Option<Instant>>, // time of the last read
+    complete: AtomicBool,       // the response is complete
+    hold_off: AtomicBool,       // apply the reuse hold-off after it
+    retired: AtomicBool,        // must not write any more
+    guard: Mutex<GuardSlot>,
+}
+
+/// The send guard of the next request on a connection.
 #[derive(Default)]
-struct Shown {
-    look: Option<Option<Arc<SendGuard>>>, // none before the request has its connection
-    waits: Option<Waker>,
-}
-
-impl Meter {
-    /// Nothing of the next request is written, and nothing heard of its answer.
-    fn begins(&self) {
-        self.heard.store(0, Relaxed);
-        self.may_hear.store(0, Relaxed);
-        self.written.store(0, Relaxed);
-        self.done.store(false, Relaxed);
-    }
-
-    /// Guards against a long answer whose end has been read here but not by its client, who is slow: its connection is given
-    /// the next request, which nothing on it is ready for. It carries none.
-    fn show(&self, look: Option<Arc<SendGuard>>) {
-        if self.written.load(Relaxed) > 0 && !self.done.load(Relaxed) {
-            self.worn.store(true, Relaxed);
+struct GuardSlot {
+    guard: Option<Option<Arc<SendGuard>>>, // outer none: no request assigned; inner none: nothing to check
+    waker: Option<Waker>,
+}
+
+impl ExchangeMeter {
+    /// Resets the counters for the next request.
+    fn start_request(&self) {
+        self.bytes_read.store(0, Relaxed);
+        self.read_limit.store(0, Relaxed);
+        self.bytes_written.store(0, Relaxed);
+        self.complete.store(false, Relaxed);
+    }
+
+    /// Sets the guard of the request that the connection was assigned. Prevents reuse of a connection whose streamed response
+    /// hyper has read to its end but a slow client has not: the pool assigns the next request, and the state here is still that
+    /// of the response before. Such a connection is retired.
+    fn set_guard(&self, guard: Option<Arc<SendGuard>>) {
+        if self.bytes_written.load(Relaxed) > 0 && !self.complete.load(Relaxed) {
+            self.retired.store(true, Relaxed);
         }
-        let mut shown = self.shown.lock().unwrap_or_else(PoisonError::into_inner);
-        shown.look = Some(look);
-        shown.waits.take().into_iter().for_each(Waker::wake);
+        let mut slot = self.guard.lock().unwrap_or_else(PoisonError::into_inner);
+        slot.guard = Some(guard);
+        slot.waker.take().into_iter().for_each(Waker::wake);
     }
 
-    /// The answer is read whole.
-    fn ends(&self, rests: bool) {
-        self.done.store(true, Relaxed);
-        self.rests.store(rests, Relaxed);
-        self.shown
+    /// The response is complete.
+    fn end_response(&self, hold_off: bool) {
+        self.complete.store(true, Relaxed);
+        self.hold_off.store(hold_off, Relaxed);
+        self.guard
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
-            .look = None;
+            .guard = None;
     }
 
-    /// Whether the request may begin.
-    fn looked(&self, cx: &mut Context<'_>) -> Poll<bool> {
-        let mut shown = self.shown.lock().unwrap_or_else(PoisonError::into_inner);
-        match &shown.look {
-            Some(look) => Poll::Ready(look.as_ref().is_none_or(|look| look.try_start())),
+    /// Whether the first byte of the request may be written; pending until the guard is set.
+    fn poll_may_start(&self, cx: &mut Context<'_>) -> Poll<bool> {
+        let mut slot = self.guard.lock().unwrap_or_else(PoisonError::into_inner);
+        match &slot.guard {
+            Some(guard) => Poll::Ready(guard.as_ref().is_none_or(|guard| guard.try_start())),
             None => {
-                shown.waits = Some(cx.waker().clone());
+                slot.waker = Some(cx.waker().clone());
                 Poll::Pending
             }
         }
     }
 
-    fn hears(&self, count: usize) -> usize {
-        self.last
+    /// Returns the number of bytes read of the current response.
+    fn record_read(&self, count: usize) -> usize {
+        self.last_read
             .lock()
             .iter_mut()
             .for_each(|last| **last = Some(Instant::now()));
-        self.heard.fetch_add(count, Relaxed) + count
+        self.bytes_read.fetch_add(count, Relaxed) + count
     }
 
-    /// When the present answer was last heard of.
-    fn last_heard(&self) -> Option<Instant> {
-        self.last
+    /// Time of the last read that belongs to the current response.
+    fn last_response_read(&self) -> Option<Instant> {
+        self.last_read
             .lock()
             .ok()
-            .and_then(|last| last.filter(|_| self.heard.load(Relaxed) > 0))
+            .and_then(|last| last.filter(|_| self.bytes_read.load(Relaxed) > 0))
     }
 
-    fn fewer_than(&self, least: Option<usize>) -> bool {
-        self.heard.load(Relaxed) == 0
-            && least.is_none_or(|least| self.written.load(Relaxed) < least)
+    /// Whether nothing was read and fewer bytes were written than the request has; true if its length is not known.
+    fn wrote_less_than(&self, length: Option<usize>) -> bool {
+        self.bytes_read.load(Relaxed) == 0
+            && length.is_none_or(|length| self.bytes_written.load(Relaxed) < length)
     }
 }
 
-/// A connection to an endpoint that counts what passes.
-pub struct Wire {
+/// A TCP connection to an endpoint that meters its traffic and checks the send guard before each request.
+pub struct MeteredStream {
     stream: TcpStream,
-    meter: Arc<Meter>,
-    bounded: bool,
-    spoilt: Spoilt,
-    rest: Option<Pin<Box<Sleep>>>, // between an answer and the next request
+    meter: Arc<ExchangeMeter>,
+    size_limited: bool,
+    last_malformed: LastMalformed,
+    hold_off: Option<Pin<Box<Sleep>>>, // set while a request waits for the hold-off
     _permit: OwnedSemaphorePermit,
 }
 
-impl Wire {
-    fn wrote(&self, written: Poll<io::Result<usize>>) -> Poll<io::Result<usize>> {
+impl MeteredStream {
+    fn record_write(&self, written: Poll<io::Result<usize>>) -> Poll<io::Result<usize>> {
         if let Poll::Ready(Ok(n)) = &written {
-            self.meter.written.fetch_add(*n, Relaxed);
+            self.meter.bytes_written.fetch_add(*n, Relaxed);
         }
         written
     }
 
-    /// Before the first byte of a request. Guards against one that is wanted no longer, or not there.
-    fn may_begin(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        ready!(self.rested(cx))?;
-        // Only what relays and probes use is shown what to look at.
-        if self.bounded && self.meter.written.load(Relaxed) == 0 && !ready!(self.meter.looked(cx)) {
-            return Poll::Ready(Err(self.wear_out("what was to be sent is barred")));
+    /// Runs before the first byte of a request. Prevents sending a request that is no longer wanted or whose endpoint changed.
+    fn poll_may_write(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
+        ready!(self.poll_hold_off(cx))?;
+        // Only connections of relays and probes get a send guard.
+        if self.size_limited
+            && self.meter.bytes_written.load(Relaxed) == 0
+            && !ready!(self.meter.poll_may_start(cx))
+        {
+            return Poll::Ready(Err(self.retire("the request may no longer be sent")));
         }
         Poll::Ready(Ok(()))
     }
 
-    /// Before the first byte of a request that follows an answer. Guards against bytes behind that answer, a second
-    /// copy of it perhaps, which would be taken for the answer to this request.
-    fn rested(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        // The library may go on to write what it holds after a failure to read.
-        if self.meter.worn.load(Relaxed) {
+    /// Runs before the first byte of a request that follows a response. Prevents surplus bytes after that response, such as a
+    /// duplicate of it, from being taken for the response to this request.
+    fn poll_hold_off(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
+        // hyper may go on to write its buffer after a read error.
+        if self.meter.retired.load(Relaxed) {
             return Poll::Ready(Err(io::ErrorKind::BrokenPipe.into()));
         }
         let Some(last) = self
             .meter
-            .last_heard()
-            .filter(|_| self.meter.done.load(Relaxed))
+            .last_response_read()
+            .filter(|_| self.meter.complete.load(Relaxed))
         else {
             return Poll::Ready(Ok(()));
         };
-        if self.meter.rests.load(Relaxed) {
-            let until = last + self.spoilt.rest();
-            let rest = self
-                .rest
+        if self.meter.hold_off.load(Relaxed) {
+            let until = last + self.last_malformed.hold_off();
+            let sleep = self
+                .hold_off
                 .get_or_insert_with(|| Box::pin(tokio::time::sleep_until(until)));
-            ready!(rest.as_mut().poll(cx));
+            ready!(sleep.as_mut().poll(cx));
         }
         match peek_socket(&self.stream) {
             SocketInput::Empty => {
-                self.rest = None;
-                self.meter.begins();
+                self.hold_off = None;
+                self.meter.start_request();
                 Poll::Ready(Ok(()))
             }
             SocketInput::Bytes => {
-                self.spoilt.note();
-                Poll::Ready(Err(self.wear_out(BEHIND)))
+                self.last_malformed.record();
+                Poll::Ready(Err(self.retire(UNEXPECTED_INPUT)))
             }
-            SocketInput::Closed => Poll::Ready(Err(self.wear_out(BEHIND))),
+            SocketInput::Closed => Poll::Ready(Err(self.retire(UNEXPECTED_INPUT))),
         }
     }
 
-    fn wear_out(&self, why: &'static str) -> io::Error {
-        self.meter.begins();
-        self.meter.worn.store(true, Relaxed);
-        io::Error::new(io::ErrorKind::InvalidData, why)
+    fn retire(&self, reason: &'static str) -> io::Error {
+        self.meter.start_request();
+        self.meter.retired.store(true, Relaxed);
+        io::Error::new(io::ErrorKind::InvalidData, reason)
     }
 }
 
-impl Connection for Wire {
+impl Connection for MeteredStream {
     fn connected(&self) -> Connected {
         Connected::new().extra(Arc::clone(&self.meter))
     }
 }
 
-impl AsyncRead for Wire {
+impl AsyncRead for MeteredStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -881,34 +929,37 @@
         let before = buf.filled().len();
         ready!(Pin::new(&mut self.stream).poll_read(cx, buf))?;
         let count = buf.filled().len() - before;
-        if self.rest.is_some() {
-            // The next request waits to be written.
-            return Poll::Ready(Err(self.wear_out(BEHIND)));
+        if self.hold_off.is_some() {
+            // The next request waits for the hold-off, so no input is due.
+            return Poll::Ready(Err(self.retire(UNEXPECTED_INPUT)));
         }
-        // What an endpoint's system holds back until its last bytes are acknowledged is to show now, not behind the
-        // next request.
+        // Acknowledge at once: what the endpoint's kernel holds back until then has to arrive now, not after the next request.
         let _ = socket2::SockRef::from(&self.stream).set_tcp_quickack(true);
-        // Guards against an answer without end.
-        let most = self.meter.may_hear.load(Relaxed).max(LONGEST_AHEAD);
-        if count > 0 && self.meter.hears(count) > most && self.bounded {
+        // Prevents endless responses.
+        let max = self
+            .meter
+            .read_limit
+            .load(Relaxed)
+            .max(MAX_BYTES_BEFORE_BODY);
+        if count > 0 && self.meter.record_read(count) > max && self.size_limited {
             return Poll::Ready(Err(io::Error::new(
                 io::ErrorKind::InvalidData,
-                "an answer without end",
+                "response is over the size limit",
             )));
         }
         Poll::Ready(Ok(()))
     }
 }
 
-impl AsyncWrite for Wire {
+impl AsyncWrite for MeteredStream {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
         buf: &[u8],
     ) -> Poll<io::Result<usize>> {
-        ready!(self.may_begin(cx))?;
+        ready!(self.poll_may_write(cx))?;
         let written = Pin::new(&mut self.stream).poll_write(cx, buf);
-        self.wrote(written)
+        self.record_write(written)
     }
 
     fn is_write_vectored(&self) -> bool {
@@ -920,9 +971,9 @@
         cx: &mut Context<'_>,
         bufs: &[IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
-        ready!(self.may_begin(cx))?;
+        ready!(self.poll_may_write(cx))?;
         let written = Pin::new(&mut self.stream).poll_write_vectored(cx, bufs);
-        self.wrote(written)
+        self.record_write(written)
     }
 
     fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
--- a/crates/passroad/src/relay/tests.rs
+++ b/crates/passroad/src/relay/tests.rs
@@ -2,27 +2,27 @@
 use rstest::rstest;
 
 #[rstest]
-#[case::nothing_taken(&[], false, true)]
-#[case::too_little_taken(&[10, 89], false, true)]
-#[case::all_may_be_taken(&[10, 90], false, false)]
-#[case::something_came_back(&[10], true, false)]
-fn a_request_of_which_too_little_was_taken_never_ran(
-    #[case] taken: &[usize],
-    #[case] heard: bool,
-    #[case] never: bool,
+#[case::nothing_written(&[], false, true)]
+#[case::too_few_written(&[10, 89], false, true)]
+#[case::all_may_be_written(&[10, 90], false, false)]
+#[case::something_received(&[10], true, false)]
+fn request_with_too_few_bytes_written_never_ran(
+    #[case] written: &[usize],
+    #[case] received: bool,
+    #[case] never_ran: bool,
 ) {
-    // One request went over this connection before and was answered.
-    let meter = Meter {
-        written: AtomicUsize::new(500),
-        heard: AtomicUsize::new(80),
-        ..Meter::default()
+    // A previous request and its response used this connection.
+    let meter = ExchangeMeter {
+        bytes_written: AtomicUsize::new(500),
+        bytes_read: AtomicUsize::new(80),
+        ..ExchangeMeter::default()
     };
-    meter.begins();
-    taken.iter().for_each(|n| {
-        meter.written.fetch_add(*n, Relaxed);
+    meter.start_request();
+    written.iter().for_each(|n| {
+        meter.bytes_written.fetch_add(*n, Relaxed);
     });
-    meter.heard.store(usize::from(heard), Relaxed);
-    assert_eq!(meter.fewer_than(Some(100)), never);
+    meter.bytes_read.store(usize::from(received), Relaxed);
+    assert_eq!(meter.wrote_less_than(Some(100)), never_ran);
 }
 
 #[rstest]
@@ -32,15 +32,15 @@
 #[case("TEXT inflight=7, queue=NaN, util=0.61", None)]
 #[case("inflight=7, queue=2, util=0.61", None)]
 #[case("TEXT", None)]
-fn a_load_report_is_read_whole_or_not_at_all(
+fn load_report_is_parsed_whole_or_rejected(
     #[case] text: &str,
-    #[case] read: Option<(f64, f64, f64)>,
+    #[case] parsed: Option<(f64, f64, f64)>,
 ) {
-    let read = read.map(|(outstanding, backlog, utilization)| LoadReport {
+    let parsed = parsed.map(|(outstanding, backlog, utilization)| LoadReport {
         outstanding: Some(outstanding),
         backlog: Some(backlog),
         utilization: Some(utilization),
         ..LoadReport::default()
     });
-    assert_eq!(parse_load_report(text), read);
+    assert_eq!(parse_load_report(text), parsed);
 }
