--- /dev/null
+++ b/crates/passroad/src/relay/exchange.rs
@@ -0,0 +1,388 @@
+//! One HTTP request to an endpoint and its response: what is buffered, what is streamed, and what a failure proves.
+
+use super::pool::PooledClient;
+use super::stream::{ExchangeMeter, MAX_BYTES_BEFORE_BODY};
+use crate::body::{MAX_BODY_BYTES, MAX_BUFFERED_RESPONSE_BYTES, RelayBody, StreamedResponse};
+use crate::send_guard::{SendBlocked, SendGuard};
+use bytes::{Bytes, BytesMut};
+use http_body_util::BodyExt;
+use hyper::body::{Body, Incoming};
+use hyper::header::{self, HeaderMap, HeaderName};
+use hyper::{Request, Response, StatusCode};
+use hyper_util::client::legacy;
+use hyper_util::client::legacy::connect::{CaptureConnection, capture_connection};
+use passroad_choice::{LoadReport, Outcome};
+use std::convert::Infallible;
+use std::error::Error;
+use std::sync::atomic::Ordering::Relaxed;
+use std::sync::{Arc, Mutex};
+use std::time::Duration;
+use tokio::time::Instant;
+
+/// Endpoints write a response in one go: one that pauses midway for this long counts as malformed.
+const RESPONSE_STALL_TIMEOUT: Duration = Duration::from_millis(100);
+/// A response without a stated length that takes longer than this is streamed: only its end would tell how long it is.
+const UNSIZED_BUFFERING_TIME: Duration = Duration::from_millis(10);
+const LOAD_REPORT: &str = "srv-load";
+const DECLINED: &str = "srv-declined";
+
+/// Returns a lower bound of a request's length on the wire, once that is known.
+pub type MinWireLen<'a> = &'a (dyn Fn() -> Option<usize> + Sync);
+
+/// Result of one HTTP exchange with an endpoint, for a relay or a probe.
+pub struct ExchangeResult {
+    pub outcome: Outcome,
+    pub report: Option<LoadReport>,
+    /// None where there is none to pass on: the exchange failed, or the response was malformed or an unsuccessful long one.
+    pub response: Option<Response<RelayBody>>,
+}
+
+impl From<SendBlocked> for ExchangeResult {
+    fn from(blocked: SendBlocked) -> Self {
+        ExchangeResult::from(match blocked {
+            SendBlocked::CommandFinished | SendBlocked::ClientGone => Outcome::Cancelled,
+            SendBlocked::EndpointChanged | SendBlocked::TooLate => Outcome::NotSent,
+        })
+    }
+}
+
+impl From<Outcome> for ExchangeResult {
+    fn from(outcome: Outcome) -> Self {
+        ExchangeResult {
+            outcome,
+            report: None,
+            response: None,
+        }
+    }
+}
+
+/// Sends one request and reads its response; a long response is returned as a stream. `guard` is checked right before the
+/// first byte is written; a probe has none. After a probe there is no reuse hold-off, since the command that the probe was
+/// made for is sent next, and most commands go to an endpoint that has just been probed.
+pub async fn exchange(
+    client: &PooledClient,
+    mut request: Request<RelayBody>,
+    min_wire_len: MinWireLen<'_>,
+    guard: Option<&Arc<SendGuard>>,
+) -> ExchangeResult {
+    let connection = capture_connection(&mut request);
+    let last_informational = Arc::new(Mutex::new(None));
+    let informational = Arc::clone(&last_informational);
+    // An informational (1xx) response is not the beginning of the final one.
+    hyper::ext::on_informational(&mut request, move |_| {
+        informational
+            .lock()
+            .iter_mut()
+            .for_each(|last| **last = Some(Instant::now()));
+    });
+    let (assigned, hold_off) = (connection.clone(), guard.is_some());
+    let connection = ExchangeGuard(connection);
+    let (mut result, rest) = tokio::select! {
+        biased;
+        result = send_and_read(client, request, &connection, min_wire_len, hold_off) => result,
+        never = set_guard(assigned, guard) => match never {},
+        () = response_stalled(&connection, &last_informational) => (malformed("it stalled midway"), None),
+    };
+    if let Some(rest) = rest {
+        result.response = result.response.map(|response| {
+            response.map(|first| {
+                let first = first.into_buffered();
+                let left = MAX_BODY_BYTES.saturating_sub(first.len());
+                RelayBody::Streamed(Box::new(StreamedResponse {
+                    first: Some(first),
+                    rest,
+                    guard: connection,
+                    left,
+                    stall: None,
+                    pool: None,
+                }))
+            })
+        });
+    }
+    result
+}
+
+/// The connection of a request until its response is complete. Dropped earlier, it retires the connection, which then writes
+/// nothing more: bytes still buffered there must not be sent after the command has its final response.
+pub struct ExchangeGuard(CaptureConnection);
+
+impl ExchangeGuard {
+    /// Marks the response as read completely, so that the connection may be reused.
+    pub fn response_complete(&self) {
+        if let Some(meter) = meter(self) {
+            meter.end_response(true);
+        }
+    }
+}
+
+impl std::ops::Deref for ExchangeGuard {
+    type Target = CaptureConnection;
+
+    fn deref(&self) -> &CaptureConnection {
+        &self.0
+    }
+}
+
+impl Drop for ExchangeGuard {
+    fn drop(&mut self) {
+        meter(self)
+            .iter()
+            .filter(|meter| !meter.complete.load(Relaxed))
+            .for_each(|meter| meter.retired.store(true, Relaxed));
+    }
+}
+
+/// Sends the request and reads the response, or its first part and the stream with the rest.
+async fn send_and_read(
+    client: &PooledClient,
+    request: Request<RelayBody>,
+    connection: &CaptureConnection,
+    min_wire_len: MinWireLen<'_>,
+    hold_off: bool,
+) -> (ExchangeResult, Option<Incoming>) {
+    let (parts, body) = match client.request(request).await {
+        Ok(response) => response.into_parts(),
+        Err(error) => return (failure_outcome(&error, connection, min_wire_len()), None),
+    };
+    let report = parts
+        .headers
+        .get(LOAD_REPORT)
+        .and_then(|value| value.to_str().ok())
+        .and_then(parse_load_report);
+    if body.size_hint().lower() > MAX_BODY_BYTES as u64 {
+        return (
+            ExchangeResult {
+                report,
+                ..malformed("its stated length is over the limit")
+            },
+            None,
+        );
+    }
+    if let Some(meter) = meter(connection) {
+        meter
+            .read_limit
+            .store(MAX_BODY_BYTES + MAX_BYTES_BEFORE_BODY, Relaxed);
+    }
+    let (buffered, rest) = match read_prefix(body).await {
+        Ok(read) => read,
+        Err(error) if !error.is_parse() => {
+            return (
+                ExchangeResult {
+                    report,
+                    ..Outcome::ConnectionLost.into()
+                },
+                None,
+            );
+        }
+        Err(error) => {
+            return (
+                ExchangeResult {
+                    report,
+                    ..malformed(&error)
+                },
+                None,
+            );
+        }
+    };
+    // In time: the pool can't assign the next request before the connection's own task has run again.
+    if let Some(meter) = meter(connection).filter(|_| rest.is_none()) {
+        meter.end_response(hold_off);
+    }
+    let declined = parts
+        .headers
+        .get(DECLINED)
+        .is_some_and(|value| value.as_bytes() == b"1");
+    let outcome = match parts.status {
+        StatusCode::OK => Outcome::Answered,
+        StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if declined => {
+            Outcome::Overloaded
+        }
+        status if status.is_client_error() => Outcome::Rejected,
+        _ => Outcome::Error,
+    };
+    // Only successful responses are streamed.
+    if rest.is_some() && outcome != Outcome::Answered {
+        return (
+            ExchangeResult {
+                report,
+                ..outcome.into()
+            },
+            None,
+        );
+    }
+    let mut response = Response::new(buffered.into());
+    *response.status_mut() = parts.status;
+    *response.headers_mut() = end_to_end(parts.headers);
+    (
+        ExchangeResult {
+            outcome,
+            report,
+            response: Some(response),
+        },
+        rest,
+    )
+}
+
+/// Reads as much of a response as is buffered, and returns the stream with the rest if there is more. A response with a long
+/// stated length is streamed from its first bytes; one without a length is if it
+/// hasn't ended after `UNSIZED_BUFFERING_TIME`.
+async fn read_prefix(mut body: Incoming) -> Result<(Bytes, Option<Incoming>), hyper::Error> {
+    let mut buffered = BytesMut::new();
+    let stated = body.size_hint().exact();
+    let max = if stated.is_some_and(|length| length > MAX_BUFFERED_RESPONSE_BYTES as u64) {
+        0
+    } else {
+        MAX_BUFFERED_RESPONSE_BYTES
+    };
+    let mut timeout = std::pin::pin!(tokio::time::sleep(UNSIZED_BUFFERING_TIME));
+    loop {
+        let frame = tokio::select! {
+            biased;
+            frame = body.frame() => frame,
+            () = &mut timeout, if stated.is_none() && !buffered.is_empty() => return Ok((buffered.freeze(), Some(body))),
+        };
+        let Some(frame) = frame else {
+            return Ok((buffered.freeze(), None));
+        };
+        let Ok(data) = frame?.into_data() else {
+            continue;
+        };
+        buffered.extend_from_slice(&data);
+        if buffered.len() > max {
+            return Ok((buffered.freeze(), Some(body)));
+        }
+    }
+}
+
+/// Removes hop-by-hop headers.
+fn end_to_end(mut headers: HeaderMap) -> HeaderMap {
+    let listed: Vec<HeaderName> = headers
+        .get_all(header::CONNECTION)
+        .iter()
+        .flat_map(|value| value.to_str().unwrap_or_default().split(','))
+        .filter_map(|name| name.trim().parse().ok())
+        .collect();
+    let hop_by_hop = [
+        header::CONNECTION,
+        header::TRANSFER_ENCODING,
+        header::CONTENT_LENGTH,
+        header::TE,
+        header::TRAILER,
+        header::UPGRADE,
+        header::EXPECT,
+        HeaderName::from_static("keep-alive"),
+        HeaderName::from_static("proxy-connection"),
+    ];
+    for name in listed.iter().chain(&hop_by_hop) {
+        headers.remove(name);
+    }
+    headers
+}
+
+/// The result for a malformed response: the endpoint was reached and the command may have run.
+fn malformed(reason: impl std::fmt::Display) -> ExchangeResult {
+    log::debug!("malformed response: {reason}");
+    Outcome::Error.into()
+}
+
+/// Derives the outcome from a failed request: what the failure proves about whether the command ran.
+fn failure_outcome(
+    error: &legacy::Error,
+    connection: &CaptureConnection,
+    min_wire_len: Option<usize>,
+) -> ExchangeResult {
+    let cause = error
+        .source()
+        .and_then(|s| s.downcast_ref::<hyper::Error>());
+    let (meter, unsent) = (
+        meter(connection),
+        cause.is_some_and(hyper::Error::is_canceled),
+    );
+    if meter
+        .as_ref()
+        .is_some_and(|meter| meter.retired.load(Relaxed))
+    {
+        return Outcome::NotSent.into();
+    }
+    // No connection came up, hyper returned the request unsent, or the kernel took fewer bytes than the request has.
+    if error.is_connect()
+        || unsent
+        || meter
+            .as_ref()
+            .is_some_and(|meter| meter.wrote_less_than(min_wire_len))
+    {
+        return Outcome::ConnectFailed.into();
+    }
+    let over_limit =
+        meter.is_some_and(|meter| meter.bytes_read.load(Relaxed) > MAX_BYTES_BEFORE_BODY);
+    if over_limit || cause.is_some_and(hyper::Error::is_parse) {
+        return malformed(error);
+    }
+    log::debug!("relay failed: {error:?}");
+    Outcome::ConnectionLost.into()
+}
+
+/// Hands the send guard to the connection as soon as the pool has assigned one. Until then the connection writes nothing.
+async fn set_guard(mut assigned: CaptureConnection, guard: Option<&Arc<SendGuard>>) -> Infallible {
+    drop(assigned.wait_for_connection_metadata().await);
+    if let Some(meter) = meter(&assigned) {
+        meter.set_guard(guard.cloned());
+    }
+    std::future::pending().await
+}
+
+/// Completes when a response has begun and stalled midway.
+async fn response_stalled(
+    connection: &CaptureConnection,
+    last_informational: &Mutex<Option<Instant>>,
+) {
+    loop {
+        tokio::time::sleep(RESPONSE_STALL_TIMEOUT / 4).await;
+        let last = meter(connection).and_then(|meter| meter.last_response_read());
+        let informational = last_informational.lock().ok().and_then(|last| *last);
+        if last.is_some_and(|last| {
+            last.elapsed() > RESPONSE_STALL_TIMEOUT
+                && informational.is_none_or(|informational| informational < last)
+        }) {
+            return;
+        }
+    }
+}
+
+/// The meter of a request's connection, once it has one.
+fn meter(connection: &CaptureConnection) -> Option<Arc<ExchangeMeter>> {
+    let mut extras = hyper::http::Extensions::new();
+    connection
+        .connection_metadata()
+        .iter()
+        .for_each(|info| info.get_extras(&mut extras));
+    extras.get::<Arc<ExchangeMeter>>().cloned()
+}
+
+/// Parses a load report, `TEXT name=value, name=value`; none if any part of it is malformed. Unknown names are ignored.
+pub fn parse_load_report(text: &str) -> Option<LoadReport> {
+    let mut report = LoadReport::default();
+    for pair in text.trim().strip_prefix("TEXT ")?.split(',') {
+        let (name, value) = pair.trim().split_once('=')?;
+        let value = Some(
+            value
+                .trim()
+                .parse()
+                .ok()
+                .filter(|n: &f64| n.is_finite() && *n >= 0.0)?,
+        );
+        match name.trim() {
+            "inflight" | "outstanding" => report.outstanding = value,
+            "queue" | "backlog" => report.backlog = value,
+            "util" | "utilization" => report.utilization = value,
+            "latency_ms" | "recent_ms" => report.recent_ms = value,
+            "qps" | "throughput" => report.throughput = value,
+            "eps" | "errors_per_s" => report.errors_per_s = value,
+            _ => {}
+        }
+    }
+    Some(report)
+}
+
+#[cfg(test)]
+mod tests;
--- a/crates/passroad/src/relay/pool.rs
+++ b/crates/passroad/src/relay/pool.rs
@@ -17,6 +17,7 @@
 
 /// Connections that the old process of a handover may still open, beyond those it has.
 const HANDOVER_SPARE_CONNECTIONS: usize = 8;
+/// Idle connections kept per endpoint.
 const MAX_IDLE_PER_ENDPOINT: usize = 16;
 /// Share of the endpoints' own idle timeout. The pool evicts expired connections once per idle timeout, so a connection may
 /// stay for nearly twice as long; below one half it is still closed here before the endpoint closes it.
@@ -33,11 +34,12 @@
     pub client: PooledClient,
     pub(super) dialer: Dialer,
     users: Arc<()>,
-    /// Cancelled when the endpoint's state is no longer the one for which this clone was handed out.
+    /// Cancelled when the endpoint changes or leaves after this clone was handed out: unsent relays are then dropped.
     pub invalidated: CancellationToken,
 }
 
 impl EndpointPool {
+    /// Creates an empty pool; connections are opened on demand.
     pub fn new(address: SocketAddr, dialer: &Dialer) -> Self {
         let (client, dialer) = (dialer.new_client(), dialer.clone());
         EndpointPool {
