--- a/crates/passroad/src/command.rs
+++ b/crates/passroad/src/command.rs
@@ -1,4 +1,4 @@
-//! The life of one command, top to bottom; the module decides at each turn.
+//! The lifecycle of one command, from admission to its final response. The decision module chooses each step.
 
 use crate::body::{RelayBody, StreamedUpload};
 use crate::dispatcher::{CommandAction, Dispatcher};
@@ -13,9 +13,10 @@
 use tokio::sync::oneshot;
 use tokio::time::{Instant, sleep};
 
-const LATER: Duration = Duration::from_secs(86_400);
+/// Stands for no time limit while a streamed body is still being received.
+const NO_TIME_LIMIT: Duration = Duration::from_secs(86_400);
 
-/// The one final answer to a command.
+/// The one final response to a command.
 pub enum FinalResponse {
     FromEndpoint(Response<RelayBody>),
     Refused { retry_after: Option<Duration> },
@@ -23,125 +24,133 @@
     DeadlineExceeded,
 }
 
-/// What the decisions need of a command.
+/// What the decision module needs to know of a command.
 pub struct CommandParams {
+    /// Index of the request class.
     pub class: usize,
+    /// Index of the tenant, if it is a configured one.
     pub tenant: Option<usize>,
+    /// Time for the command as the decision module plans with it.
     pub budget: Duration,
-    pub time_limit: Duration, // when the answer must be there, whatever the module says
+    /// Time until the final response is sent, whatever the module decides.
+    pub time_limit: Duration,
     pub is_retry: bool,
+    /// Hash of the subject that endpoints keep state for, if the command names one.
     pub key: Option<u64>,
     pub client: Arc<ClientConnection>,
 }
 
+/// Runs a command: admits it, carries out what the module decides and sends one final response to `responder`. A dropped
+/// receiver means that the client has closed its connection. Returns when the module has released the command.
 pub async fn run(
-    desk: Arc<Dispatcher>,
-    need: CommandParams,
-    cargo: CommandRequest,
-    front: oneshot::Sender<FinalResponse>,
+    dispatcher: Arc<Dispatcher>,
+    params: CommandParams,
+    request: CommandRequest,
+    responder: oneshot::Sender<FinalResponse>,
 ) {
-    let (cargo, mut front) = (Arc::new(cargo), Some(front));
-    // Of a long body the time runs from when all of it has come.
-    let mut upload = cargo.upload().cloned();
+    let (request, mut responder) = (Arc::new(request), Some(responder));
+    // With a streamed body the time limit starts once the body is complete.
+    let mut upload = request.upload().cloned();
     let mut limit = std::pin::pin!(sleep(if upload.is_some() {
-        LATER
+        NO_TIME_LIMIT
     } else {
-        need.time_limit
+        params.time_limit
     }));
-    let mut seat = desk.admit(|cmd| CommandArrival {
-        command: cmd,
-        class: need.class,
-        tenant: need.tenant,
-        key: need.key,
-        budget: need.budget,
+    let mut handle = dispatcher.admit(|command| CommandArrival {
+        command,
+        class: params.class,
+        tenant: params.tenant,
+        key: params.key,
+        budget: params.budget,
         work: None,
-        is_retry: need.is_retry,
+        is_retry: params.is_retry,
         is_write: false,
         weight_set: 0,
         body_pending: upload.is_some(),
     });
-    let (mut relays, mut recalls) = (FuturesUnordered::new(), Vec::new());
+    let (mut relays, mut cancels) = (FuturesUnordered::new(), Vec::new());
     loop {
         tokio::select! {
             biased;
-            order = seat.next_action() => match order {
-                // Its module has forgotten the command: nothing of it is out any more.
+            action = handle.next_action() => match action {
+                // The module has released the command, so no relay of it is open any more.
                 None => return,
-                Some(CommandAction::Relay { pool: link, timeout: within, send_by: begin }) => {
-                    let (recall, recalled) = oneshot::channel();
-                    recalls.push(Some(recall));
-                    let (n, began, cargo) = (seat.latest_relay(), Instant::now(), Arc::clone(&cargo));
-                    let left = limit.deadline().saturating_duration_since(began);
-                    let within = if upload.is_some() { need.budget } else { within.min(left) };
-                    let until = upload.is_none().then(|| (began + within.min(begin)).into());
-                    let look = SendGuard::new(seat.ended.clone(), link.invalidated.clone(), until, Arc::clone(&need.client));
-                    let look = Arc::new(look);
+                Some(CommandAction::Relay { pool, timeout, send_by }) => {
+                    let (cancel, cancelled) = oneshot::channel();
+                    cancels.push(Some(cancel));
+                    let (relay, started, request) = (handle.latest_relay(), Instant::now(), Arc::clone(&request));
+                    let left = limit.deadline().saturating_duration_since(started);
+                    let timeout = if upload.is_some() { params.budget } else { timeout.min(left) };
+                    let send_by = upload.is_none().then(|| (started + timeout.min(send_by)).into());
+                    let guard = SendGuard::new(handle.ended.clone(), pool.invalidated.clone(), send_by, Arc::clone(&params.client));
+                    let guard = Arc::new(guard);
                     relays.push(async move {
-                        let ended = relay::run(*link, Arc::clone(&cargo), Arc::clone(&look), within, recalled).await;
-                        let since = cargo.upload().and_then(|upload| upload.completed_at());
-                        (n, ended, since.map_or(began, |since| began.max(since)).elapsed(), look.client_left())
+                        let result = relay::run(*pool, Arc::clone(&request), Arc::clone(&guard), timeout, cancelled).await;
+                        let completed = request.upload().and_then(|upload| upload.completed_at());
+                        (relay, result, completed.map_or(started, |completed| started.max(completed)).elapsed(), guard.client_left())
                     });
                 }
                 Some(CommandAction::CancelRelay { relay }) => {
-                    // The relay's future sees it and closes its connection.
-                    recalls.get_mut(relay).and_then(Option::take);
+                    // Dropping the sender ends the relay's future, which closes its connection.
+                    cancels.get_mut(relay).and_then(Option::take);
                 }
-                Some(CommandAction::Refuse { retry_after: not_before }) => answer(&mut front, FinalResponse::Refused { retry_after: not_before }),
-                Some(CommandAction::Fail) => answer(&mut front, FinalResponse::Failed),
+                Some(CommandAction::Refuse { retry_after }) => respond(&mut responder, FinalResponse::Refused { retry_after }),
+                Some(CommandAction::Fail) => respond(&mut responder, FinalResponse::Failed),
                 Some(CommandAction::Expire) => {
-                    answer(&mut front, FinalResponse::DeadlineExceeded);
-                    seat.abandon();
+                    respond(&mut responder, FinalResponse::DeadlineExceeded);
+                    handle.abandon();
                 }
             },
-            Some((n, ended, spent, left)) = relays.next() => {
-                if left && front.take().is_some() {
-                    seat.abandon();
+            Some((relay, result, elapsed, client_left)) = relays.next() => {
+                if client_left && responder.take().is_some() {
+                    handle.abandon();
                 }
-                if cargo.upload().is_some_and(|upload| upload.is_partly_sent()) {
-                    seat.body_not_replayable();
+                if request.upload().is_some_and(|upload| upload.is_partly_sent()) {
+                    handle.body_not_replayable();
                 }
-                let won = front.is_some() && ended.outcome == Outcome::Answered;
-                seat.relay_finished(n, &ended, spent, won || front.is_none());
-                if let (true, ExchangeResult { response: Some(body), .. }) = (won, ended) {
-                    answer(&mut front, FinalResponse::FromEndpoint(body));
+                let won = responder.is_some() && result.outcome == Outcome::Answered;
+                handle.relay_finished(relay, &result, elapsed, won || responder.is_none());
+                if let (true, ExchangeResult { response: Some(response), .. }) = (won, result) {
+                    respond(&mut responder, FinalResponse::FromEndpoint(response));
                 }
             }
-            () = whole(&upload), if upload.is_some() => {
+            () = upload_completed(&upload), if upload.is_some() => {
                 upload = None;
-                limit.as_mut().reset(Instant::now() + need.time_limit);
-                seat.body_complete();
+                limit.as_mut().reset(Instant::now() + params.time_limit);
+                handle.body_complete();
             }
-            () = gone(&mut front), if front.is_some() => {
-                front = None;
-                seat.abandon();
+            () = client_closed(&mut responder), if responder.is_some() => {
+                responder = None;
+                handle.abandon();
             }
-            // Guards against a command without an answer in time, whatever else went wrong.
-            () = &mut limit, if front.is_some() => {
-                answer(&mut front, FinalResponse::DeadlineExceeded);
-                seat.abandon();
+            // Prevents a command from going without a response in time, whatever else went wrong.
+            () = &mut limit, if responder.is_some() => {
+                respond(&mut responder, FinalResponse::DeadlineExceeded);
+                handle.abandon();
             }
         }
     }
 }
 
-fn answer(front: &mut Option<oneshot::Sender<FinalResponse>>, answer: FinalResponse) {
-    if let Some(front) = front.take() {
-        let _ = front.send(answer);
+/// Sends the final response, unless one has been sent or the client has left.
+fn respond(responder: &mut Option<oneshot::Sender<FinalResponse>>, response: FinalResponse) {
+    if let Some(responder) = responder.take() {
+        let _ = responder.send(response);
     }
 }
 
-/// Ends when all of a long body has come.
-async fn whole(upload: &Option<Arc<StreamedUpload>>) {
+/// Completes when a streamed body has been received completely.
+async fn upload_completed(upload: &Option<Arc<StreamedUpload>>) {
     match upload {
         Some(upload) => upload.completed().await,
         None => std::future::pending().await,
     }
 }
 
-/// Ends when the client has closed its connection.
-async fn gone(front: &mut Option<oneshot::Sender<FinalResponse>>) {
-    match front {
-        Some(front) => front.closed().await,
+/// Completes when the client has closed its connection.
+async fn client_closed(responder: &mut Option<oneshot::Sender<FinalResponse>>) {
+    match responder {
+        Some(responder) => responder.closed().await,
         None => std::future::pending().await,
     }
 }
--- a/crates/passroad/src/in_flight.rs
+++ b/crates/passroad/src/in_flight.rs
@@ -1,89 +1,95 @@
-//! Ids of commands in hand, here and in the process beside this one during an upgrade: two commands of one id would be
-//! one to an endpoint.
+//! Ids of commands in flight, in this process and, during a handover, in the other one. Two open commands with the same id would
+//! be one command to an endpoint.
 
 use axum::http::HeaderValue;
 use std::collections::HashSet;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
 
-/// What the process beside this one is told of an id: taken, or given back.
+/// A change reported to the other process: whether an id was claimed (or released), and the id.
 pub type IdChange = (bool, String);
 
 #[derive(Default)]
-struct Ids {
-    here: HashSet<HeaderValue>,
-    beside: HashSet<String>,
-    tell: Vec<UnboundedSender<IdChange>>,
+struct IdSets {
+    own: HashSet<HeaderValue>,
+    other_process: HashSet<String>,
+    subscribers: Vec<UnboundedSender<IdChange>>,
 }
 
+/// The ids in flight.
 #[derive(Default)]
-pub struct InFlightIds(Mutex<Ids>);
+pub struct InFlightIds(Mutex<IdSets>);
 
-/// An id for as long as its command is open.
+/// An id that is claimed until this is dropped.
 pub struct InFlightId(HeaderValue, Arc<InFlightIds>);
 
 impl InFlightIds {
-    fn ids(&self) -> MutexGuard<'_, Ids> {
+    fn sets(&self) -> MutexGuard<'_, IdSets> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// None where it is taken.
+    /// Claims an id; none if it is in flight already.
     pub fn claim(self: &Arc<Self>, id: &HeaderValue) -> Option<InFlightId> {
-        let mut ids = self.ids();
-        if !ids.beside.is_empty() && id.to_str().is_ok_and(|id| ids.beside.contains(id)) {
+        let mut sets = self.sets();
+        if !sets.other_process.is_empty()
+            && id.to_str().is_ok_and(|id| sets.other_process.contains(id))
+        {
             return None;
         }
-        let new = ids.here.insert(id.clone());
+        let new = sets.own.insert(id.clone());
         new.then(|| {
-            ids.say(true, id);
+            sets.notify(true, id);
             InFlightId(id.clone(), Arc::clone(self))
         })
     }
 
-    /// From here on all that turns is told; what is open first.
+    /// Reports every change from here on, starting with the ids that are in flight now.
     pub fn subscribe(&self) -> UnboundedReceiver<IdChange> {
-        let (tell, told) = unbounded_channel();
-        let mut ids = self.ids();
-        ids.tell.retain(|tell| !tell.is_closed());
-        for id in ids.here.iter().filter_map(|id| id.to_str().ok()) {
-            let _ = tell.send((true, id.into()));
+        let (sender, receiver) = unbounded_channel();
+        let mut sets = self.sets();
+        sets.subscribers
+            .retain(|subscriber| !subscriber.is_closed());
+        for id in sets.own.iter().filter_map(|id| id.to_str().ok()) {
+            let _ = sender.send((true, id.into()));
         }
-        ids.tell.push(tell);
-        told
+        sets.subscribers.push(sender);
+        receiver
     }
 
-    /// What is open here.
+    /// The ids in flight in this process.
     pub fn open_ids(&self) -> Vec<String> {
-        self.ids()
-            .here
+        self.sets()
+            .own
             .iter()
             .filter_map(|id| id.to_str().ok())
             .map(String::from)
             .collect()
     }
 
-    pub fn set_in_other_process(&self, taken: bool, id: String) {
-        let mut ids = self.ids();
-        if taken {
-            ids.beside.insert(id);
+    /// Takes in a change that the other process reports.
+    pub fn set_in_other_process(&self, claimed: bool, id: String) {
+        let mut sets = self.sets();
+        if claimed {
+            sets.other_process.insert(id);
         } else {
-            ids.beside.remove(&id);
+            sets.other_process.remove(&id);
         }
     }
 
-    /// The process beside this one has ended.
+    /// Forgets the other process's ids once it has ended.
     pub fn clear_other_process(&self) {
-        let mut ids = self.ids();
-        ids.beside.clear();
-        ids.tell.retain(|tell| !tell.is_closed());
+        let mut sets = self.sets();
+        sets.other_process.clear();
+        sets.subscribers
+            .retain(|subscriber| !subscriber.is_closed());
     }
 }
 
-impl Ids {
-    fn say(&self, taken: bool, id: &HeaderValue) {
-        for tell in &self.tell {
+impl IdSets {
+    fn notify(&self, claimed: bool, id: &HeaderValue) {
+        for subscriber in &self.subscribers {
             if let Ok(id) = id.to_str() {
-                let _ = tell.send((taken, id.into()));
+                let _ = subscriber.send((claimed, id.into()));
             }
         }
     }
@@ -91,9 +97,9 @@
 
 impl Drop for InFlightId {
     fn drop(&mut self) {
-        let mut ids = self.1.ids();
-        ids.here.remove(&self.0);
-        ids.say(false, &self.0);
+        let mut sets = self.1.sets();
+        sets.own.remove(&self.0);
+        sets.notify(false, &self.0);
     }
 }
 
--- a/crates/passroad/src/probe.rs
+++ b/crates/passroad/src/probe.rs
@@ -1,4 +1,4 @@
-//! One probe of one endpoint.
+//! Probes an endpoint: one request to its load report or health path.
 
 use crate::body::RelayBody;
 use crate::relay::{EndpointPool, ExchangeResult, PooledClient, exchange, parse_load_report};
@@ -9,54 +9,56 @@
 use tokio::sync::oneshot;
 use tokio::time::timeout;
 
-/// An answer that comes later tells nothing, but reading it keeps its connection.
-const LINGER: Duration = Duration::from_secs(2);
+/// How long a late response is still read. It counts as a timeout, but reading it keeps the connection.
+const LATE_READ_TIME: Duration = Duration::from_secs(2);
+/// Extra time after the timeout, in which a response that has arrived already is read.
+const EXTRA_READ_TIME: Duration = Duration::from_millis(5);
 
-const AFTER_STALL: Duration = Duration::from_millis(5);
-
-/// Asks an endpoint how it is; where it has reports, the answer is one.
-pub async fn run(link: EndpointPool, reports: ReportMode, within: Duration) -> ExchangeResult {
-    let (tell, mut told) = oneshot::channel();
+/// Probes an endpoint. With load reports configured, the response is one.
+pub async fn run(pool: EndpointPool, mode: ReportMode, probe_timeout: Duration) -> ExchangeResult {
+    let (sender, mut receiver) = oneshot::channel();
     tokio::spawn(async move {
-        let ended = timeout(LINGER, ask(&link.client, link.address, reports)).await;
-        let _ = tell.send(ended.unwrap_or(Outcome::TimedOut.into()));
+        let result = timeout(LATE_READ_TIME, send(&pool.client, pool.address, mode)).await;
+        let _ = sender.send(result.unwrap_or(Outcome::TimedOut.into()));
     });
-    if let Ok(Ok(ended)) = timeout(within, &mut told).await {
-        return ended;
+    if let Ok(Ok(result)) = timeout(probe_timeout, &mut receiver).await {
+        return result;
     }
-    // Guards against an endpoint taken for silent after a stall of this process: its answer waits to be read.
-    timeout(AFTER_STALL, told)
+    // Prevents an endpoint from counting as unresponsive after this process was suspended: its response waits to be read.
+    timeout(EXTRA_READ_TIME, receiver)
         .await
         .ok()
         .and_then(Result::ok)
         .unwrap_or(Outcome::TimedOut.into())
 }
 
-async fn ask(
+async fn send(
     client: &PooledClient,
-    at: std::net::SocketAddr,
-    reports: ReportMode,
+    address: std::net::SocketAddr,
+    mode: ReportMode,
 ) -> ExchangeResult {
-    let path = if reports == ReportMode::Silent {
+    let path = if mode == ReportMode::Silent {
         "/healthz"
     } else {
         "/load"
     };
-    let Ok(request) = Request::get(format!("http://{at}{path}")).body(RelayBody::default()) else {
+    let Ok(request) = Request::get(format!("http://{address}{path}")).body(RelayBody::default())
+    else {
         return Outcome::NotSent.into();
     };
-    let mut ended = exchange(client, request, &|| Some(path.len()), None).await;
-    let body = ended
+    let mut result = exchange(client, request, &|| Some(path.len()), None).await;
+    let body = result
         .response
         .take()
         .map(Response::into_body)
         .unwrap_or_default()
         .into_buffered();
-    ended.report = ended.report.or_else(|| body_load(&body));
-    ended
+    result.report = result.report.or_else(|| report_in(&body));
+    result
 }
 
-fn body_load(body: &Bytes) -> Option<passroad_choice::LoadReport> {
+/// The load report in a response body, if it is one.
+fn report_in(body: &Bytes) -> Option<passroad_choice::LoadReport> {
     std::str::from_utf8(body).ok().and_then(parse_load_report)
 }
 
--- a/crates/passroad/src/probe/tests.rs
+++ b/crates/passroad/src/probe/tests.rs
@@ -9,16 +9,16 @@
 use tokio::time::{advance, pause};
 use tokio_util::sync::CancellationToken;
 
-/// An endpoint on one connection that answers whatever comes.
+/// Starts an endpoint that answers every request on a single connection.
 async fn endpoint() -> std::net::SocketAddr {
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     tokio::spawn(async move {
         let (mut stream, _) = listener.accept().await.unwrap();
-        let mut came = Vec::new();
-        while stream.read_buf(&mut came).await.is_ok_and(|n| n > 0) {
-            if came.ends_with(b"\r\n\r\n") {
-                came.clear();
+        let mut received = Vec::new();
+        while stream.read_buf(&mut received).await.is_ok_and(|n| n > 0) {
+            if received.ends_with(b"\r\n\r\n") {
+                received.clear();
                 stream
                     .write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
                     .await
@@ -29,7 +29,7 @@
     address
 }
 
-fn command() -> Arc<CommandRequest> {
+fn command_request() -> Arc<CommandRequest> {
     let (parts, ()) = Request::get("/look")
         .header("req-id", "a")
         .body(())
@@ -38,35 +38,35 @@
     Arc::new(CommandRequest::new(parts, Bytes::new(), None).unwrap())
 }
 
-/// Runs with a clock that stands still, as the runtime is never idle: whoever waits for a time waits for good.
-/// None after so many turns that an answer over a socket has long come.
-async fn in_no_time<T>(ending: impl Future<Output = T>) -> Option<T> {
-    let began = std::time::Instant::now();
-    let turns = async {
-        while began.elapsed() < Duration::from_millis(300) {
+/// Polls a future without letting the paused clock advance: the runtime is never idle, so timers don't fire.
+/// None if the future isn't ready after 300 ms of real time, in which a response over a socket has long arrived.
+async fn without_time_passing<T>(future: impl Future<Output = T>) -> Option<T> {
+    let started = std::time::Instant::now();
+    let busy_loop = async {
+        while started.elapsed() < Duration::from_millis(300) {
             tokio::task::yield_now().await;
         }
     };
     tokio::select! {
         biased;
-        ended = ending => Some(ended),
-        () = turns => None,
+        output = future => Some(output),
+        () = busy_loop => None,
     }
 }
 
-// Calm days: each command's probe left its connection to rest, and the command behind it waited for a millisecond
-// or two. Behind a command's answer the connection does rest, which shows that the clock tells the two apart.
+// Prevents the reuse hold-off after a probe: under light load, each command was held up for a millisecond or two on the
+// connection that its probe had just used. After a command the hold-off applies, which shows that the clock tells the two apart.
 #[rstest]
-#[case::behind_a_probe(true)]
-#[case::behind_a_command(false)]
+#[case::after_a_probe(true)]
+#[case::after_a_command(false)]
 #[tokio::test]
-async fn a_command_does_not_wait_behind_the_probe_that_was_made_for_it(#[case] probed: bool) {
+async fn command_is_not_held_off_after_its_probe(#[case] probed: bool) {
     let second = Duration::from_secs(1);
     let dialer = Dialer::new(4 * second, 60 * second, 1);
-    let link = EndpointPool::new(endpoint().await, &dialer);
+    let pool = EndpointPool::new(endpoint().await, &dialer);
     pause();
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
-    let _waits = tokio::net::TcpStream::connect(listener.local_addr().unwrap())
+    let _client_stream = tokio::net::TcpStream::connect(listener.local_addr().unwrap())
         .await
         .unwrap();
     let stream = Arc::new(std::sync::Mutex::new(listener.accept().await.unwrap().0));
@@ -76,40 +76,40 @@
         Duration::ZERO,
     ));
     let send = || {
-        let (recall, recalled) = oneshot::channel();
-        let (link, cargo) = (link.clone(), command());
-        let look = SendGuard::new(
+        let (cancel, cancelled) = oneshot::channel();
+        let (pool, command) = (pool.clone(), command_request());
+        let guard = SendGuard::new(
             CancellationToken::new(),
-            link.invalidated.clone(),
+            pool.invalidated.clone(),
             None,
             Arc::clone(&client),
         );
         async move {
-            let ended = relay(
-                link,
-                cargo,
-                Arc::new(look),
+            let result = relay(
+                pool,
+                command,
+                Arc::new(guard),
                 Duration::from_secs(9),
-                recalled,
+                cancelled,
             )
             .await;
-            drop(recall);
-            ended.outcome
+            drop(cancel);
+            result.outcome
         }
     };
     let first = if probed {
-        in_no_time(run(link.clone(), ReportMode::Silent, second))
+        without_time_passing(run(pool.clone(), ReportMode::Silent, second))
             .await
-            .map(|ended| ended.outcome)
+            .map(|result| result.outcome)
     } else {
-        in_no_time(send()).await
+        without_time_passing(send()).await
     };
     assert_eq!(first, Some(Outcome::Answered));
     let mut next = std::pin::pin!(send());
-    let at_once = in_no_time(&mut next).await;
-    assert_eq!(at_once, probed.then_some(Outcome::Answered));
+    let immediate = without_time_passing(&mut next).await;
+    assert_eq!(immediate, probed.then_some(Outcome::Answered));
     if !probed {
         advance(Duration::from_millis(2)).await;
-        assert_eq!(in_no_time(next).await, Some(Outcome::Answered));
+        assert_eq!(without_time_passing(next).await, Some(Outcome::Answered));
     }
 }
--- a/crates/passroad/src/relay/pool.rs
+++ b/crates/passroad/src/relay/pool.rs
@@ -84,9 +84,9 @@
 }
 
 impl Dialer {
-    /// `total_connect_time` is the time that connecting may take in all. A single attempt gets a quarter of it: a connection that comes up
-    /// at all does so in a fraction of that, and time is left to try another endpoint. Idle connections are
-    /// closed well before `endpoint_idle_timeout`, after which endpoints close them.
+    /// `total_connect_time` is the time that connecting may take in all. A single attempt gets a quarter of it: a connection that
+    /// comes up at all does so in a fraction of that, and time is left to try another endpoint. Idle connections are closed well
+    /// before `endpoint_idle_timeout`, after which endpoints close them.
     pub fn new(
         total_connect_time: Duration,
         endpoint_idle_timeout: Duration,
--- a/crates/passroad/src/send_guard.rs
+++ b/crates/passroad/src/send_guard.rs
@@ -1,5 +1,6 @@
-//! The last look at a command, right before the first byte of a relay. What was true when the relay was ordered may be so no
-//! longer: it waited for a place among the connections, for one to come up, for a kept one to rest, or for its turn.
+//! The last check of a command, right before the first byte of a relay is written. What held when the relay was ordered may have
+//! changed meanwhile: the relay waited for a connection permit, for a connection to come up, for a pooled one's hold-off, or for
+//! its turn on the runtime.
 
 use crate::listener::ClientConnection;
 use rustix::event::{PollFd, PollFlags, Timespec, poll};
@@ -9,102 +10,106 @@
 use tokio::net::TcpStream;
 use tokio_util::sync::CancellationToken;
 
-/// Whether a connection's other side has closed, reset, or shut it, though bytes may lie there that nobody has read: the end
-/// behind them can't be peeked at.
+/// Whether the peer has closed, reset or half-closed the connection. Works also with unread data in the socket's receive buffer,
+/// behind which a peek doesn't show the end of the stream.
 pub fn peer_closed(stream: &TcpStream) -> bool {
-    let mut asked = [PollFd::new(stream, PollFlags::RDHUP)];
-    let now = Timespec {
+    let mut fds = [PollFd::new(stream, PollFlags::RDHUP)];
+    let no_wait = Timespec {
         tv_sec: 0,
         tv_nsec: 0,
     };
-    poll(&mut asked, Some(&now)).is_ok_and(|_| asked[0].revents().contains(PollFlags::RDHUP))
+    poll(&mut fds, Some(&no_wait)).is_ok_and(|_| fds[0].revents().contains(PollFlags::RDHUP))
 }
 
-/// Why nothing may go out any more.
+/// Why a relay may not be sent any more.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SendBlocked {
-    /// The command has its final answer, or is to have none.
+    /// The command has its final response, or gets none.
     CommandFinished,
-    /// The endpoint drains, is gone, out by hand, elsewhere, or has started anew.
+    /// The endpoint drains, is removed or cordoned, has moved to another address, or has restarted.
     EndpointChanged,
-    /// The time is up in which it may begin.
+    /// The time by which the relay had to be sent has passed.
     TooLate,
-    /// The client has left. Its connection's task need not know: it reads nothing while bytes of a next request, or of a
-    /// long body, wait to be taken.
+    /// The client has closed its connection. The connection's own task may not know: it reads nothing while bytes of a next
+    /// request, or of a streamed body, wait to be consumed.
     ClientGone,
 }
 
-/// What is looked at for one relay.
+/// The conditions under which one relay may be sent.
 pub struct SendGuard {
-    over: CancellationToken,
-    out: CancellationToken,
-    until: Option<Instant>,
+    command_ended: CancellationToken,
+    endpoint_changed: CancellationToken,
+    send_by: Option<Instant>,
     client: Arc<ClientConnection>,
-    begun: AtomicBool,
-    left: AtomicBool,
+    started: AtomicBool,
+    client_left: AtomicBool,
 }
 
 impl SendGuard {
-    /// `over` turns with the command's end, `out` when its endpoint is no longer as it was.
+    /// `command_ended` is cancelled when the command ends, `endpoint_changed` when the endpoint's state changes.
     pub fn new(
-        over: CancellationToken,
-        out: CancellationToken,
-        until: Option<Instant>,
+        command_ended: CancellationToken,
+        endpoint_changed: CancellationToken,
+        send_by: Option<Instant>,
         client: Arc<ClientConnection>,
     ) -> Self {
         SendGuard {
-            over,
-            out,
-            until,
+            command_ended,
+            endpoint_changed,
+            send_by,
             client,
-            begun: AtomicBool::new(false),
-            left: AtomicBool::new(false),
+            started: AtomicBool::new(false),
+            client_left: AtomicBool::new(false),
         }
     }
 
-    /// None if the first byte may go out now. What bars once does so for good.
+    /// Returns why the first byte may not be written; none if it may be now. Once blocked, a relay stays blocked.
     pub fn check(&self) -> Option<SendBlocked> {
-        if self.over.is_cancelled() {
+        if self.command_ended.is_cancelled() {
             Some(SendBlocked::CommandFinished)
-        } else if self.out.is_cancelled() {
+        } else if self.endpoint_changed.is_cancelled() {
             Some(SendBlocked::EndpointChanged)
-        } else if self.until.is_some_and(|until| until <= Instant::now()) {
+        } else if self
+            .send_by
+            .is_some_and(|send_by| send_by <= Instant::now())
+        {
             Some(SendBlocked::TooLate)
         } else {
-            let left = !self.client.is_waiting();
-            self.left.fetch_or(left, Relaxed);
-            left.then_some(SendBlocked::ClientGone)
+            let client_left = !self.client.is_waiting();
+            self.client_left.fetch_or(client_left, Relaxed);
+            client_left.then_some(SendBlocked::ClientGone)
         }
     }
 
-    /// Whether it was the client's leaving that barred it.
+    /// Whether the relay was blocked because the client had left.
     pub fn client_left(&self) -> bool {
-        self.left.load(Relaxed)
+        self.client_left.load(Relaxed)
     }
 
-    /// Whether the first byte goes out now.
+    /// Checks, and records that the relay has started if it may. Called right before the first byte.
     pub fn try_start(&self) -> bool {
-        let begins = self.check().is_none();
-        self.begun.fetch_or(begins, Relaxed);
-        begins
+        let starts = self.check().is_none();
+        self.started.fetch_or(starts, Relaxed);
+        starts
     }
 
+    /// Whether the first byte has been written.
     pub fn has_started(&self) -> bool {
-        self.begun.load(Relaxed)
+        self.started.load(Relaxed)
     }
 
-    /// Ends when the command is over, or its endpoint out.
-    /// Not once something has been sent: whether that is recalled is the module's to say.
+    /// Completes when the command ends or its endpoint changes before the relay has started. Once it has started, only the
+    /// decision module cancels it.
     pub async fn cancelled_before_start(&self) -> SendBlocked {
-        let barred = tokio::select! {
+        let blocked = tokio::select! {
             biased;
-            () = self.over.cancelled() => SendBlocked::CommandFinished,
-            () = self.out.cancelled() => SendBlocked::EndpointChanged,
+            () = self.command_ended.cancelled() => SendBlocked::CommandFinished,
+            () = self.endpoint_changed.cancelled() => SendBlocked::EndpointChanged,
         };
         if self.has_started() {
             std::future::pending().await
         } else {
-            barred
+            blocked
         }
     }
 }
