--- a/crates/passroad/src/command.rs
+++ b/crates/passroad/src/command.rs
@@ -87,7 +87,12 @@
                     relays.push(async move {
                         let result = relay::run(*pool, Arc::clone(&request), Arc::clone(&guard), timeout, cancelled).await;
                         let completed = request.upload().and_then(|upload| upload.completed_at());
-                        (relay, result, completed.map_or(started, |completed| started.max(completed)).elapsed(), guard.client_left())
+                        (
+                            relay,
+                            result,
+                            completed.map_or(started, |completed| started.max(completed)).elapsed(),
+                            guard.client_left(),
+                        )
                     });
                 }
                 Some(CommandAction::CancelRelay { relay }) => {
--- a/crates/passroad/src/request_handler.rs
+++ b/crates/passroad/src/request_handler.rs
@@ -1,4 +1,4 @@
-//! One command off its connection and its answer back: what can't be used is turned away here.
+//! HTTP handlers of the client listener: a command is parsed and validated, run, and its response returned.
 
 use crate::body::{
     BodyError, MAX_BODY_BYTES, MAX_BUFFERED_REQUEST_BYTES, MinRateTimer, StreamedUpload,
@@ -21,124 +21,147 @@
 use std::time::{Duration, Instant};
 use tokio::sync::{OwnedSemaphorePermit, Semaphore, oneshot};
 
-const MARGIN: Duration = Duration::from_millis(10); // of a time limit, at most a twentieth
-const MOST_DIGITS: usize = 9; // of a time limit
-const STILL_BEFORE: Duration = Duration::from_millis(1200); // after other orders, verbs are named as before
-const SMALL_BODY: usize = 4 << 10; // needs no room of its own
-const ROOM_SHARE: usize = 4; // of the memory, for bodies that are not small
-const ROOM: usize = 4 << 10; // one step of it
+/// Subtracted from a command's time limit, so that the response is there in time; at most a twentieth of the limit.
+const DEADLINE_MARGIN: Duration = Duration::from_millis(10);
+const MAX_DEADLINE_DIGITS: usize = 9;
+/// How long clients may go on naming request classes by the previous configuration.
+const PREVIOUS_CLASSES_TIME: Duration = Duration::from_millis(1200);
+/// Bodies up to this size are buffered without counting against the memory limit.
+const SMALL_BODY_BYTES: usize = 4 << 10;
+/// One part in this many of the memory limit is for buffered bodies.
+const BODY_MEMORY_DIVISOR: usize = 4;
+/// Body memory is counted in permits of this size.
+const MEMORY_PERMIT_BYTES: usize = 4 << 10;
 
+/// State of the HTTP handlers.
 pub struct RequestHandler {
-    desk: Arc<Dispatcher>,
-    table: Mutex<Arc<Table>>,
-    stages: ShutdownWatch,
-    room: Arc<Semaphore>, // for bodies that are held, in steps
-    claims: Arc<InFlightIds>,
-    half: usize,       // of the room
-    left: AtomicUsize, // of it, to another process
+    dispatcher: Arc<Dispatcher>,
+    class_table: Mutex<Arc<ClassTable>>,
+    shutdown: ShutdownWatch,
+    body_permits: Arc<Semaphore>, // memory for buffered bodies
+    in_flight: Arc<InFlightIds>,
+    half_permits: usize,       // half of all body permits
+    lent_permits: AtomicUsize, // body permits left to the other process of a handover
 }
 
-/// What commands may name, and under which number the module knows it.
-struct Table {
-    verbs: Vec<(RequestClassConfig, usize)>,
-    before: Vec<(RequestClassConfig, usize)>, // of the orders before
-    since: Instant,
-    companies: Vec<String>,
+/// The request classes and tenants that commands may name, each class with its index in the decision module.
+struct ClassTable {
+    classes: Vec<(RequestClassConfig, usize)>,
+    previous_classes: Vec<(RequestClassConfig, usize)>, // of the previous configuration
+    changed_at: Instant,
+    tenants: Vec<String>,
 }
 
-impl Table {
+impl ClassTable {
     fn of(
-        orders: &BalancerConfig,
-        numbers: &[usize],
-        before: Vec<(RequestClassConfig, usize)>,
+        config: &BalancerConfig,
+        indices: &[usize],
+        previous_classes: Vec<(RequestClassConfig, usize)>,
     ) -> Self {
-        Table {
-            verbs: orders
+        ClassTable {
+            classes: config
                 .classes
                 .iter()
                 .cloned()
-                .zip(numbers.iter().copied())
+                .zip(indices.iter().copied())
+                .collect(),
+            previous_classes,
+            changed_at: Instant::now(),
+            tenants: config
+                .tenants
+                .iter()
+                .map(|tenant| tenant.name.clone())
                 .collect(),
-            before,
-            since: Instant::now(),
-            companies: orders.tenants.iter().map(|c| c.name.clone()).collect(),
         }
     }
 
-    /// The orders that a command goes by. Clients name verbs as before for a while after the orders have changed: for
-    /// so long what fits the orders before goes by those, and for a while more what fits none of the new ones.
-    fn verb(
+    /// Finds the class of a command. Clients name classes by the previous configuration for a while after it has changed. For
+    /// `PREVIOUS_CLASSES_TIME` a command that matches a previous class gets that one; for the same time again, it gets one if it
+    /// matches no current class. None if no class has the name, an error if the command matches none that has.
+    fn find(
         &self,
         name: &str,
-        fits: impl Fn(&RequestClassConfig) -> bool,
+        matches: impl Fn(&RequestClassConfig) -> bool,
     ) -> Option<Result<&(RequestClassConfig, usize), ()>> {
-        let age = self.since.elapsed();
-        let before = self
-            .before
+        let age = self.changed_at.elapsed();
+        let previous_classes = self
+            .previous_classes
             .iter()
-            .filter(|_| age < STILL_BEFORE + STILL_BEFORE);
-        let (first, then): (Vec<_>, Vec<_>) = match age < STILL_BEFORE {
-            true => (before.collect(), self.verbs.iter().collect()),
-            false => (self.verbs.iter().collect(), before.collect()),
+            .filter(|_| age < PREVIOUS_CLASSES_TIME + PREVIOUS_CLASSES_TIME);
+        let (first, second): (Vec<_>, Vec<_>) = match age < PREVIOUS_CLASSES_TIME {
+            true => (previous_classes.collect(), self.classes.iter().collect()),
+            false => (self.classes.iter().collect(), previous_classes.collect()),
+        };
+        let named = || {
+            first
+                .iter()
+                .chain(&second)
+                .filter(|(class, _)| class.name == name)
         };
-        let named = || first.iter().chain(&then).filter(|(v, _)| v.name == name);
         named().next()?;
-        Some(named().find(|(v, _)| fits(v)).copied().ok_or(()))
+        Some(named().find(|(class, _)| matches(class)).copied().ok_or(()))
     }
 }
 
-pub async fn health(State(intake): State<Arc<RequestHandler>>) -> StatusCode {
-    if intake.serving() {
+/// Health check: 200 while the process serves, 503 once it shuts down.
+pub async fn health(State(handler): State<Arc<RequestHandler>>) -> StatusCode {
+    if handler.is_serving() {
         StatusCode::OK
     } else {
         StatusCode::SERVICE_UNAVAILABLE
     }
 }
 
+/// Handles a command: reads it, runs it and returns its response.
 pub async fn handle_command(
-    State(intake): State<Arc<RequestHandler>>,
-    Extension(talk): Extension<Arc<ClientConnection>>,
+    State(handler): State<Arc<RequestHandler>>,
+    Extension(connection): Extension<Arc<ClientConnection>>,
     request: Request,
 ) -> Response {
-    let (need, cargo) = match intake.read(request, &talk).await {
+    let (params, command_request) = match handler.read(request, &connection).await {
         Ok(read) => read,
         Err(status) => return status.into_response(),
     };
-    // Guards against the id of another client's open command: the two would be one to an endpoint.
-    let Some(_claim) = intake.claims.claim(&cargo.id) else {
+    // Prevents two open commands with the same id: an endpoint would take them for one.
+    let Some(_claim) = handler.in_flight.claim(&command_request.id) else {
         return StatusCode::CONFLICT.into_response();
     };
-    if need.time_limit.is_zero() {
-        return word(FinalResponse::DeadlineExceeded);
+    if params.time_limit.is_zero() {
+        return into_http(FinalResponse::DeadlineExceeded);
     }
-    talk.set_idle_since(None);
-    let (tell, told) = oneshot::channel();
-    let upload = cargo.upload().cloned();
-    tokio::spawn(command::run(Arc::clone(&intake.desk), need, cargo, tell));
-    let answer = tokio::select! {
+    connection.set_idle_since(None);
+    let (responder, response) = oneshot::channel();
+    let upload = command_request.upload().cloned();
+    tokio::spawn(command::run(
+        Arc::clone(&handler.dispatcher),
+        params,
+        command_request,
+        responder,
+    ));
+    let response = tokio::select! {
         biased;
-        // Dropped with its connection, this tells the command that its client is gone.
-        answer = told => match answer {
-            // Given up, as something lay behind the request.
-            Err(_) if talk.framing.has_early_bytes() => StatusCode::BAD_REQUEST.into_response(),
-            answer => word(answer.unwrap_or(FinalResponse::Failed)),
+        // When the connection closes, this receiver is dropped, which tells the command that its client has left.
+        response = response => match response {
+            // Abandoned because data followed the request.
+            Err(_) if connection.framing.has_early_bytes() => StatusCode::BAD_REQUEST.into_response(),
+            response => into_http(response.unwrap_or(FinalResponse::Failed)),
         },
-        // Guards against a request hidden behind another: clients send one at a time.
-        () = talk.framing.early_bytes() => StatusCode::BAD_REQUEST.into_response(),
-        ill = ill(&upload) => status(ill).into_response(),
+        // Prevents request smuggling: clients send one request at a time, so nothing may follow before the response.
+        () = connection.framing.early_bytes() => StatusCode::BAD_REQUEST.into_response(),
+        error = upload_failed(&upload) => error_status(error).into_response(),
     };
-    // Whatever its command came to by then: that was the client's doing.
-    if let Some(ill) = upload.as_ref().and_then(|upload| upload.failure()) {
-        return status(ill).into_response();
+    // Takes precedence over the command's outcome, which the client's faulty body caused.
+    if let Some(error) = upload.as_ref().and_then(|upload| upload.failure()) {
+        return error_status(error).into_response();
     }
     if let Some(upload) = upload.filter(|upload| !upload.is_finished()) {
         tokio::spawn(async move { upload.drain().await });
     }
-    answer
+    response
 }
 
-/// Ends when a long body turns out to be of no use.
-async fn ill(upload: &Option<Arc<StreamedUpload>>) -> BodyError {
+/// Completes when a streamed body turns out to be unusable.
+async fn upload_failed(upload: &Option<Arc<StreamedUpload>>) -> BodyError {
     match upload {
         Some(upload) => upload.failed().await,
         None => std::future::pending().await,
@@ -146,217 +169,245 @@
 }
 
 impl RequestHandler {
-    /// `memory` in bytes, of which a share may hold bodies.
+    /// `memory` is the memory limit in bytes, a part of which is for buffered bodies.
     pub fn new(
-        desk: Arc<Dispatcher>,
-        orders: &BalancerConfig,
+        dispatcher: Arc<Dispatcher>,
+        config: &BalancerConfig,
         memory: usize,
-        claims: Arc<InFlightIds>,
-        stages: ShutdownWatch,
+        in_flight: Arc<InFlightIds>,
+        shutdown: ShutdownWatch,
     ) -> Self {
-        // At the start the module numbers verbs as the orders do.
-        let numbers: Vec<_> = (0..orders.classes.len()).collect();
-        let table = Mutex::new(Arc::new(Table::of(orders, &numbers, Vec::new())));
-        let steps = memory / ROOM_SHARE / ROOM;
-        let (room, half) = (Arc::new(Semaphore::new(steps)), steps / 2);
+        // At the start, the module's class indices are the positions in the configuration.
+        let indices: Vec<_> = (0..config.classes.len()).collect();
+        let class_table = Mutex::new(Arc::new(ClassTable::of(config, &indices, Vec::new())));
+        let permit_count = memory / BODY_MEMORY_DIVISOR / MEMORY_PERMIT_BYTES;
+        let (body_permits, half_permits) =
+            (Arc::new(Semaphore::new(permit_count)), permit_count / 2);
         RequestHandler {
-            desk,
-            table,
-            stages,
-            room,
-            claims,
-            half,
-            left: AtomicUsize::new(0),
+            dispatcher,
+            class_table,
+            shutdown,
+            body_permits,
+            in_flight,
+            half_permits,
+            lent_permits: AtomicUsize::new(0),
         }
     }
 
-    /// Has every open command answered.
+    /// Answers every open command as out of time.
     pub fn expire_open_commands(&self) {
-        self.desk.expire_open_commands();
+        self.dispatcher.expire_open_commands();
     }
 
-    /// Takes other orders, whose verbs the module has numbered.
-    pub fn reconfigure(&self, orders: &BalancerConfig, numbers: &[usize]) {
-        let mut table = self.table.lock().unwrap_or_else(PoisonError::into_inner);
-        let before = table.verbs.clone();
-        *table = Arc::new(Table::of(orders, numbers, before));
+    /// Replaces the configuration. `indices` are those that the module has assigned to its classes.
+    pub fn reconfigure(&self, config: &BalancerConfig, indices: &[usize]) {
+        let mut class_table = self
+            .class_table
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
+        let previous_classes = class_table.classes.clone();
+        *class_table = Arc::new(ClassTable::of(config, indices, previous_classes));
     }
 
-    /// Leaves half of the room to another process, or has all of it again. What is taken already stays so.
+    /// Leaves half of the body memory to the other process of a handover, or takes it back. Memory in use stays in use.
     pub fn share_body_budget(&self, shared: bool) {
         match shared {
             true => drop(
-                self.left
-                    .fetch_add(self.room.forget_permits(self.half), Relaxed),
+                self.lent_permits
+                    .fetch_add(self.body_permits.forget_permits(self.half_permits), Relaxed),
             ),
-            false => self.room.add_permits(self.left.swap(0, Relaxed)),
+            false => self
+                .body_permits
+                .add_permits(self.lent_permits.swap(0, Relaxed)),
         }
     }
 
-    fn table(&self) -> Arc<Table> {
-        Arc::clone(&self.table.lock().unwrap_or_else(PoisonError::into_inner))
+    fn class_table(&self) -> Arc<ClassTable> {
+        Arc::clone(
+            &self
+                .class_table
+                .lock()
+                .unwrap_or_else(PoisonError::into_inner),
+        )
     }
 
-    fn serving(&self) -> bool {
-        *self.stages.borrow() == ShutdownStage::Serving
+    fn is_serving(&self) -> bool {
+        *self.shutdown.borrow() == ShutdownStage::Serving
     }
 
+    /// Parses and validates a request. The error is the status of the response.
     async fn read(
         &self,
         request: Request,
-        talk: &Arc<ClientConnection>,
+        connection: &Arc<ClientConnection>,
     ) -> Result<(CommandParams, CommandRequest), StatusCode> {
         let (parts, body) = request.into_parts();
         let name = parts.uri.path().split('/').nth(1).unwrap_or_default();
-        let table = self.table();
+        let class_table = self.class_table();
         let length = body.size_hint();
         if length.lower() > MAX_BODY_BYTES as u64 {
             return Err(StatusCode::PAYLOAD_TOO_LARGE);
         }
-        // Guards against a request that an endpoint may read in another way.
+        // Prevents request smuggling: the endpoint must not frame the body in another way.
         let framing = [header::CONTENT_LENGTH, header::TRANSFER_ENCODING];
-        let told = framing.iter().any(|name| parts.headers.contains_key(name));
-        let keyed = parts.headers.contains_key(IDEMPOTENCY_KEY);
-        let carries = |verb: &RequestClassConfig| match verb.effect {
+        let has_length = framing.iter().any(|name| parts.headers.contains_key(name));
+        let has_key = parts.headers.contains_key(IDEMPOTENCY_KEY);
+        let matches = |class: &RequestClassConfig| match class.effect {
             Effect::Safe => {
                 parts.method == Method::GET && length.exact().is_none_or(|length| length == 0)
             }
-            Effect::NonIdempotent => parts.method == Method::POST && told,
-            Effect::Keyed => [Method::POST, Method::PUT].contains(&parts.method) && told && keyed,
+            Effect::NonIdempotent => parts.method == Method::POST && has_length,
+            Effect::Keyed => {
+                [Method::POST, Method::PUT].contains(&parts.method) && has_length && has_key
+            }
         };
-        let verb = table.verb(name, carries).ok_or(StatusCode::NOT_FOUND)?;
-        let verb = verb.map_err(|()| StatusCode::BAD_REQUEST)?;
-        let need = need(verb, &table.companies, &parts.headers, talk)
-            .filter(|_| !talk.framing.has_ambiguous_length());
-        let mut need = need.ok_or(StatusCode::BAD_REQUEST)?;
-        let pure = verb.0.effect == Effect::Safe;
-        let mut patience = MinRateTimer::new(talk.min_read_time());
-        let (body, room) = match length.exact() {
-            Some(0) => (Read::Whole(Bytes::new()), None),
-            _ => self.first_of(body, &mut patience).await?,
+        let class = class_table
+            .find(name, matches)
+            .ok_or(StatusCode::NOT_FOUND)?;
+        let class = class.map_err(|()| StatusCode::BAD_REQUEST)?;
+        let params = parse_params(class, &class_table.tenants, &parts.headers, connection)
+            .filter(|_| !connection.framing.has_ambiguous_length());
+        let mut params = params.ok_or(StatusCode::BAD_REQUEST)?;
+        let is_safe = class.0.effect == Effect::Safe;
+        let mut rate = MinRateTimer::new(connection.min_read_time());
+        let (body, permits) = match length.exact() {
+            Some(0) => (RequestBody::Complete(Bytes::new()), None),
+            _ => self.buffer(body, &mut rate).await?,
         };
-        if talk.framing.has_early_bytes() {
+        if connection.framing.has_early_bytes() {
             return Err(StatusCode::BAD_REQUEST);
         }
-        let waited = self.desk.possible_delay().max(talk.backlog_wait());
-        if !waited.is_zero() {
-            // Only here: to the module an odd budget tells that a client's earlier tries have spent the rest.
-            need.time_limit = need.budget.saturating_sub(waited);
+        let delay = self
+            .dispatcher
+            .possible_delay()
+            .max(connection.backlog_wait());
+        if !delay.is_zero() {
+            // The budget stays: to the module, a reduced one means that the client's earlier tries have used up the rest.
+            params.time_limit = params.budget.saturating_sub(delay);
         }
-        let (held, rest) = match body {
-            Read::Whole(body) if pure && !body.is_empty() => return Err(StatusCode::BAD_REQUEST),
-            Read::Part(..) if pure => return Err(StatusCode::BAD_REQUEST),
-            Read::Whole(body) => (body, None),
-            Read::Part(first, rest) => (
-                Bytes::new(),
-                Some(StreamedUpload::new(first, rest, patience)),
-            ),
+        let (buffered, upload) = match body {
+            RequestBody::Complete(body) if is_safe && !body.is_empty() => {
+                return Err(StatusCode::BAD_REQUEST);
+            }
+            RequestBody::Partial(..) if is_safe => return Err(StatusCode::BAD_REQUEST),
+            RequestBody::Complete(body) => (body, None),
+            RequestBody::Partial(first, rest) => {
+                (Bytes::new(), Some(StreamedUpload::new(first, rest, rate)))
+            }
         };
-        let cargo = CommandRequest::new(parts, held, room).ok_or(StatusCode::BAD_REQUEST)?;
+        let command_request =
+            CommandRequest::new(parts, buffered, permits).ok_or(StatusCode::BAD_REQUEST)?;
         Ok((
-            need,
-            rest.into_iter().fold(cargo, CommandRequest::with_upload),
+            params,
+            upload
+                .into_iter()
+                .fold(command_request, CommandRequest::with_upload),
         ))
     }
 
-    /// A body whole, with its room if it is more than small; or as much of it as there is room for. Guards against
-    /// long ones that fill the memory: past a share of it they are passed on as they come.
-    async fn first_of(
+    /// Buffers a body, with memory permits if it isn't small. A body that is too long, or for which the permits don't suffice, is
+    /// returned with its first part, to be streamed. Prevents long bodies from filling the memory.
+    async fn buffer(
         &self,
         mut body: Body,
-        patience: &mut MinRateTimer,
-    ) -> Result<(Read, Option<OwnedSemaphorePermit>), StatusCode> {
-        let (mut held, mut room) = (BytesMut::new(), None);
+        rate: &mut MinRateTimer,
+    ) -> Result<(RequestBody, Option<OwnedSemaphorePermit>), StatusCode> {
+        let (mut buffered, mut permits) = (BytesMut::new(), None);
         let stated = body.size_hint().exact().map(|length| length as usize);
-        if let Some(length) = stated.filter(|length| *length > SMALL_BODY) {
-            match self.room_for(length, &mut room) {
-                true => held.reserve(length),
-                false => return Ok((Read::Part(Bytes::new(), body), None)),
+        if let Some(length) = stated.filter(|length| *length > SMALL_BODY_BYTES) {
+            match self.reserve_memory(length, &mut permits) {
+                true => buffered.reserve(length),
+                false => return Ok((RequestBody::Partial(Bytes::new(), body), None)),
             }
         }
-        while let Some(data) = std::future::poll_fn(|cx| patience.poll_next(&mut body, cx)).await {
-            held.extend_from_slice(&data.map_err(status)?);
-            if stated.is_none() && held.len() > SMALL_BODY && !self.room_for(held.len(), &mut room)
+        while let Some(data) = std::future::poll_fn(|cx| rate.poll_next(&mut body, cx)).await {
+            buffered.extend_from_slice(&data.map_err(error_status)?);
+            if stated.is_none()
+                && buffered.len() > SMALL_BODY_BYTES
+                && !self.reserve_memory(buffered.len(), &mut permits)
             {
-                return Ok((Read::Part(held.freeze(), body), room));
+                return Ok((RequestBody::Partial(buffered.freeze(), body), permits));
             }
         }
-        Ok((Read::Whole(held.freeze()), room))
+        Ok((RequestBody::Complete(buffered.freeze()), permits))
     }
 
-    /// Takes room for so much, on top of what is taken.
-    fn room_for(&self, length: usize, room: &mut Option<OwnedSemaphorePermit>) -> bool {
-        let taken = room.as_ref().map_or(0, OwnedSemaphorePermit::num_permits);
-        let more = length.div_ceil(ROOM).saturating_sub(taken) as u32;
+    /// Acquires the permits for a body of this length, beyond those in `permits`. False if it is too long or there are too few.
+    fn reserve_memory(&self, length: usize, permits: &mut Option<OwnedSemaphorePermit>) -> bool {
+        let taken = permits
+            .as_ref()
+            .map_or(0, OwnedSemaphorePermit::num_permits);
+        let more = length.div_ceil(MEMORY_PERMIT_BYTES).saturating_sub(taken) as u32;
         if length > MAX_BUFFERED_REQUEST_BYTES {
             return false;
         }
-        let Ok(more) = Arc::clone(&self.room).try_acquire_many_owned(more) else {
+        let Ok(more) = Arc::clone(&self.body_permits).try_acquire_many_owned(more) else {
             return false;
         };
-        match room {
-            Some(room) => room.merge(more),
-            None => *room = Some(more),
+        match permits {
+            Some(permits) => permits.merge(more),
+            None => *permits = Some(more),
         }
         true
     }
 }
 
-/// How much of a body was read ahead of its command.
-enum Read {
-    Whole(Bytes),
-    Part(Bytes, Body),
+/// A body as far as it was read before the command runs.
+enum RequestBody {
+    Complete(Bytes),
+    Partial(Bytes, Body),
 }
 
-fn status(ill: BodyError) -> StatusCode {
-    match ill {
+fn error_status(error: BodyError) -> StatusCode {
+    match error {
         BodyError::Slow => StatusCode::REQUEST_TIMEOUT,
         BodyError::TooLong => StatusCode::PAYLOAD_TOO_LARGE,
         BodyError::Broken => StatusCode::BAD_REQUEST,
     }
 }
 
-/// The fields that decisions need; none if one is malformed.
-fn need(
-    (order, verb): &(RequestClassConfig, usize),
-    companies: &[String],
+/// Parses the headers that the decision module needs; none if one is malformed.
+fn parse_params(
+    (class, index): &(RequestClassConfig, usize),
+    tenants: &[String],
     headers: &HeaderMap,
     client: &Arc<ClientConnection>,
 ) -> Option<CommandParams> {
     let id = single(headers, "req-id")??;
     let limit = single(headers, "req-deadline-ms")??;
-    let digits = limit.len() <= MOST_DIGITS && limit.bytes().all(|b| b.is_ascii_digit());
-    // A longer one than the settings know holds no place for longer.
-    let limit = Duration::from_millis(limit.parse().ok().filter(|_| digits)?).min(order.time_limit);
-    let company = single(headers, "req-owner")?;
-    // Without a key nobody could drop a repeat, which for a receipted command is counted on.
+    let is_number = limit.len() <= MAX_DEADLINE_DIGITS && limit.bytes().all(|b| b.is_ascii_digit());
+    // A longer limit than the configured one doesn't hold resources for longer.
+    let limit =
+        Duration::from_millis(limit.parse().ok().filter(|_| is_number)?).min(class.time_limit);
+    let tenant = single(headers, "req-owner")?;
+    // A keyed command needs its key: without one, endpoints couldn't deduplicate repeats, which relays rely on.
     let key = single(headers, IDEMPOTENCY_KEY.as_str())?.map(str::len);
-    let marked = key.map_or(order.effect != Effect::Keyed, |len| len > 0);
-    let again = match single(headers, "req-retry")? {
+    let key_ok = key.map_or(class.effect != Effect::Keyed, |len| len > 0);
+    let is_retry = match single(headers, "req-retry")? {
         None | Some("0") => false,
         Some("1") => true,
         Some(_) => return None,
     };
-    // What it is about, where endpoints remember that: one of the further figures, `name=value,name=value`.
-    let figures = single(headers, "req-extra")?.unwrap_or_default();
-    let about = figures
+    // The command's subject, where endpoints keep state for it: one of the extra pairs, `name=value,name=value`.
+    let extra = single(headers, "req-extra")?.unwrap_or_default();
+    let subject = extra
         .split(',')
         .find_map(|pair| pair.trim().strip_prefix("name_key="));
-    let margin = MARGIN.min(limit / 20);
-    (!id.is_empty() && !limit.is_zero() && marked).then(|| CommandParams {
-        class: *verb,
-        tenant: company.and_then(|c| companies.iter().position(|known| known == c)),
+    let margin = DEADLINE_MARGIN.min(limit / 20);
+    (!id.is_empty() && !limit.is_zero() && key_ok).then(|| CommandParams {
+        class: *index,
+        tenant: tenant.and_then(|tenant| tenants.iter().position(|name| name == tenant)),
         budget: limit - margin,
         time_limit: limit - margin / 2,
-        is_retry: again,
-        key: about
-            .filter(|about| !about.is_empty() && *about != "-")
+        is_retry,
+        key: subject
+            .filter(|subject| !subject.is_empty() && *subject != "-")
             .map(stable_hash),
         client: Arc::clone(client),
     })
 }
 
-/// A header that may come once; the outer none stands for a malformed one.
+/// Reads a header that may occur once. The outer none stands for a malformed or repeated one.
 fn single<'a>(headers: &'a HeaderMap, name: &str) -> Option<Option<&'a str>> {
     let mut all = headers.get_all(name).iter();
     match (all.next(), all.next()) {
@@ -366,19 +417,17 @@
     }
 }
 
-/// The answer as the client reads it.
-fn word(answer: FinalResponse) -> Response {
-    match answer {
-        FinalResponse::FromEndpoint(answer) => answer.map(Body::new),
-        FinalResponse::Refused {
-            retry_after: not_before,
-        } => {
-            let mut answer = StatusCode::SERVICE_UNAVAILABLE.into_response();
-            let after = not_before.map(|wait| format!("{:.3}", wait.as_secs_f64()));
-            if let Some(after) = after.and_then(|text| HeaderValue::from_str(&text).ok()) {
-                answer.headers_mut().insert(header::RETRY_AFTER, after);
+/// Converts a final response to HTTP.
+fn into_http(response: FinalResponse) -> Response {
+    match response {
+        FinalResponse::FromEndpoint(response) => response.map(Body::new),
+        FinalResponse::Refused { retry_after } => {
+            let mut response = StatusCode::SERVICE_UNAVAILABLE.into_response();
+            let seconds = retry_after.map(|wait| format!("{:.3}", wait.as_secs_f64()));
+            if let Some(seconds) = seconds.and_then(|text| HeaderValue::from_str(&text).ok()) {
+                response.headers_mut().insert(header::RETRY_AFTER, seconds);
             }
-            answer
+            response
         }
         FinalResponse::Failed => StatusCode::BAD_GATEWAY.into_response(),
         FinalResponse::DeadlineExceeded => StatusCode::GATEWAY_TIMEOUT.into_response(),
