--- a/crates/passroad/src/framing.rs
+++ b/crates/passroad/src/framing.rs
@@ -1,5 +1,5 @@
-//! A client's connection as its bytes come. The HTTP library tells what it made of a head and hides the rest; where a
-//! request ends must not be open to two readings, here and at an endpoint, so it is looked at here as well.
+//! Request framing on a client's connection. hyper exposes the parsed head only; where a request ends must not be ambiguous
+//! between this proxy and an endpoint (request smuggling), so the bytes are inspected here as well.
 
 use crate::listener::ClientConnection;
 use std::io;
@@ -11,106 +11,109 @@
 use tokio::net::TcpStream;
 use tokio::sync::Notify;
 
+/// Longest request head.
 pub const MAX_HEAD_BYTES: usize = 16 << 10;
-const MOST_HEADERS: usize = 100;
+/// More headers than this make a head invalid, as in hyper.
+const MAX_HEADERS: usize = 100;
 
-/// Where in a request the next byte belongs.
+/// The part of a request that the next byte belongs to.
 enum Part {
     Head(Vec<u8>),
     Body(u64),
-    Chunks, // only the library finds its end
-    Over,   // nothing is due before the answer
+    Chunked,  // hyper alone finds the end
+    Complete, // nothing may follow before the response
 }
 
-struct Reading {
+struct State {
     part: Part,
-    two_lengths: bool,
-    head_since: Option<Instant>, // its first byte
-    ahead: bool,                 // something came where nothing was due
+    ambiguous_length: bool,
+    head_since: Option<Instant>, // when the head's first byte arrived
+    early: bool,                 // bytes arrived where none may
 }
 
-/// How far a connection's present request has come.
+/// Framing state of a connection's current request.
 pub struct RequestFraming {
-    reading: Mutex<Reading>,
-    comes: Notify,
+    state: Mutex<State>,
+    early_notify: Notify,
 }
 
 impl Default for RequestFraming {
     fn default() -> Self {
-        let reading = Reading {
+        let state = State {
             part: Part::Head(Vec::new()),
-            two_lengths: false,
+            ambiguous_length: false,
             head_since: None,
-            ahead: false,
+            early: false,
         };
         RequestFraming {
-            reading: Mutex::new(reading),
-            comes: Notify::new(),
+            state: Mutex::new(state),
+            early_notify: Notify::new(),
         }
     }
 }
 
 impl RequestFraming {
-    fn reading(&self) -> MutexGuard<'_, Reading> {
-        self.reading.lock().unwrap_or_else(PoisonError::into_inner)
+    fn state(&self) -> MutexGuard<'_, State> {
+        self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     fn record(&self, bytes: &[u8]) {
-        let mut reading = self.reading();
-        reading.record(bytes);
-        if reading.ahead {
-            self.comes.notify_one();
+        let mut state = self.state();
+        state.record(bytes);
+        if state.early {
+            self.early_notify.notify_one();
         }
     }
 
-    /// Whether the length is stated more than once, or beside chunks.
+    /// Whether the body's length is stated more than once, or together with chunked encoding.
     pub fn has_ambiguous_length(&self) -> bool {
-        self.reading().two_lengths
+        self.state().ambiguous_length
     }
 
-    /// Whether part of a head has come, and no more.
+    /// Whether a part of a head has arrived, and no more.
     pub fn has_partial_head(&self) -> bool {
-        matches!(&self.reading().part, Part::Head(head) if !head.is_empty())
+        matches!(&self.state().part, Part::Head(head) if !head.is_empty())
     }
 
-    /// Where a head is awaited: since when a part of it has been there.
+    /// If a head is awaited: when its first byte arrived, if one has.
     pub fn awaiting_head(&self) -> Option<Option<Instant>> {
-        let reading = self.reading();
-        matches!(reading.part, Part::Head(_)).then_some(reading.head_since)
+        let state = self.state();
+        matches!(state.part, Part::Head(_)).then_some(state.head_since)
     }
 
-    /// Whether the request said that more would come.
+    /// Whether the head announced a body that has not arrived completely, as far as that is known here.
     pub fn expects_body(&self) -> bool {
-        matches!(&self.reading().part, Part::Body(_) | Part::Chunks)
+        matches!(&self.state().part, Part::Body(_) | Part::Chunked)
     }
 
-    /// Whether nothing that comes after the present request may be taken for the next.
+    /// Whether the connection must be closed after the response: bytes arrived early, or the request's end hasn't been seen.
     pub fn must_close(&self) -> bool {
-        let reading = self.reading();
-        reading.ahead || !matches!(reading.part, Part::Over)
+        let state = self.state();
+        state.early || !matches!(state.part, Part::Complete)
     }
 
+    /// Whether bytes have arrived where none may.
     pub fn has_early_bytes(&self) -> bool {
-        self.reading().ahead
+        self.state().early
     }
 
-    /// Ends when something comes where nothing is due.
+    /// Completes when bytes arrive where none may.
     pub async fn early_bytes(&self) {
-        while !self.reading().ahead {
-            self.comes.notified().await;
+        while !self.state().early {
+            self.early_notify.notified().await;
         }
     }
 
-    /// The answer is there: what comes now is the next head.
+    /// The response has been passed to hyper: the next byte belongs to a new head.
     pub fn response_sent(&self) {
-        let mut reading = self.reading();
-        if matches!(reading.part, Part::Over) && !reading.ahead {
-            (reading.part, reading.head_since) = (Part::Head(Vec::new()), None);
+        let mut state = self.state();
+        if matches!(state.part, Part::Complete) && !state.early {
+            (state.part, state.head_since) = (Part::Head(Vec::new()), None);
         }
     }
 }
 
-impl Reading {
+impl State {
     fn record(&mut self, mut bytes: &[u8]) {
         while !bytes.is_empty() {
             match &mut self.part {
@@ -118,13 +121,13 @@
                     self.head_since.get_or_insert_with(Instant::now);
                     let before = head.len();
                     head.extend_from_slice(bytes);
-                    let (size, part, two) = match heads_end(head) {
+                    let (size, part, ambiguous) = match parse_head(head) {
                         Some(read) => read,
                         None if head.len() <= MAX_HEAD_BYTES => return,
-                        // The library turns it away.
-                        None => (head.len(), Part::Over, false),
+                        // hyper rejects it.
+                        None => (head.len(), Part::Complete, false),
                     };
-                    (self.part, self.two_lengths) = (part, two);
+                    (self.part, self.ambiguous_length) = (part, ambiguous);
                     bytes = &bytes[size.saturating_sub(before).min(bytes.len())..];
                 }
                 Part::Body(left) => {
@@ -132,12 +135,12 @@
                     *left -= taken;
                     bytes = &bytes[taken as usize..];
                     if *left == 0 {
-                        self.part = Part::Over;
+                        self.part = Part::Complete;
                     }
                 }
-                Part::Chunks => return,
-                Part::Over => {
-                    self.ahead = true;
+                Part::Chunked => return,
+                Part::Complete => {
+                    self.early = true;
                     return;
                 }
             }
@@ -145,42 +148,42 @@
     }
 }
 
-/// Length of a head, what follows it, and whether that is told twice; none where it goes on.
-fn heads_end(head: &[u8]) -> Option<(usize, Part, bool)> {
-    let mut headers = [httparse::EMPTY_HEADER; MOST_HEADERS];
+/// Parses a head: its length, what follows it, and whether the body's length is ambiguous. None while it is incomplete.
+fn parse_head(head: &[u8]) -> Option<(usize, Part, bool)> {
+    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut request = httparse::Request::new(&mut headers);
     let size = match request.parse(head) {
         Ok(httparse::Status::Complete(size)) => size,
         Ok(httparse::Status::Partial) => return None,
-        Err(_) => return Some((head.len(), Part::Over, false)),
+        Err(_) => return Some((head.len(), Part::Complete, false)),
     };
     let named = |name: &'static str| {
         request
             .headers
             .iter()
-            .filter(move |h| h.name.eq_ignore_ascii_case(name))
-            .map(|h| h.value)
+            .filter(move |header| header.name.eq_ignore_ascii_case(name))
+            .map(|header| header.value)
     };
-    let chunks = named("transfer-encoding").next().is_some();
-    let two = named("content-length").count() + usize::from(chunks) > 1;
+    let chunked = named("transfer-encoding").next().is_some();
+    let ambiguous = named("content-length").count() + usize::from(chunked) > 1;
     let length = named("content-length")
         .next()
-        .and_then(|v| std::str::from_utf8(v).ok()?.trim().parse().ok());
-    let part = match (chunks, length) {
-        (true, _) => Part::Chunks,
-        (false, None | Some(0)) => Part::Over,
+        .and_then(|value| std::str::from_utf8(value).ok()?.trim().parse().ok());
+    let part = match (chunked, length) {
+        (true, _) => Part::Chunked,
+        (false, None | Some(0)) => Part::Complete,
         (false, Some(length)) => Part::Body(length),
     };
-    Some((size, part, two))
+    Some((size, part, ambiguous))
 }
 
-/// A client's stream. The look before a relay asks the system about it; nobody else reads or writes.
+/// A client's stream. Only its `FramedStream` reads and writes; the send guard queries the socket's state.
 pub type SharedStream = Arc<Mutex<TcpStream>>;
 
-/// The stream, each byte shown to its frame.
+/// A client's stream that records each byte read in the connection's framing state.
 pub struct FramedStream {
     pub stream: SharedStream,
-    pub talk: Arc<ClientConnection>,
+    pub connection: Arc<ClientConnection>,
 }
 
 impl FramedStream {
@@ -197,7 +200,7 @@
     ) -> Poll<io::Result<()>> {
         let before = buf.filled().len();
         let read = Pin::new(&mut *self.stream()).poll_read(cx, buf);
-        self.talk.framing.record(&buf.filled()[before..]);
+        self.connection.framing.record(&buf.filled()[before..]);
         read
     }
 }
--- a/crates/passroad/src/listener.rs
+++ b/crates/passroad/src/listener.rs
@@ -1,4 +1,5 @@
-//! The connections of clients: let in, watched, given back. What comes over them is read in `intake`.
+//! The listener for clients: accepts connections, limits their number, serves HTTP on them and closes idle ones. Requests are
+//! handled in `request_handler`.
 
 use crate::body::NotifyOnDrop;
 use crate::config::Timings;
@@ -28,59 +29,75 @@
 use tokio::time::{MissedTickBehavior, interval, sleep, sleep_until, timeout};
 use tower_service::Service;
 
+/// Connections that the kernel queues until they are accepted.
 const BACKLOG: u32 = 1024;
-/// From a head's first byte to its last: also how long a connection with nothing open is kept.
-const HEAD_WITHIN: Duration = Duration::from_millis(2200);
-/// The same for the first of a connection, with its body if that is short; a whole call is owed no more before.
-const FIRST_WITHIN: Duration = Duration::from_millis(2800);
-/// How long a connection that was of use is kept with nothing open, as long as few are.
-const KEPT_WITHIN: Duration = Duration::from_secs(10);
-const LIBRARY_WITHIN: Duration = Duration::from_secs(30); // the library's own clock for heads, behind these
-const TOO_SLOW: &[u8] =
+/// From a head's first byte to its last; also how long a connection is kept open without a command.
+const HEAD_TIMEOUT: Duration = Duration::from_millis(2200);
+/// From accepting a connection to the end of its first head, with the body if that is short. The protocol grants a complete
+/// request no more time before a response is due.
+const FIRST_REQUEST_TIMEOUT: Duration = Duration::from_millis(2800);
+/// How long a connection that has carried a command is kept open without one, while few are.
+const KEEP_ALIVE_TIMEOUT: Duration = Duration::from_secs(10);
+/// hyper's own timeout for heads, a fallback behind the ones above.
+const HYPER_HEAD_TIMEOUT: Duration = Duration::from_secs(30);
+/// Sent when a head is overdue.
+const REQUEST_TIMEOUT_RESPONSE: &[u8] =
     b"HTTP/1.1 408 Request Timeout\r\nConnection: close\r\nContent-Length: 0\r\n\r\n";
-const LINGER: Duration = Duration::from_millis(50); // for a last answer to be read before what still comes is refused
-const ADDRESS_WITHIN: Duration = Duration::from_secs(3); // a process before this one may be ending
-const QUIET_IN_CROWD: Duration = Duration::from_millis(100);
-const KEPT_IN_CROWD: Duration = Duration::from_millis(500);
-const AT_ONCE: Duration = Duration::from_millis(20);
-const LAST_WORDS: Duration = Duration::from_millis(500);
-const CROWD_EVERY: Duration = Duration::from_millis(10);
-/// Of a crowd, connections given up each time, once as many have gone as can wait outside: whoever waits there is reached
-/// within 0.4 s. Guards against a core used up by clients that come again as soon as they are closed.
-const CROWD_STEP: usize = BACKLOG as usize / 40;
-const TRIES_APART: Duration = Duration::from_millis(20); // to accept, after a failure
-/// Descriptors that are left to the rest of the process once they have run out, and for how long clients hold no more.
-const RESERVE: usize = 16;
-const SHORT_FOR: Duration = Duration::from_secs(10);
-
+/// Time for the client to read a last response before the rest of its request is refused with a reset.
+const LINGER_TIME: Duration = Duration::from_millis(50);
+/// For how long binding is retried, since an old process may still be releasing the address.
+const BIND_RETRY_TIME: Duration = Duration::from_secs(3);
+/// Idle time after which connections are evicted under pressure.
+const PRESSURE_IDLE_TIMEOUT: Duration = Duration::from_millis(100);
+/// The same for connections that have carried a command, while there are free slots.
+const PRESSURE_KEEP_ALIVE_TIMEOUT: Duration = Duration::from_millis(500);
+/// Shortest idle time after which a connection is closed; also the age up to which a command counts as read right after its
+/// connection was accepted.
+const SHORT_IDLE_TIME: Duration = Duration::from_millis(20);
+/// On closing, how long a connection that has carried a command may be idle before it is cut off.
+const CLOSE_GRACE: Duration = Duration::from_millis(500);
+/// Under pressure, that is with three quarters of the slots taken, connections are evicted at this interval.
+const PRESSURE_INTERVAL: Duration = Duration::from_millis(10);
+/// Connections evicted per interval under pressure, after a first burst of as many as the backlog holds: a client at the end of
+/// the backlog is accepted within 0.4 s. Prevents clients that reconnect as soon as they are closed from using up a core.
+const EVICTIONS_PER_INTERVAL: usize = BACKLOG as usize / 40;
+/// Delay before binding or accepting again after a failure.
+const RETRY_DELAY: Duration = Duration::from_millis(20);
+/// Descriptors left to the rest of the process once they have run out.
+const DESCRIPTOR_RESERVE: usize = 16;
+/// For how long the lower limit on client connections holds after descriptors have run out.
+const SHORTAGE_TIME: Duration = Duration::from_secs(10);
+
+/// Counts and limits of the client connections, shared by the accept loop and all connections.
 pub struct ClientConnections {
-    most: AtomicUsize,           // connections of clients
-    short: Mutex<Option<Short>>, // descriptors have run out lately
-    taking: watch::Sender<bool>, // no longer once another process does
+    max_open: AtomicUsize,                       // limit on open connections
+    shortage: Mutex<Option<DescriptorShortage>>, // set after descriptors have run out
+    accepting: watch::Sender<bool>,              // false while another process accepts instead
     open: AtomicUsize,
-    most_kept: usize, // of those, kept for a next command
+    max_kept: usize, // limit on connections kept alive for a next command
     kept: AtomicUsize,
-    crowd: Notify,       // others wait to get in
-    may_go: AtomicUsize, // of a crowd
-    left: Notify,        // a place is free again
-    stages: ShutdownWatch,
+    pressure: Notify,            // slots run short
+    evictions_left: AtomicUsize, // connections that may be evicted now
+    slot_freed: Notify,          // a slot is free again
+    shutdown: ShutdownWatch,
 }
 
+/// A lower limit on connections for a while, after descriptors have run out.
 #[derive(Clone, Copy)]
-struct Short {
-    most: usize,
+struct DescriptorShortage {
+    limit: usize,
     until: Instant,
 }
 
-/// When connections were accepted, as many as the backlog can hold and one more. Guards against requests taken to have waited
-/// for as long as there was no room, where that is always so as idle clients come again and again.
+/// Times of the last accepts, one more than the backlog holds. Prevents requests from being taken to have waited in the backlog
+/// ever since the limit was reached, when it is reached all the time because idle clients keep reconnecting.
 #[derive(Default)]
-struct Accepted(VecDeque<Instant>);
+struct AcceptTimes(VecDeque<Instant>);
 
-impl Accepted {
-    /// One more, while some have waited in the backlog since `full`: since when it may have itself. It came after those that
-    /// the backlog can hold before it; the system lets one more wait than it was told.
-    fn waits_since(&mut self, full: Option<Instant>) -> Option<Instant> {
+impl AcceptTimes {
+    /// Records an accept and returns since when this connection may have waited, given that some have since `full`. It arrived
+    /// after the connections that the backlog holds were accepted; the kernel queues one more than the backlog says.
+    fn record(&mut self, full: Option<Instant>) -> Option<Instant> {
         let many = self.0.len() > BACKLOG as usize + 1;
         let before = many.then(|| self.0.pop_front()).flatten();
         self.0.push_back(Instant::now());
@@ -88,36 +105,36 @@
     }
 }
 
-/// Listens; waits a little for a process that still has the address.
-/// With `beside`, another process may have the address, too.
-pub async fn bind(at: SocketAddr, beside: bool) -> Result<TcpListener, String> {
-    let began = Instant::now();
+/// Binds and listens, retrying for a while if a process still holds the address. With `share_address`, another process may
+/// listen on it at the same time.
+pub async fn bind(address: SocketAddr, share_address: bool) -> Result<TcpListener, String> {
+    let started = Instant::now();
     loop {
-        let socket = if at.is_ipv4() {
+        let socket = if address.is_ipv4() {
             TcpSocket::new_v4()
         } else {
             TcpSocket::new_v6()
         };
         let bound = socket.and_then(|socket| {
             socket.set_reuseaddr(true)?;
-            if beside {
+            if share_address {
                 socket.set_reuseport(true)?;
             }
-            socket.bind(at)?;
+            socket.bind(address)?;
             socket.listen(BACKLOG)
         });
         match bound {
-            Err(fault)
-                if fault.kind() == ErrorKind::AddrInUse && began.elapsed() < ADDRESS_WITHIN =>
+            Err(error)
+                if error.kind() == ErrorKind::AddrInUse && started.elapsed() < BIND_RETRY_TIME =>
             {
-                sleep(TRIES_APART).await;
+                sleep(RETRY_DELAY).await;
             }
-            bound => return bound.map_err(|e| format!("listen on {at}: {e}")),
+            bound => return bound.map_err(|e| format!("listen on {address}: {e}")),
         }
     }
 }
 
-/// The socket that another process listens on, too.
+/// Adopts a listening socket handed over by another process.
 pub fn adopt_socket(socket: std::net::TcpListener) -> Result<TcpListener, String> {
     let adopted = socket
         .set_nonblocking(true)
@@ -125,7 +142,7 @@
     adopted.map_err(|e| format!("listen: {e}"))
 }
 
-/// The same socket once more.
+/// Duplicates the listening socket's descriptor.
 pub fn duplicate_socket(listener: &TcpListener) -> Result<std::net::TcpListener, String> {
     let copy = socket2::SockRef::from(listener)
         .try_clone()
@@ -134,231 +151,252 @@
 }
 
 impl ClientConnections {
-    pub fn new(most: usize, most_kept: usize, stages: ShutdownWatch) -> Arc<Self> {
+    /// `max_open` limits open connections, `max_kept` those kept alive between commands.
+    pub fn new(max_open: usize, max_kept: usize, shutdown: ShutdownWatch) -> Arc<Self> {
         Arc::new(ClientConnections {
-            most: AtomicUsize::new(most),
-            short: Mutex::new(None),
-            taking: watch::channel(true).0,
+            max_open: AtomicUsize::new(max_open),
+            shortage: Mutex::new(None),
+            accepting: watch::channel(true).0,
             open: AtomicUsize::new(0),
-            most_kept,
+            max_kept,
             kept: AtomicUsize::new(0),
-            crowd: Notify::new(),
-            may_go: AtomicUsize::new(BACKLOG as usize),
-            left: Notify::new(),
-            stages,
+            pressure: Notify::new(),
+            evictions_left: AtomicUsize::new(BACKLOG as usize),
+            slot_freed: Notify::new(),
+            shutdown,
         })
     }
 
-    /// Takes connections, or leaves them to another process: those that there are end with their next answer.
-    pub fn set_accepting(&self, taking: bool) {
-        self.taking.send_replace(taking);
+    /// Accepts connections, or leaves them to another process: then the open ones are closed after their next response.
+    pub fn set_accepting(&self, accepting: bool) {
+        self.accepting.send_replace(accepting);
     }
 
-    pub fn raise_limit(&self, most: usize) {
-        self.most.store(most, Relaxed);
-        self.left.notify_one();
+    /// Raises the limit on open connections.
+    pub fn raise_limit(&self, max_open: usize) {
+        self.max_open.store(max_open, Relaxed);
+        self.slot_freed.notify_one();
     }
 
-    fn most(&self) -> usize {
-        let most = self.most.load(Relaxed);
-        let mut short = self.short.lock().unwrap_or_else(PoisonError::into_inner);
-        *short = short.filter(|short| Instant::now() < short.until);
-        short.map_or(most, |short| most.min(short.most))
+    /// The limit on open connections as of now.
+    fn limit(&self) -> usize {
+        let max_open = self.max_open.load(Relaxed);
+        let mut shortage = self.shortage.lock().unwrap_or_else(PoisonError::into_inner);
+        *shortage = shortage.filter(|shortage| Instant::now() < shortage.until);
+        shortage.map_or(max_open, |shortage| max_open.min(shortage.limit))
     }
 
-    /// Descriptors have run out, whoever holds them. Guards against clients that hold them all while discovery, probes and
-    /// attempts have none: for a while there are fewer of them than came in.
-    fn runs_short(&self, fault: &std::io::Error) {
-        let most = self.open.load(Relaxed).saturating_sub(RESERVE).max(RESERVE);
-        let short = Short {
-            most,
-            until: Instant::now() + SHORT_FOR,
+    /// Lowers the limit for a while after descriptors have run out. Prevents clients from holding them all while discovery,
+    /// probes and relays get none.
+    fn record_shortage(&self, error: &std::io::Error) {
+        let limit = self
+            .open
+            .load(Relaxed)
+            .saturating_sub(DESCRIPTOR_RESERVE)
+            .max(DESCRIPTOR_RESERVE);
+        let shortage = DescriptorShortage {
+            limit,
+            until: Instant::now() + SHORTAGE_TIME,
         };
-        let before = self
-            .short
+        let previous = self
+            .shortage
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
-            .replace(short);
-        if before.is_none_or(|before| before.until < Instant::now()) {
-            log::warn!("accept: {fault}; at most {most} connections of clients for {SHORT_FOR:?}");
+            .replace(shortage);
+        if previous.is_none_or(|previous| previous.until < Instant::now()) {
+            log::warn!(
+                "accept: {error}; at most {limit} connections of clients for {SHORTAGE_TIME:?}"
+            );
         }
     }
 
-    /// Others wait to get in.
-    fn crowds(&self) {
-        let more = |may: usize| (may + CROWD_STEP).min(BACKLOG as usize);
-        self.may_go.store(more(self.may_go.load(Relaxed)), Relaxed);
-        self.crowd.notify_waiters();
+    /// Signals that slots run short, and allows some more evictions.
+    fn signal_pressure(&self) {
+        let more = |left: usize| (left + EVICTIONS_PER_INTERVAL).min(BACKLOG as usize);
+        self.evictions_left
+            .store(more(self.evictions_left.load(Relaxed)), Relaxed);
+        self.pressure.notify_waiters();
     }
 
-    /// Whether one more of a crowd may be given up now.
-    fn one_goes(&self) -> bool {
-        self.may_go
-            .fetch_update(Relaxed, Relaxed, |may| may.checked_sub(1))
+    /// Whether one more connection may be evicted now.
+    fn take_eviction(&self) -> bool {
+        self.evictions_left
+            .fetch_update(Relaxed, Relaxed, |left| left.checked_sub(1))
             .is_ok()
     }
 
+    /// Whether at most half of the connections that may be kept alive are.
     fn few_kept(&self) -> bool {
-        self.kept.load(Relaxed) <= self.most_kept / 2
+        self.kept.load(Relaxed) <= self.max_kept / 2
     }
 
     fn stage(&self) -> ShutdownStage {
-        *self.stages.borrow()
+        *self.shutdown.borrow()
     }
 }
 
-/// Accepts and serves until the stop is through.
+/// Accepts and serves connections until shutdown is complete.
 pub async fn serve(
     listener: TcpListener,
-    front: Arc<ClientConnections>,
-    intake: Arc<RequestHandler>,
-    paces: watch::Receiver<Timings>,
+    connections: Arc<ClientConnections>,
+    handler: Arc<RequestHandler>,
+    timings: watch::Receiver<Timings>,
 ) {
     let router = Router::new()
         .route("/healthz", get(health))
         .fallback(handle_command)
-        .with_state(Arc::clone(&intake));
-    let (mut stages, mut taking) = (front.stages.clone(), front.taking.subscribe());
-    let mut full = None; // since when some may wait in the backlog
-    let (mut accepted, mut crowds) = (Accepted::default(), interval(CROWD_EVERY));
-    crowds.set_missed_tick_behavior(MissedTickBehavior::Delay);
+        .with_state(Arc::clone(&handler));
+    let (mut shutdown, mut accepting) = (
+        connections.shutdown.clone(),
+        connections.accepting.subscribe(),
+    );
+    let mut full = None; // since when connections may wait in the backlog
+    let (mut accept_times, mut pressure_ticks) =
+        (AcceptTimes::default(), interval(PRESSURE_INTERVAL));
+    pressure_ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
-        let count = front.open.load(Relaxed);
-        // Guards against running out of descriptors: past the limit new connections wait in the backlog.
-        let most = front.most();
-        let (room, takes) = (count < most, *taking.borrow_and_update());
-        full = full.or((!room).then(Instant::now));
+        let count = connections.open.load(Relaxed);
+        // Prevents running out of descriptors: past the limit, new connections wait in the backlog.
+        let limit = connections.limit();
+        let (below_limit, accepts) = (count < limit, *accepting.borrow_and_update());
+        full = full.or((!below_limit).then(Instant::now));
         tokio::select! {
             biased;
-            () = stage_reached(&mut stages, ShutdownStage::NotAccepting) => break,
-            _ = crowds.tick(), if count >= most / 4 * 3 => front.crowds(),
-            came = listener.accept(), if room && takes => match came {
-                Ok((stream, _)) => open(stream, &router, &front, accepted.waits_since(full)),
-                Err(fault) => {
-                    match Errno::from_io_error(&fault) {
-                        Some(Errno::MFILE | Errno::NFILE) => front.runs_short(&fault),
-                        _ => log::warn!("accept: {fault}"),
+            () = stage_reached(&mut shutdown, ShutdownStage::NotAccepting) => break,
+            _ = pressure_ticks.tick(), if count >= limit / 4 * 3 => connections.signal_pressure(),
+            accepted = listener.accept(), if below_limit && accepts => match accepted {
+                Ok((stream, _)) => serve_connection(stream, &router, &connections, accept_times.record(full)),
+                Err(error) => {
+                    match Errno::from_io_error(&error) {
+                        Some(Errno::MFILE | Errno::NFILE) => connections.record_shortage(&error),
+                        _ => log::warn!("accept: {error}"),
                     }
-                    sleep(TRIES_APART).await;
+                    sleep(RETRY_DELAY).await;
                 }
             },
-            // Whoever waited is in.
-            () = std::future::ready(()), if room && full.is_some() => full = None,
-            () = front.left.notified(), if !room => {}
-            _ = taking.changed() => {}
+            // `accept` was not ready, so the backlog is empty.
+            () = std::future::ready(()), if below_limit && full.is_some() => full = None,
+            () = connections.slot_freed.notified(), if !below_limit => {}
+            _ = accepting.changed() => {}
         }
     }
-    // What waits is the other process's where there is one.
-    if *taking.borrow() {
+    // After a handover, the backlog belongs to the other process.
+    if *accepting.borrow() {
         while let Some(Ok((stream, _))) = listener.accept().now_or_never() {
-            open(stream, &router, &front, accepted.waits_since(full));
+            serve_connection(stream, &router, &connections, accept_times.record(full));
         }
     }
     drop(listener);
-    // Whoever is left has an answer by the longest limit.
+    // Every open command has its response by the longest time limit.
     let all_closed = async {
-        while front.open.load(Relaxed) > 0 {
+        while connections.open.load(Relaxed) > 0 {
             sleep(Duration::from_millis(5)).await;
         }
     };
-    let mut over = stages.clone();
+    let mut expiring = shutdown.clone();
     tokio::spawn(async move {
-        stage_reached(&mut over, ShutdownStage::Expiring).await;
-        intake.expire_open_commands();
+        stage_reached(&mut expiring, ShutdownStage::Expiring).await;
+        handler.expire_open_commands();
     });
-    let longest = paces.borrow().max_time_limit;
+    let longest = timings.borrow().max_time_limit;
     match timeout(longest + Duration::from_secs(1), all_closed).await {
-        Ok(()) => log::info!("stopped: all that was taken is answered"),
-        Err(_) => log::warn!("stopped with {} connections open", front.open.load(Relaxed)),
+        Ok(()) => log::info!("stopped: all accepted commands are answered"),
+        Err(_) => log::warn!(
+            "stopped with {} connections open",
+            connections.open.load(Relaxed)
+        ),
     }
 }
 
-/// Counts a connection for as long as it is open.
-struct Place(Arc<ClientConnections>);
+/// Counts a connection as open until dropped.
+struct OpenSlot(Arc<ClientConnections>);
 
-impl Place {
-    fn take(front: &Arc<ClientConnections>) -> Self {
-        front.open.fetch_add(1, Relaxed);
-        Place(Arc::clone(front))
+impl OpenSlot {
+    fn take(connections: &Arc<ClientConnections>) -> Self {
+        connections.open.fetch_add(1, Relaxed);
+        OpenSlot(Arc::clone(connections))
     }
 }
 
-impl Drop for Place {
+impl Drop for OpenSlot {
     fn drop(&mut self) {
         self.0.open.fetch_sub(1, Relaxed);
-        self.0.left.notify_one();
+        self.0.slot_freed.notify_one();
     }
 }
 
-/// Counts a connection for as long as it is kept for a next command.
-struct Kept(Arc<ClientConnections>);
+/// Counts a connection as kept alive for a next command until dropped.
+struct KeptSlot(Arc<ClientConnections>);
 
-impl Kept {
-    /// None where enough are kept.
-    fn one_more(front: &Arc<ClientConnections>) -> Option<Self> {
-        let few = front.kept.load(Relaxed) < front.most_kept;
-        few.then(|| {
-            front.kept.fetch_add(1, Relaxed);
-            Kept(Arc::clone(front))
+impl KeptSlot {
+    /// None if enough connections are kept.
+    fn try_take(connections: &Arc<ClientConnections>) -> Option<Self> {
+        let available = connections.kept.load(Relaxed) < connections.max_kept;
+        available.then(|| {
+            connections.kept.fetch_add(1, Relaxed);
+            KeptSlot(Arc::clone(connections))
         })
     }
 }
 
-impl Drop for Kept {
+impl Drop for KeptSlot {
     fn drop(&mut self) {
         self.0.kept.fetch_sub(1, Relaxed);
     }
 }
 
-/// What is known of a connection's client.
+/// State of one client's connection.
 pub struct ClientConnection {
     pub framing: RequestFraming,
     stream: Weak<Mutex<TcpStream>>,
-    came: Instant,
-    waited: Duration,              // outside, at most
-    answered: AtomicBool,          // once at least, and not for something that can't be used
-    quiet: Mutex<Option<Instant>>, // since when there is nothing to answer; none while a command is in hand
-    turned: Notify,                // that has changed
+    accepted_at: Instant,
+    max_backlog_wait: Duration, // longest possible wait in the backlog
+    served: AtomicBool,         // a usable request has been answered
+    idle_since: Mutex<Option<Instant>>, // none while a command is open
+    idle_changed: Notify,       // `idle_since` has changed
 }
 
 impl ClientConnection {
-    pub fn new(stream: &SharedStream, came: Instant, waited: Duration) -> Self {
+    /// `max_backlog_wait` is the longest time that the connection may have waited to be accepted.
+    pub fn new(stream: &SharedStream, accepted_at: Instant, max_backlog_wait: Duration) -> Self {
         ClientConnection {
             framing: RequestFraming::default(),
             stream: Arc::downgrade(stream),
-            came,
-            waited,
-            answered: AtomicBool::new(false),
-            quiet: Mutex::new(Some(came)),
-            turned: Notify::new(),
+            accepted_at,
+            max_backlog_wait,
+            served: AtomicBool::new(false),
+            idle_since: Mutex::new(Some(accepted_at)),
+            idle_changed: Notify::new(),
         }
     }
 
-    fn quiet_for(&self, span: Duration) -> bool {
-        self.quiet
+    /// Whether no command has been open for at least this long.
+    fn idle_for(&self, span: Duration) -> bool {
+        self.idle_since
             .lock()
-            .is_ok_and(|since| since.is_some_and(|at| at.elapsed() >= span))
+            .is_ok_and(|since| since.is_some_and(|since| since.elapsed() >= span))
     }
 
+    /// Sets since when no command is open; none while one is.
     pub fn set_idle_since(&self, since: Option<Instant>) {
-        self.quiet
+        self.idle_since
             .lock()
             .iter_mut()
-            .for_each(|quiet| **quiet = since);
-        self.turned.notify_one();
+            .for_each(|idle_since| **idle_since = since);
+        self.idle_changed.notify_one();
     }
 
-    /// How long a command read now may have waited for its connection to be let in.
+    /// How long a command read now may have waited in the backlog.
     pub fn backlog_wait(&self) -> Duration {
-        if self.came.elapsed() < AT_ONCE {
-            self.waited
+        if self.accepted_at.elapsed() < SHORT_IDLE_TIME {
+            self.max_backlog_wait
         } else {
             Duration::ZERO
         }
     }
 
-    /// Whether the client of the command in hand still waits for its answer. The system is asked: the end of a connection
-    /// may have come that nobody has read yet. What comes where nothing is due is the end of it, too.
+    /// Whether the client still waits for the response to the open command. The socket is queried, since the end of the stream may
+    /// have arrived and not been read yet. A client that sends data where none may come counts as gone, too.
     pub fn is_waiting(&self) -> bool {
         match self.socket_input() {
             Some(SocketInput::Empty) => !self.framing.has_early_bytes(),
@@ -367,7 +405,7 @@
         }
     }
 
-    /// Whether the client has gone, behind bytes that nobody has read.
+    /// Whether the client has closed the connection, even with unread data before the end.
     fn peer_closed(&self) -> bool {
         let stream = self.stream.upgrade();
         stream.is_none_or(|stream| {
@@ -375,8 +413,8 @@
         })
     }
 
-    /// Whether something lies there that nobody has read.
-    fn unread(&self) -> bool {
+    /// Whether the socket has unread data.
+    fn has_unread_input(&self) -> bool {
         self.socket_input() == Some(SocketInput::Bytes)
     }
 
@@ -386,54 +424,56 @@
         Some(peek_socket(&stream))
     }
 
-    /// How long the rest of a request may take at least.
+    /// Least time that the rest of a request is given.
     pub fn min_read_time(&self) -> Duration {
-        FIRST_WITHIN.saturating_sub(self.came.elapsed())
+        FIRST_REQUEST_TIMEOUT.saturating_sub(self.accepted_at.elapsed())
     }
 
-    /// When there is to be a whole head; none while there is one.
-    fn due(&self, front: &ClientConnections) -> Option<Instant> {
-        let quiet = self.quiet.lock().ok().and_then(|since| *since)?;
+    /// When a complete head is due, or the connection is closed for idleness; none while a request is open.
+    fn head_deadline(&self, connections: &ClientConnections) -> Option<Instant> {
+        let idle_since = self.idle_since.lock().ok().and_then(|since| *since)?;
         match self.framing.awaiting_head()? {
-            // Guards against one that begins late and goes on for long: its client is owed a word in time.
-            Some(since) if quiet == self.came => {
-                Some((since + HEAD_WITHIN).min(self.came + FIRST_WITHIN))
+            // Prevents a first head that starts late and takes long from delaying the 408 response, which is due in time.
+            Some(since) if idle_since == self.accepted_at => {
+                Some((since + HEAD_TIMEOUT).min(self.accepted_at + FIRST_REQUEST_TIMEOUT))
             }
-            Some(since) => Some(since + HEAD_WITHIN),
-            // Guards against an end that crosses what a client writes: where few come and the process waits for its core
-            // there is time for that. So those that were of use are kept well past the usual pause between commands.
-            None if self.answered.load(Relaxed) && front.few_kept() => Some(quiet + KEPT_WITHIN),
-            None => Some(quiet + HEAD_WITHIN),
+            Some(since) => Some(since + HEAD_TIMEOUT),
+            // Prevents a close that races with the client's next request, which is likely where commands are rare and the
+            // process waits for a core. Used connections are therefore kept well past the usual pause between commands.
+            None if self.served.load(Relaxed) && connections.few_kept() => {
+                Some(idle_since + KEEP_ALIVE_TIMEOUT)
+            }
+            None => Some(idle_since + HEAD_TIMEOUT),
         }
     }
 
-    /// Ends when a head has not come in time, or nothing has come for long. Guards against a connection that is ended
-    /// though a command has come over it that is not read yet: what the system holds is looked at once more before.
-    async fn late(&self, front: &ClientConnections) {
-        let mut looked = false;
+    /// Completes when a head is overdue or the connection has been idle for too long. Prevents closing a connection on which a
+    /// command has arrived and not been read yet: other tasks run once more, and the deadline is checked again.
+    async fn head_overdue(&self, connections: &ClientConnections) {
+        let mut rechecked = false;
         loop {
-            match self.due(front) {
-                Some(at) if at <= Instant::now() && looked => return,
-                Some(at) if at <= Instant::now() => {
-                    looked = true;
+            match self.head_deadline(connections) {
+                Some(deadline) if deadline <= Instant::now() && rechecked => return,
+                Some(deadline) if deadline <= Instant::now() => {
+                    rechecked = true;
                     yield_now().await;
                 }
-                // It may be later by then: a head has begun, or a command is in hand.
-                Some(at) => {
-                    looked = false;
-                    // More may be kept by then.
-                    sleep_until(at.min(Instant::now() + HEAD_WITHIN).into()).await;
+                // The deadline may have moved by then: a head has begun, or a command is open.
+                Some(deadline) => {
+                    rechecked = false;
+                    // More connections may be kept by then, which shortens the deadline.
+                    sleep_until(deadline.min(Instant::now() + HEAD_TIMEOUT).into()).await;
                 }
                 None => {
-                    looked = false;
-                    self.turned.notified().await;
+                    rechecked = false;
+                    self.idle_changed.notified().await;
                 }
             }
         }
     }
 }
 
-/// What the system holds of a connection that nobody has read, as it is now: what was last heard of it may be older.
+/// Unread input of a socket, as the kernel has it now; the last read may be older.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SocketInput {
     Empty,
@@ -441,143 +481,158 @@
     Closed,
 }
 
+/// Peeks at a socket without reading from it.
 pub fn peek_socket(stream: &TcpStream) -> SocketInput {
     match socket2::SockRef::from(stream).peek(&mut [MaybeUninit::uninit()]) {
         Ok(0) => SocketInput::Closed,
         Ok(_) => SocketInput::Bytes,
-        Err(fault) if matches!(fault.kind(), ErrorKind::WouldBlock | ErrorKind::Interrupted) => {
+        Err(error) if matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::Interrupted) => {
             SocketInput::Empty
         }
         Err(_) => SocketInput::Closed,
     }
 }
 
-fn open(stream: TcpStream, router: &Router, front: &Arc<ClientConnections>, full: Option<Instant>) {
-    let (place, router) = (Place::take(front), router.clone());
+/// Serves HTTP on a connection until it is closed. `waiting_since` is since when it may have waited in the backlog.
+fn serve_connection(
+    stream: TcpStream,
+    router: &Router,
+    connections: &Arc<ClientConnections>,
+    waiting_since: Option<Instant>,
+) {
+    let (slot, router) = (OpenSlot::take(connections), router.clone());
     let _ = stream.set_nodelay(true);
     tokio::spawn(async move {
-        let (front, mut stages, came) = (&place.0, place.0.stages.clone(), Instant::now());
+        let (connections, mut shutdown, accepted_at) =
+            (&slot.0, slot.0.shutdown.clone(), Instant::now());
         let stream: SharedStream = Arc::new(Mutex::new(stream));
-        let waited = full.map_or(Duration::ZERO, |since| since.elapsed());
-        let talk = Arc::new(ClientConnection::new(&stream, came, waited));
+        let max_backlog_wait = waiting_since.map_or(Duration::ZERO, |since| since.elapsed());
+        let client = Arc::new(ClientConnection::new(
+            &stream,
+            accepted_at,
+            max_backlog_wait,
+        ));
         let kept = Mutex::new(None);
         let service =
             hyper::service::service_fn(|mut request: hyper::Request<hyper::body::Incoming>| {
-                request.extensions_mut().insert(Arc::clone(&talk));
+                request.extensions_mut().insert(Arc::clone(&client));
                 kept.lock().iter_mut().for_each(|kept| **kept = None);
                 let kept = &kept;
-                let (answer, talk) = (router.clone().call(request), &talk);
+                let (response, client) = (router.clone().call(request), &client);
                 async move {
-                    let mut answer = answer.await?;
-                    // Guards against what is hidden behind a request that can't be used, or comes before its turn: the
-                    // connection ends with this answer, and nothing more is read from it. So it does while the
-                    // sidecar stops.
-                    let usable = !answer.status().is_client_error();
-                    let stays = front.stage() == ShutdownStage::Serving && *front.taking.borrow();
-                    let on = usable && !talk.framing.must_close() && stays;
-                    // Guards against clients that ask once and stay: what they may hold is soon taken up by connections
-                    // that nobody uses. Past half of it each goes with its answer.
-                    let mut keep = on.then(|| Kept::one_more(front)).flatten();
-                    if keep.is_none() {
-                        answer
+                    let mut response = response.await?;
+                    // Prevents request smuggling behind an invalid request, or by sending before the response: the
+                    // connection closes after this response, and nothing more is read from it. During shutdown
+                    // connections close after their response as well.
+                    let usable = !response.status().is_client_error();
+                    let accepting = connections.stage() == ShutdownStage::Serving
+                        && *connections.accepting.borrow();
+                    let reusable = usable && !client.framing.must_close() && accepting;
+                    // Prevents clients that send one command and stay connected from using up all slots with idle
+                    // connections: past the limit, a connection closes after its response.
+                    let mut slot = reusable.then(|| KeptSlot::try_take(connections)).flatten();
+                    if slot.is_none() {
+                        response
                             .headers_mut()
                             .insert(header::CONNECTION, HeaderValue::from_static("close"));
                     }
-                    kept.lock().iter_mut().for_each(|kept| **kept = keep.take());
-                    talk.answered.fetch_or(usable, Relaxed);
-                    let talk = Arc::clone(talk);
-                    // Guards against a client that reads slowly taken for one that says nothing.
-                    let then = move || {
-                        talk.framing.response_sent();
-                        talk.set_idle_since(Some(Instant::now()));
+                    kept.lock().iter_mut().for_each(|kept| **kept = slot.take());
+                    client.served.fetch_or(usable, Relaxed);
+                    let client = Arc::clone(client);
+                    // Prevents a client that reads its response slowly from counting as idle.
+                    let on_drop = move || {
+                        client.framing.response_sent();
+                        client.set_idle_since(Some(Instant::now()));
                     };
-                    let passing = |body| {
+                    let notifying = |body| {
                         Body::new(NotifyOnDrop {
                             body,
-                            on_drop: Some(then),
+                            on_drop: Some(on_drop),
                         })
                     };
-                    Ok::<_, std::convert::Infallible>(answer.map(passing))
+                    Ok::<_, std::convert::Infallible>(response.map(notifying))
                 }
             });
-        let mut connection = http1::Builder::new()
+        let mut http_connection = http1::Builder::new()
             .timer(TokioTimer::new())
-            .header_read_timeout(LIBRARY_WITHIN)
+            .header_read_timeout(HYPER_HEAD_TIMEOUT)
             .max_buf_size(MAX_HEAD_BYTES)
             .serve_connection(
                 TokioIo::new(FramedStream {
                     stream,
-                    talk: Arc::clone(&talk),
+                    connection: Arc::clone(&client),
                 }),
                 service,
             );
-        let mut next = ShutdownStage::Draining;
+        let mut next_stage = ShutdownStage::Draining;
         let ended = loop {
             tokio::select! {
                 biased;
-                ended = &mut connection => break Some(ended),
-                () = crowded_out(front, &talk), if next == ShutdownStage::Draining => {
-                    // What has come is read first.
-                    if !talk.unread() {
+                ended = &mut http_connection => break Some(ended),
+                () = evicted(connections, &client), if next_stage == ShutdownStage::Draining => {
+                    // Data that has arrived is read first.
+                    if !client.has_unread_input() {
                         break None;
                     }
                 }
-                () = talk.late(front) => break None,
-                () = stage_reached(&mut stages, next) => {
-                    if next == ShutdownStage::ClosingIdle {
+                () = client.head_overdue(connections) => break None,
+                () = stage_reached(&mut shutdown, next_stage) => {
+                    if next_stage == ShutdownStage::ClosingIdle {
                         break None;
                     }
-                    next = ShutdownStage::ClosingIdle;
-                    // One that was never answered may have its first command on the way, another its next: its answer ends
-                    // the connection.
-                    let sends = talk.framing.has_partial_head() || talk.unread();
-                    if talk.answered.load(Relaxed) && !sends {
-                        Pin::new(&mut connection).graceful_shutdown();
+                    next_stage = ShutdownStage::ClosingIdle;
+                    // A connection that carried no command yet may have its first one on the way, and another may have
+                    // its next: then the response closes the connection.
+                    let sending = client.framing.has_partial_head() || client.has_unread_input();
+                    if client.served.load(Relaxed) && !sending {
+                        Pin::new(&mut http_connection).graceful_shutdown();
                     }
                 }
             }
         };
-        let late = ended.is_none()
-            && talk.framing.has_partial_head()
-            && talk.due(front).is_some_and(|at| at <= Instant::now());
-        if ended.is_none() && !late {
-            Pin::new(&mut connection).graceful_shutdown();
-            // Only a client that is quiet in the middle of a request, or does not read its answer, is cut off.
-            let patience = if talk.answered.load(Relaxed) {
-                LAST_WORDS
+        let head_overdue = ended.is_none()
+            && client.framing.has_partial_head()
+            && client
+                .head_deadline(connections)
+                .is_some_and(|deadline| deadline <= Instant::now());
+        if ended.is_none() && !head_overdue {
+            Pin::new(&mut http_connection).graceful_shutdown();
+            // Only a client that stops in the middle of a request, or doesn't read its response, is cut off.
+            let grace = if client.served.load(Relaxed) {
+                CLOSE_GRACE
             } else {
-                AT_ONCE
+                SHORT_IDLE_TIME
             };
-            let stays = || !talk.quiet_for(patience) || talk.unread();
-            while timeout(patience, &mut connection).await.is_err() && stays() {}
+            let active = || !client.idle_for(grace) || client.has_unread_input();
+            while timeout(grace, &mut http_connection).await.is_err() && active() {}
         }
-        let stream = connection.into_parts().io.into_inner().stream;
+        let stream = http_connection.into_parts().io.into_inner().stream;
         match ended {
-            None if late => drop(
+            None if head_overdue => drop(
                 stream
                     .lock()
                     .unwrap_or_else(PoisonError::into_inner)
-                    .try_write(TOO_SLOW),
+                    .try_write(REQUEST_TIMEOUT_RESPONSE),
             ),
-            Some(Ok(())) if talk.framing.expects_body() => sleep(LINGER).await,
+            Some(Ok(())) if client.framing.expects_body() => sleep(LINGER_TIME).await,
             _ => {}
         }
     });
 }
 
-/// Guards against slow or forgotten clients that hold all there is: where places run short a connection that has
-/// been quiet for a while is given up, where there are none after a moment; one on which nothing useful ever came
-/// goes sooner than one that has had an answer.
-async fn crowded_out(front: &ClientConnections, talk: &ClientConnection) {
+/// Completes when a connection is to be evicted. Prevents slow or abandoned clients from holding all slots: when slots run short,
+/// connections that have been idle for a while are evicted, and sooner when none is left. One that never carried a usable request
+/// goes before one that did.
+async fn evicted(connections: &ClientConnections, client: &ClientConnection) {
     loop {
-        front.crowd.notified().await;
-        let none_left = front.open.load(Relaxed) >= front.most();
-        let span = match (none_left, talk.answered.load(Relaxed)) {
-            (true, false) => AT_ONCE,
-            (true, true) | (false, false) => QUIET_IN_CROWD,
-            (false, true) => KEPT_IN_CROWD,
+        connections.pressure.notified().await;
+        let none_left = connections.open.load(Relaxed) >= connections.limit();
+        let span = match (none_left, client.served.load(Relaxed)) {
+            (true, false) => SHORT_IDLE_TIME,
+            (true, true) | (false, false) => PRESSURE_IDLE_TIMEOUT,
+            (false, true) => PRESSURE_KEEP_ALIVE_TIMEOUT,
         };
-        if talk.quiet_for(span) && front.one_goes() {
+        if client.idle_for(span) && connections.take_eviction() {
             return;
         }
     }
