--- /dev/null
+++ b/crates/passroad/src/listener/connection.rs
@@ -0,0 +1,343 @@
+//! One client connection: HTTP/1 served by hyper, its idle timeouts, eviction and close.
+
+use super::{ClientConnections, KeptSlot, OpenSlot};
+use crate::body::NotifyOnDrop;
+use crate::framing::{FramedStream, MAX_HEAD_BYTES, RequestFraming, SharedStream};
+use crate::send_guard::peer_closed;
+use crate::shutdown::{ShutdownStage, stage_reached};
+use axum::Router;
+use axum::body::Body;
+use axum::http::{HeaderValue, header};
+use hyper::server::conn::http1;
+use hyper_util::rt::{TokioIo, TokioTimer};
+use std::io::ErrorKind;
+use std::mem::MaybeUninit;
+use std::pin::Pin;
+use std::sync::atomic::{AtomicBool, Ordering::Relaxed};
+use std::sync::{Arc, Mutex, PoisonError, Weak};
+use std::time::{Duration, Instant};
+use tokio::net::TcpStream;
+use tokio::sync::Notify;
+use tokio::task::yield_now;
+use tokio::time::{sleep, sleep_until, timeout};
+use tower_service::Service;
+
+/// From a head's first byte to its last; also how long a connection is kept open without a command.
+const HEAD_TIMEOUT: Duration = Duration::from_millis(2200);
+/// From accepting a connection to the end of its first head, with the body if that is short. The protocol grants a complete
+/// request no more time before a response is due.
+const FIRST_REQUEST_TIMEOUT: Duration = Duration::from_millis(2800);
+/// How long a connection that has carried a command is kept open without one, while few are.
+const KEEP_ALIVE_TIMEOUT: Duration = Duration::from_secs(10);
+/// hyper's own timeout for heads, a fallback behind the ones above.
+const HYPER_HEAD_TIMEOUT: Duration = Duration::from_secs(30);
+/// Sent when a head is overdue.
+const REQUEST_TIMEOUT_RESPONSE: &[u8] =
+    b"HTTP/1.1 408 Request Timeout\r\nConnection: close\r\nContent-Length: 0\r\n\r\n";
+/// Time for the client to read a last response before the rest of its request is refused with a reset.
+const LINGER_TIME: Duration = Duration::from_millis(50);
+/// Idle time after which connections are evicted under pressure.
+const PRESSURE_IDLE_TIMEOUT: Duration = Duration::from_millis(100);
+/// The same for connections that have carried a command, while there are free slots.
+const PRESSURE_KEEP_ALIVE_TIMEOUT: Duration = Duration::from_millis(500);
+/// Shortest idle time after which a connection is closed; also the age up to which a command counts as read right after its
+/// connection was accepted.
+const SHORT_IDLE_TIME: Duration = Duration::from_millis(20);
+/// On closing, how long a connection that has carried a command may be idle before it is cut off.
+const CLOSE_GRACE: Duration = Duration::from_millis(500);
+
+/// State of one client's connection.
+pub struct ClientConnection {
+    pub framing: RequestFraming,
+    stream: Weak<Mutex<TcpStream>>,
+    accepted_at: Instant,
+    max_backlog_wait: Duration, // longest possible wait in the backlog
+    served: AtomicBool,         // a usable request has been answered
+    idle_since: Mutex<Option<Instant>>, // none while a command is open
+    idle_changed: Notify,       // `idle_since` has changed
+}
+
+impl ClientConnection {
+    /// `max_backlog_wait` is the longest time that the connection may have waited to be accepted.
+    pub fn new(stream: &SharedStream, accepted_at: Instant, max_backlog_wait: Duration) -> Self {
+        ClientConnection {
+            framing: RequestFraming::default(),
+            stream: Arc::downgrade(stream),
+            accepted_at,
+            max_backlog_wait,
+            served: AtomicBool::new(false),
+            idle_since: Mutex::new(Some(accepted_at)),
+            idle_changed: Notify::new(),
+        }
+    }
+
+    /// Whether no command has been open for at least this long.
+    fn idle_for(&self, span: Duration) -> bool {
+        self.idle_since
+            .lock()
+            .is_ok_and(|since| since.is_some_and(|since| since.elapsed() >= span))
+    }
+
+    /// Sets since when no command is open; none while one is.
+    pub fn set_idle_since(&self, since: Option<Instant>) {
+        self.idle_since
+            .lock()
+            .iter_mut()
+            .for_each(|idle_since| **idle_since = since);
+        self.idle_changed.notify_one();
+    }
+
+    /// How long a command read now may have waited in the backlog.
+    pub fn backlog_wait(&self) -> Duration {
+        if self.accepted_at.elapsed() < SHORT_IDLE_TIME {
+            self.max_backlog_wait
+        } else {
+            Duration::ZERO
+        }
+    }
+
+    /// Whether the client still waits for the response to the open command. The socket is queried, since the end of the stream may
+    /// have arrived and not been read yet. A client that sends data where none may come counts as gone, too.
+    pub fn is_waiting(&self) -> bool {
+        match self.socket_input() {
+            Some(SocketInput::Empty) => !self.framing.has_early_bytes(),
+            Some(SocketInput::Bytes) => self.framing.expects_body() && !self.peer_closed(),
+            Some(SocketInput::Closed) | None => false,
+        }
+    }
+
+    /// Whether the client has closed the connection, even with unread data before the end.
+    fn peer_closed(&self) -> bool {
+        let stream = self.stream.upgrade();
+        stream.is_none_or(|stream| {
+            peer_closed(&stream.lock().unwrap_or_else(PoisonError::into_inner))
+        })
+    }
+
+    /// Whether the socket has unread data.
+    fn has_unread_input(&self) -> bool {
+        self.socket_input() == Some(SocketInput::Bytes)
+    }
+
+    fn socket_input(&self) -> Option<SocketInput> {
+        let stream = self.stream.upgrade()?;
+        let stream = stream.lock().unwrap_or_else(PoisonError::into_inner);
+        Some(peek_socket(&stream))
+    }
+
+    /// Least time that the rest of a request is given.
+    pub fn min_read_time(&self) -> Duration {
+        FIRST_REQUEST_TIMEOUT.saturating_sub(self.accepted_at.elapsed())
+    }
+
+    /// When a complete head is due, or the connection is closed for idleness; none while a request is open.
+    fn head_deadline(&self, connections: &ClientConnections) -> Option<Instant> {
+        let idle_since = self.idle_since.lock().ok().and_then(|since| *since)?;
+        match self.framing.awaiting_head()? {
+            // Prevents a first head that starts late and takes long from delaying the 408 response, which is due in time.
+            Some(since) if idle_since == self.accepted_at => {
+                Some((since + HEAD_TIMEOUT).min(self.accepted_at + FIRST_REQUEST_TIMEOUT))
+            }
+            Some(since) => Some(since + HEAD_TIMEOUT),
+            // Prevents a close that races with the client's next request, which is likely where commands are rare and the
+            // process waits for a core. Used connections are therefore kept well past the usual pause between commands.
+            None if self.served.load(Relaxed) && connections.few_kept() => {
+                Some(idle_since + KEEP_ALIVE_TIMEOUT)
+            }
+            None => Some(idle_since + HEAD_TIMEOUT),
+        }
+    }
+
+    /// Completes when a head is overdue or the connection has been idle for too long. Prevents closing a connection on which a
+    /// command has arrived and not been read yet: other tasks run once more, and the deadline is checked again.
+    async fn head_overdue(&self, connections: &ClientConnections) {
+        let mut rechecked = false;
+        loop {
+            match self.head_deadline(connections) {
+                Some(deadline) if deadline <= Instant::now() && rechecked => return,
+                Some(deadline) if deadline <= Instant::now() => {
+                    rechecked = true;
+                    yield_now().await;
+                }
+                // The deadline may have moved by then: a head has begun, or a command is open.
+                Some(deadline) => {
+                    rechecked = false;
+                    // More connections may be kept by then, which shortens the deadline.
+                    sleep_until(deadline.min(Instant::now() + HEAD_TIMEOUT).into()).await;
+                }
+                None => {
+                    rechecked = false;
+                    self.idle_changed.notified().await;
+                }
+            }
+        }
+    }
+}
+
+/// Unread input of a socket, as the kernel has it now; the last read may be older.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum SocketInput {
+    Empty,
+    Bytes,
+    Closed,
+}
+
+/// Peeks at a socket without reading from it.
+pub fn peek_socket(stream: &TcpStream) -> SocketInput {
+    match socket2::SockRef::from(stream).peek(&mut [MaybeUninit::uninit()]) {
+        Ok(0) => SocketInput::Closed,
+        Ok(_) => SocketInput::Bytes,
+        Err(error) if matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::Interrupted) => {
+            SocketInput::Empty
+        }
+        Err(_) => SocketInput::Closed,
+    }
+}
+
+/// Serves HTTP on a connection until it is closed. `waiting_since` is since when it may have waited in the backlog.
+pub(super) fn serve_connection(
+    stream: TcpStream,
+    router: &Router,
+    connections: &Arc<ClientConnections>,
+    waiting_since: Option<Instant>,
+) {
+    let (slot, router) = (OpenSlot::take(connections), router.clone());
+    let _ = stream.set_nodelay(true);
+    tokio::spawn(async move {
+        let (connections, mut shutdown, accepted_at) =
+            (&slot.0, slot.0.shutdown.clone(), Instant::now());
+        let stream: SharedStream = Arc::new(Mutex::new(stream));
+        let max_backlog_wait = waiting_since.map_or(Duration::ZERO, |since| since.elapsed());
+        let client = Arc::new(ClientConnection::new(
+            &stream,
+            accepted_at,
+            max_backlog_wait,
+        ));
+        let kept = Mutex::new(None);
+        let service =
+            hyper::service::service_fn(|mut request: hyper::Request<hyper::body::Incoming>| {
+                request.extensions_mut().insert(Arc::clone(&client));
+                kept.lock().iter_mut().for_each(|kept| **kept = None);
+                let kept = &kept;
+                let (response, client) = (router.clone().call(request), &client);
+                async move {
+                    let mut response = response.await?;
+                    // Prevents request smuggling behind an invalid request, or by sending before the response: the
+                    // connection closes after this response, and nothing more is read from it. During shutdown
+                    // connections close after their response as well.
+                    let usable = !response.status().is_client_error();
+                    let accepting = connections.stage() == ShutdownStage::Serving
+                        && *connections.accepting.borrow();
+                    let reusable = usable && !client.framing.must_close() && accepting;
+                    // Prevents clients that send one command and stay connected from using up all slots with idle
+                    // connections: past the limit, a connection closes after its response.
+                    let mut slot = reusable.then(|| KeptSlot::try_take(connections)).flatten();
+                    if slot.is_none() {
+                        response
+                            .headers_mut()
+                            .insert(header::CONNECTION, HeaderValue::from_static("close"));
+                    }
+                    kept.lock().iter_mut().for_each(|kept| **kept = slot.take());
+                    client.served.fetch_or(usable, Relaxed);
+                    let client = Arc::clone(client);
+                    // Prevents a client that reads its response slowly from counting as idle.
+                    let on_drop = move || {
+                        client.framing.response_sent();
+                        client.set_idle_since(Some(Instant::now()));
+                    };
+                    let notifying = |body| {
+                        Body::new(NotifyOnDrop {
+                            body,
+                            on_drop: Some(on_drop),
+                        })
+                    };
+                    Ok::<_, std::convert::Infallible>(response.map(notifying))
+                }
+            });
+        let mut http_connection = http1::Builder::new()
+            .timer(TokioTimer::new())
+            .header_read_timeout(HYPER_HEAD_TIMEOUT)
+            .max_buf_size(MAX_HEAD_BYTES)
+            .serve_connection(
+                TokioIo::new(FramedStream {
+                    stream,
+                    connection: Arc::clone(&client),
+                }),
+                service,
+            );
+        let mut next_stage = ShutdownStage::Draining;
+        let ended = loop {
+            tokio::select! {
+                biased;
+                ended = &mut http_connection => break Some(ended),
+                () = evicted(connections, &client), if next_stage == ShutdownStage::Draining => {
+                    // Data that has arrived is read first.
+                    if !client.has_unread_input() {
+                        break None;
+                    }
+                }
+                () = client.head_overdue(connections) => break None,
+                () = stage_reached(&mut shutdown, next_stage) => {
+                    if next_stage == ShutdownStage::ClosingIdle {
+                        break None;
+                    }
+                    next_stage = ShutdownStage::ClosingIdle;
+                    // A connection that carried no command yet may have its first one on the way, and another may have
+                    // its next: then the response closes the connection.
+                    let sending = client.framing.has_partial_head() || client.has_unread_input();
+                    if client.served.load(Relaxed) && !sending {
+                        Pin::new(&mut http_connection).graceful_shutdown();
+                    }
+                }
+            }
+        };
+        let head_overdue = ended.is_none()
+            && client.framing.has_partial_head()
+            && client
+                .head_deadline(connections)
+                .is_some_and(|deadline| deadline <= Instant::now());
+        if ended.is_none() && !head_overdue {
+            Pin::new(&mut http_connection).graceful_shutdown();
+            // Only a client that stops in the middle of a request, or doesn't read its response, is cut off.
+            let grace = if client.served.load(Relaxed) {
+                CLOSE_GRACE
+            } else {
+                SHORT_IDLE_TIME
+            };
+            let active = || !client.idle_for(grace) || client.has_unread_input();
+            while timeout(grace, &mut http_connection).await.is_err() && active() {}
+        }
+        let stream = http_connection.into_parts().io.into_inner().stream;
+        match ended {
+            None if head_overdue => drop(
+                stream
+                    .lock()
+                    .unwrap_or_else(PoisonError::into_inner)
+                    .try_write(REQUEST_TIMEOUT_RESPONSE),
+            ),
+            Some(Ok(())) if client.framing.expects_body() => sleep(LINGER_TIME).await,
+            _ => {}
+        }
+    });
+}
+
+/// Completes when a connection is to be evicted. Prevents slow or abandoned clients from holding all slots: when slots run short,
+/// connections that have been idle for a while are evicted, and sooner when none is left. One that never carried a usable request
+/// goes before one that did.
+async fn evicted(connections: &ClientConnections, client: &ClientConnection) {
+    loop {
+        connections.pressure.notified().await;
+        let none_left = connections.open.load(Relaxed) >= connections.limit();
+        let span = match (none_left, client.served.load(Relaxed)) {
+            (true, false) => SHORT_IDLE_TIME,
+            (true, true) | (false, false) => PRESSURE_IDLE_TIMEOUT,
+            (false, true) => PRESSURE_KEEP_ALIVE_TIMEOUT,
+        };
+        if client.idle_for(span) && connections.take_eviction() {
+            return;
+        }
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- a/crates/passroad/src/listener/tests.rs
+++ b/crates/passroad/src/listener/connection/tests.rs
@@ -1,6 +1,8 @@
 use super::*;
 use rstest::rstest;
 use std::io::{Read, Write};
+use tokio::net::TcpListener;
+use tokio::sync::watch;
 
 // Prevents closing a connection, unread, when a command arrives in the very moment at which its idle timeout expires (seen in
 // `herd` runs). Here the process is blocked while both happen.
