--- a/crates/passroad-rig/src/capacity/roles.rs
+++ b/crates/passroad-rig/src/capacity/roles.rs
@@ -134,6 +134,7 @@
 
 const DESK: &str = "crates/passroad/src/dispatcher.rs";
 const RELAY: &str = "crates/passroad/src/relay.rs";
+const ENDPOINT_POOL: &str = "crates/passroad/src/relay/pool.rs";
 const PROBE: &str = "crates/passroad/src/probe.rs";
 const LIST: &str = "crates/passroad/src/discovery.rs";
 const FRONT: &str = "crates/passroad/src/listener.rs";
@@ -174,7 +175,7 @@
         (
             "connections, 16 idle ones kept an endpoint",
             "endpoints called, calls open",
-            by("`Dialer`", RELAY),
+            by("`Dialer`", ENDPOINT_POOL),
         ),
         (
             "what is known of each endpoint and class",
@@ -200,7 +201,7 @@
                 &["added-p99"],
                 "ms",
                 ADDED,
-                by("the connector", RELAY),
+                by("the connector", ENDPOINT_POOL),
             )
         },
         Row {
@@ -610,7 +611,10 @@
     state: &[(
         "connections",
         "sidecars that call its service",
-        by("the price of a handshake; 16 idle ones kept by each", RELAY),
+        by(
+            "the price of a handshake; 16 idle ones kept by each",
+            ENDPOINT_POOL,
+        ),
     )],
     rows: &[
         Row {
--- a/crates/passroad/src/body.rs
+++ b/crates/passroad/src/body.rs
@@ -40,6 +40,7 @@
 }
 
 impl MinRateTimer {
+    /// `min_time` is allowed in any case.
     pub fn new(min_time: Duration) -> Self {
         let min_time = min_time.max(BODY_GRACE);
         MinRateTimer {
@@ -109,8 +110,11 @@
 /// Why a client's body can't be used.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum BodyError {
+    /// The client sends more slowly than the minimum rate.
     Slow,
+    /// It is longer than `MAX_BODY_BYTES`.
     TooLong,
+    /// It is malformed, or the connection ended before its end.
     Broken,
 }
 
@@ -131,6 +135,7 @@
     state: watch::Sender<State>,
 }
 
+/// What is left to read of an upload.
 struct UploadReader {
     first: Option<Bytes>,
     body: Body,
@@ -271,6 +276,7 @@
 
 /// The body of a request to an endpoint or of a response to a client.
 pub enum RelayBody {
+    /// None if empty or sent already.
     Buffered(Option<Bytes>),
     Upload(Arc<StreamedUpload>),
     Streamed(Box<StreamedResponse>),
--- a/crates/passroad/src/command.rs
+++ b/crates/passroad/src/command.rs
@@ -19,8 +19,11 @@
 /// The one final response to a command.
 pub enum FinalResponse {
     FromEndpoint(Response<RelayBody>),
-    Refused { retry_after: Option<Duration> },
+    Refused {
+        retry_after: Option<Duration>,
+    },
     Failed,
+    /// No response from an endpoint in time, or the process shuts down.
     DeadlineExceeded,
 }
 
--- a/crates/passroad/src/request_handler.rs
+++ b/crates/passroad/src/request_handler.rs
@@ -53,7 +53,7 @@
 }
 
 impl ClassTable {
-    fn of(
+    fn new(
         config: &BalancerConfig,
         indices: &[usize],
         previous_classes: Vec<(RequestClassConfig, usize)>,
@@ -179,7 +179,7 @@
     ) -> Self {
         // At the start, the module's class indices are the positions in the configuration.
         let indices: Vec<_> = (0..config.classes.len()).collect();
-        let class_table = Mutex::new(Arc::new(ClassTable::of(config, &indices, Vec::new())));
+        let class_table = Mutex::new(Arc::new(ClassTable::new(config, &indices, Vec::new())));
         let permit_count = memory / BODY_MEMORY_DIVISOR / MEMORY_PERMIT_BYTES;
         let (body_permits, half_permits) =
             (Arc::new(Semaphore::new(permit_count)), permit_count / 2);
@@ -206,7 +206,7 @@
             .lock()
             .unwrap_or_else(PoisonError::into_inner);
         let previous_classes = class_table.classes.clone();
-        *class_table = Arc::new(ClassTable::of(config, indices, previous_classes));
+        *class_table = Arc::new(ClassTable::new(config, indices, previous_classes));
     }
 
     /// Leaves half of the body memory to the other process of a handover, or takes it back. Memory in use stays in use.
