--- a/crates/passroad/src/framing.rs
+++ b/crates/passroad/src/framing.rs
@@ -21,7 +21,7 @@
     Head(Vec<u8>),
     Body(u64),
     Chunked,  // hyper alone finds the end
-    Complete, // nothing may follow before the response
+    Finished, // nothing may follow before the response
 }
 
 struct State {
@@ -89,7 +89,7 @@
     /// Whether the connection must be closed after the response: bytes arrived early, or the request's end hasn't been seen.
     pub fn must_close(&self) -> bool {
         let state = self.state();
-        state.early || !matches!(state.part, Part::Complete)
+        state.early || !matches!(state.part, Part::Finished)
     }
 
     /// Whether bytes have arrived where none may.
@@ -107,7 +107,7 @@
     /// The response has been passed to hyper: the next byte belongs to a new head.
     pub fn response_sent(&self) {
         let mut state = self.state();
-        if matches!(state.part, Part::Complete) && !state.early {
+        if matches!(state.part, Part::Finished) && !state.early {
             (state.part, state.head_since) = (Part::Head(Vec::new()), None);
         }
     }
@@ -125,7 +125,7 @@
                         Some(read) => read,
                         None if head.len() <= MAX_HEAD_BYTES => return,
                         // hyper rejects it.
-                        None => (head.len(), Part::Complete, false),
+                        None => (head.len(), Part::Finished, false),
                     };
                     (self.part, self.ambiguous_length) = (part, ambiguous);
                     bytes = &bytes[size.saturating_sub(before).min(bytes.len())..];
@@ -135,11 +135,11 @@
                     *left -= taken;
                     bytes = &bytes[taken as usize..];
                     if *left == 0 {
-                        self.part = Part::Complete;
+                        self.part = Part::Finished;
                     }
                 }
                 Part::Chunked => return,
-                Part::Complete => {
+                Part::Finished => {
                     self.early = true;
                     return;
                 }
@@ -155,7 +155,7 @@
     let size = match request.parse(head) {
         Ok(httparse::Status::Complete(size)) => size,
         Ok(httparse::Status::Partial) => return None,
-        Err(_) => return Some((head.len(), Part::Complete, false)),
+        Err(_) => return Some((head.len(), Part::Finished, false)),
     };
     let named = |name: &'static str| {
         request
@@ -171,7 +171,7 @@
         .and_then(|value| std::str::from_utf8(value).ok()?.trim().parse().ok());
     let part = match (chunked, length) {
         (true, _) => Part::Chunked,
-        (false, None | Some(0)) => Part::Complete,
+        (false, None | Some(0)) => Part::Finished,
         (false, Some(length)) => Part::Body(length),
     };
     Some((size, part, ambiguous))
--- a/crates/passroad/src/listener/connection.rs
+++ b/crates/passroad/src/listener/connection.rs
@@ -226,9 +226,9 @@
                     // connection closes after this response, and nothing more is read from it. During shutdown
                     // connections close after their response as well.
                     let usable = !response.status().is_client_error();
-                    let accepting = connections.stage() == ShutdownStage::Serving
+                    let keeps_serving = connections.stage() == ShutdownStage::Serving
                         && *connections.accepting.borrow();
-                    let reusable = usable && !client.framing.must_close() && accepting;
+                    let reusable = usable && !client.framing.must_close() && keeps_serving;
                     // Prevents clients that send one command and stay connected from using up all slots with idle
                     // connections: past the limit, a connection closes after its response.
                     let mut slot = reusable.then(|| KeptSlot::try_take(connections)).flatten();
