--- a/crates/passroad-rig/src/capacity/roles.rs
+++ b/crates/passroad-rig/src/capacity/roles.rs
@@ -132,22 +132,23 @@
     pub rows: &'static [Row],
 }
 
-const DESK: &str = "crates/passroad/src/desk.rs";
+const DESK: &str = "crates/passroad/src/dispatcher.rs";
 const RELAY: &str = "crates/passroad/src/relay.rs";
+const ENDPOINT_POOL: &str = "crates/passroad/src/relay/pool.rs";
 const PROBE: &str = "crates/passroad/src/probe.rs";
-const LIST: &str = "crates/passroad/src/list.rs";
+const LIST: &str = "crates/passroad/src/discovery.rs";
 const FRONT: &str = "crates/passroad/src/listener.rs";
-const ROOM: &str = "crates/passroad/src/room.rs";
+const ROOM: &str = "crates/passroad/src/descriptors.rs";
 const CHOICE: &str = "crates/passroad-choice/src/choice.rs";
 const STATE: &str = "crates/passroad-choice/src/choice/endpoint.rs";
 const PEERS: &str = "crates/passroad-peers/src/lib.rs";
-const TALK: &str = "crates/passroad/src/fleet/talk.rs";
+const TALK: &str = "crates/passroad/src/fleet/event_loop.rs";
 const LEASE: &str = "crates/passroad-lease/src/lib.rs";
 const VOTER: &str = "crates/passroad-lease/src/voter.rs";
 const CALLS: &str = "crates/passroad/src/fleet/calls.rs";
 const UPKEEP: &str = "crates/passroad-upkeep/src/lib.rs";
 const BOOK: &str = "crates/passroad-upkeep/src/operation_log.rs";
-const WORK: &str = "crates/passroad/src/fleet/work.rs";
+const WORK: &str = "crates/passroad/src/fleet/machines.rs";
 
 const GOSSIP: Mechanism = by(
     "one question a period, 8 datagrams of 256 bytes a second at most",
@@ -174,7 +175,7 @@
         (
             "connections, 16 idle ones kept an endpoint",
             "endpoints called, calls open",
-            by("`Dialer`", RELAY),
+            by("`Dialer`", ENDPOINT_POOL),
         ),
         (
             "what is known of each endpoint and class",
@@ -200,7 +201,7 @@
                 &["added-p99"],
                 "ms",
                 ADDED,
-                by("the connector", RELAY),
+                by("the connector", ENDPOINT_POOL),
             )
         },
         Row {
@@ -610,7 +611,10 @@
     state: &[(
         "connections",
         "sidecars that call its service",
-        by("the price of a handshake; 16 idle ones kept by each", RELAY),
+        by(
+            "the price of a handshake; 16 idle ones kept by each",
+            ENDPOINT_POOL,
+        ),
     )],
     rows: &[
         Row {
