--- a/crates/passroad-rig/src/scale/command.rs
+++ b/crates/passroad-rig/src/scale/command.rs
@@ -1,13 +1,14 @@
-//! `passroad-rig scale`: reads files, tells what they need, plays them, and writes the points.
+//! `passroad-rig scale`: reads files, prints what they require of the machine, runs them, and writes the points.
 
-use super::{Machine, Need, Point, ScalePlan};
+use super::{MachineResources, Point, Requirements, ScalePlan};
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
 
-/// Whether all that the files ask for held.
+/// Runs all files; returns whether all their conditions hold.
 ///
 /// # Errors
-/// One line: what is wrong with a file, by its line and key; what does not fit the machine; what did not come up.
+/// One line: an error in a file with its line and key, a requirement that exceeds the machine, or a process that failed to
+/// start.
 pub fn run(
     files: &[PathBuf],
     sidecars: Option<usize>,
@@ -15,30 +16,30 @@
     json: Option<&Path>,
     commit: &str,
 ) -> Result<bool, String> {
-    let read = |file: &PathBuf| {
+    let parse = |file: &PathBuf| {
         let text = std::fs::read_to_string(file).map_err(|e| format!("{}: {e}", file.display()))?;
-        super::plan::read(&text, sidecars).map_err(|wrong| format!("{}: {wrong}", file.display()))
+        super::plan::parse(&text, sidecars).map_err(|error| format!("{}: {error}", file.display()))
     };
     let mut plans = files
         .iter()
-        .map(read)
+        .map(parse)
         .collect::<Result<Vec<ScalePlan>, _>>()?;
-    let machine = Machine::look();
+    let machine = MachineResources::read();
     for (file, plan) in files.iter().zip(&mut plans) {
         plan.seeds = seeds.clone().unwrap_or_else(|| plan.seeds.clone());
-        let most = plan.sizes.iter().copied().max().unwrap_or_default();
-        let need = Need::of(plan, most);
+        let largest = plan.sizes.iter().copied().max().unwrap_or_default();
+        let requirements = Requirements::new(plan, largest);
         println!(
-            "{}, {most} sidecars: {}",
+            "{}, {largest} sidecars: {}",
             file.display(),
-            need.text(&machine)
+            requirements.summary(&machine)
         );
-        if let Some(what) = need.refused(&machine) {
-            return Err(format!("{}: does not fit: {what}", file.display()));
+        if let Some(exceeded) = requirements.first_exceeded(&machine) {
+            return Err(format!("{}: does not fit: {exceeded}", file.display()));
         }
     }
     let program = std::env::current_exe().map_err(|e| format!("this executable: {e}"))?;
-    let mut good = true;
+    let mut all_hold = true;
     let mut points: BTreeMap<u64, Vec<Point>> = BTreeMap::new();
     for (file, plan) in files.iter().zip(&plans) {
         for seed in &plan.seeds {
@@ -48,56 +49,62 @@
                     file.display(),
                     plan.about
                 );
-                let played = super::play(plan, *size, *seed, &program)?;
-                played.lines.iter().for_each(|line| println!("{line}"));
-                for (line, held) in plan.judge(&played.figures) {
-                    println!("{} {line}", if held { "holds: " } else { "BROKEN:" });
-                    good &= held;
+                let result = super::run_size(plan, *size, *seed, &program)?;
+                result.lines.iter().for_each(|line| println!("{line}"));
+                for (line, holds) in plan.evaluate_holds(&result.figures) {
+                    println!("{} {line}", if holds { "holds: " } else { "BROKEN:" });
+                    all_hold &= holds;
                 }
-                let all = points.entry(*seed).or_default();
-                all.extend(played.points);
-                // After each size: what a later one fails by must not cost the figures of these.
+                let points_of_seed = points.entry(*seed).or_default();
+                points_of_seed.extend(result.points);
+                // Written after each size, so that a later failure does not lose the points of earlier sizes.
                 if let Some(path) = json {
                     let path = path
                         .display()
                         .to_string()
                         .replace("{seed}", &seed.to_string());
-                    write(Path::new(&path), &text(file, commit, *seed, all)?)?;
+                    write_atomically(
+                        Path::new(&path),
+                        &points_json(file, commit, *seed, points_of_seed)?,
+                    )?;
                 }
             }
         }
     }
-    Ok(good)
+    Ok(all_hold)
 }
 
-/// A line for each point.
-fn text(file: &Path, commit: &str, seed: u64, points: &[Point]) -> Result<String, String> {
-    let fault = |e: serde_json::Error| e.to_string();
+/// The points as JSON, one line each.
+fn points_json(file: &Path, commit: &str, seed: u64, points: &[Point]) -> Result<String, String> {
+    let to_text = |e: serde_json::Error| e.to_string();
     let lines = points
         .iter()
-        .map(|point| serde_json::to_string(point).map_err(fault));
+        .map(|point| serde_json::to_string(point).map_err(to_text));
     let lines = lines.collect::<Result<Vec<_>, _>>()?.join(",\n  ");
     let run = serde_json::to_string(&format!(
         "passroad-rig scale {} --seeds {seed}",
         file.display()
     ));
     let (run, commit) = (
-        run.map_err(fault)?,
-        serde_json::to_string(commit).map_err(fault)?,
+        run.map_err(to_text)?,
+        serde_json::to_string(commit).map_err(to_text)?,
     );
     Ok(format!(
         "{{\"run\": {run}, \"commit\": {commit}, \"seed\": {seed}, \"simulated\": false, \"points\": [\n  {lines}\n]}}\n"
     ))
 }
 
-/// Whole or not at all: a disk that is full must not leave half a file behind.
-fn write(path: &Path, text: &str) -> Result<(), String> {
-    let at = |what: &str, e: std::io::Error| format!("{what} {}: {e}", path.display());
-    if let Some(folder) = path.parent().filter(|f| !f.as_os_str().is_empty()) {
-        std::fs::create_dir_all(folder).map_err(|e| at("folder of", e))?;
+/// Writes the whole file or nothing: a full disk must not leave a truncated file behind.
+fn write_atomically(path: &Path, text: &str) -> Result<(), String> {
+    let describe = |what: &str, e: std::io::Error| format!("{what} {}: {e}", path.display());
+    if let Some(folder) = path
+        .parent()
+        .filter(|folder| !folder.as_os_str().is_empty())
+    {
+        std::fs::create_dir_all(folder).map_err(|e| describe("cannot create the folder of", e))?;
     }
-    let new = path.with_extension("new");
-    std::fs::write(&new, text)
-        .and_then(|()| std::fs::rename(&new, path))
-        .map_err(|e| at("points", e))
+    let temporary = path.with_extension("new");
+    std::fs::write(&temporary, text)
+        .and_then(|()| std::fs::rename(&temporary, path))
+        .map_err(|e| describe("cannot write the points to", e))
 }
--- a/crates/passroad-rig/src/scale/host.rs
+++ b/crates/passroad-rig/src/scale/host.rs
@@ -1,5 +1,5 @@
-//! The process of some hundred hollow sidecars: told what to do line by line on its standard input, with whose end it ends,
-//! and telling on standard output.
+//! The host process of about a hundred simulated sidecars. It reads commands line by line from its standard input, ends when
+//! that is closed, and reports on standard output.
 
 use passroad::Files;
 use passroad::fleet::MemberStateChange;
@@ -11,66 +11,68 @@
 use std::time::{Duration, SystemTime};
 use tokio::sync::mpsc;
 
-use super::held;
+use super::{lock, status_summary};
 
-pub fn files(folder: &Path, n: usize) -> Files {
+pub fn config_files(folder: &Path, number: usize) -> Files {
     Files {
-        config: Some(folder.join(format!("{n}.json"))),
-        routes: Some(folder.join(format!("{n}.routes.toml"))),
+        config: Some(folder.join(format!("{number}.json"))),
+        routes: Some(folder.join(format!("{number}.routes.toml"))),
         fleet: Some(folder.join("fleet.toml")),
     }
 }
 
-fn unix_us() -> u128 {
+fn unix_micros() -> u128 {
     SystemTime::now()
         .duration_since(SystemTime::UNIX_EPOCH)
         .unwrap_or_default()
         .as_micros()
 }
 
-/// A line at once; where nobody listens any more the input ends, too.
-fn say(line: &str) {
+/// Writes a line at once. Write errors are ignored: where the rig is gone, standard input ends, too.
+fn print_line(line: &str) {
     let mut out = std::io::stdout().lock();
     let _ = writeln!(out, "{line}").and_then(|()| out.flush());
 }
 
-type Lives = Arc<Mutex<BTreeMap<usize, Hollow>>>;
+type RunningSidecars = Arc<Mutex<BTreeMap<usize, Hollow>>>;
 
-/// Serves until the input ends.
+/// Carries out commands until standard input ends.
 pub fn run(folder: PathBuf) -> Result<(), String> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build();
     let runtime = runtime.map_err(|e| format!("runtime: {e}"))?;
-    let (tell, mut told) = mpsc::unbounded_channel::<String>();
+    let (sender, mut lines) = mpsc::unbounded_channel::<String>();
     std::thread::spawn(move || {
         std::io::stdin()
             .lock()
             .lines()
             .map_while(Result::ok)
-            .for_each(|line| drop(tell.send(line)));
-        // All of it at once, as its threads are many.
+            .for_each(|line| drop(sender.send(line)));
+        // Ends the whole process at once, instead of stopping its many threads one by one.
         std::process::exit(0);
     });
-    let lives = Lives::default();
+    let running = RunningSidecars::default();
     runtime.block_on(async move {
-        while let Some(line) = told.recv().await {
-            let (word, n) = line.split_once(' ').unwrap_or_default();
-            let Ok(n) = n.parse::<usize>() else { continue };
-            let (word, folder, lives) = (word.to_string(), folder.clone(), Arc::clone(&lives));
+        while let Some(line) = lines.recv().await {
+            let (word, number) = line.split_once(' ').unwrap_or_default();
+            let Ok(number) = number.parse::<usize>() else {
+                continue;
+            };
+            let (word, folder, running) = (word.to_string(), folder.clone(), Arc::clone(&running));
             match word.as_str() {
-                "start" => drop(tokio::spawn(start(folder, n, lives))),
-                "status" => drop(tokio::spawn(status(n, lives))),
-                // Its threads are waited for.
+                "start" => drop(tokio::spawn(start(folder, number, running))),
+                "status" => drop(tokio::spawn(status(number, running))),
+                // Dropping a sidecar waits for its threads.
                 "kill" => drop(tokio::task::spawn_blocking(move || {
-                    let life = held(&lives).remove(&n);
-                    drop(life);
-                    say(&format!("gone {n}"));
+                    let sidecar = lock(&running).remove(&number);
+                    drop(sidecar);
+                    print_line(&format!("gone {number}"));
                 })),
                 "stop" => drop(tokio::task::spawn_blocking(move || {
-                    let life = held(&lives).remove(&n);
-                    life.into_iter().for_each(Hollow::stop);
-                    say(&format!("gone {n}"));
+                    let sidecar = lock(&running).remove(&number);
+                    sidecar.into_iter().for_each(Hollow::stop);
+                    print_line(&format!("gone {number}"));
                 })),
                 _ => {}
             }
@@ -79,42 +81,51 @@
     Ok(())
 }
 
-async fn start(folder: PathBuf, n: usize, lives: Lives) {
-    let (turns, mut turned) = mpsc::unbounded_channel();
-    let begun = tokio::task::spawn_blocking(move || Hollow::start(files(&folder, n), turns)).await;
-    match begun.unwrap_or_else(|e| Err(e.to_string())) {
-        Ok(life) => {
-            let paths: Vec<String> = life
+async fn start(folder: PathBuf, number: usize, running: RunningSidecars) {
+    let (sender, mut state_changes) = mpsc::unbounded_channel();
+    let started =
+        tokio::task::spawn_blocking(move || Hollow::start(config_files(&folder, number), sender))
+            .await;
+    match started.unwrap_or_else(|e| Err(e.to_string())) {
+        Ok(sidecar) => {
+            let paths: Vec<String> = sidecar
                 .threads
                 .iter()
                 .map(|path| path.display().to_string())
                 .collect();
-            held(&lives).insert(n, life);
-            say(&format!("up {n} {}", paths.join(" ")));
+            lock(&running).insert(number, sidecar);
+            print_line(&format!("up {number} {}", paths.join(" ")));
         }
-        Err(fault) => say(&format!("fault {n} {}", fault.replace('\n', " "))),
+        Err(error) => print_line(&format!("fault {number} {}", error.replace('\n', " "))),
     }
-    // Many at once where a region is cut off: a line and a write each would be load of its own.
-    let mut some = Vec::new();
-    while turned.recv_many(&mut some, 1024).await > 0 {
-        let line = |turn: MemberStateChange| {
-            format!("turned {n} {} {:?} {}", turn.member, turn.state, unix_us())
+    // A region that is cut off causes many changes at once: one write for each would be a load of its own.
+    let mut batch = Vec::new();
+    while state_changes.recv_many(&mut batch, 1024).await > 0 {
+        let line = |change: MemberStateChange| {
+            format!(
+                "turned {number} {} {:?} {}",
+                change.member,
+                change.state,
+                unix_micros()
+            )
         };
-        say(&some.drain(..).map(line).collect::<Vec<_>>().join("\n"));
+        print_line(&batch.drain(..).map(line).collect::<Vec<_>>().join("\n"));
     }
 }
 
-async fn status(n: usize, lives: Lives) {
-    let door = held(&lives).get(&n).and_then(|life| life.fleet.clone());
-    let said = match door {
-        Some(door) => tokio::time::timeout(Duration::from_secs(5), door.status())
+async fn status(number: usize, running: RunningSidecars) {
+    let fleet = lock(&running)
+        .get(&number)
+        .and_then(|sidecar| sidecar.fleet.clone());
+    let status = match fleet {
+        Some(fleet) => tokio::time::timeout(Duration::from_secs(5), fleet.status())
             .await
             .ok()
             .flatten(),
         None => None,
     };
-    say(&format!(
-        "status {n} {}",
-        said.map_or("null".into(), |said| super::brief(&said).to_string())
+    print_line(&format!(
+        "status {number} {}",
+        status.map_or("null".into(), |status| status_summary(&status).to_string())
     ));
 }
--- a/crates/passroad-rig/src/scale/load.rs
+++ b/crates/passroad-rig/src/scale/load.rs
@@ -1,8 +1,8 @@
-//! The load on the real sidecars of a scale run, and the endpoints behind all. The load is open: each call is asked at its
-//! time, however late the one before is answered.
+//! The load on the real sidecars of a scale run, and the endpoints behind all sidecars. The load is open-loop: each call is
+//! sent at its time, whether or not earlier ones have been answered.
 
 use super::plan::ScalePlan;
-use super::{held, place};
+use super::{lock, loopback_address};
 use crate::rng::SeededRng;
 use crate::sockets::http::{HttpConnection, response};
 use hdrhistogram::Histogram;
@@ -14,29 +14,33 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::{Instant, sleep, sleep_until, timeout};
 
-/// What an endpoint takes for a call.
-const WORK: Duration = Duration::from_millis(1);
-const LIMIT: Duration = Duration::from_secs(1);
+/// Service time of a call at an endpoint.
+const SERVICE_TIME: Duration = Duration::from_millis(1);
+const CALL_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Where endpoints stand. They listen only where something calls them.
-pub async fn endpoints(count: usize, listen: bool) -> io::Result<Vec<SocketAddr>> {
-    let mut all = Vec::new();
-    for n in 0..count {
+/// The addresses of the endpoints. They accept connections only if `listen` is set: simulated sidecars never connect to them.
+pub async fn start_endpoints(count: usize, listen: bool) -> io::Result<Vec<SocketAddr>> {
+    let mut addresses = Vec::new();
+    for endpoint in 0..count {
         if !listen {
-            all.push(SocketAddr::new(place(3, n), 7000));
+            addresses.push(SocketAddr::new(loopback_address(3, endpoint), 7000));
             continue;
         }
-        let listener = TcpListener::bind(SocketAddr::new(place(3, n), 0)).await?;
-        all.push(listener.local_addr()?);
+        let listener = TcpListener::bind(SocketAddr::new(loopback_address(3, endpoint), 0)).await?;
+        addresses.push(listener.local_addr()?);
         tokio::spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
                 tokio::spawn(async move {
-                    let mut talk = HttpConnection::new(stream);
-                    while let Ok(Some(call)) = talk.read_request().await {
+                    let mut connection = HttpConnection::new(stream);
+                    while let Ok(Some(call)) = connection.read_request().await {
                         if call.target.starts_with("/call-") {
-                            sleep(WORK).await;
+                            sleep(SERVICE_TIME).await;
                         }
-                        if talk.write(&response("200 OK", "", "well")).await.is_err() {
+                        if connection
+                            .write(&response("200 OK", "", "well"))
+                            .await
+                            .is_err()
+                        {
                             return;
                         }
                     }
@@ -44,45 +48,53 @@
             }
         });
     }
-    Ok(all)
+    Ok(addresses)
 }
 
-/// What came of the load.
+/// Counts and latencies of the load.
 pub struct Load {
-    pub asked: AtomicU64,
+    pub sent: AtomicU64,
     pub served: AtomicU64,
-    times: Mutex<Histogram<u64>>, // in microseconds
+    latencies: Mutex<Histogram<u64>>, // in microseconds
 }
 
 impl Load {
-    pub fn begin(
+    pub fn start(
         plan: &ScalePlan,
         seed: u64,
-        fronts: &[SocketAddr],
+        sidecars: &[SocketAddr],
         until: Instant,
     ) -> io::Result<Arc<Load>> {
-        let times = Histogram::new_with_bounds(1, 60_000_000, 3).map_err(io::Error::other)?;
-        let (asked, served, times) = (AtomicU64::new(0), AtomicU64::new(0), Mutex::new(times));
+        let latencies = Histogram::new_with_bounds(1, 60_000_000, 3).map_err(io::Error::other)?;
+        let (sent, served, latencies) =
+            (AtomicU64::new(0), AtomicU64::new(0), Mutex::new(latencies));
         let load = Arc::new(Load {
-            asked,
+            sent,
             served,
-            times,
+            latencies,
         });
-        for (n, front) in fronts.iter().copied().enumerate() {
-            let (own, rate, calls) = (Arc::clone(&load), plan.load, plan.calls);
-            let mut dice = SeededRng::stream(seed, "load", n as u64);
+        for (number, sidecar) in sidecars.iter().copied().enumerate() {
+            let (load, rate, call_classes) = (Arc::clone(&load), plan.load, plan.calls);
+            let mut rng = SeededRng::stream(seed, "load", number as u64);
             tokio::spawn(async move {
-                let kept = Arc::<Mutex<Vec<HttpConnection>>>::default();
-                let mut at = Instant::now();
-                while at < until {
-                    at += Duration::from_secs_f64(dice.exponential() / rate);
-                    sleep_until(at).await;
-                    let (own, kept, k) = (Arc::clone(&own), Arc::clone(&kept), dice.below(calls));
-                    let id = own.asked.fetch_add(1, Relaxed);
+                let idle = Arc::<Mutex<Vec<HttpConnection>>>::default();
+                let mut planned = Instant::now();
+                while planned < until {
+                    planned += Duration::from_secs_f64(rng.exponential() / rate);
+                    sleep_until(planned).await;
+                    let (load, idle, class) = (
+                        Arc::clone(&load),
+                        Arc::clone(&idle),
+                        rng.below(call_classes),
+                    );
+                    let id = load.sent.fetch_add(1, Relaxed);
                     tokio::spawn(async move {
-                        if let Ok(Ok(200)) = timeout(LIMIT, call(front, &kept, k, id)).await {
-                            own.served.fetch_add(1, Relaxed);
-                            let _ = held(&own.times).record(at.elapsed().as_micros() as u64);
+                        if let Ok(Ok(200)) =
+                            timeout(CALL_TIMEOUT, call(sidecar, &idle, class, id)).await
+                        {
+                            load.served.fetch_add(1, Relaxed);
+                            let _ =
+                                lock(&load.latencies).record(planned.elapsed().as_micros() as u64);
                         }
                     });
                 }
@@ -91,33 +103,33 @@
         Ok(load)
     }
 
-    /// The time within which this share of the served calls was answered.
-    pub fn within(&self, share: f64) -> Duration {
-        Duration::from_micros(held(&self.times).value_at_quantile(share))
+    /// The latency that this share of the served calls did not exceed.
+    pub fn latency_quantile(&self, share: f64) -> Duration {
+        Duration::from_micros(lock(&self.latencies).value_at_quantile(share))
     }
 }
 
 async fn call(
-    front: SocketAddr,
-    kept: &Mutex<Vec<HttpConnection>>,
-    k: usize,
+    sidecar: SocketAddr,
+    idle: &Mutex<Vec<HttpConnection>>,
+    class: usize,
     id: u64,
 ) -> io::Result<u16> {
-    let talk = held(kept).pop();
-    let mut talk = match talk {
-        Some(talk) => talk,
-        None => HttpConnection::new(TcpStream::connect(front).await?),
+    let reused = lock(idle).pop();
+    let mut connection = match reused {
+        Some(connection) => connection,
+        None => HttpConnection::new(TcpStream::connect(sidecar).await?),
     };
     let request = format!(
-        "GET /call-{k} HTTP/1.1\r\nHost: rig\r\nReq-Id: {id:016x}\r\nReq-Deadline-Ms: 1000\r\n\r\n"
+        "GET /call-{class} HTTP/1.1\r\nHost: rig\r\nReq-Id: {id:016x}\r\nReq-Deadline-Ms: 1000\r\n\r\n"
     );
-    talk.write(request.as_bytes()).await?;
-    let said = talk
+    connection.write(request.as_bytes()).await?;
+    let answer = connection
         .read_response()
         .await?
         .ok_or(io::ErrorKind::UnexpectedEof)?;
-    if !talk.has_buffered_bytes() {
-        held(kept).push(talk);
+    if !connection.has_buffered_bytes() {
+        lock(idle).push(connection);
     }
-    Ok(said.status)
+    Ok(answer.status)
 }
--- a/crates/passroad-rig/src/scale/measure.rs
+++ b/crates/passroad-rig/src/scale/measure.rs
@@ -1,51 +1,51 @@
-//! What is counted each second, and the figures that come of it.
+//! Samples of all counters once a second, and the figures computed from them.
 
-use super::discovery::{Asked, Discovery};
+use super::discovery::{Discovery, DiscoveryCounts};
+use super::network::{CHANNEL_COUNT, LEASES, MAINTENANCE, SidecarNetwork, Traffic};
 use super::processes::Processes;
-use super::wires::{CHANNELS, Counted, LEASES, WORK, Wires};
 use serde::Serialize;
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-/// All counters at one time.
+/// The values of all counters at one time.
 #[derive(Debug, Clone)]
-pub struct Look {
-    pub at: Instant,
-    pub counted: Vec<Counted>,
+pub struct Sample {
+    pub time: Instant,
+    pub traffic: Vec<Traffic>,
     pub cpu: Vec<[Duration; 2]>,
-    pub memory: (Vec<f64>, Vec<f64>), // bytes a sidecar: by host, and of real ones
-    pub asked: Asked,
+    pub memory: (Vec<f64>, Vec<f64>), // bytes per sidecar: by host, and of each real sidecar
+    pub discovery: DiscoveryCounts,
 }
 
-/// Looks once a second until the end; on a thread of its own, as it reads some thousand files each time.
-pub fn look(
-    wires: &Wires,
+/// Takes a sample each second until the end. It needs a thread of its own, as it reads some thousand files each time.
+pub fn take_samples(
+    network: &SidecarNetwork,
     discovery: &Discovery,
     processes: &Processes,
     from: Instant,
     to: Instant,
-) -> Vec<Look> {
-    let mut looks = Vec::new();
-    let mut at = from;
-    while at <= to + Duration::from_millis(10) {
-        std::thread::sleep(at.saturating_duration_since(Instant::now()));
-        looks.push(Look {
-            at: Instant::now(),
-            counted: wires
+) -> Vec<Sample> {
+    let mut samples = Vec::new();
+    let mut time = from;
+    while time <= to + Duration::from_millis(10) {
+        std::thread::sleep(time.saturating_duration_since(Instant::now()));
+        samples.push(Sample {
+            time: Instant::now(),
+            traffic: network
                 .counters
                 .iter()
-                .map(super::wires::Counter::read)
+                .map(super::network::TrafficCounter::read)
                 .collect(),
             cpu: processes.cpu(),
             memory: processes.memory(),
-            asked: discovery.asked(),
+            discovery: discovery.counts(),
         });
-        at += Duration::from_secs(1);
+        time += Duration::from_secs(1);
     }
-    looks
+    samples
 }
 
-/// One figure, as the page's tables are made of.
+/// One figure, as used by the tables of the capacity page.
 #[derive(Debug, Clone, Serialize)]
 pub struct Point {
     pub role: &'static str,
@@ -58,7 +58,7 @@
     pub value: f64,
 }
 
-/// Of one quantity: mean over all and the time, of the busiest, and the worst second of any.
+/// A rate over a window: the mean of all sidecars, that of the busiest one, and the highest in any second of any sidecar.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Spread {
     pub mean: f64,
@@ -67,7 +67,7 @@
 }
 
 impl Spread {
-    pub fn each(&self) -> [(&'static str, f64); 3] {
+    pub fn statistics(&self) -> [(&'static str, f64); 3] {
         [
             ("mean", self.mean),
             ("busiest", self.busiest),
@@ -76,144 +76,165 @@
     }
 }
 
-/// `of` reads a counter of one sidecar that only rises; one that began anew counts from nothing.
-pub fn spread(looks: &[Look], these: &[usize], of: impl Fn(&Look, usize) -> f64) -> Spread {
-    let (Some(first), Some(last)) = (looks.first(), looks.last()) else {
+/// Rates of a counter that `read` returns for one sidecar. A counter that falls has restarted from zero.
+pub fn spread(
+    samples: &[Sample],
+    sidecars: &[usize],
+    read: impl Fn(&Sample, usize) -> f64,
+) -> Spread {
+    let (Some(first), Some(last)) = (samples.first(), samples.last()) else {
         return Spread::default();
     };
-    let whole = (last.at - first.at).as_secs_f64();
-    if these.is_empty() || whole <= 0.0 {
+    let duration = (last.time - first.time).as_secs_f64();
+    if sidecars.is_empty() || duration <= 0.0 {
         return Spread::default();
     }
     let mut spread = Spread::default();
-    for n in these {
+    for sidecar in sidecars {
         let mut sum = 0.0;
-        for pair in looks.windows(2) {
-            let (before, now) = (of(&pair[0], *n), of(&pair[1], *n));
-            let rise = if now < before { now } else { now - before };
-            let second = (pair[1].at - pair[0].at).as_secs_f64().max(1e-9);
-            spread.worst_second = spread.worst_second.max(rise / second);
-            sum += rise;
+        for pair in samples.windows(2) {
+            let (before, now) = (read(&pair[0], *sidecar), read(&pair[1], *sidecar));
+            let increase = if now < before { now } else { now - before };
+            let seconds = (pair[1].time - pair[0].time).as_secs_f64().max(1e-9);
+            spread.worst_second = spread.worst_second.max(increase / seconds);
+            sum += increase;
         }
-        spread.mean += sum / whole / these.len() as f64;
-        spread.busiest = spread.busiest.max(sum / whole);
+        spread.mean += sum / duration / sidecars.len() as f64;
+        spread.busiest = spread.busiest.max(sum / duration);
     }
     spread
 }
 
-pub fn sum(of: &[u64; CHANNELS]) -> f64 {
-    of.iter().sum::<u64>() as f64
+pub fn sum(counts: &[u64; CHANNEL_COUNT]) -> f64 {
+    counts.iter().sum::<u64>() as f64
 }
 
-type Read = fn(&Counted, Option<usize>) -> f64;
+type ReadTraffic = fn(&Traffic, Option<usize>) -> f64;
 
-fn one(of: &[u64; CHANNELS], channel: Option<usize>) -> f64 {
-    channel.map_or_else(|| sum(of), |channel| of[channel] as f64)
+/// The count of one channel, or the sum of all.
+fn count_of(counts: &[u64; CHANNEL_COUNT], channel: Option<usize>) -> f64 {
+    channel.map_or_else(|| sum(counts), |channel| counts[channel] as f64)
 }
 
-const WIRE: [(&str, &str, Read); 4] = [
-    ("bytes-in", "B/s", |c, channel| one(&c.bytes_in, channel)),
-    ("bytes-out", "B/s", |c, channel| one(&c.bytes_out, channel)),
-    ("messages-in", "1/s", |c, channel| {
-        one(&c.messages_in, channel)
+const TRAFFIC_QUANTITIES: [(&str, &str, ReadTraffic); 4] = [
+    ("bytes-in", "B/s", |traffic, channel| {
+        count_of(&traffic.bytes_in, channel)
     }),
-    ("messages-out", "1/s", |c, channel| {
-        one(&c.messages_out, channel)
+    ("bytes-out", "B/s", |traffic, channel| {
+        count_of(&traffic.bytes_out, channel)
+    }),
+    ("messages-in", "1/s", |traffic, channel| {
+        count_of(&traffic.messages_in, channel)
+    }),
+    ("messages-out", "1/s", |traffic, channel| {
+        count_of(&traffic.messages_out, channel)
     }),
 ];
 
-/// Who is which, for the points of a window.
+/// The roles of the sidecars in a window.
 pub struct Roles {
-    pub hollow: Vec<usize>,
+    pub simulated: Vec<usize>,
     pub real: Vec<usize>,
-    /// Whether calls run through the real ones: their first thread's time is then not control's alone.
+    /// Whether real sidecars serve calls: the CPU time of their other threads is then not that of control alone.
     pub loaded: bool,
     pub voters: Vec<usize>,
     pub owners: Vec<usize>,
-    pub at: BTreeMap<&'static str, usize>,
+    pub dimensions: BTreeMap<&'static str, usize>,
 }
 
 /// The points of one window of a run.
-pub fn points(looks: &[Look], roles: &Roles, condition: &str) -> Vec<Point> {
-    let mut all = Vec::new();
-    let mut put = |role, quantity, unit, kind, each: &[(&'static str, f64)]| {
-        for (statistic, value) in each {
-            all.push(Point {
+pub fn points(samples: &[Sample], roles: &Roles, condition: &str) -> Vec<Point> {
+    let mut points = Vec::new();
+    let mut add = |role, quantity, unit, kind, statistics: &[(&'static str, f64)]| {
+        for (statistic, value) in statistics {
+            points.push(Point {
                 role,
                 quantity,
                 unit,
                 condition: condition.into(),
                 statistic,
                 kind,
-                at: roles.at.clone(),
-                value: rounded(*value),
+                at: roles.dimensions.clone(),
+                value: round(*value),
             });
         }
     };
-    for (kind, these) in [("hollow", &roles.hollow), ("real", &roles.real)] {
-        if these.is_empty() {
+    for (kind, sidecars) in [("hollow", &roles.simulated), ("real", &roles.real)] {
+        if sidecars.is_empty() {
             continue;
         }
-        for (quantity, unit, read) in WIRE {
-            let spread = spread(looks, these, |look, n| read(&look.counted[n], None));
-            put("control", quantity, unit, kind, &spread.each());
+        for (quantity, unit, read) in TRAFFIC_QUANTITIES {
+            let spread = spread(samples, sidecars, |sample, sidecar| {
+                read(&sample.traffic[sidecar], None)
+            });
+            add("control", quantity, unit, kind, &spread.statistics());
         }
-        let whole = kind == "hollow" || !roles.loaded;
-        let cpu = spread(looks, these, |look, n| {
-            let [list, fleet] = look.cpu.get(n).copied().unwrap_or_default();
-            (fleet + if whole { list } else { Duration::ZERO }).as_secs_f64()
+        let all_threads = kind == "hollow" || !roles.loaded;
+        let cpu = spread(samples, sidecars, |sample, sidecar| {
+            let [discovery, fleet] = sample.cpu.get(sidecar).copied().unwrap_or_default();
+            (fleet
+                + if all_threads {
+                    discovery
+                } else {
+                    Duration::ZERO
+                })
+            .as_secs_f64()
         });
-        put("control", "cpu", "core", kind, &cpu.each());
-        let of = |look: &Look| {
+        add("control", "cpu", "core", kind, &cpu.statistics());
+        let memory = |sample: &Sample| {
             if kind == "hollow" {
-                look.memory.0.clone()
+                sample.memory.0.clone()
             } else {
-                look.memory.1.clone()
+                sample.memory.1.clone()
             }
         };
-        let every: Vec<f64> = looks.iter().flat_map(of).map(|bytes| bytes / 1e6).collect();
-        if !every.is_empty() {
-            let mean = every.iter().sum::<f64>() / every.len() as f64;
-            let most = every.iter().copied().fold(0.0, f64::max);
-            put(
+        let megabytes: Vec<f64> = samples
+            .iter()
+            .flat_map(memory)
+            .map(|bytes| bytes / 1e6)
+            .collect();
+        if !megabytes.is_empty() {
+            let mean = megabytes.iter().sum::<f64>() / megabytes.len() as f64;
+            let maximum = megabytes.iter().copied().fold(0.0, f64::max);
+            add(
                 "control",
                 "memory",
                 "MB",
                 kind,
-                &[("mean", mean), ("busiest", most)],
+                &[("mean", mean), ("busiest", maximum)],
             );
         }
     }
-    for (role, these, channel) in [
+    for (role, sidecars, channel) in [
         ("voter", &roles.voters, LEASES),
         ("duty-owner", &roles.owners, LEASES),
     ] {
-        if !these.is_empty() {
-            for (quantity, unit, read) in WIRE {
-                let spread = spread(looks, these, |look, n| {
-                    read(&look.counted[n], Some(channel))
+        if !sidecars.is_empty() {
+            for (quantity, unit, read) in TRAFFIC_QUANTITIES {
+                let spread = spread(samples, sidecars, |sample, sidecar| {
+                    read(&sample.traffic[sidecar], Some(channel))
                 });
-                put(role, quantity, unit, "hollow", &spread.each());
+                add(role, quantity, unit, "hollow", &spread.statistics());
             }
         }
     }
-    if let Some(conductor) = conductor(looks) {
-        for (quantity, unit, read) in WIRE {
-            let spread = spread(looks, &[conductor], |look, n| {
-                read(&look.counted[n], Some(WORK))
+    if let Some(coordinator) = coordinator(samples) {
+        for (quantity, unit, read) in TRAFFIC_QUANTITIES {
+            let spread = spread(samples, &[coordinator], |sample, sidecar| {
+                read(&sample.traffic[sidecar], Some(MAINTENANCE))
             });
-            put("conductor", quantity, unit, "hollow", &spread.each());
+            add("conductor", quantity, unit, "hollow", &spread.statistics());
         }
     }
-    type Of = fn(&Asked) -> u64;
-    let asked: [(&str, &str, Of); 3] = [
-        ("calls", "1/s", |a| a.calls),
-        ("bytes-in", "B/s", |a| a.bytes_in),
-        ("bytes-out", "B/s", |a| a.bytes_out),
+    type ReadCounts = fn(&DiscoveryCounts) -> u64;
+    let quantities: [(&str, &str, ReadCounts); 3] = [
+        ("calls", "1/s", |counts| counts.calls),
+        ("bytes-in", "B/s", |counts| counts.bytes_in),
+        ("bytes-out", "B/s", |counts| counts.bytes_out),
     ];
-    for (quantity, unit, of) in asked {
-        let spread = spread(looks, &[0], |look, _| of(&look.asked) as f64);
-        put(
+    for (quantity, unit, read) in quantities {
+        let spread = spread(samples, &[0], |sample, _| read(&sample.discovery) as f64);
+        add(
             "discovery",
             quantity,
             unit,
@@ -221,34 +242,36 @@
             &[("mean", spread.mean), ("worst-second", spread.worst_second)],
         );
     }
-    let open: Vec<f64> = looks
+    let open: Vec<f64> = samples
         .iter()
-        .map(|look| look.asked.open_watches as f64)
+        .map(|sample| sample.discovery.open_watches as f64)
         .collect();
     let mean = open.iter().sum::<f64>() / open.len().max(1) as f64;
-    let most = open.iter().copied().fold(0.0, f64::max);
-    put(
+    let maximum = open.iter().copied().fold(0.0, f64::max);
+    add(
         "discovery",
         "open-watches",
         "count",
         "hollow",
-        &[("mean", mean), ("worst-second", most)],
+        &[("mean", mean), ("worst-second", maximum)],
     );
-    all
+    points
 }
 
-/// Whoever says most of the order of work, where anything is said of it.
-fn conductor(looks: &[Look]) -> Option<usize> {
-    let (first, last) = (looks.first()?, looks.last()?);
-    let said =
-        |n: &usize| last.counted[*n].messages_out[WORK] - first.counted[*n].messages_out[WORK];
-    (0..last.counted.len())
-        .max_by_key(said)
-        .filter(|n| said(n) > 0)
+/// The sidecar that sent the most datagrams about maintenance, if any did.
+fn coordinator(samples: &[Sample]) -> Option<usize> {
+    let (first, last) = (samples.first()?, samples.last()?);
+    let sent = |sidecar: &usize| {
+        last.traffic[*sidecar].messages_out[MAINTENANCE]
+            - first.traffic[*sidecar].messages_out[MAINTENANCE]
+    };
+    (0..last.traffic.len())
+        .max_by_key(sent)
+        .filter(|sidecar| sent(sidecar) > 0)
 }
 
-/// To six digits, so that files stay readable.
-pub fn rounded(value: f64) -> f64 {
+/// Rounds to six significant digits, so that files stay readable.
+pub fn round(value: f64) -> f64 {
     if value == 0.0 || !value.is_finite() {
         return 0.0;
     }
--- a/crates/passroad-rig/src/scale/plan.rs
+++ b/crates/passroad-rig/src/scale/plan.rs
@@ -1,4 +1,4 @@
-//! The file of a scale run: what is played, in which places, and what must hold.
+//! The file of a scale run: its sizes, topology, load and events, and the conditions that must hold.
 
 use passroad_units::{ConfigError, HumanDuration, line_number};
 use serde::Deserialize;
@@ -7,31 +7,31 @@
 use std::time::Duration;
 use toml::Spanned;
 
-pub const MOST_SIDECARS: usize = 1300;
-const MOST_REAL: usize = 130;
-const MOST_ZONES: usize = 60;
+pub const MAX_SIDECARS: usize = 1300;
+const MAX_REAL_SIDECARS: usize = 130;
+const MAX_ZONES: usize = 60;
 
 #[derive(Deserialize, Debug)]
 #[serde(deny_unknown_fields)]
-struct Text {
+struct PlanFile {
     about: String,
     sizes: Spanned<Vec<usize>>,
-    #[serde(default = "first")]
+    #[serde(default = "default_seeds")]
     seeds: Spanned<Vec<u64>>,
-    #[serde(default = "none")]
+    #[serde(default = "zero_count")]
     real: Spanned<usize>,
     services: Spanned<usize>,
     zones: Spanned<usize>,
     regions: Spanned<usize>,
-    #[serde(default = "three")]
+    #[serde(default = "default_calls")]
     calls: Spanned<usize>,
-    #[serde(default = "nothing")]
+    #[serde(default = "zero")]
     load: Spanned<f64>,
-    #[serde(default = "nothing")]
+    #[serde(default = "zero")]
     changes_a_day: Spanned<f64>,
-    #[serde(default = "apart")]
+    #[serde(default = "default_start_interval")]
     apart: HumanDuration,
-    #[serde(default = "settle")]
+    #[serde(default = "default_settle_time")]
     settle: HumanDuration,
     length: Spanned<HumanDuration>,
     #[serde(default)]
@@ -44,29 +44,29 @@
     hold: Vec<Spanned<HoldText>>,
 }
 
-fn first() -> Spanned<Vec<u64>> {
+fn default_seeds() -> Spanned<Vec<u64>> {
     Spanned::new(0..0, vec![1])
 }
-fn none() -> Spanned<usize> {
+fn zero_count() -> Spanned<usize> {
     Spanned::new(0..0, 0)
 }
-fn nothing() -> Spanned<f64> {
+fn zero() -> Spanned<f64> {
     Spanned::new(0..0, 0.0)
 }
-fn three() -> Spanned<usize> {
+fn default_calls() -> Spanned<usize> {
     Spanned::new(0..0, 3)
 }
-fn apart() -> HumanDuration {
+fn default_start_interval() -> HumanDuration {
     HumanDuration(Duration::from_millis(15))
 }
-fn settle() -> HumanDuration {
+fn default_settle_time() -> HumanDuration {
     HumanDuration(Duration::from_secs(15))
 }
-fn two_seconds() -> HumanDuration {
+fn default_detection_delay() -> HumanDuration {
     HumanDuration(Duration::from_secs(2))
 }
 
-/// One way, put in by the rig's relay between sidecars, and between a sidecar and discovery.
+/// One-way delays that the rig adds between sidecars, and between a sidecar and discovery.
 #[derive(Deserialize, Debug, Clone, Copy)]
 #[serde(deny_unknown_fields, default)]
 pub struct Delay {
@@ -77,7 +77,7 @@
 
 impl Default for Delay {
     fn default() -> Self {
-        let time = |us| HumanDuration(Duration::from_micros(us));
+        let time = |micros| HumanDuration(Duration::from_micros(micros));
         Delay {
             zone: time(0),
             between_zones: time(1000),
@@ -86,6 +86,7 @@
     }
 }
 
+/// Settings of leases and membership, and the interval of the leased duty.
 #[derive(Deserialize, Debug, Clone, Copy)]
 #[serde(deny_unknown_fields, default)]
 pub struct Fleet {
@@ -97,7 +98,7 @@
 
 impl Default for Fleet {
     fn default() -> Self {
-        let time = |s| HumanDuration(Duration::from_secs(s));
+        let time = |seconds| HumanDuration(Duration::from_secs(seconds));
         Fleet {
             lease: time(3),
             period: time(1),
@@ -114,7 +115,7 @@
     kind: Spanned<String>,
     at: Spanned<HumanDuration>,
     #[serde(rename = "for")]
-    lasts: Spanned<HumanDuration>,
+    duration: Spanned<HumanDuration>,
     #[serde(default)]
     count: Option<Spanned<usize>>,
     #[serde(default)]
@@ -125,21 +126,24 @@
     service: Option<Spanned<usize>>,
     #[serde(default)]
     one_way: Option<Spanned<String>>,
-    #[serde(default = "two_seconds")]
+    #[serde(default = "default_detection_delay")]
     noticed: HumanDuration,
 }
 
+/// The directions in which a cut loses datagrams.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Way {
+pub enum CutDirection {
     Both,
-    /// What the region says is lost, what it is told comes.
+    /// Datagrams from the region are lost, those to it arrive.
     Out,
-    /// The other way round.
+    /// Datagrams to the region are lost, those from it arrive.
     Back,
 }
 
+/// The sidecars that an event affects.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Whom {
+pub enum SidecarSelection {
+    /// This many, drawn at random.
     Count(usize),
     Zone(usize),
     Service(usize),
@@ -147,13 +151,13 @@
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Kind {
-    /// A region and the others lose each other, and the region loses discovery, which stands in the first.
-    Cut(usize, Way),
-    /// Killed at once, nobody says goodbye; started again at the end.
-    Kill(Whom),
-    /// Stopped as planned and started again, one after the other, spread over the time.
-    Restart(Whom),
+pub enum EventKind {
+    /// A region is cut off from the others, and from discovery, which is located in the first region.
+    Cut(usize, CutDirection),
+    /// Killed all at once without a graceful shutdown; restarted at the end.
+    Kill(SidecarSelection),
+    /// Gracefully stopped and restarted, one after the other, spread over the duration.
+    Restart(SidecarSelection),
     /// Discovery answers 503.
     DiscoveryDown,
 }
@@ -161,16 +165,16 @@
 #[derive(Debug, Clone)]
 pub struct Event {
     pub name: String,
-    pub kind: Kind,
+    pub kind: EventKind,
     pub at: Duration,
-    pub lasts: Duration,
-    /// Until the list says that what was killed is gone.
-    pub noticed: Duration,
+    pub duration: Duration,
+    /// Time until discovery removes killed sidecars from the list.
+    pub detection_delay: Duration,
 }
 
 impl Event {
     pub fn span(&self) -> Range<Duration> {
-        self.at..self.at + self.lasts
+        self.at..self.at + self.duration
     }
 }
 
@@ -184,7 +188,7 @@
     at_most: Option<f64>,
 }
 
-/// What a hold may ask for; none of them is a time, so that a slow machine judges as a quick one.
+/// Metrics that a condition may refer to. None of them is a time, so that slow and fast machines judge alike.
 pub const METRICS: [&str; 8] = [
     "here",
     "listed",
@@ -196,6 +200,7 @@
     "known",
 ];
 
+/// Bounds that a metric must keep.
 #[derive(Debug, Clone)]
 pub struct Hold {
     pub metric: String,
@@ -208,17 +213,20 @@
     pub about: String,
     pub sizes: Vec<usize>,
     pub seeds: Vec<u64>,
+    /// How many of the sidecars are real processes.
     pub real: usize,
     pub services: usize,
     pub zones: usize,
     pub regions: usize,
+    /// How many services each sidecar calls.
     pub calls: usize,
-    /// Calls a second of each real sidecar.
+    /// Calls per second of each real sidecar.
     pub load: f64,
-    pub changes_a_day: f64,
-    /// From one's start to the next one's.
-    pub apart: Duration,
-    pub settle: Duration,
+    pub changes_per_day: f64,
+    /// Time between the starts of two sidecars.
+    pub start_interval: Duration,
+    /// Time between the start of all sidecars and the start of the measurement.
+    pub settle_time: Duration,
     pub length: Duration,
     pub delay: Delay,
     pub fleet: Fleet,
@@ -226,156 +234,163 @@
     pub holds: Vec<Hold>,
 }
 
-/// Reads a file; what is wrong is named by its line and key. `sidecars` takes the place of its sizes.
-pub fn read(text: &str, sidecars: Option<usize>) -> Result<ScalePlan, ConfigError> {
-    let told: Text = toml::from_str(text)
+/// Parses a file; errors name the line and the key. `sidecars` replaces the sizes of the file.
+pub fn parse(text: &str, sidecars: Option<usize>) -> Result<ScalePlan, ConfigError> {
+    let file: PlanFile = toml::from_str(text)
         .map_err(|e| ConfigError::from_parser(text, e.span().map(|s| s.start), e.message()))?;
-    let wrong = |at: Range<usize>, what: String| {
+    let error = |span: Range<usize>, message: String| {
         Err(ConfigError {
-            line: line_number(text, at.start),
-            message: what,
+            line: line_number(text, span.start),
+            message,
         })
     };
     let within =
-        |key: &str, told: &Spanned<usize>, span: std::ops::RangeInclusive<usize>| match span
-            .contains(told.get_ref())
+        |key: &str, value: &Spanned<usize>, range: std::ops::RangeInclusive<usize>| match range
+            .contains(value.get_ref())
         {
-            true => Ok(*told.get_ref()),
+            true => Ok(*value.get_ref()),
             false => {
-                let what = format!(
+                let message = format!(
                     "{key}: {} is not from {} to {}",
-                    told.get_ref(),
-                    span.start(),
-                    span.end()
+                    value.get_ref(),
+                    range.start(),
+                    range.end()
                 );
                 Err(ConfigError {
-                    line: line_number(text, told.span().start),
-                    message: what,
+                    line: line_number(text, value.span().start),
+                    message,
                 })
             }
         };
-    let sizes = sidecars.map_or_else(|| told.sizes.get_ref().clone(), |n| vec![n]);
-    if sizes.is_empty() || sizes.iter().any(|n| !(2..=MOST_SIDECARS).contains(n)) {
-        return wrong(
-            told.sizes.span(),
-            format!("sizes: each from 2 to {MOST_SIDECARS}"),
+    let sizes = sidecars.map_or_else(|| file.sizes.get_ref().clone(), |size| vec![size]);
+    if sizes.is_empty() || sizes.iter().any(|size| !(2..=MAX_SIDECARS).contains(size)) {
+        return error(
+            file.sizes.span(),
+            format!("sizes: each must be from 2 to {MAX_SIDECARS}"),
         );
     }
-    if told.seeds.get_ref().is_empty() {
-        return wrong(told.seeds.span(), "seeds: none".into());
+    if file.seeds.get_ref().is_empty() {
+        return error(file.seeds.span(), "seeds: the list is empty".into());
     }
-    let zones = within("zones", &told.zones, 1..=MOST_ZONES)?;
-    let regions = within("regions", &told.regions, 1..=zones)?;
-    let services = within("services", &told.services, 1..=MOST_SIDECARS)?;
-    let calls = within("calls", &told.calls, 1..=services.min(16))?;
-    let least = sizes.iter().copied().min().unwrap_or_default();
-    let real = within("real", &told.real, 0..=least.min(MOST_REAL))?;
-    for (key, told) in [("load", &told.load), ("changes_a_day", &told.changes_a_day)] {
-        if !(0.0..=1e7).contains(told.get_ref()) {
-            return wrong(
-                told.span(),
-                format!("{key}: {} is not from 0 to 10000000", told.get_ref()),
+    let zones = within("zones", &file.zones, 1..=MAX_ZONES)?;
+    let regions = within("regions", &file.regions, 1..=zones)?;
+    let services = within("services", &file.services, 1..=MAX_SIDECARS)?;
+    let calls = within("calls", &file.calls, 1..=services.min(16))?;
+    let smallest = sizes.iter().copied().min().unwrap_or_default();
+    let real = within("real", &file.real, 0..=smallest.min(MAX_REAL_SIDECARS))?;
+    for (key, value) in [("load", &file.load), ("changes_a_day", &file.changes_a_day)] {
+        if !(0.0..=1e7).contains(value.get_ref()) {
+            return error(
+                value.span(),
+                format!("{key}: {} is not from 0 to 10000000", value.get_ref()),
             );
         }
     }
-    let length = told.length.get_ref().0;
+    let length = file.length.get_ref().0;
     if length < Duration::from_secs(1) {
-        return wrong(told.length.span(), "length: a second at least".into());
+        return error(file.length.span(), "length: must be at least 1s".into());
     }
     let mut events: Vec<Event> = Vec::new();
-    for spanned in &told.event {
+    for spanned in &file.event {
         let event = spanned.get_ref();
-        let way = match event
+        let direction = match event
             .one_way
             .as_ref()
-            .map(|way| (way.get_ref().as_str(), way.span()))
+            .map(|direction| (direction.get_ref().as_str(), direction.span()))
         {
-            None => Way::Both,
-            Some(("out", _)) => Way::Out,
-            Some(("back", _)) => Way::Back,
+            None => CutDirection::Both,
+            Some(("out", _)) => CutDirection::Out,
+            Some(("back", _)) => CutDirection::Back,
             Some((other, span)) => {
-                return wrong(span, format!("one_way: '{other}' is not out or back"));
+                return error(span, format!("one_way: '{other}' is not out or back"));
             }
         };
-        let number = |key: &str, told: &Option<Spanned<usize>>, span| match told {
-            Some(told) => within(key, told, span).map(Some),
+        let optional = |key: &str, value: &Option<Spanned<usize>>, range| match value {
+            Some(value) => within(key, value, range).map(Some),
             None => Ok(None),
         };
-        let count = number("count", &event.count, 1..=least)?;
-        let zone = number("zone", &event.zone, 0..=zones - 1)?;
-        let service = number("service", &event.service, 0..=services - 1)?;
-        let region = number("region", &event.region, 0..=regions - 1)?;
-        let whom = match (count, zone, service) {
-            (Some(count), None, None) => Whom::Count(count),
-            (None, Some(zone), None) => Whom::Zone(zone),
-            (None, None, Some(service)) => Whom::Service(service),
-            (None, None, None) => Whom::All,
+        let count = optional("count", &event.count, 1..=smallest)?;
+        let zone = optional("zone", &event.zone, 0..=zones - 1)?;
+        let service = optional("service", &event.service, 0..=services - 1)?;
+        let region = optional("region", &event.region, 0..=regions - 1)?;
+        let selection = match (count, zone, service) {
+            (Some(count), None, None) => SidecarSelection::Count(count),
+            (None, Some(zone), None) => SidecarSelection::Zone(zone),
+            (None, None, Some(service)) => SidecarSelection::Service(service),
+            (None, None, None) => SidecarSelection::All,
             _ => {
-                return wrong(
+                return error(
                     spanned.span(),
-                    "event: one of count, zone and service".into(),
+                    "event: only one of count, zone and service may be given".into(),
                 );
             }
         };
         let kind = match (event.kind.get_ref().as_str(), region) {
-            ("cut", Some(region)) => Kind::Cut(region, way),
+            ("cut", Some(region)) => EventKind::Cut(region, direction),
             ("cut", None) => {
-                return wrong(event.kind.span(), "kind: a cut needs its region".into());
+                return error(event.kind.span(), "kind: a cut needs a region".into());
             }
-            ("kill", _) => Kind::Kill(whom),
-            ("restart", _) => Kind::Restart(whom),
-            ("discovery-down", _) => Kind::DiscoveryDown,
+            ("kill", _) => EventKind::Kill(selection),
+            ("restart", _) => EventKind::Restart(selection),
+            ("discovery-down", _) => EventKind::DiscoveryDown,
             (other, _) => {
-                let what = format!(
+                let message = format!(
                     "kind: unknown '{other}'; there are cut, kill, restart, discovery-down"
                 );
-                return wrong(event.kind.span(), what);
+                return error(event.kind.span(), message);
             }
         };
-        let (at, lasts) = (event.at.get_ref().0, event.lasts.get_ref().0);
-        if lasts < Duration::from_secs(1) {
-            return wrong(event.lasts.span(), "for: a second at least".into());
+        let (at, duration) = (event.at.get_ref().0, event.duration.get_ref().0);
+        if duration < Duration::from_secs(1) {
+            return error(event.duration.span(), "for: must be at least 1s".into());
         }
-        if events.last().is_some_and(|before| at < before.span().end) {
-            return wrong(
+        if events
+            .last()
+            .is_some_and(|previous| at < previous.span().end)
+        {
+            return error(
                 event.at.span(),
-                "at: before the end of the event before".into(),
+                "at: earlier than the end of the previous event".into(),
             );
         }
-        if at + lasts >= length {
-            return wrong(
+        if at + duration >= length {
+            return error(
                 event.at.span(),
-                "at: the event ends behind the run's length".into(),
+                "at: the event ends after the length of the run".into(),
             );
         }
         let name = event.name.get_ref().clone();
-        if name.is_empty() || !name.bytes().all(|b| b.is_ascii_alphanumeric() || b == b'-') {
-            return wrong(
+        if name.is_empty()
+            || !name
+                .bytes()
+                .all(|byte| byte.is_ascii_alphanumeric() || byte == b'-')
+        {
+            return error(
                 event.name.span(),
-                format!("name: '{name}' is not of letters, digits and -"),
+                format!("name: '{name}' may contain only letters, digits and -"),
             );
         }
         events.push(Event {
             name,
             kind,
             at,
-            lasts,
-            noticed: event.noticed.0,
+            duration,
+            detection_delay: event.noticed.0,
         });
     }
     let mut holds = Vec::new();
-    for spanned in told.hold {
+    for spanned in file.hold {
         let hold = spanned.get_ref();
         let metric = hold.metric.get_ref().clone();
         if !METRICS.contains(&metric.as_str()) {
-            let what = format!(
+            let message = format!(
                 "metric: unknown '{metric}'; there are {}",
                 METRICS.join(", ")
             );
-            return wrong(hold.metric.span(), what);
+            return error(hold.metric.span(), message);
         }
         if hold.at_least.is_none() && hold.at_most.is_none() {
-            return wrong(
+            return error(
                 spanned.span(),
                 "hold: at_least or at_most is missing".into(),
             );
@@ -387,104 +402,108 @@
         });
     }
     Ok(ScalePlan {
-        about: told.about,
+        about: file.about,
         sizes,
-        seeds: told.seeds.into_inner(),
+        seeds: file.seeds.into_inner(),
         real,
         services,
         zones,
         regions,
         calls,
-        load: told.load.into_inner(),
-        changes_a_day: told.changes_a_day.into_inner(),
-        apart: told.apart.0,
-        settle: told.settle.0,
+        load: file.load.into_inner(),
+        changes_per_day: file.changes_a_day.into_inner(),
+        start_interval: file.apart.0,
+        settle_time: file.settle.0,
         length,
-        delay: told.delay,
-        fleet: told.fleet,
+        delay: file.delay,
+        fleet: file.fleet,
         events,
         holds,
     })
 }
 
 impl ScalePlan {
-    /// Zones are spread over the regions, sidecars over the zones, both in turn.
-    pub fn zone(&self, n: usize) -> usize {
-        n % self.zones
+    /// Sidecars are assigned to zones, and zones to regions, round-robin.
+    pub fn zone(&self, sidecar: usize) -> usize {
+        sidecar % self.zones
     }
 
-    pub fn region(&self, n: usize) -> usize {
-        self.zone(n) % self.regions
+    pub fn region(&self, sidecar: usize) -> usize {
+        self.zone(sidecar) % self.regions
     }
 
-    pub fn service(&self, n: usize) -> usize {
-        // Not in step with the zones: each service stands in several.
-        (n + n / self.services) % self.services
+    pub fn service(&self, sidecar: usize) -> usize {
+        // Shifted against the zones, so that each service has sidecars in several of them.
+        (sidecar + sidecar / self.services) % self.services
     }
 
-    /// The services that one calls.
-    pub fn called(&self, n: usize) -> Vec<usize> {
+    /// The services that a sidecar calls.
+    pub fn called_services(&self, sidecar: usize) -> Vec<usize> {
         (1..=self.calls)
-            .map(|k| (self.service(n) + k) % self.services)
+            .map(|offset| (self.service(sidecar) + offset) % self.services)
             .collect()
     }
 
-    /// One way between two places of the list.
-    pub fn way(&self, a: usize, b: usize) -> Duration {
-        if self.region(a) != self.region(b) {
+    /// The one-way delay between two sidecars.
+    pub fn one_way_delay(&self, first: usize, second: usize) -> Duration {
+        if self.region(first) != self.region(second) {
             self.delay.between_regions.0
-        } else if self.zone(a) != self.zone(b) {
+        } else if self.zone(first) != self.zone(second) {
             self.delay.between_zones.0
         } else {
             self.delay.zone.0
         }
     }
 
-    /// Which are meant, drawn by the seed.
-    pub fn find(&self, whom: Whom, sidecars: usize, seed: u64) -> Vec<usize> {
+    /// The sidecars of a selection; random ones are drawn by the seed.
+    pub fn select(&self, selection: SidecarSelection, sidecars: usize, seed: u64) -> Vec<usize> {
         let all = 0..sidecars;
-        match whom {
-            Whom::All => all.collect(),
-            Whom::Zone(zone) => all.filter(|n| self.zone(*n) == zone).collect(),
-            Whom::Service(service) => all.filter(|n| self.service(*n) == service).collect(),
-            Whom::Count(count) => {
-                let mut dice = crate::rng::SeededRng::stream(seed, "whom", count as u64);
-                let mut rest: Vec<usize> = all.collect();
+        match selection {
+            SidecarSelection::All => all.collect(),
+            SidecarSelection::Zone(zone) => {
+                all.filter(|sidecar| self.zone(*sidecar) == zone).collect()
+            }
+            SidecarSelection::Service(service) => all
+                .filter(|sidecar| self.service(*sidecar) == service)
+                .collect(),
+            SidecarSelection::Count(count) => {
+                let mut rng = crate::rng::SeededRng::stream(seed, "whom", count as u64);
+                let mut remaining: Vec<usize> = all.collect();
                 (0..count.min(sidecars))
-                    .map(|_| rest.swap_remove(dice.below(rest.len())))
+                    .map(|_| remaining.swap_remove(rng.below(remaining.len())))
                     .collect()
             }
         }
     }
 
-    /// What each second of a run counts as, from its second on.
+    /// The conditions of a run by name, each with the time at which it begins.
     pub fn conditions(&self) -> Vec<(Duration, String)> {
-        let plain = if self.changes_a_day > 0.0 || self.load > 0.0 {
+        let steady = if self.changes_per_day > 0.0 || self.load > 0.0 {
             "ordinary"
         } else {
             "rest"
         };
-        let mut all = vec![(Duration::ZERO, plain.to_string())];
+        let mut conditions = vec![(Duration::ZERO, steady.to_string())];
         for event in &self.events {
-            all.push((event.at, format!("event:{}", event.name)));
-            all.push((event.span().end, format!("return:{}", event.name)));
+            conditions.push((event.at, format!("event:{}", event.name)));
+            conditions.push((event.span().end, format!("return:{}", event.name)));
         }
-        all
+        conditions
     }
 
-    /// The settings of the nth sidecar, all services by one class of calls each.
-    pub fn settings(&self, n: usize) -> serde_json::Value {
-        let zones: Vec<String> = (0..self.zones).map(|z| format!("z{z}")).collect();
-        let verbs: Vec<_> = (0..self.calls)
-            .map(|k| {
+    /// The settings of a sidecar, with a request class for each service that it calls.
+    pub fn settings(&self, sidecar: usize) -> serde_json::Value {
+        let zones: Vec<String> = (0..self.zones).map(|zone| format!("z{zone}")).collect();
+        let classes: Vec<_> = (0..self.calls)
+            .map(|class| {
                 serde_json::json!({
-                    "name": format!("call-{k}"), "effect": "read_like", "key_scope": "all", "window": 0,
+                    "name": format!("call-{class}"), "effect": "read_like", "key_scope": "all", "window": 0,
                     "response_goal": 200_000_000, "time_limit": 1_000_000_000, "utility": 1.0, "late_utility": 0.0,
                 })
             })
             .collect();
         serde_json::json!({
-            "verbs": verbs, "tenants": [], "dcs": zones, "az": zones[self.zone(n)], "my_number": n,
+            "verbs": classes, "tenants": [], "dcs": zones, "az": zones[self.zone(sidecar)], "my_number": sidecar,
             "discovery": "on_request", "weights": "nominal", "report": { "how": "silent" },
             "allowed": {
                 "connect_timeout": 250_000_000, "idle_close": 30_000_000_000_u64, "max_relays": 4,
@@ -497,14 +516,14 @@
         })
     }
 
-    /// The routes of the nth sidecar: a pool for each service that it calls.
-    pub fn routes(&self, n: usize) -> String {
+    /// The routes of a sidecar: a pool for each service that it calls.
+    pub fn routes(&self, sidecar: usize) -> String {
         let mut text = String::new();
-        for (k, service) in self.called(n).into_iter().enumerate() {
+        for (class, service) in self.called_services(sidecar).into_iter().enumerate() {
             text += &format!(
                 "[[pool]]\nname = \"s{service}\"\nlabels = [\"s{service}-\"]\ntiers = [[\"*\"]]\n\n"
             );
-            text += &format!("[[route]]\nverbs = [\"call-{k}\"]\npool = \"s{service}\"\n\n");
+            text += &format!("[[route]]\nverbs = [\"call-{class}\"]\npool = \"s{service}\"\n\n");
         }
         text
     }
@@ -522,29 +541,29 @@
         )
     }
 
-    /// What is asked of the figures; each with whether it holds.
-    pub fn judge(&self, figures: &BTreeMap<&'static str, f64>) -> Vec<(String, bool)> {
-        let judged = self.holds.iter().map(|hold| {
+    /// Evaluates the conditions; returns a line for each, and whether it holds.
+    pub fn evaluate_holds(&self, figures: &BTreeMap<&'static str, f64>) -> Vec<(String, bool)> {
+        let results = self.holds.iter().map(|hold| {
             let value = figures.get(hold.metric.as_str()).copied();
-            let least = hold
+            let above = hold
                 .at_least
-                .is_none_or(|least| value.is_some_and(|v| v >= least));
-            let most = hold
+                .is_none_or(|bound| value.is_some_and(|value| value >= bound));
+            let below = hold
                 .at_most
-                .is_none_or(|most| value.is_some_and(|v| v <= most));
+                .is_none_or(|bound| value.is_some_and(|value| value <= bound));
             let bound = |word: &str, bound: Option<f64>| {
-                bound.map_or(String::new(), |b| format!(" {word} {b}"))
+                bound.map_or(String::new(), |bound| format!(" {word} {bound}"))
             };
-            let (least_text, most_text) = (
+            let (lower, upper) = (
                 bound("at least", hold.at_least),
                 bound("at most", hold.at_most),
             );
-            let shown = value.map_or("not measured".into(), |v| format!("{v:.4}"));
+            let shown = value.map_or("not measured".into(), |value| format!("{value:.4}"));
             (
-                format!("{}: {shown},{least_text}{most_text}", hold.metric),
-                least && most,
+                format!("{}: {shown},{lower}{upper}", hold.metric),
+                above && below,
             )
         });
-        judged.collect()
+        results.collect()
     }
 }
--- a/crates/passroad-rig/src/scale/processes.rs
+++ b/crates/passroad-rig/src/scale/processes.rs
@@ -1,7 +1,7 @@
-//! The processes of a scale run, as the rig has them: hosts of hollow sidecars and real ones, each of which ends with the
-//! rig, and what the kernel and they themselves tell of what they use.
+//! The processes of a scale run: hosts of simulated sidecars, and real sidecars. All of them end with the rig. Their CPU
+//! time and memory are read from /proc, their member states and status from the lines that the hosts print.
 
-use super::held;
+use super::{lock, status_summary};
 use passroad_peers::MemberState;
 use serde_json::Value;
 use std::collections::BTreeMap;
@@ -13,50 +13,50 @@
 use std::time::{Duration, Instant};
 use tokio::time::sleep;
 
-/// How long starts and ends may take.
-const PATIENCE: Duration = Duration::from_secs(30);
+/// Timeout of starts and of graceful shutdowns.
+const PROCESS_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// One sidecar thinks otherwise of another from then on.
+/// A sidecar has changed the state of another in its member list.
 #[derive(Debug, Clone, Copy)]
-pub struct Turn {
-    pub at: Duration, // since 1970
-    pub by: usize,
-    pub of: usize,
-    pub standing: MemberState,
+pub struct StateChange {
+    pub time: Duration, // since the Unix epoch
+    pub observer: usize,
+    pub member: usize,
+    pub state: MemberState,
 }
 
-/// What hosts have told.
+/// What host processes have reported.
 #[derive(Default)]
-pub struct Heard {
-    /// Of the thread of the list and that of the fleet, by sidecar; empty while it is down.
+pub struct HostReports {
+    /// Paths under /proc of the discovery thread and of the fleet thread, by sidecar; empty while it is down.
     pub threads: Vec<Vec<PathBuf>>,
-    pub turns: Vec<Turn>,
+    pub state_changes: Vec<StateChange>,
     pub statuses: BTreeMap<usize, Value>,
-    pub faults: Vec<String>,
+    pub errors: Vec<String>,
 }
 
 struct Host {
     child: Child,
-    orders: ChildStdin,
-    whose: Vec<usize>,
+    stdin: ChildStdin,
+    sidecars: Vec<usize>,
 }
 
 pub struct Processes {
     program: PathBuf,
     folder: PathBuf,
     hosts: Mutex<Vec<Host>>,
-    reals: Mutex<BTreeMap<usize, Child>>,
-    doors: BTreeMap<usize, std::net::SocketAddr>,
-    pub heard: Arc<Mutex<Heard>>,
+    real_processes: Mutex<BTreeMap<usize, Child>>,
+    management_addresses: BTreeMap<usize, std::net::SocketAddr>,
+    pub reports: Arc<Mutex<HostReports>>,
 }
 
-fn command(program: &Path, folder: &Path, log: &str) -> io::Result<Command> {
+fn base_command(program: &Path, folder: &Path, log: &str) -> io::Result<Command> {
     let mut command = Command::new(program);
     let log = File::options()
         .create(true)
         .append(true)
         .open(folder.join(log))?;
-    // The end of its input tells the process that the rig is gone.
+    // The process ends when this pipe is closed, also where the rig itself crashes.
     command
         .env("TMPDIR", folder)
         .stdin(Stdio::piped())
@@ -75,112 +75,119 @@
     Ok(command)
 }
 
-/// A line of a host, into what was heard.
-fn note(heard: &mut Heard, line: &str) {
+/// Parses a line that a host printed, and adds it to the reports.
+fn add_report(reports: &mut HostReports, line: &str) {
     let mut words = line.split(' ');
     let word = words.next().unwrap_or_default();
-    let Some(n) = words.next().and_then(|n| n.parse::<usize>().ok()) else {
+    let Some(sidecar) = words.next().and_then(|number| number.parse::<usize>().ok()) else {
         return;
     };
     match word {
-        "up" => heard.threads[n] = words.map(|path| Path::new("/proc").join(path)).collect(),
-        "gone" => heard.threads[n].clear(),
+        "up" => {
+            reports.threads[sidecar] = words.map(|path| Path::new("/proc").join(path)).collect()
+        }
+        "gone" => reports.threads[sidecar].clear(),
         "turned" => {
-            let of = words.next().and_then(|n| n.parse().ok());
-            let standing = match words.next() {
+            let member = words.next().and_then(|number| number.parse().ok());
+            let state = match words.next() {
                 Some("Alive") => Some(MemberState::Alive),
                 Some("Suspect") => Some(MemberState::Suspect),
                 Some("Dead") => Some(MemberState::Dead),
                 _ => None,
             };
-            let at = words
+            let time = words
                 .next()
-                .and_then(|us| us.parse().ok())
+                .and_then(|micros| micros.parse().ok())
                 .map(Duration::from_micros);
-            if let (Some(of), Some(standing), Some(at)) = (of, standing, at) {
-                heard.turns.push(Turn {
-                    at,
-                    by: n,
-                    of,
-                    standing,
+            if let (Some(member), Some(state), Some(time)) = (member, state, time) {
+                reports.state_changes.push(StateChange {
+                    time,
+                    observer: sidecar,
+                    member,
+                    state,
                 });
             }
         }
         "status" => {
             let rest = line.splitn(3, ' ').nth(2).unwrap_or_default();
-            heard
+            reports
                 .statuses
-                .insert(n, serde_json::from_str(rest).unwrap_or_default());
+                .insert(sidecar, serde_json::from_str(rest).unwrap_or_default());
         }
-        "fault" => heard.faults.push(line.to_string()),
+        "fault" => reports.errors.push(line.to_string()),
         _ => {}
     }
 }
 
 impl Processes {
-    /// `whose` says which hollow sidecars share a process.
+    /// Starts the host processes; `sidecars_by_host` lists the simulated sidecars of each.
     pub fn start(
         program: &Path,
         folder: &Path,
         sidecars: usize,
-        whose: Vec<Vec<usize>>,
-        doors: BTreeMap<usize, std::net::SocketAddr>,
+        sidecars_by_host: Vec<Vec<usize>>,
+        management_addresses: BTreeMap<usize, std::net::SocketAddr>,
     ) -> io::Result<Processes> {
-        let heard = Arc::new(Mutex::new(Heard {
+        let reports = Arc::new(Mutex::new(HostReports {
             threads: vec![Vec::new(); sidecars],
-            ..Heard::default()
+            ..HostReports::default()
         }));
         let mut hosts = Vec::new();
-        for (host, whose) in whose.into_iter().enumerate() {
-            let mut child = command(program, folder, &format!("host-{host}.log"))?
+        for (host, sidecars) in sidecars_by_host.into_iter().enumerate() {
+            let mut child = base_command(program, folder, &format!("host-{host}.log"))?
                 .arg("hollow")
                 .arg(folder)
                 .stdout(Stdio::piped())
                 .spawn()?;
-            let (orders, said) = (child.stdin.take(), child.stdout.take());
-            let (Some(orders), Some(said)) = (orders, said) else {
+            let (stdin, stdout) = (child.stdin.take(), child.stdout.take());
+            let (Some(stdin), Some(stdout)) = (stdin, stdout) else {
                 continue;
             };
-            let heard = Arc::clone(&heard);
+            let reports = Arc::clone(&reports);
             std::thread::spawn(move || {
-                for line in BufReader::new(said).lines().map_while(Result::ok) {
-                    note(&mut held(&heard), &line);
+                for line in BufReader::new(stdout).lines().map_while(Result::ok) {
+                    add_report(&mut lock(&reports), &line);
                 }
             });
             hosts.push(Host {
                 child,
-                orders,
-                whose,
+                stdin,
+                sidecars,
             });
         }
         Ok(Processes {
             program: program.into(),
             folder: folder.into(),
             hosts: Mutex::new(hosts),
-            reals: Mutex::default(),
-            doors,
-            heard,
+            real_processes: Mutex::default(),
+            management_addresses,
+            reports,
         })
     }
 
-    pub fn is_real(&self, n: usize) -> bool {
-        self.doors.contains_key(&n)
+    pub fn is_real(&self, sidecar: usize) -> bool {
+        self.management_addresses.contains_key(&sidecar)
     }
 
-    fn order(&self, word: &str, n: usize) -> io::Result<()> {
-        let mut hosts = held(&self.hosts);
-        match hosts.iter_mut().find(|host| host.whose.contains(&n)) {
-            Some(host) => writeln!(host.orders, "{word} {n}").and_then(|()| host.orders.flush()),
-            None => Err(io::Error::other(format!("sidecar {n} has no host"))),
+    fn send_command(&self, word: &str, sidecar: usize) -> io::Result<()> {
+        let mut hosts = lock(&self.hosts);
+        match hosts
+            .iter_mut()
+            .find(|host| host.sidecars.contains(&sidecar))
+        {
+            Some(host) => {
+                writeln!(host.stdin, "{word} {sidecar}").and_then(|()| host.stdin.flush())
+            }
+            None => Err(io::Error::other(format!("sidecar {sidecar} has no host"))),
         }
     }
 
-    pub fn begin(&self, n: usize) -> io::Result<()> {
-        if !self.is_real(n) {
-            return self.order("start", n);
+    pub fn start_sidecar(&self, sidecar: usize) -> io::Result<()> {
+        if !self.is_real(sidecar) {
+            return self.send_command("start", sidecar);
         }
-        let files = super::host::files(&self.folder, n);
-        let mut command = command(&self.program, &self.folder, &format!("{n}.log"))?;
+        let files = super::host::config_files(&self.folder, sidecar);
+        let mut command = base_command(&self.program, &self.folder, &format!("{sidecar}.log"))?;
         for (name, file) in [
             ("LB_CONFIG", files.config),
             ("LB_ROUTES", files.routes),
@@ -189,38 +196,40 @@
             command.envs(file.map(|file| (name, file)));
         }
         let child = command.arg("sidecar").stdout(Stdio::null()).spawn()?;
-        held(&self.reals).insert(n, child);
+        lock(&self.real_processes).insert(sidecar, child);
         Ok(())
     }
 
-    pub fn kill(&self, n: usize) -> io::Result<()> {
-        if !self.is_real(n) {
-            return self.order("kill", n);
+    pub fn kill(&self, sidecar: usize) -> io::Result<()> {
+        if !self.is_real(sidecar) {
+            return self.send_command("kill", sidecar);
         }
-        held(&self.heard).threads[n].clear();
-        if let Some(mut child) = held(&self.reals).remove(&n) {
+        lock(&self.reports).threads[sidecar].clear();
+        if let Some(mut child) = lock(&self.real_processes).remove(&sidecar) {
             child.kill()?;
             child.wait()?;
         }
         Ok(())
     }
 
-    pub async fn stop(&self, n: usize) -> io::Result<()> {
-        if !self.is_real(n) {
-            self.order("stop", n)?;
-            return self.wait("gone", &[n], |threads| threads.is_empty()).await;
+    pub async fn stop(&self, sidecar: usize) -> io::Result<()> {
+        if !self.is_real(sidecar) {
+            self.send_command("stop", sidecar)?;
+            return self
+                .wait_for_threads("stopped", &[sidecar], |threads| threads.is_empty())
+                .await;
         }
-        let child = held(&self.reals).remove(&n);
-        held(&self.heard).threads[n].clear();
+        let child = lock(&self.real_processes).remove(&sidecar);
+        lock(&self.reports).threads[sidecar].clear();
         let Some(mut child) = child else {
             return Ok(());
         };
         if let Some(pid) = rustix::process::Pid::from_raw(child.id() as i32) {
             rustix::process::kill_process(pid, rustix::process::Signal::TERM)?;
         }
-        let began = Instant::now();
+        let started = Instant::now();
         while child.try_wait()?.is_none() {
-            if began.elapsed() > PATIENCE {
+            if started.elapsed() > PROCESS_TIMEOUT {
                 child.kill()?;
             }
             sleep(Duration::from_millis(10)).await;
@@ -228,181 +237,190 @@
         Ok(())
     }
 
-    async fn wait(
+    async fn wait_for_threads(
         &self,
-        what: &str,
-        these: &[usize],
+        goal: &str,
+        sidecars: &[usize],
         done: impl Fn(&[PathBuf]) -> bool,
     ) -> io::Result<()> {
-        let began = Instant::now();
+        let started = Instant::now();
         loop {
             {
-                let heard = held(&self.heard);
-                if let Some(fault) = heard.faults.first() {
-                    return Err(io::Error::other(fault.clone()));
+                let reports = lock(&self.reports);
+                if let Some(error) = reports.errors.first() {
+                    return Err(io::Error::other(error.clone()));
                 }
-                if these.iter().all(|n| done(&heard.threads[*n])) {
+                if sidecars
+                    .iter()
+                    .all(|sidecar| done(&reports.threads[*sidecar]))
+                {
                     return Ok(());
                 }
             }
-            if began.elapsed() > PATIENCE {
+            if started.elapsed() > PROCESS_TIMEOUT {
                 return Err(io::Error::other(format!(
-                    "not all sidecars were {what} in {PATIENCE:?}"
+                    "not all sidecars were {goal} within {PROCESS_TIMEOUT:?}"
                 )));
             }
             sleep(Duration::from_millis(20)).await;
         }
     }
 
-    /// Until all of these run.
-    pub async fn up(&self, these: &[usize]) -> io::Result<()> {
-        let began = Instant::now();
-        for n in these.iter().filter(|n| self.is_real(**n)) {
-            let door = self.doors[n];
-            while tokio::net::TcpStream::connect(door).await.is_err() {
-                if began.elapsed() > PATIENCE {
-                    let said = std::fs::read_to_string(self.folder.join(format!("{n}.log")));
-                    let last = said
+    /// Waits until all of these sidecars run.
+    pub async fn wait_until_running(&self, sidecars: &[usize]) -> io::Result<()> {
+        let started = Instant::now();
+        for sidecar in sidecars.iter().filter(|sidecar| self.is_real(**sidecar)) {
+            let address = self.management_addresses[sidecar];
+            while tokio::net::TcpStream::connect(address).await.is_err() {
+                if started.elapsed() > PROCESS_TIMEOUT {
+                    let log = std::fs::read_to_string(self.folder.join(format!("{sidecar}.log")));
+                    let last = log
                         .unwrap_or_default()
                         .lines()
                         .last()
-                        .unwrap_or("it said nothing")
+                        .unwrap_or("its log is empty")
                         .to_string();
                     return Err(io::Error::other(format!(
-                        "sidecar {n} did not come up: {last}"
+                        "sidecar {sidecar} did not become ready: {last}"
                     )));
                 }
                 sleep(Duration::from_millis(20)).await;
             }
-            if let Some(child) = held(&self.reals).get(n) {
-                held(&self.heard).threads[*n] = threads(child.id());
+            if let Some(child) = lock(&self.real_processes).get(sidecar) {
+                lock(&self.reports).threads[*sidecar] = thread_paths(child.id());
             }
         }
-        self.wait("up", these, |threads| !threads.is_empty()).await
+        self.wait_for_threads("running", sidecars, |threads| !threads.is_empty())
+            .await
     }
 
-    /// What each says of itself; what does not answer is left out.
-    pub async fn statuses(&self, these: &[usize]) -> BTreeMap<usize, Value> {
-        held(&self.heard).statuses.clear();
-        let mut all = BTreeMap::new();
-        for n in these {
-            if let Some(door) = self.doors.get(n) {
-                let asked = tokio::task::block_in_place(|| {
-                    passroad::fleet::request_json(*door, "GET", "/admin/fleet", "")
+    /// The status of each sidecar; those that don't answer are left out.
+    pub async fn statuses(&self, sidecars: &[usize]) -> BTreeMap<usize, Value> {
+        lock(&self.reports).statuses.clear();
+        let mut statuses = BTreeMap::new();
+        for sidecar in sidecars {
+            if let Some(address) = self.management_addresses.get(sidecar) {
+                let answer = tokio::task::block_in_place(|| {
+                    passroad::fleet::request_json(*address, "GET", "/admin/fleet", "")
                 });
-                if let Ok(said) = asked {
-                    all.insert(*n, super::brief(&said));
+                if let Ok(status) = answer {
+                    statuses.insert(*sidecar, status_summary(&status));
                 }
             } else {
-                let _ = self.order("status", *n);
+                let _ = self.send_command("status", *sidecar);
             }
         }
-        let hollow = these.iter().filter(|n| !self.is_real(**n)).count();
-        let began = Instant::now();
-        while held(&self.heard).statuses.len() < hollow && began.elapsed() < PATIENCE {
+        let simulated = sidecars
+            .iter()
+            .filter(|sidecar| !self.is_real(**sidecar))
+            .count();
+        let started = Instant::now();
+        while lock(&self.reports).statuses.len() < simulated && started.elapsed() < PROCESS_TIMEOUT
+        {
             sleep(Duration::from_millis(20)).await;
         }
-        all.extend(
-            held(&self.heard)
+        statuses.extend(
+            lock(&self.reports)
                 .statuses
                 .iter()
-                .map(|(n, said)| (*n, said.clone())),
+                .map(|(sidecar, status)| (*sidecar, status.clone())),
         );
-        all
+        statuses
     }
 
-    /// Processor time so far of the thread of the list, with what else a real process runs, and of the fleet's.
+    /// CPU time so far by sidecar: of the discovery thread (in a real process, of all threads but the fleet thread), and of
+    /// the fleet thread.
     pub fn cpu(&self) -> Vec<[Duration; 2]> {
-        let threads = held(&self.heard).threads.clone();
-        let of = |paths: &Vec<PathBuf>| {
-            let mut both = [Duration::ZERO; 2];
-            for (n, path) in paths.iter().enumerate() {
-                // A real one's threads by their names; a hollow one's by their order.
-                let named = || std::fs::read_to_string(path.join("comm")).unwrap_or_default();
+        let threads = lock(&self.reports).threads.clone();
+        let by_thread = |paths: &Vec<PathBuf>| {
+            let mut times = [Duration::ZERO; 2];
+            for (index, path) in paths.iter().enumerate() {
+                // The threads of a real process are told apart by name, those of a simulated sidecar by order.
+                let name = || std::fs::read_to_string(path.join("comm")).unwrap_or_default();
                 let fleet = if paths.len() == 2 {
-                    n == 1
+                    index == 1
                 } else {
-                    named().trim() == "fleet"
+                    name().trim() == "fleet"
                 };
-                both[usize::from(fleet)] += ran(path);
+                times[usize::from(fleet)] += cpu_time(path);
             }
-            both
+            times
         };
-        threads.iter().map(of).collect()
+        threads.iter().map(by_thread).collect()
     }
 
-    /// Resident memory in bytes, without what is mapped from files: of each host, by how many share it, and of each real.
+    /// Anonymous resident memory in bytes: for each host, per running sidecar; and for each real sidecar.
     pub fn memory(&self) -> (Vec<f64>, Vec<f64>) {
-        let heard = held(&self.heard);
-        let up = |host: &Host| {
-            host.whose
+        let reports = lock(&self.reports);
+        let running = |host: &Host| {
+            host.sidecars
                 .iter()
-                .filter(|n| !heard.threads[**n].is_empty())
+                .filter(|sidecar| !reports.threads[**sidecar].is_empty())
                 .count()
         };
-        let hosts = held(&self.hosts);
-        let hollow = hosts.iter().filter(|host| up(host) > 0);
-        let hollow = hollow
-            .map(|host| resident(host.child.id(), "RssAnon:") / up(host) as f64)
+        let hosts = lock(&self.hosts);
+        let simulated = hosts.iter().filter(|host| running(host) > 0);
+        let simulated = simulated
+            .map(|host| resident_bytes(host.child.id(), "RssAnon:") / running(host) as f64)
             .collect();
-        let real = held(&self.reals)
+        let real = lock(&self.real_processes)
             .values()
-            .map(|child| resident(child.id(), "RssAnon:"))
+            .map(|child| resident_bytes(child.id(), "RssAnon:"))
             .collect();
-        (hollow, real)
+        (simulated, real)
     }
 
-    /// The whole resident memory of each real one, with the program itself.
-    pub fn whole_memory(&self) -> Vec<f64> {
-        held(&self.reals)
+    /// Total resident memory of each real sidecar, including the pages of the program file.
+    pub fn total_memory(&self) -> Vec<f64> {
+        lock(&self.real_processes)
             .values()
-            .map(|child| resident(child.id(), "VmRSS:"))
+            .map(|child| resident_bytes(child.id(), "VmRSS:"))
             .collect()
     }
 
     pub fn count(&self) -> usize {
-        held(&self.hosts).len() + held(&self.reals).len()
+        lock(&self.hosts).len() + lock(&self.real_processes).len()
     }
 
-    /// Which of them ended by itself.
-    pub fn crashed(&self) -> Vec<String> {
-        let mut all = Vec::new();
-        for (n, host) in held(&self.hosts).iter_mut().enumerate() {
+    /// Descriptions of the processes that ended on their own.
+    pub fn crashes(&self) -> Vec<String> {
+        let mut crashes = Vec::new();
+        for (host_number, host) in lock(&self.hosts).iter_mut().enumerate() {
             if let Ok(Some(status)) = host.child.try_wait() {
-                all.push(format!("host {n} ended by itself: {status}"));
+                crashes.push(format!("host {host_number} ended by itself: {status}"));
             }
         }
-        for (n, child) in held(&self.reals).iter_mut() {
+        for (sidecar, child) in lock(&self.real_processes).iter_mut() {
             if let Ok(Some(status)) = child.try_wait() {
-                all.push(format!("sidecar {n} ended by itself: {status}"));
+                crashes.push(format!("sidecar {sidecar} ended by itself: {status}"));
             }
         }
-        all
+        crashes
     }
 }
 
 impl Drop for Processes {
     fn drop(&mut self) {
-        let mut hosts = std::mem::take(&mut *held(&self.hosts));
-        let mut reals = std::mem::take(&mut *held(&self.reals));
+        let mut hosts = std::mem::take(&mut *lock(&self.hosts));
+        let mut real_processes = std::mem::take(&mut *lock(&self.real_processes));
         for child in hosts
             .iter_mut()
             .map(|host| &mut host.child)
-            .chain(reals.values_mut())
+            .chain(real_processes.values_mut())
         {
             let _ = child.kill();
         }
         for child in hosts
             .iter_mut()
             .map(|host| &mut host.child)
-            .chain(reals.values_mut())
+            .chain(real_processes.values_mut())
         {
             let _ = child.wait();
         }
     }
 }
 
-fn threads(pid: u32) -> Vec<PathBuf> {
+fn thread_paths(pid: u32) -> Vec<PathBuf> {
     let folder = std::fs::read_dir(format!("/proc/{pid}/task"));
     folder
         .into_iter()
@@ -412,18 +430,18 @@
         .collect()
 }
 
-/// What the kernel counts for a thread; nothing once it has ended.
-fn ran(thread: &Path) -> Duration {
+/// CPU time of a thread; zero once it has ended.
+fn cpu_time(thread: &Path) -> Duration {
     let text = std::fs::read_to_string(thread.join("schedstat")).unwrap_or_default();
     Duration::from_nanos(
         text.split(' ')
             .next()
-            .and_then(|ns| ns.parse().ok())
+            .and_then(|nanoseconds| nanoseconds.parse().ok())
             .unwrap_or_default(),
     )
 }
 
-fn resident(pid: u32, key: &str) -> f64 {
+fn resident_bytes(pid: u32, key: &str) -> f64 {
     let status = std::fs::read_to_string(format!("/proc/{pid}/status")).unwrap_or_default();
     let kb = status.lines().find_map(|line| line.strip_prefix(key));
     kb.and_then(|kb| kb.trim().trim_end_matches(" kB").parse::<f64>().ok())
--- a/crates/passroad-rig/tests/scale.rs
+++ b/crates/passroad-rig/tests/scale.rs
@@ -1,4 +1,4 @@
-//! Scale runs from the command line: what is refused, what a small one comes to, and that nothing is left behind.
+//! Scale runs from the command line: rejected files, the results of a small run, and that no process remains.
 
 use rstest::rstest;
 use std::path::PathBuf;
@@ -47,7 +47,7 @@
     }
 }
 
-fn said(output: &Output) -> (String, String) {
+fn stdout_and_stderr(output: &Output) -> (String, String) {
     let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).into_owned();
     (text(&output.stdout), text(&output.stderr))
 }
@@ -60,20 +60,16 @@
     "apart = \"5ms\"\nreal = 900\n",
     "line 2: real: 900 is not from 0 to 12"
 )]
-fn a_slip_is_named_by_file_line_and_key(
-    #[case] name: &str,
-    #[case] ahead: &str,
-    #[case] what: &str,
-) {
+fn errors_name_file_line_and_key(#[case] name: &str, #[case] prefix: &str, #[case] message: &str) {
     let folder = Folder::with(
         name,
-        &format!("{ahead}{}", SMALL.replace("settle = \"3s\"\n", "")),
+        &format!("{prefix}{}", SMALL.replace("settle = \"3s\"\n", "")),
     );
     let output = folder.rig().output().unwrap();
-    let (_, error) = said(&output);
+    let (_, error) = stdout_and_stderr(&output);
     assert_eq!(output.status.code(), Some(2), "{error}");
     assert!(
-        error.lines().count() == 1 && error.contains("scale.toml: ") && error.contains(what),
+        error.lines().count() == 1 && error.contains("scale.toml: ") && error.contains(message),
         "{error}"
     );
 }
@@ -92,28 +88,32 @@
 #[case::late(
     "late",
     "[[event]]\nname = \"e\"\nkind = \"kill\"\nat = \"3s\"\nfor = \"2s\"\n",
-    "at: the event ends behind"
+    "at: the event ends after"
 )]
 #[case::metric(
     "metric",
     "[[hold]]\nmetric = \"seconds\"\nat_least = 1\n",
     "metric: unknown 'seconds'"
 )]
-fn a_slip_in_an_event_is_named(#[case] name: &str, #[case] behind: &str, #[case] what: &str) {
-    let folder = Folder::with(name, &format!("{SMALL}{behind}"));
+fn errors_in_events_and_conditions_name_line_and_key(
+    #[case] name: &str,
+    #[case] suffix: &str,
+    #[case] message: &str,
+) {
+    let folder = Folder::with(name, &format!("{SMALL}{suffix}"));
     let output = folder.rig().output().unwrap();
-    let (_, error) = said(&output);
+    let (_, error) = stdout_and_stderr(&output);
     assert_eq!(output.status.code(), Some(2), "{error}");
     assert!(
-        error.lines().count() == 1 && error.contains("line ") && error.contains(what),
+        error.lines().count() == 1 && error.contains("line ") && error.contains(message),
         "{error}"
     );
 }
 
 #[rstest]
-fn what_does_not_fit_is_refused_and_its_need_told_first() {
+fn run_that_exceeds_the_machine_prints_its_requirements_and_is_refused() {
     let folder = Folder::with("fit", &SMALL.replace("[12]", "[1290]"));
-    // Each process may hold few descriptors: the shell that starts the rig says so.
+    // The shell that starts the rig sets a low descriptor limit for it.
     let output = Command::new("sh")
         .arg("-c")
         .arg("ulimit -n 300; exec \"$0\" scale \"$1\"")
@@ -121,7 +121,7 @@
         .arg(folder.0.join("scale.toml"))
         .output()
         .unwrap();
-    let (out, error) = said(&output);
+    let (out, error) = stdout_and_stderr(&output);
     assert_eq!(output.status.code(), Some(2), "{error}");
     assert!(
         out.contains("needs 11 processes of 200") && error.contains("does not fit"),
@@ -129,9 +129,10 @@
     );
 }
 
-/// Hollow ones, one of which is killed and comes back, and a real one beside them: each hears of all, and points come.
+/// A run of simulated sidecars, one of which is killed and restarted, and a real one: every sidecar learns of the death and of
+/// the restart, and points of both kinds are written.
 #[rstest]
-fn hollow_and_real_ones_are_counted_alike() {
+fn simulated_and_real_sidecars_are_measured_alike() {
     let text = SMALL
         .replace("settle", "real = 1\nsettle")
         .replace("length = \"4s\"", "length = \"16s\"");
@@ -146,21 +147,21 @@
         .args(["--commit", "abc"])
         .output()
         .unwrap();
-    let (out, error) = said(&output);
+    let (out, error) = stdout_and_stderr(&output);
     assert_eq!(output.status.code(), Some(0), "{out}{error}");
-    let whole: serde_json::Value = serde_json::from_slice(&std::fs::read(&json).unwrap()).unwrap();
+    let report: serde_json::Value = serde_json::from_slice(&std::fs::read(&json).unwrap()).unwrap();
     assert_eq!(
-        (&whole["commit"], &whole["seed"], &whole["simulated"]),
+        (&report["commit"], &report["seed"], &report["simulated"]),
         (&"abc".into(), &1.into(), &false.into())
     );
-    let points = whole["points"].as_array().unwrap();
+    let points = report["points"].as_array().unwrap();
     let value = |kind: &str, condition: &str, quantity: &str| {
-        let point = points.iter().find(|p| {
-            p["role"] == "control"
-                && p["kind"] == kind
-                && p["condition"] == condition
-                && p["quantity"] == quantity
-                && p["statistic"] == "mean"
+        let point = points.iter().find(|point| {
+            point["role"] == "control"
+                && point["kind"] == kind
+                && point["condition"] == condition
+                && point["quantity"] == quantity
+                && point["statistic"] == "mean"
         });
         point.unwrap_or_else(|| panic!("{kind} {condition} {quantity}: {out}"))["value"]
             .as_f64()
@@ -181,7 +182,7 @@
             );
         }
     }
-    // By ratio: what a hollow one says is what a real one says.
+    // A simulated sidecar sends about as many messages as a real one.
     let ratio = value("hollow", "rest", "messages-out") / value("real", "rest", "messages-out");
     assert!((0.3..3.0).contains(&ratio), "{ratio}: {out}");
     assert!(
@@ -190,20 +191,21 @@
     );
 }
 
-fn children(of: u32) -> Vec<u32> {
-    let all = std::fs::read_dir("/proc").unwrap().flatten();
-    let number = |entry: std::fs::DirEntry| {
+fn children(parent_pid: u32) -> Vec<u32> {
+    let entries = std::fs::read_dir("/proc").unwrap().flatten();
+    let pid = |entry: std::fs::DirEntry| {
         entry
             .file_name()
             .to_str()
-            .and_then(|n| n.parse::<u32>().ok())
+            .and_then(|name| name.parse::<u32>().ok())
     };
-    all.flat_map(number)
-        .filter(|pid| parent(*pid) == Some(of))
+    entries
+        .flat_map(pid)
+        .filter(|pid| parent(*pid) == Some(parent_pid))
         .collect()
 }
 
-/// Of a process that lives.
+/// The parent of a process; None if it has ended.
 fn parent(pid: u32) -> Option<u32> {
     let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).ok()?;
     let fields: Vec<String> = stat
@@ -216,7 +218,7 @@
 }
 
 #[rstest]
-fn nothing_is_left_behind_when_the_rig_is_killed() {
+fn no_process_remains_when_the_rig_is_killed() {
     let folder = Folder::with(
         "left",
         &SMALL.replace("length = \"4s\"", "length = \"60s\"\nreal = 1"),
@@ -227,18 +229,20 @@
         .stderr(Stdio::null())
         .spawn()
         .unwrap();
-    let until = |what: &str, done: &dyn Fn() -> bool| {
-        let began = Instant::now();
+    let wait_until = |failure: &str, done: &dyn Fn() -> bool| {
+        let started = Instant::now();
         while !done() {
-            assert!(began.elapsed().as_secs() < 30, "{what}");
+            assert!(started.elapsed().as_secs() < 30, "{failure}");
             std::thread::sleep(Duration::from_millis(20));
         }
     };
-    until("no two children", &|| children(rig.id()).len() == 2);
+    wait_until("the rig has not started two children", &|| {
+        children(rig.id()).len() == 2
+    });
     let pids = children(rig.id());
     rig.kill().unwrap();
     rig.wait().unwrap();
-    until("some are left", &|| {
+    wait_until("some child processes remain", &|| {
         pids.iter().all(|pid| parent(*pid).is_none())
     });
 }
