--- a/crates/passroad/tests/cancellation.rs
+++ b/crates/passroad/tests/cancellation.rs
@@ -2,12 +2,12 @@
 //! first nor a further one nor a second copy, wherever it waited. The process stands still for 150 ms between the leaving and
 //! what would have been the send; both lie ready when it goes on. See `docs/crossings.md`.
 
-mod clients;
-mod stand_ins;
+mod disconnects;
+mod harness;
 
-use clients::*;
+use disconnects::*;
+use harness::*;
 use rstest::rstest;
-use stand_ins::*;
 use std::io::{BufReader, Write};
 use std::net::Shutdown;
 use std::sync::Arc;
@@ -16,7 +16,7 @@
 
 /// Where attempts may not be cancelled, nothing but the last look keeps them from beginning.
 fn that(may_cancel: bool) -> String {
-    unhurried().replace(
+    slow_connect_settings().replace(
         "\"may_cancel\":true",
         &format!("\"may_cancel\":{may_cancel}"),
     )
@@ -26,25 +26,32 @@
 const ROUNDS: usize = 3;
 
 /// A request that goes on after `first` where its client stays.
-fn request(first: First, id: &str) -> String {
-    patiently(&if first == First::Declined {
-        book(id)
+fn request(first: FirstAttempt, id: &str) -> String {
+    with_long_deadline(&if first == FirstAttempt::Declined {
+        post_book(id)
     } else {
-        look(id)
+        get_look(id)
     })
 }
 
-fn warm_up(sidecar: &Sidecar, endpoints: [&StandIn; 2]) {
+fn warm_up(sidecar: &Sidecar, endpoints: [&FakeServer; 2]) {
     let mut n = 0;
-    until(|| {
+    wait_until(|| {
         n += 1;
         let mut clients: Vec<_> = (0..3)
-            .map(|k| sends(sidecar, &patiently(&look(&format!("warm{n}-{k}")))))
+            .map(|k| {
+                send(
+                    sidecar,
+                    &with_long_deadline(&get_look(&format!("warm{n}-{k}"))),
+                )
+            })
             .collect();
         clients
             .iter_mut()
-            .for_each(|client| assert_eq!(Message::read(client).unwrap().word(), "200"));
-        endpoints.iter().all(|endpoint| endpoint.count() > 3)
+            .for_each(|client| assert_eq!(Message::read(client).unwrap().status(), "200"));
+        endpoints
+            .iter()
+            .all(|endpoint| endpoint.request_count() > 3)
     });
 }
 
@@ -54,31 +61,41 @@
 // that is kept and rests.
 #[rstest]
 fn no_further_attempt_begins_once_the_client_left(
-    #[values(First::Declined, First::Failed, First::Reset)] first: First,
+    #[values(FirstAttempt::Declined, FirstAttempt::Failed, FirstAttempt::Reset)]
+    first: FirstAttempt,
     #[values(
-        Leaves::Closes,
-        Leaves::Resets,
-        Leaves::ShutsSending,
-        Leaves::BehindNext
+        Disconnect::Close,
+        Disconnect::Reset,
+        Disconnect::HalfClose,
+        Disconnect::AfterNextRequest
     )]
-    how: Leaves,
+    how: Disconnect,
     #[values(false, true)] kept: bool,
     #[values(false, true)] may_cancel: bool,
 ) {
     for _ in 0..ROUNDS {
         let (gate, attempts) = (Gate::default(), Arc::<AtomicUsize>::default());
         let (one, other) = (
-            fails_first(&gate, &attempts, first),
-            fails_first(&gate, &attempts, first),
+            endpoint_failing_first_attempt(&gate, &attempts, first),
+            endpoint_failing_first_attempt(&gate, &attempts, first),
+        );
+        let sidecar = start_sidecar_with(
+            &two_members(&one, &other),
+            unused_address(),
+            &that(may_cancel),
         );
-        let sidecar = sidecar_with(&both(&one, &other), nowhere(), &that(may_cancel));
         if kept {
             warm_up(&sidecar, [&one, &other]);
         }
-        let client = sends(&sidecar, &request(first, "left"));
-        until(|| attempts.load(SeqCst) == 1);
-        let rest = cross(&sidecar, client, how, || gate.open());
-        assert_eq!(sidecar.ask(&patiently(&look("next-one"))).word(), "200");
+        let client = send(&sidecar, &request(first, "left"));
+        wait_until(|| attempts.load(SeqCst) == 1);
+        let rest = event_then_disconnect(&sidecar, client, how, || gate.open());
+        assert_eq!(
+            sidecar
+                .request(&with_long_deadline(&get_look("next-one")))
+                .status(),
+            "200"
+        );
         sleep(50 * MS);
         assert_eq!(attempts.load(SeqCst), 1);
         drop(rest);
@@ -88,18 +105,23 @@
 // The same where the client stays: there is a further attempt, so the test above tells something.
 #[rstest]
 fn a_further_attempt_begins_where_the_client_stays(
-    #[values(First::Declined, First::Failed, First::Reset)] first: First,
+    #[values(FirstAttempt::Declined, FirstAttempt::Failed, FirstAttempt::Reset)]
+    first: FirstAttempt,
 ) {
     let (gate, attempts) = (Gate::default(), Arc::<AtomicUsize>::default());
     let (one, other) = (
-        fails_first(&gate, &attempts, first),
-        fails_first(&gate, &attempts, first),
+        endpoint_failing_first_attempt(&gate, &attempts, first),
+        endpoint_failing_first_attempt(&gate, &attempts, first),
+    );
+    let sidecar = start_sidecar_with(
+        &two_members(&one, &other),
+        unused_address(),
+        &slow_connect_settings(),
     );
-    let sidecar = sidecar_with(&both(&one, &other), nowhere(), &unhurried());
-    let mut client = sends(&sidecar, &request(first, "left"));
-    until(|| attempts.load(SeqCst) == 1);
+    let mut client = send(&sidecar, &request(first, "left"));
+    wait_until(|| attempts.load(SeqCst) == 1);
     gate.open();
-    assert_eq!(Message::read(&mut client).unwrap().word(), "200");
+    assert_eq!(Message::read(&mut client).unwrap().status(), "200");
     assert_eq!(attempts.load(SeqCst), 2);
 }
 
@@ -107,31 +129,35 @@
 fn second_waits(
     request: &str,
     may_cancel: bool,
-) -> (Sidecar, BufReader<std::net::TcpStream>, Late) {
-    let (gate, attempts, late) = (Gate::default(), Arc::<AtomicUsize>::default(), Late::new());
-    let first = fails_first(&gate, &attempts, First::Declined);
+) -> (Sidecar, BufReader<std::net::TcpStream>, DelayedListener) {
+    let (gate, attempts, late) = (
+        Gate::default(),
+        Arc::<AtomicUsize>::default(),
+        DelayedListener::new(),
+    );
+    let first = endpoint_failing_first_attempt(&gate, &attempts, FirstAttempt::Declined);
     let known = member("s-1", first.address, "up");
-    let discovery = discovery(&known);
-    let sidecar = sidecar_with(&known, discovery.stand_in.address, &that(may_cancel));
-    let client = sends(&sidecar, request);
-    until(|| attempts.load(SeqCst) == 1);
+    let discovery = fake_discovery(&known);
+    let sidecar = start_sidecar_with(&known, discovery.server.address, &that(may_cancel));
+    let client = send(&sidecar, request);
+    wait_until(|| attempts.load(SeqCst) == 1);
     let list = format!(
         "{},{}",
         member("s-1", first.address, "draining"),
         member("s-2", late.address, "up")
     );
-    *discovery.list.lock().unwrap() = (2, list);
-    until(|| {
+    discovery.publish(2, list);
+    wait_until(|| {
         discovery
-            .stand_in
-            .seen
+            .server
+            .requests
             .lock()
             .unwrap()
             .iter()
-            .any(|m| m.word().contains("from=2&"))
+            .any(|request| request.target().contains("from=2&"))
     });
     gate.open();
-    until(|| dials(late.address));
+    wait_until(|| is_connecting(late.address));
     (sidecar, client, late)
 }
 
@@ -139,43 +165,47 @@
 #[rstest]
 fn the_connection_of_a_further_attempt_comes_up_for_nobody(
     #[values(
-        Leaves::Closes,
-        Leaves::Resets,
-        Leaves::ShutsSending,
-        Leaves::BehindNext
+        Disconnect::Close,
+        Disconnect::Reset,
+        Disconnect::HalfClose,
+        Disconnect::AfterNextRequest
     )]
-    how: Leaves,
+    how: Disconnect,
     #[values(false, true)] same_turn: bool,
     #[values(false, true)] may_cancel: bool,
 ) {
-    let (sidecar, client, late) = second_waits(&patiently(&book("left")), may_cancel);
+    let (sidecar, client, late) = second_waits(&with_long_deadline(&post_book("left")), may_cancel);
     let address = late.address;
     let (came, _rest) = if same_turn {
         sidecar.signal("STOP");
-        let rest = leave(client, how);
-        let waits = late.lets_in();
+        let rest = disconnect(client, how);
+        let waits = late.accept_and_read();
         sleep(2500 * MS);
         sidecar.signal("CONT");
         (waits.join().unwrap(), rest)
     } else {
-        let rest = leave(client, how);
+        let rest = disconnect(client, how);
         // What it held is free at once: its connection is given up.
-        until(|| !dials(address));
-        (late.lets_in().join().unwrap(), rest)
+        wait_until(|| !is_connecting(address));
+        (late.accept_and_read().join().unwrap(), rest)
     };
-    assert!(!says(&came, "left"), "{}", String::from_utf8_lossy(&came));
+    assert!(
+        !contains_request(&came, "left"),
+        "{}",
+        String::from_utf8_lossy(&came)
+    );
 }
 
 // All endpoints refuse connections, and the request waits out their backoff; one takes connections again, and the backoff
 // ends in the turn in which the client leaves.
 #[rstest]
-#[case::closes(Some(Leaves::Closes))]
-#[case::resets(Some(Leaves::Resets))]
-#[case::shuts_sending(Some(Leaves::ShutsSending))]
-#[case::behind_a_next_request(Some(Leaves::BehindNext))]
+#[case::close(Some(Disconnect::Close))]
+#[case::reset(Some(Disconnect::Reset))]
+#[case::half_close(Some(Disconnect::HalfClose))]
+#[case::after_next_request(Some(Disconnect::AfterNextRequest))]
 #[case::stays(None)]
-fn no_attempt_begins_behind_a_backoff_once_the_client_left(#[case] how: Option<Leaves>) {
-    let address = nowhere();
+fn no_attempt_begins_behind_a_backoff_once_the_client_left(#[case] how: Option<Disconnect>) {
+    let address = unused_address();
     // An endpoint is tried again by the shortest goal, and a request waits for a quarter of its own.
     let settings = that(false).replacen(
         "\"response_goal\":5000000000",
@@ -187,23 +217,28 @@
         "\"response_goal\":40000000000",
     );
     let settings = settings.replace("\"time_limit\":8000000000", "\"time_limit\":60000000000");
-    let sidecar = sidecar_with(&member("s-1", address, "up"), nowhere(), &settings);
-    let mut client = sends(&sidecar, &book("left").replace("Ms: 900", "Ms: 59000"));
+    let sidecar = start_sidecar_with(&member("s-1", address, "up"), unused_address(), &settings);
+    let mut client = send(&sidecar, &post_book("left").replace("Ms: 900", "Ms: 59000"));
     sleep(50 * MS);
     sidecar.signal("STOP");
-    let seen = willing_at(address);
+    let seen = ok_endpoint_at(address);
     sleep(1000 * MS);
     let rest = match how {
-        Some(how) => leave(client, how),
+        Some(how) => disconnect(client, how),
         None => {
             sidecar.signal("CONT");
-            assert_eq!(Message::read(&mut client).unwrap().word(), "200");
+            assert_eq!(Message::read(&mut client).unwrap().status(), "200");
             return;
         }
     };
-    sleep(STANDSTILL);
+    sleep(PAUSE);
     sidecar.signal("CONT");
-    until(|| sidecar.ask(&patiently(&look("next-one"))).word() == "200");
+    wait_until(|| {
+        sidecar
+            .request(&with_long_deadline(&get_look("next-one")))
+            .status()
+            == "200"
+    });
     assert!(
         !seen.lock().unwrap().contains(&"left".to_string()),
         "{:?}",
@@ -215,13 +250,13 @@
 // ---- second copies ----
 
 fn with_copies() -> String {
-    unhurried().replace("\"second_copies\":false", "\"second_copies\":true")
+    slow_connect_settings().replace("\"second_copies\":false", "\"second_copies\":true")
 }
 
 /// An endpoint that takes its time, so that a copy is due some time after the first attempt; `left` is never answered.
-fn unhurried_endpoint(attempts: &Arc<AtomicUsize>) -> StandIn {
+fn unhurried_endpoint(attempts: &Arc<AtomicUsize>) -> FakeServer {
     let attempts = Arc::clone(attempts);
-    stand_in(move |message, to| {
+    fake_server(move |message, to| {
         if message
             .header("req-id")
             .is_some_and(|id| id.starts_with("left"))
@@ -230,18 +265,20 @@
             return true;
         }
         sleep(150 * MS);
-        answer(to, "200 OK", "", b"ok");
+        respond(to, "200 OK", "", b"ok");
         true
     })
 }
 
 /// A sidecar that knows how long its endpoints take.
-fn knows_pace(settings: &str, attempts: &Arc<AtomicUsize>) -> (Sidecar, StandIn, StandIn) {
+fn knows_pace(settings: &str, attempts: &Arc<AtomicUsize>) -> (Sidecar, FakeServer, FakeServer) {
     let (one, other) = (unhurried_endpoint(attempts), unhurried_endpoint(attempts));
-    let sidecar = sidecar_with(&both(&one, &other), nowhere(), settings);
+    let sidecar = start_sidecar_with(&two_members(&one, &other), unused_address(), settings);
     for n in 0..12 {
         assert_eq!(
-            sidecar.ask(&patiently(&look(&format!("warm{n}")))).word(),
+            sidecar
+                .request(&with_long_deadline(&get_look(&format!("warm{n}"))))
+                .status(),
             "200"
         );
     }
@@ -250,27 +287,32 @@
 
 // The first attempt hangs; its copy is due in the turn in which the client leaves.
 #[rstest]
-#[case::closes(Leaves::Closes)]
-#[case::resets(Leaves::Resets)]
-#[case::shuts_sending(Leaves::ShutsSending)]
-#[case::behind_a_next_request(Leaves::BehindNext)]
-fn no_second_copy_begins_once_the_client_left(#[case] how: Leaves) {
+#[case::close(Disconnect::Close)]
+#[case::reset(Disconnect::Reset)]
+#[case::half_close(Disconnect::HalfClose)]
+#[case::after_next_request(Disconnect::AfterNextRequest)]
+fn no_second_copy_begins_once_the_client_left(#[case] how: Disconnect) {
     let attempts = Arc::<AtomicUsize>::default();
     let (sidecar, ..) = knows_pace(&with_copies(), &attempts);
     let mut rounds = 0;
     // On a slow machine the copy may have gone out before the process stands still.
     for n in 0..40 {
         attempts.store(0, SeqCst);
-        let client = sends(&sidecar, &patiently(&look(&format!("left{n}"))));
-        until(|| attempts.load(SeqCst) > 0);
+        let client = send(
+            &sidecar,
+            &with_long_deadline(&get_look(&format!("left{n}"))),
+        );
+        wait_until(|| attempts.load(SeqCst) > 0);
         sidecar.signal("STOP");
         sleep(5 * MS);
         let before = attempts.load(SeqCst);
-        let rest = leave(client, how);
+        let rest = disconnect(client, how);
         sleep(1500 * MS);
         sidecar.signal("CONT");
         assert_eq!(
-            sidecar.ask(&patiently(&look(&format!("next{n}")))).word(),
+            sidecar
+                .request(&with_long_deadline(&get_look(&format!("next{n}"))))
+                .status(),
             "200"
         );
         assert_eq!(attempts.load(SeqCst), before);
@@ -287,8 +329,8 @@
 fn a_second_copy_begins_where_the_client_stays() {
     let attempts = Arc::<AtomicUsize>::default();
     let (sidecar, ..) = knows_pace(&with_copies(), &attempts);
-    let _client = sends(&sidecar, &patiently(&look("left")));
-    until(|| attempts.load(SeqCst) == 2);
+    let _client = send(&sidecar, &with_long_deadline(&get_look("left")));
+    wait_until(|| attempts.load(SeqCst) == 2);
 }
 
 // ---- waiting for a permit ----
@@ -298,12 +340,12 @@
 fn what_waited_for_a_permit_to_connect_is_not_sent_once_its_client_left(
     #[values(false, true)] further: bool,
     #[values(
-        Leaves::Closes,
-        Leaves::Resets,
-        Leaves::ShutsSending,
-        Leaves::BehindNext
+        Disconnect::Close,
+        Disconnect::Reset,
+        Disconnect::HalfClose,
+        Disconnect::AfterNextRequest
     )]
-    how: Leaves,
+    how: Disconnect,
     #[values(false, true)] may_cancel: bool,
 ) {
     // Six connections to endpoints.
@@ -314,23 +356,24 @@
         Arc::<AtomicUsize>::default(),
     );
     let endpoint = |_| {
-        let (own, turns_away, attempts) = (gate.clone(), turns_away.clone(), Arc::clone(&attempts));
-        stand_in(move |message, to| {
+        let (handler_gate, turns_away, attempts) =
+            (gate.clone(), turns_away.clone(), Arc::clone(&attempts));
+        fake_server(move |message, to| {
             if message
                 .header("req-id")
                 .is_some_and(|id| id.starts_with("left"))
             {
                 if attempts.fetch_add(1, SeqCst) == 0 && further {
-                    turns_away.pass();
-                    declines(to);
+                    turns_away.wait_until_open();
+                    respond_declined(to);
                     let _ = to.shutdown(Shutdown::Both);
                     return false;
                 }
-                answer(to, "200 OK", "", b"ok");
+                respond(to, "200 OK", "", b"ok");
                 return true;
             }
-            own.pass();
-            answer(to, "200 OK", "Connection: close\r\n", b"ok");
+            handler_gate.wait_until_open();
+            respond(to, "200 OK", "Connection: close\r\n", b"ok");
             let _ = to.shutdown(Shutdown::Both);
             false
         })
@@ -341,30 +384,48 @@
         .enumerate()
         .map(|(n, e)| member(&format!("s-{n}"), e.address, "up"))
         .collect();
-    let address = nowhere();
-    let text = told(address, nowhere(), &known.join(","), &that(may_cancel));
+    let address = unused_address();
+    let text = config_json(
+        address,
+        unused_address(),
+        &known.join(","),
+        &that(may_cancel),
+    );
     let sidecar = Sidecar::start(address, &text.replace("\"sockets\":64", "\"sockets\":48"));
-    let out = || endpoints.iter().map(StandIn::count).sum::<usize>();
-    let holds = |n: usize| sends(&sidecar, &patiently(&book(&format!("holds{n}"))));
+    let out = || {
+        endpoints
+            .iter()
+            .map(FakeServer::request_count)
+            .sum::<usize>()
+    };
+    let holds = |n: usize| {
+        send(
+            &sidecar,
+            &with_long_deadline(&post_book(&format!("holds{n}"))),
+        )
+    };
     let (client, others): (_, Vec<_>) = if further {
-        let client = sends(&sidecar, &patiently(&book("left")));
-        until(|| attempts.load(SeqCst) == 1);
+        let client = send(&sidecar, &with_long_deadline(&post_book("left")));
+        wait_until(|| attempts.load(SeqCst) == 1);
         // The last of them gets the connection that `left` gives back.
         let others = (0..OUT).map(holds).collect();
-        until(|| out() == OUT);
+        wait_until(|| out() == OUT);
         turns_away.open();
-        until(|| out() == OUT + 1);
+        wait_until(|| out() == OUT + 1);
         (client, others)
     } else {
         let others = (0..OUT).map(holds).collect();
-        until(|| out() == OUT);
-        (sends(&sidecar, &patiently(&book("left"))), others)
+        wait_until(|| out() == OUT);
+        (
+            send(&sidecar, &with_long_deadline(&post_book("left"))),
+            others,
+        )
     };
     sleep(100 * MS);
     let before = attempts.load(SeqCst);
-    let rest = cross(&sidecar, client, how, || gate.open());
+    let rest = event_then_disconnect(&sidecar, client, how, || gate.open());
     for mut other in others {
-        assert_eq!(Message::read(&mut other).unwrap().word(), "200");
+        assert_eq!(Message::read(&mut other).unwrap().status(), "200");
     }
     sleep(50 * MS);
     assert_eq!(attempts.load(SeqCst), before);
@@ -387,47 +448,47 @@
 #[rstest]
 fn what_waited_in_the_module_is_not_sent_once_its_client_left(
     #[values(
-        Leaves::Closes,
-        Leaves::Resets,
-        Leaves::ShutsSending,
-        Leaves::BehindNext
+        Disconnect::Close,
+        Disconnect::Reset,
+        Disconnect::HalfClose,
+        Disconnect::AfterNextRequest
     )]
-    how: Leaves,
+    how: Disconnect,
     #[values(false, true)] may_cancel: bool,
 ) {
     let gate = Gate::default();
-    let own = gate.clone();
-    let endpoint = stand_in(move |_, to| {
-        own.pass();
-        answer(to, "200 OK", "", b"ok");
+    let handler_gate = gate.clone();
+    let endpoint = fake_server(move |_, to| {
+        handler_gate.wait_until_open();
+        respond(to, "200 OK", "", b"ok");
         true
     });
     let known = member("s-1", endpoint.address, "up");
-    let sidecar = sidecar_with(&known, nowhere(), &waits_long(may_cancel));
-    let send = |id: &str| sends(&sidecar, &book(id).replace("Ms: 900", "Ms: 59000"));
+    let sidecar = start_sidecar_with(&known, unused_address(), &waits_long(may_cancel));
+    let send = |id: &str| send(&sidecar, &post_book(id).replace("Ms: 900", "Ms: 59000"));
     let mut out = Vec::new();
     // The first that is not sent at once waits for room.
     let waits = loop {
         let client = send(&out.len().to_string());
         sleep(300 * MS);
-        if endpoint.count() == out.len() {
+        if endpoint.request_count() == out.len() {
             break client;
         }
         out.push(client);
         assert!(out.len() < 8, "nothing waits");
     };
-    let rest = cross(&sidecar, waits, how, || gate.open());
+    let rest = event_then_disconnect(&sidecar, waits, how, || gate.open());
     let id = out.len().to_string();
     for client in &mut out {
-        assert_eq!(Message::read(client).unwrap().word(), "200");
+        assert_eq!(Message::read(client).unwrap().status(), "200");
     }
     assert_eq!(
         sidecar
-            .ask(&look("next-one").replace("Ms: 900", "Ms: 59000"))
-            .word(),
+            .request(&get_look("next-one").replace("Ms: 900", "Ms: 59000"))
+            .status(),
         "200"
     );
-    assert_eq!(sent(&endpoint, &id), 0);
+    assert_eq!(times_sent(&endpoint, &id), 0);
     drop(rest);
 }
 
@@ -439,38 +500,49 @@
 fn what_a_client_left_behind_during_a_stop_does_not_begin(
     #[values(false, true)] half_read: bool,
     #[values(
-        Leaves::Closes,
-        Leaves::Resets,
-        Leaves::ShutsSending,
-        Leaves::BehindNext
+        Disconnect::Close,
+        Disconnect::Reset,
+        Disconnect::HalfClose,
+        Disconnect::AfterNextRequest
     )]
-    how: Leaves,
+    how: Disconnect,
     #[values(false, true)] may_cancel: bool,
 ) {
-    let endpoint = willing("ok");
+    let endpoint = ok_endpoint("ok");
     let known = member("s-1", endpoint.address, "up");
-    let mut sidecar = sidecar_with(&known, nowhere(), &that(may_cancel));
+    let mut sidecar = start_sidecar_with(&known, unused_address(), &that(may_cancel));
     let mut warm: Vec<_> = (0..4)
-        .map(|n| sends(&sidecar, &patiently(&look(&format!("warm{n}")))))
+        .map(|n| {
+            send(
+                &sidecar,
+                &with_long_deadline(&get_look(&format!("warm{n}"))),
+            )
+        })
         .collect();
     warm.iter_mut()
-        .for_each(|client| assert_eq!(Message::read(client).unwrap().word(), "200"));
-    let request = patiently(&book("left"));
+        .for_each(|client| assert_eq!(Message::read(client).unwrap().status(), "200"));
+    let request = with_long_deadline(&post_book("left"));
     let (first, rest) = request.split_at(request.len() - 2);
-    let early = half_read.then(|| sends(&sidecar, first));
+    let early = half_read.then(|| send(&sidecar, first));
     sleep(50 * MS);
     sidecar.signal("STOP");
     sidecar.signal("TERM");
-    let mut client = early.unwrap_or_else(|| sends(&sidecar, first));
+    let mut client = early.unwrap_or_else(|| send(&sidecar, first));
     client.get_mut().write_all(rest.as_bytes()).unwrap();
-    let kept = leave(client, how);
-    let mut stays = sends(&sidecar, &patiently(&book("stays")));
-    sleep(STANDSTILL);
+    let kept = disconnect(client, how);
+    let mut stays = send(&sidecar, &with_long_deadline(&post_book("stays")));
+    sleep(PAUSE);
     sidecar.signal("CONT");
-    assert_eq!(Message::read(&mut stays).unwrap().word(), "200");
+    assert_eq!(Message::read(&mut stays).unwrap().status(), "200");
     drop(kept);
     assert_eq!(sidecar.child.wait().unwrap().code(), Some(0));
-    assert_eq!((sent(&endpoint, "left"), sent(&endpoint, "stays")), (0, 1));
+    assert_eq!(
+        (
+            times_sent(&endpoint, "left"),
+            times_sent(&endpoint, "stays")
+        ),
+        (0, 1)
+    );
 }
 
 // ---- behind bytes that nobody reads ----
@@ -479,7 +551,7 @@
 const NEXT: &str = "GET /look HTTP/1.1\r\nHost: b\r\nX-More: ";
 
 fn in_chunks(id: &str) -> String {
-    patiently(&book(id)).replace(
+    with_long_deadline(&post_book(id)).replace(
         "Content-Length: 4\r\n\r\nseat",
         "Transfer-Encoding: chunked\r\n\r\n4\r\nseat\r\n0\r\n\r\n",
     )
@@ -490,51 +562,77 @@
 #[rstest]
 fn the_leaving_behind_a_pipelined_next_request_is_seen(
     #[values(false, true)] further: bool,
-    #[values(Leaves::Closes, Leaves::Resets)] how: Leaves,
+    #[values(Disconnect::Close, Disconnect::Reset)] how: Disconnect,
 ) {
     let request = format!("{}{NEXT}", in_chunks("left"));
     let (sidecar, mut client, late) = if further {
         second_waits(&request, true)
     } else {
-        let late = Late::new();
-        let sidecar = sidecar_with(&member("s-1", late.address, "up"), nowhere(), &unhurried());
-        let client = sends(&sidecar, &request);
-        until(|| dials(late.address));
+        let late = DelayedListener::new();
+        let sidecar = start_sidecar_with(
+            &member("s-1", late.address, "up"),
+            unused_address(),
+            &slow_connect_settings(),
+        );
+        let client = send(&sidecar, &request);
+        wait_until(|| is_connecting(late.address));
         (sidecar, client, late)
     };
     client.get_mut().write_all(b"more\r\n").unwrap();
     sleep(20 * MS);
-    let rest = leave(client, how);
-    sleep(STANDSTILL);
-    let came = late.lets_in().join().unwrap();
-    assert!(!says(&came, "left"), "{}", String::from_utf8_lossy(&came));
+    let rest = disconnect(client, how);
+    sleep(PAUSE);
+    let came = late.accept_and_read().join().unwrap();
+    assert!(
+        !contains_request(&came, "left"),
+        "{}",
+        String::from_utf8_lossy(&came)
+    );
     // Its request is over: the same id is taken again.
-    assert_ne!(sidecar.ask(&patiently(&look("left"))).word(), "409");
+    assert_ne!(
+        sidecar
+            .request(&with_long_deadline(&get_look("left")))
+            .status(),
+        "409"
+    );
     drop(rest);
 }
 
 // A long body is read as it is passed on. Its client leaves halfway, behind bytes that wait for the connection to come up.
 #[rstest]
-#[case::closes(Leaves::Closes)]
-#[case::resets(Leaves::Resets)]
-#[case::shuts_sending(Leaves::ShutsSending)]
-fn the_leaving_behind_a_part_of_a_long_body_is_seen(#[case] how: Leaves) {
-    let late = Late::new();
-    let sidecar = sidecar_with(&member("s-1", late.address, "up"), nowhere(), &unhurried());
-    let head = patiently(&book("left")).replace(
+#[case::close(Disconnect::Close)]
+#[case::reset(Disconnect::Reset)]
+#[case::half_close(Disconnect::HalfClose)]
+fn the_leaving_behind_a_part_of_a_long_body_is_seen(#[case] how: Disconnect) {
+    let late = DelayedListener::new();
+    let sidecar = start_sidecar_with(
+        &member("s-1", late.address, "up"),
+        unused_address(),
+        &slow_connect_settings(),
+    );
+    let head = with_long_deadline(&post_book("left")).replace(
         "Content-Length: 4\r\n\r\nseat",
         "Content-Length: 2000000\r\n\r\n",
     );
-    let mut client = sends(&sidecar, &head);
-    until(|| dials(late.address));
+    let mut client = send(&sidecar, &head);
+    wait_until(|| is_connecting(late.address));
     client.get_mut().write_all(&[b'x'; 40_000]).unwrap();
     sleep(20 * MS);
-    let rest = leave(client, how);
-    sleep(STANDSTILL);
-    let came = late.lets_in().join().unwrap();
-    assert!(!says(&came, "left"), "{}", String::from_utf8_lossy(&came));
+    let rest = disconnect(client, how);
+    sleep(PAUSE);
+    let came = late.accept_and_read().join().unwrap();
+    assert!(
+        !contains_request(&came, "left"),
+        "{}",
+        String::from_utf8_lossy(&came)
+    );
     // Its request is over: the same id is taken again.
-    assert_ne!(sidecar.ask(&patiently(&look("left"))).word(), "409");
+    assert_ne!(
+        sidecar
+            .request(&with_long_deadline(&get_look("left")))
+            .status(),
+        "409"
+    );
     drop(rest);
 }
 
@@ -548,7 +646,7 @@
     let long_over = Arc::<AtomicUsize>::default();
     let over = Arc::clone(&long_over);
     // An answer tells which connection it came over.
-    let endpoint = stand_in(move |message, to| {
+    let endpoint = fake_server(move |message, to| {
         let port = usize::from(to.peer_addr().unwrap().port());
         let id = message.header("req-id").unwrap();
         let Some(pieces) = id
@@ -557,7 +655,7 @@
         else {
             // Longer than an answer may stop halfway.
             sleep(250 * MS);
-            answer(to, "200 OK", "", port.to_string().as_bytes());
+            respond(to, "200 OK", "", port.to_string().as_bytes());
             return true;
         };
         over.store(port, SeqCst);
@@ -571,10 +669,10 @@
         let _ = to.write_all(b"0\r\n\r\n");
         true
     });
-    let sidecar = sidecar_with(
+    let sidecar = start_sidecar_with(
         &member("s-1", endpoint.address, "up"),
-        nowhere(),
-        &unhurried(),
+        unused_address(),
+        &slow_connect_settings(),
     );
     // The answer behind a long one that nobody reads, and whether it came over the same connection.
     let behind = |pieces: usize| {
@@ -583,12 +681,12 @@
         socket.set_recv_buffer_size(4096).unwrap();
         socket.connect(&sidecar.address.into()).unwrap();
         let mut slow = std::net::TcpStream::from(socket);
-        slow.write_all(patiently(&look(&format!("long{pieces}"))).as_bytes())
+        slow.write_all(with_long_deadline(&get_look(&format!("long{pieces}"))).as_bytes())
             .unwrap();
         sleep(150 * MS);
-        let answer = sidecar.ask(&patiently(&book(&format!("next{pieces}"))));
+        let answer = sidecar.request(&with_long_deadline(&post_book(&format!("next{pieces}"))));
         let same = answer.body == long_over.load(SeqCst).to_string().as_bytes();
-        (answer.word().to_string(), same)
+        (answer.status().to_string(), same)
     };
     // How many pieces are taken on the way before the client holds all up.
     let (mut taken, mut held_up) = (2, 1000);
--- a/crates/passroad/tests/descriptors.rs
+++ b/crates/passroad/tests/descriptors.rs
@@ -1,11 +1,11 @@
 //! Idle clients that fill the descriptors while discovery is down. See `docs/crossings.md`.
 
-mod crowd;
-mod stand_ins;
+mod harness;
+mod idle_clients;
 
-use crowd::{Crowd, Limited};
+use harness::*;
+use idle_clients::{IdleClients, LimitedSidecar};
 use rstest::rstest;
-use stand_ins::*;
 use std::io::{BufReader, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::{Arc, Mutex};
@@ -14,8 +14,8 @@
 
 /// Does nothing, unless a test has started this process as one of its crowd.
 #[test]
-fn a_process_of_the_crowd() {
-    crowd::play();
+fn idle_client_process() {
+    idle_clients::run_child();
 }
 
 /// A discovery that is back: tells a list and lets watches from there wait. When it was called first.
@@ -32,9 +32,9 @@
                 let (mut reader, mut stream) =
                     (BufReader::new(stream.try_clone().unwrap()), stream);
                 while let Some(call) = Message::read(&mut reader) {
-                    if !call.word().contains("from=9&") {
+                    if !call.target().contains("from=9&") {
                         own.lock().unwrap().get_or_insert(Instant::now());
-                        answer(&mut stream, "200 OK", "", list.as_bytes());
+                        respond(&mut stream, "200 OK", "", list.as_bytes());
                     }
                 }
             });
@@ -49,9 +49,11 @@
     stream
         .set_read_timeout(Some(Duration::from_secs(20)))
         .ok()?;
-    stream.write_all(patiently(&look(id)).as_bytes()).ok()?;
+    stream
+        .write_all(with_long_deadline(&get_look(id)).as_bytes())
+        .ok()?;
     let answer = Message::read(&mut BufReader::new(stream))?;
-    Some((answer.word().to_string(), answer.body))
+    Some((answer.status().to_string(), answer.body))
 }
 
 /// Requests one after the other, of which each has to be answered.
@@ -96,7 +98,7 @@
     #[case] told_limit: usize,
     #[case] later: Option<usize>,
 ) {
-    let (first, second) = (willing("first"), willing("second"));
+    let (first, second) = (ok_endpoint("first"), ok_endpoint("second"));
     let both = |phase| {
         [
             member("s-1", first.address, phase),
@@ -104,21 +106,24 @@
         ]
         .join(",")
     };
-    let (address, discovery) = (nowhere(), nowhere());
-    let settings = patient().replace("\"ask_every\":400000000", "\"ask_every\":10000000000");
+    let (address, discovery) = (unused_address(), unused_address());
+    let settings =
+        long_deadline_settings().replace("\"ask_every\":400000000", "\"ask_every\":10000000000");
     // A busy machine is not taken for endpoints that can't be reached: connections have 2 s to come up, probes 1.6 s.
     let settings = settings.replace(
         "\"connect_timeout\":250000000",
         "\"connect_timeout\":8000000000",
     );
-    let text = told(address, discovery, &both("up"), &settings)
+    let text = config_json(address, discovery, &both("up"), &settings)
         .replace("\"sockets\":64", &format!("\"sockets\":{told_limit}"));
-    let sidecar = Limited::start(address, &text, at_start);
-    later.into_iter().for_each(|limit| sidecar.limit(limit));
+    let sidecar = LimitedSidecar::start(address, &text, at_start);
+    later
+        .into_iter()
+        .for_each(|limit| sidecar.set_descriptor_limit(limit));
     let limit = later.unwrap_or(at_start);
-    let crowd = Crowd::come(address, limit * 3 / 2);
-    until(|| sidecar.descriptors() > limit / 2);
-    let (began, used) = (Instant::now(), sidecar.processor());
+    let crowd = IdleClients::connect(address, limit * 3 / 2);
+    wait_until(|| sidecar.open_descriptors() > limit / 2);
+    let (began, used) = (Instant::now(), sidecar.cpu_centiseconds());
     let mut requests = Requests {
         to: address,
         count: 0,
@@ -128,18 +133,25 @@
     // For longer than a request's limit: the crowd has then been there for as long as any request may wait.
     while began.elapsed() < Duration::from_secs(9) {
         requests.next();
-        assert!(sidecar.descriptors() <= limit, "{}", sidecar.descriptors());
+        assert!(
+            sidecar.open_descriptors() <= limit,
+            "{}",
+            sidecar.open_descriptors()
+        );
     }
     let list = format!(
         r#"{{"revision":9,"complete":true,"members":[{}]}}"#,
         both("draining")
     );
     let (returned, came) = (Instant::now(), back(discovery, list));
-    until(|| came.lock().unwrap().is_some());
+    wait_until(|| came.lock().unwrap().is_some());
     let waited = came.lock().unwrap().unwrap() - returned;
-    until(|| (0..10).all(|_| requests.next() == b"second"));
-    let (spent, used) = (began.elapsed().as_secs_f64(), sidecar.processor() - used);
-    let again = crowd.go();
+    wait_until(|| (0..10).all(|_| requests.next() == b"second"));
+    let (spent, used) = (
+        began.elapsed().as_secs_f64(),
+        sidecar.cpu_centiseconds() - used,
+    );
+    let again = crowd.disconnect();
     let a_second = again as f64 / spent;
     println!(
         "watched {waited:?} after the return; {} requests, {} refused, the slowest {:?}; {a_second:.0} came again a second, {:.2} of a core, {} spells of failed accepts",
@@ -147,12 +159,12 @@
         requests.refused,
         requests.worst,
         used as f64 / 100.0 / spent,
-        sidecar.said("accept: ")
+        sidecar.log_lines_with("accept: ")
     );
     assert!(waited < Duration::from_secs(6), "{waited:?}");
     // Each is let in and closed again: 2,500 a second, and all places once more at first.
     assert!(a_second < 3500.0, "{a_second}");
     // One line a spell of ten seconds, where accepting fails at all.
-    assert!(sidecar.said("accept: ") <= 6);
-    assert_eq!(sidecar.said("accept: ") > 0, later.is_some());
+    assert!(sidecar.log_lines_with("accept: ") <= 6);
+    assert_eq!(sidecar.log_lines_with("accept: ") > 0, later.is_some());
 }
--- a/crates/passroad/tests/discovery.rs
+++ b/crates/passroad/tests/discovery.rs
@@ -1,12 +1,12 @@
 //! How soon a change is heard after discovery failed, in whichever way, and what the fleet's calls cost a discovery that
 //! comes back. See `docs/crossings.md`.
 
-mod stand_ins;
+mod harness;
 
+use harness::*;
 use passroad_choice::choice::Balancer;
 use passroad_choice::{Action, Event, ListKind};
 use rstest::rstest;
-use stand_ins::*;
 use std::collections::VecDeque;
 use std::io::Write;
 use std::net::{TcpListener, TcpStream};
@@ -39,11 +39,11 @@
 
 impl Failure {
     /// Answers so; tells whether the connection stays open.
-    fn answer(self, to: &mut TcpStream) -> bool {
+    fn respond(self, to: &mut TcpStream) -> bool {
         match self {
-            Failure::Busy => answer(to, "503 Busy", "", b""),
-            Failure::NotFound => answer(to, "404 Not Found", "", b""),
-            Failure::Malformed => answer(to, "200 OK", "", b"list"),
+            Failure::Busy => respond(to, "503 Busy", "", b""),
+            Failure::NotFound => respond(to, "404 Not Found", "", b""),
+            Failure::Malformed => respond(to, "200 OK", "", b"list"),
             Failure::ResetInAnswer | Failure::HalfThenClosed | Failure::HalfThenSilent => {
                 let _ = to.write_all(HALF);
             }
@@ -69,19 +69,21 @@
 fn asking_every(span: Duration, discovery: &str) -> String {
     let every = format!("\"ask_every\":{}", span.as_nanos());
     let every = format!("{every},\"drain_grace\":60000000000");
-    patient()
+    long_deadline_settings()
         .replace("\"ask_every\":400000000", &every)
         .replace("on_request", discovery)
 }
 
 /// Waits until the endpoint that drains is out of use: by chance alone it would have one in two.
 fn all_go_to(sidecar: &Sidecar, well: &'static [u8]) {
-    until(|| (0..30).all(|_| sidecar.ask(&patiently(&look("a"))).body == well));
+    wait_until(|| {
+        (0..30).all(|_| sidecar.request(&with_long_deadline(&get_look("a"))).body == well)
+    });
 }
 
 /// Two endpoints, of which the first is to drain: what a sidecar knows, and the list that tells.
-fn about_to_drain() -> (StandIn, StandIn, String, String) {
-    let (first, second) = (willing("first"), willing("second"));
+fn about_to_drain() -> (FakeServer, FakeServer, String, String) {
+    let (first, second) = (ok_endpoint("first"), ok_endpoint("second"));
     let both = |phase| {
         [
             member("s-1", first.address, phase),
@@ -122,25 +124,25 @@
     let (_first, _second, known, told) = about_to_drain();
     let (calls, failed_at, told_at) = (AtomicUsize::new(0), Moment::default(), Moment::default());
     let (last, heard) = (Arc::clone(&failed_at), Arc::clone(&told_at));
-    let discovery = stand_in(move |_, to| {
+    let discovery = fake_server(move |_, to| {
         let call = calls.fetch_add(1, SeqCst);
         if call < well {
-            answer(to, "200 OK", "", list(1, false, "").as_bytes());
+            respond(to, "200 OK", "", list(1, false, "").as_bytes());
         } else if call < well + failed {
             *last.lock().unwrap() = Some(Instant::now());
-            return failure.answer(to);
+            return failure.respond(to);
         } else if call == well + failed {
-            answer(to, "200 OK", "", told.as_bytes());
+            respond(to, "200 OK", "", told.as_bytes());
             *heard.lock().unwrap() = Some(Instant::now());
         }
         true
     });
-    let sidecar = sidecar_with(
+    let sidecar = start_sidecar_with(
         &known,
         discovery.address,
         &asking_every(Duration::from_secs(3600), mode),
     );
-    until(|| told_at.lock().unwrap().is_some());
+    wait_until(|| told_at.lock().unwrap().is_some());
     let waited = told_at.lock().unwrap().unwrap() - failed_at.lock().unwrap().unwrap();
     println!("heard {waited:?} after the last call that failed");
     assert!(waited < TOLD_AFTER, "{waited:?}");
@@ -156,22 +158,22 @@
         let (_first, _second, known, told) = about_to_drain();
         let (calls, moments) = (AtomicUsize::new(0), Arc::<Mutex<Vec<Instant>>>::default());
         let seen = Arc::clone(&moments);
-        let discovery = stand_in(move |_, to| {
+        let discovery = fake_server(move |_, to| {
             match calls.fetch_add(1, SeqCst) {
-                0 => answer(to, "200 OK", "", list(1, false, "").as_bytes()),
+                0 => respond(to, "200 OK", "", list(1, false, "").as_bytes()),
                 // The renewed watch, and the whole call.
                 1 | 2 => seen.lock().unwrap().push(Instant::now()),
                 3 => {
                     seen.lock().unwrap().push(Instant::now());
-                    answer(to, "200 OK", "", told.as_bytes());
+                    respond(to, "200 OK", "", told.as_bytes());
                 }
                 _ => {}
             }
             true
         });
         let settings = asking_every(Duration::from_secs(3600), "on_request");
-        let sidecar = sidecar_with(&known, discovery.address, &settings);
-        until(|| moments.lock().unwrap().len() == 3);
+        let sidecar = start_sidecar_with(&known, discovery.address, &settings);
+        wait_until(|| moments.lock().unwrap().len() == 3);
         all_go_to(&sidecar, b"second");
         let at = moments.lock().unwrap();
         (at[2] - at[1], at[2] - at[0])
@@ -203,9 +205,9 @@
                     (std::io::BufReader::new(stream.try_clone().unwrap()), stream);
                 while let Some(call) = Message::read(&mut reader) {
                     // A watch from there waits.
-                    if !call.word().contains("from=9&") {
+                    if !call.target().contains("from=9&") {
                         own.lock().unwrap().get_or_insert(Instant::now());
-                        answer(&mut stream, "200 OK", "", told.as_bytes());
+                        respond(&mut stream, "200 OK", "", told.as_bytes());
                     }
                 }
             });
@@ -224,9 +226,11 @@
 ) {
     let (_first, _second, known, told) = about_to_drain();
     let settings = asking_every(Duration::from_secs(3600), mode);
-    let deaf = hangs.then(deaf);
-    let address = deaf.as_ref().map_or_else(nowhere, |(address, ..)| *address);
-    let sidecar = sidecar_with(&known, address, &settings);
+    let deaf = hangs.then(full_backlog_listener);
+    let address = deaf
+        .as_ref()
+        .map_or_else(unused_address, |(address, ..)| *address);
+    let sidecar = start_sidecar_with(&known, address, &settings);
     // For so long that several calls have failed, and waits have grown.
     sleep(Duration::from_secs(8));
     let (listener, _filling) = match deaf {
@@ -238,7 +242,7 @@
     };
     let began = Instant::now();
     let came = tells_from(listener, told);
-    until(|| came.lock().unwrap().is_some());
+    wait_until(|| came.lock().unwrap().is_some());
     let waited = came.lock().unwrap().unwrap() - began;
     println!("heard {waited:?} after discovery could be reached");
     assert!(waited < TOLD_AFTER, "{waited:?}");
@@ -250,19 +254,19 @@
 #[rstest]
 fn where_lists_are_pushed_a_watch_follows_a_whole_call_that_is_given_up_with_no_wait() {
     let (_first, _second, known, _) = about_to_drain();
-    let agent = stand_in(|_, _| true);
+    let agent = fake_server(|_, _| true);
     let settings = asking_every(Duration::from_secs(3600), "pushed")
         .replace("\"drain_grace\":60000000000", "\"drain_grace\":4000000000");
-    let _sidecar = sidecar_with(&known, agent.address, &settings);
-    until(|| agent.count() >= 7);
-    let seen = agent.seen.lock().unwrap();
-    let whole = |call: &Message| call.word() == "/v1/servers";
+    let _sidecar = start_sidecar_with(&known, agent.address, &settings);
+    wait_until(|| agent.request_count() >= 7);
+    let seen = agent.requests.lock().unwrap();
+    let whole = |call: &Message| call.target() == "/v1/servers";
     assert!(seen.iter().skip(1).step_by(2).all(whole), "{seen:?}");
     // A whole call has half of the grace. A busy machine makes some of them longer, hardly each.
     let gaps = seen
         .windows(2)
         .filter(|pair| whole(&pair[0]))
-        .map(|pair| pair[1].at - pair[0].at);
+        .map(|pair| pair[1].received_at - pair[0].received_at);
     let shortest = gaps.min().unwrap();
     assert!(shortest < 2400 * MS, "{shortest:?}");
 }
@@ -273,20 +277,20 @@
 fn the_first_call_that_was_given_up_is_heard_however_many_were_after_it() {
     let (_first, _second, known, told) = about_to_drain();
     let gate = Gate::default();
-    let (own, calls) = (gate.clone(), AtomicUsize::new(0));
-    let discovery = stand_in(move |_, to| {
+    let (handler_gate, calls) = (gate.clone(), AtomicUsize::new(0));
+    let discovery = fake_server(move |_, to| {
         if calls.fetch_add(1, SeqCst) == 0 {
-            own.pass();
-            answer(to, "200 OK", "", told.as_bytes());
+            handler_gate.wait_until_open();
+            respond(to, "200 OK", "", told.as_bytes());
         }
         true
     });
-    let sidecar = sidecar_with(
+    let sidecar = start_sidecar_with(
         &known,
         discovery.address,
         &asking_every(Duration::from_secs(3600), "on_request"),
     );
-    until(|| discovery.count() == 4);
+    wait_until(|| discovery.request_count() == 4);
     gate.open();
     all_go_to(&sidecar, b"second");
 }
@@ -295,15 +299,15 @@
 #[rstest]
 fn quick_repeats_are_used_up_until_discovery_has_said_something() {
     let (_first, _second, known, _) = about_to_drain();
-    let resets = stand_in(|_, to| Failure::ResetBeforeAnswer.answer(to));
+    let resets = fake_server(|_, to| Failure::ResetBeforeAnswer.respond(to));
     let settings = asking_every(Duration::from_secs(3600), "on_request");
-    let _sidecar = sidecar_with(&known, resets.address, &settings);
-    until(|| resets.count() >= 12);
-    let seen = resets.seen.lock().unwrap();
+    let _sidecar = start_sidecar_with(&known, resets.address, &settings);
+    wait_until(|| resets.request_count() >= 12);
+    let seen = resets.requests.lock().unwrap();
     // Six, a breath apart; then the module's waits of half a second at least.
     let apart: Vec<_> = seen
         .windows(2)
-        .map(|pair| pair[1].at - pair[0].at)
+        .map(|pair| pair[1].received_at - pair[0].received_at)
         .collect();
     assert!(apart[6..].iter().all(|wait| *wait >= 450 * MS), "{apart:?}");
 }
--- a/crates/passroad/tests/fleet.rs
+++ b/crates/passroad/tests/fleet.rs
@@ -1,9 +1,9 @@
 //! Several processes of the program that talk, on loopback: who owns a duty, and what each is told.
 
-mod stand_ins;
+mod harness;
 
+use harness::*;
 use rstest::rstest;
-use stand_ins::*;
 use std::io::{BufReader, Write};
 use std::net::{SocketAddr, TcpStream, UdpSocket};
 use std::process::Command;
@@ -12,7 +12,7 @@
 /// Addresses for datagrams that nobody else comes to.
 fn datagrams(count: usize) -> Vec<SocketAddr> {
     let bound: Vec<_> = (0..count)
-        .map(|_| UdpSocket::bind(SocketAddr::new(nowhere().ip(), 0)).unwrap())
+        .map(|_| UdpSocket::bind(SocketAddr::new(unused_address().ip(), 0)).unwrap())
         .collect();
     bound
         .iter()
@@ -24,18 +24,18 @@
 type Acts = Arc<Mutex<Vec<(u64, usize, bool)>>>;
 
 /// A resource that keeps the highest epoch.
-fn resource() -> (StandIn, Acts) {
+fn resource() -> (FakeServer, Acts) {
     let acts = Acts::default();
     let own = Arc::clone(&acts);
-    let stand_in = stand_in(move |message, to| {
+    let stand_in = fake_server(move |message, to| {
         let number = |name| message.header(name).unwrap().parse::<u64>().unwrap();
         let (epoch, owner) = (number("epoch"), number("owner") as usize);
         let mut acts = own.lock().unwrap();
         let highest = acts.iter().filter(|a| a.2).map(|a| a.0).max().unwrap_or(0);
         acts.push((epoch, owner, epoch >= highest));
         match epoch >= highest {
-            true => answer(to, "200 OK", "", b""),
-            false => answer(to, "409 Conflict", &format!("Epoch: {highest}\r\n"), b""),
+            true => respond(to, "200 OK", "", b""),
+            false => respond(to, "409 Conflict", &format!("Epoch: {highest}\r\n"), b""),
         }
         true
     });
@@ -47,10 +47,10 @@
     n: usize,
     peers: &[SocketAddr],
     address: SocketAddr,
-    door: SocketAddr,
+    management: SocketAddr,
     may_talk: bool,
 ) -> String {
-    before(n, peers, address, door, may_talk, "")
+    before(n, peers, address, management, may_talk, "")
 }
 
 /// The same before some endpoints.
@@ -58,7 +58,7 @@
     n: usize,
     peers: &[SocketAddr],
     address: SocketAddr,
-    door: SocketAddr,
+    management: SocketAddr,
     may_talk: bool,
     known: &str,
 ) -> String {
@@ -73,9 +73,9 @@
         peers[n],
         list.join(",")
     );
-    with_door(
-        &told(address, nowhere(), known, &settings).replacen('{', &own, 1),
-        door,
+    with_management(
+        &config_json(address, unused_address(), known, &settings).replacen('{', &own, 1),
+        management,
     )
 }
 
@@ -88,7 +88,7 @@
 
 struct Fleet {
     sidecars: Vec<Sidecar>,
-    doors: Vec<SocketAddr>,
+    management_addresses: Vec<SocketAddr>,
     peers: Vec<SocketAddr>,
     acts: Acts,
 }
@@ -96,12 +96,12 @@
 fn fleet(count: usize) -> Fleet {
     let (resource, acts) = resource();
     let peers = datagrams(count);
-    let doors: Vec<_> = (0..count).map(|_| nowhere()).collect();
+    let management_addresses: Vec<_> = (0..count).map(|_| unused_address()).collect();
     let start = |n: usize| {
-        let address = nowhere();
-        Sidecar::start_among(
+        let address = unused_address();
+        Sidecar::start_with_fleet(
             address,
-            &among(n, &peers, address, doors[n], true),
+            &among(n, &peers, address, management_addresses[n], true),
             &file(resource.address),
         )
         .0
@@ -109,7 +109,7 @@
     let sidecars = (0..count).map(start).collect();
     Fleet {
         sidecars,
-        doors,
+        management_addresses,
         peers: peers.clone(),
         acts,
     }
@@ -117,7 +117,7 @@
 
 impl Fleet {
     fn owner(&self) -> usize {
-        until(|| !self.acts.lock().unwrap().is_empty());
+        wait_until(|| !self.acts.lock().unwrap().is_empty());
         self.acts.lock().unwrap().last().unwrap().1
     }
 
@@ -135,12 +135,12 @@
     }
 }
 
-fn status(door: SocketAddr) -> (String, String) {
+fn status(management: SocketAddr) -> (String, String) {
     let call = "GET /admin/fleet HTTP/1.1\r\nHost: b\r\nConnection: close\r\n\r\n";
-    let mut caller = BufReader::new(TcpStream::connect(door).unwrap());
-    let said = ask(&mut caller, call).expect("an answer");
+    let mut caller = BufReader::new(TcpStream::connect(management).unwrap());
+    let said = round_trip(&mut caller, call).expect("an answer");
     (
-        said.word().to_string(),
+        said.status().to_string(),
         String::from_utf8_lossy(&said.body).into_owned(),
     )
 }
@@ -152,7 +152,7 @@
     let fleet = fleet(3);
     let owner = fleet.owner();
     fleet.sidecars[owner].signal(signal);
-    until(|| {
+    wait_until(|| {
         fleet
             .acts
             .lock()
@@ -161,7 +161,7 @@
             .is_some_and(|act| act.1 != owner)
     });
     let count = fleet.acts.lock().unwrap().len();
-    until(|| fleet.acts.lock().unwrap().len() > count + 20);
+    wait_until(|| fleet.acts.lock().unwrap().len() > count + 20);
     fleet.in_order();
     let acts = fleet.acts.lock().unwrap();
     let last = acts
@@ -177,7 +177,7 @@
     let fleet = fleet(3);
     let owner = fleet.owner();
     fleet.sidecars[owner].signal("STOP");
-    until(|| {
+    wait_until(|| {
         fleet
             .acts
             .lock()
@@ -186,10 +186,10 @@
             .is_some_and(|act| act.1 != owner)
     });
     let count = fleet.acts.lock().unwrap().len();
-    until(|| fleet.acts.lock().unwrap().len() > count + 10);
+    wait_until(|| fleet.acts.lock().unwrap().len() > count + 10);
     fleet.sidecars[owner].signal("CONT");
     let count = fleet.acts.lock().unwrap().len();
-    until(|| fleet.acts.lock().unwrap().len() > count + 20);
+    wait_until(|| fleet.acts.lock().unwrap().len() > count + 20);
     fleet.in_order();
     // What it does by its old epoch behind another's act was under way, and is refused.
     let acts = fleet.acts.lock().unwrap();
@@ -208,16 +208,21 @@
     let fleet = fleet(3);
     let owner = fleet.owner();
     let word = format!("\"owner\":{owner}");
-    until(|| {
+    wait_until(|| {
         fleet
-            .doors
+            .management_addresses
             .iter()
-            .all(|door| status(*door).1.contains(&word))
+            .all(|management| status(*management).1.contains(&word))
     });
     let run = |more: &[&str]| {
         let mut command = Command::new(env!("CARGO_BIN_EXE_passroad"));
         let output = command
-            .args(["fleet", "status", "--door", &fleet.doors[0].to_string()])
+            .args([
+                "fleet",
+                "status",
+                "--door",
+                &fleet.management_addresses[0].to_string(),
+            ])
             .args(more)
             .output();
         let output = output.unwrap();
@@ -231,7 +236,7 @@
     );
     assert!(run(&["--json"]).contains(&word));
     let gone = Command::new(env!("CARGO_BIN_EXE_passroad"))
-        .args(["fleet", "status", "--door", &nowhere().to_string()])
+        .args(["fleet", "status", "--door", &unused_address().to_string()])
         .output()
         .unwrap();
     assert_eq!(gone.status.code(), Some(2));
@@ -242,7 +247,12 @@
 fn what_strangers_send_is_not_heard() {
     let fleet = fleet(3);
     // Whoever answers for the fleet has its address by then; before, what is sent to it is lost.
-    until(|| fleet.doors.iter().all(|door| status(*door).0 == "200"));
+    wait_until(|| {
+        fleet
+            .management_addresses
+            .iter()
+            .all(|management| status(*management).0 == "200")
+    });
     let stranger = UdpSocket::bind("127.0.0.1:0").unwrap();
     for bytes in [&b"GET / HTTP/1.1"[..], &[0xb5, 1, 9], &[0; 256], &[]] {
         fleet
@@ -251,29 +261,29 @@
             .for_each(|to| drop(stranger.send_to(bytes, to)));
     }
     let word = "of an address that is not in peers\":4";
-    until(|| {
+    wait_until(|| {
         fleet
-            .doors
+            .management_addresses
             .iter()
-            .all(|door| status(*door).1.contains(word))
+            .all(|management| status(*management).1.contains(word))
     });
     let count = fleet.acts.lock().unwrap().len();
-    until(|| fleet.acts.lock().unwrap().len() > count + 5);
+    wait_until(|| fleet.acts.lock().unwrap().len() > count + 5);
 }
 
 #[rstest]
 fn without_a_file_or_leave_to_talk_nothing_of_it_is_there() {
-    let (peers, address, door) = (datagrams(2), nowhere(), nowhere());
-    let plain = Sidecar::start(address, &among(0, &peers, address, door, true));
-    assert!(!plain.threads().contains(&"fleet".to_string()));
-    assert_eq!(status(door).0, "404");
+    let (peers, address, management) = (datagrams(2), unused_address(), unused_address());
+    let plain = Sidecar::start(address, &among(0, &peers, address, management, true));
+    assert!(!plain.thread_names().contains(&"fleet".to_string()));
+    assert_eq!(status(management).0, "404");
     // Nobody has the address.
     drop(UdpSocket::bind(peers[0]).unwrap());
-    let (address, door) = (nowhere(), nowhere());
-    let text = among(1, &peers, address, door, false);
-    let (quiet, log) = Sidecar::start_among(address, &text, &file(nowhere()));
-    assert!(!quiet.threads().contains(&"fleet".to_string()));
-    assert_eq!(status(door).0, "404");
+    let (address, management) = (unused_address(), unused_address());
+    let text = among(1, &peers, address, management, false);
+    let (quiet, log) = Sidecar::start_with_fleet(address, &text, &file(unused_address()));
+    assert!(!quiet.thread_names().contains(&"fleet".to_string()));
+    assert_eq!(status(management).0, "404");
     drop(UdpSocket::bind(peers[1]).unwrap());
     let said = std::fs::read_to_string(log).unwrap();
     assert_eq!(
@@ -292,9 +302,15 @@
     #[case] code: i32,
     #[case] what: &str,
 ) {
-    let (mut command, folder) = program(&among(0, &datagrams(2), nowhere(), nowhere(), true));
+    let (mut command, folder) = sidecar_command(&among(
+        0,
+        &datagrams(2),
+        unused_address(),
+        unused_address(),
+        true,
+    ));
     let path = folder.join("fleet.toml");
-    std::fs::write(&path, turn(file(nowhere()))).unwrap();
+    std::fs::write(&path, turn(file(unused_address()))).unwrap();
     let output = command
         .arg("check")
         .arg("--fleet")
@@ -313,7 +329,7 @@
 #[rstest]
 fn a_state_file_is_kept_and_refused_to_another() {
     let (resource, acts) = resource();
-    let (peers, folder) = (datagrams(1), shared());
+    let (peers, folder) = (datagrams(1), shared_directory());
     let state = folder.0.join("state");
     let fleet = format!(
         "state = {:?}\n{}",
@@ -321,20 +337,26 @@
         file(resource.address)
     );
     let start = || {
-        let address = nowhere();
-        Sidecar::start_among(address, &among(0, &peers, address, nowhere(), true), &fleet).0
+        let address = unused_address();
+        Sidecar::start_with_fleet(
+            address,
+            &among(0, &peers, address, unused_address(), true),
+            &fleet,
+        )
+        .0
     };
     let first = start();
-    until(|| !acts.lock().unwrap().is_empty());
+    wait_until(|| !acts.lock().unwrap().is_empty());
     drop(first);
     let count = acts.lock().unwrap().len();
     let second = start();
-    until(|| acts.lock().unwrap().len() > count);
+    wait_until(|| acts.lock().unwrap().len() > count);
     let acts = acts.lock().unwrap();
     assert!(acts[count].0 > acts[0].0 && acts[count].2, "{acts:?}");
     drop(second);
-    let (mut command, other) =
-        program(&among(0, &peers, nowhere(), nowhere(), true).replace("\"n0\"", "\"n1\""));
+    let (mut command, other) = sidecar_command(
+        &among(0, &peers, unused_address(), unused_address(), true).replace("\"n0\"", "\"n1\""),
+    );
     std::fs::write(other.join("fleet.toml"), &fleet).unwrap();
     let output = command
         .env("LB_FLEET", other.join("fleet.toml"))
@@ -351,9 +373,9 @@
 /// Three sidecars before four machines, which settle an order of work.
 struct Upkeep {
     sidecars: Vec<Sidecar>,
-    doors: Vec<SocketAddr>,
+    management_addresses: Vec<SocketAddr>,
     peers: Vec<SocketAddr>,
-    machines: Vec<StandIn>,
+    machines: Vec<FakeServer>,
 }
 
 const UPKEEP: &str = "lease = \"2s\"\nperiod = \"200ms\"\nvoters = 3\n[upkeep]\n";
@@ -364,12 +386,13 @@
     ) -> Upkeep {
         let machine = |n: usize| {
             let act = act.clone();
-            stand_in(move |message, to| act(n, message, to))
+            fake_server(move |message, to| act(n, message, to))
         };
-        let (peers, doors) = (datagrams(3), (0..3).map(|_| nowhere()).collect());
+        let (peers, management_addresses) =
+            (datagrams(3), (0..3).map(|_| unused_address()).collect());
         let mut upkeep = Upkeep {
             sidecars: Vec::new(),
-            doors,
+            management_addresses,
             peers,
             machines: (0..4).map(machine).collect(),
         };
@@ -379,14 +402,14 @@
 
     fn start(&self, n: usize) -> Sidecar {
         let listed =
-            |(n, machine): (usize, &StandIn)| member(&format!("s-{n}"), machine.address, "up");
+            |(n, machine): (usize, &FakeServer)| member(&format!("s-{n}"), machine.address, "up");
         let known: Vec<String> = self.machines.iter().enumerate().map(listed).collect();
-        let address = nowhere();
+        let address = unused_address();
         let text = before(
             n,
             &self.peers,
             address,
-            self.doors[n],
+            self.management_addresses[n],
             true,
             &known.join(","),
         );
@@ -395,17 +418,17 @@
             "\"response_goal\":400000000,\"time_limit\":1000000000",
             "\"response_goal\":50000000000,\"time_limit\":60000000000",
         );
-        Sidecar::start_among(address, &text, UPKEEP).0
+        Sidecar::start_with_fleet(address, &text, UPKEEP).0
     }
 
     /// Asks one of the sidecars by the command line.
     fn work(&self, at: usize, words: &[&str]) -> (Option<i32>, String) {
         let mut command = Command::new(env!("CARGO_BIN_EXE_passroad"));
-        let door = self.doors[at].to_string();
+        let management = self.management_addresses[at].to_string();
         let output = command
             .arg("work")
             .args(words)
-            .args(["--door", &door])
+            .args(["--door", &management])
             .output()
             .unwrap();
         (
@@ -427,18 +450,23 @@
             .join(" ")
     }
 
-    fn until(&self, at: usize, machine: &str, state: &str) {
-        until(|| self.state(at, machine) == state);
+    fn wait_for_state(&self, at: usize, machine: &str, state: &str) {
+        wait_until(|| self.state(at, machine) == state);
     }
 
     /// Commands through all sidecars; at which machines they came.
-    fn ask(&self) -> Vec<usize> {
-        let counts = || self.machines.iter().map(StandIn::count).collect::<Vec<_>>();
+    fn machines_receiving(&self) -> Vec<usize> {
+        let counts = || {
+            self.machines
+                .iter()
+                .map(FakeServer::request_count)
+                .collect::<Vec<_>>()
+        };
         let before = counts();
         for (n, sidecar) in self.sidecars.iter().enumerate() {
             for k in 0..20 {
-                let command = unhurried(&look(&format!("{n}-{k}-{}", before[0])));
-                assert_eq!(sidecar.ask(&command).word(), "200");
+                let command = unhurried(&get_look(&format!("{n}-{k}-{}", before[0])));
+                assert_eq!(sidecar.request(&command).status(), "200");
             }
         }
         counts()
@@ -457,7 +485,7 @@
 }
 
 fn answers(_: usize, _: &Message, to: &mut TcpStream) -> bool {
-    answer(to, "200 OK", "", b"ok");
+    respond(to, "200 OK", "", b"ok");
     true
 }
 
@@ -465,31 +493,31 @@
 #[rstest]
 fn machines_go_out_for_work_one_after_the_other_at_all_sidecars() {
     let upkeep = Upkeep::new(answers);
-    assert_eq!(upkeep.ask(), [0, 1, 2, 3]);
-    until(|| {
+    assert_eq!(upkeep.machines_receiving(), [0, 1, 2, 3]);
+    wait_until(|| {
         upkeep
             .work(2, &["request", "s-1", "s-3", "--name", "patch"])
             .1
             .contains("taken into the order")
     });
     // Asked again by its name, and elsewhere, it stays one.
-    until(|| {
+    wait_until(|| {
         upkeep
             .work(0, &["request", "s-1", "s-3", "--name", "patch"])
             .1
             .contains("taken into the order")
     });
-    upkeep.until(1, "s-1", "at work");
+    upkeep.wait_for_state(1, "s-1", "at work");
     assert_eq!(upkeep.state(1, "s-3"), "queued");
-    assert_eq!(upkeep.ask(), [0, 2, 3]);
+    assert_eq!(upkeep.machines_receiving(), [0, 2, 3]);
     assert_eq!(upkeep.work(0, &["withdraw", "s-1"]).0, Some(2));
     assert_eq!(upkeep.work(0, &["done", "s-1"]).0, Some(0));
-    upkeep.until(1, "s-3", "at work");
+    upkeep.wait_for_state(1, "s-3", "at work");
     assert_eq!(upkeep.state(1, "s-1"), "warm");
-    assert_eq!(upkeep.ask(), [0, 1, 2]);
+    assert_eq!(upkeep.machines_receiving(), [0, 1, 2]);
     assert_eq!(upkeep.work(2, &["done", "s-3"]).0, Some(0));
-    upkeep.until(0, "s-3", "warm");
-    assert_eq!(upkeep.ask(), [0, 1, 2, 3]);
+    upkeep.wait_for_state(0, "s-3", "warm");
+    assert_eq!(upkeep.machines_receiving(), [0, 1, 2, 3]);
     assert_eq!(upkeep.work(1, &["request", "s-9"]).0, Some(2));
 }
 
@@ -510,7 +538,7 @@
 ) {
     let upkeep = Upkeep::new(answers);
     // Until there is a conductor a request is only held.
-    until(|| {
+    wait_until(|| {
         (0..3).any(|at| {
             upkeep
                 .work(at, &["status", "--json"])
@@ -519,13 +547,13 @@
         })
     });
     let mut last = (None, String::new());
-    until(|| {
+    wait_until(|| {
         last = upkeep.work(1, words);
         !last.1.contains("no conductor has answered yet")
     });
     assert!(last.0 == Some(code) && last.1.contains(what), "{last:?}");
     if words.len() > 2 && code == 0 {
-        until(|| upkeep.work(1, &["status"]).1.lines().count() == 4);
+        wait_until(|| upkeep.work(1, &["status"]).1.lines().count() == 4);
     }
 }
 
@@ -540,34 +568,34 @@
                 .header("req-id")
                 .is_some_and(|id| id.starts_with("held"))
         {
-            held.pass();
+            held.wait_until_open();
         }
         answers(n, message, to)
     });
-    let mut client = upkeep.sidecars[2].client();
+    let mut client = upkeep.sidecars[2].connect();
     let mut n = 0;
     // One that has come to the machine that is to go.
     while upkeep.machines[1]
-        .seen
+        .requests
         .lock()
         .unwrap()
         .iter()
         .all(|m| !m.head.contains("held"))
     {
         n += 1;
-        let command = unhurried(&look(&format!("held-{n}")));
+        let command = unhurried(&get_look(&format!("held-{n}")));
         client.get_mut().write_all(command.as_bytes()).unwrap();
-        until(|| {
+        wait_until(|| {
             upkeep.machines.iter().any(|m| {
-                m.seen
+                m.requests
                     .lock()
                     .unwrap()
                     .iter()
-                    .any(|m| m.head.contains(&format!("held-{n}\r")))
+                    .any(|request| request.head.contains(&format!("held-{n}\r")))
             })
         });
         if upkeep.machines[1]
-            .seen
+            .requests
             .lock()
             .unwrap()
             .iter()
@@ -576,32 +604,32 @@
             Message::read(&mut client).unwrap();
         }
     }
-    until(|| {
+    wait_until(|| {
         upkeep
             .work(0, &["request", "s-1"])
             .1
             .contains("taken into the order")
     });
-    upkeep.until(0, "s-1", "leaving");
-    (0..3).for_each(|at| upkeep.until(at, "s-1", "leaving"));
+    upkeep.wait_for_state(0, "s-1", "leaving");
+    (0..3).for_each(|at| upkeep.wait_for_state(at, "s-1", "leaving"));
     let (_, said) = upkeep.work(2, &["status", "--json"]);
     assert!(said.contains("\"free_here\":false"), "{said}");
     gate.open();
-    upkeep.until(0, "s-1", "at work");
+    upkeep.wait_for_state(0, "s-1", "at work");
 }
 
 // The conductor is killed, and one sidecar starts from nothing: it knows what is out before its first command.
 #[rstest]
 fn the_order_outlives_its_conductor_and_is_learnt_by_who_starts_from_nothing() {
     let mut upkeep = Upkeep::new(answers);
-    until(|| {
+    wait_until(|| {
         upkeep
             .work(2, &["request", "s-1", "s-3"])
             .1
             .contains("taken into the order")
     });
     // Where one alone knows, it may be leaving again when that one ends.
-    (0..3).for_each(|at| upkeep.until(at, "s-1", "at work"));
+    (0..3).for_each(|at| upkeep.wait_for_state(at, "s-1", "at work"));
     let conducts = |at: usize| {
         upkeep
             .work(at, &["status", "--json"])
@@ -611,7 +639,7 @@
     let conductor = (0..3).find(|at| conducts(*at)).unwrap();
     upkeep.sidecars[conductor].signal("KILL");
     let other = (conductor + 1) % 3;
-    until(|| (0..3).any(|at| at != conductor && conducts(at)));
+    wait_until(|| (0..3).any(|at| at != conductor && conducts(at)));
     assert_eq!(
         (
             upkeep.state(other, "s-1").as_str(),
@@ -621,25 +649,25 @@
     );
     let again = upkeep.start(conductor);
     drop(std::mem::replace(&mut upkeep.sidecars[conductor], again));
-    assert_eq!(upkeep.ask(), [0, 2, 3]);
-    until(|| upkeep.work(conductor, &["done", "s-1"]).0 == Some(0));
-    upkeep.until(conductor, "s-3", "at work");
-    assert_eq!(upkeep.ask(), [0, 1, 2]);
+    assert_eq!(upkeep.machines_receiving(), [0, 2, 3]);
+    wait_until(|| upkeep.work(conductor, &["done", "s-1"]).0 == Some(0));
+    upkeep.wait_for_state(conductor, "s-3", "at work");
+    assert_eq!(upkeep.machines_receiving(), [0, 1, 2]);
 }
 
 // One that is stopped says nothing: the order waits for it, or for an operator.
 #[rstest]
 fn one_that_says_nothing_is_waited_for_or_forced_past() {
     let upkeep = Upkeep::new(answers);
-    until(|| {
+    wait_until(|| {
         upkeep
             .work(2, &["request", "s-1"])
             .1
             .contains("taken into the order")
     });
-    upkeep.until(0, "s-1", "at work");
+    upkeep.wait_for_state(0, "s-1", "at work");
     assert_eq!(upkeep.work(0, &["done", "s-1"]).0, Some(0));
-    upkeep.until(0, "s-1", "warm");
+    upkeep.wait_for_state(0, "s-1", "warm");
     let conducts = |at: usize| {
         upkeep
             .work(at, &["status", "--json"])
@@ -649,17 +677,17 @@
     let conductor = (0..3).find(|at| conducts(*at)).unwrap();
     let silent = (conductor + 1) % 3;
     upkeep.sidecars[silent].signal("STOP");
-    until(|| {
+    wait_until(|| {
         upkeep
             .work(conductor, &["request", "s-2"])
             .1
             .contains("taken into the order")
     });
-    upkeep.until(conductor, "s-2", "leaving");
+    upkeep.wait_for_state(conductor, "s-2", "leaving");
     assert_eq!(upkeep.work(conductor, &["done", "s-2"]).0, Some(2));
     assert_eq!(upkeep.work(conductor, &["force", "s-2"]).0, Some(0));
-    upkeep.until(conductor, "s-2", "at work");
+    upkeep.wait_for_state(conductor, "s-2", "at work");
     upkeep.sidecars[silent].signal("CONT");
-    upkeep.until(silent, "s-2", "at work");
-    assert_eq!(upkeep.ask(), [0, 1, 3]);
+    upkeep.wait_for_state(silent, "s-2", "at work");
+    assert_eq!(upkeep.machines_receiving(), [0, 1, 3]);
 }
--- a/crates/passroad/tests/long_bodies.rs
+++ b/crates/passroad/tests/long_bodies.rs
@@ -1,9 +1,9 @@
 //! Long and slow bodies through the program on loopback sockets.
 
-mod stand_ins;
+mod harness;
 
+use harness::*;
 use rstest::rstest;
-use stand_ins::*;
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::Arc;
@@ -39,16 +39,16 @@
         .enumerate()
         .map(|(n, at)| member(&format!("s-{n}"), *at, "up"))
         .collect();
-    let (address, list) = (nowhere(), list.join(","));
-    let text = told(address, nowhere(), &list, settings)
+    let (address, list) = (unused_address(), list.join(","));
+    let text = config_json(address, unused_address(), &list, settings)
         .replace("\"sockets\":64", "\"sockets\":400,\"memory_mb\":8");
     Sidecar::start(address, &text)
 }
 
 /// Answers with the length of what came.
-fn counts() -> StandIn {
-    stand_in(|message, to| {
-        answer(to, "200 OK", "", message.body.len().to_string().as_bytes());
+fn counts() -> FakeServer {
+    fake_server(|message, to| {
+        respond(to, "200 OK", "", message.body.len().to_string().as_bytes());
         true
     })
 }
@@ -59,7 +59,7 @@
 fn a_long_body_arrives_as_it_was(#[case] chunked: bool) {
     let endpoint = counts();
     let sidecar = small(&[endpoint.address]);
-    let (mut client, sent) = (sidecar.client(), body(5_000_000));
+    let (mut client, sent) = (sidecar.connect(), body(5_000_000));
     let text = match chunked {
         false => [head("a", &stated(sent.len())).as_bytes(), &sent].concat(),
         true => {
@@ -75,12 +75,18 @@
     };
     client.get_mut().write_all(&text).unwrap();
     let answer = Message::read(&mut client).unwrap();
-    assert_eq!((answer.word(), &answer.body[..]), ("200", &b"5000000"[..]));
-    assert!(endpoint.seen.lock().unwrap()[0].body == sent);
+    assert_eq!(
+        (answer.status(), &answer.body[..]),
+        ("200", &b"5000000"[..])
+    );
+    assert!(endpoint.requests.lock().unwrap()[0].body == sent);
     // The connection is as good as ever, or ends where only the library knows how far the body went.
     match chunked {
-        false => assert_eq!(ask(&mut client, &look("b")).unwrap().word(), "200"),
-        true => assert!(closes(&mut client)),
+        false => assert_eq!(
+            round_trip(&mut client, &get_look("b")).unwrap().status(),
+            "200"
+        ),
+        true => assert!(closes_without_data(&mut client)),
     }
 }
 
@@ -90,7 +96,7 @@
 fn a_long_answer_arrives_as_it_was(#[case] chunked: bool) {
     let sent = body(5_000_000);
     let given = sent.clone();
-    let endpoint = stand_in(move |_, to| {
+    let endpoint = fake_server(move |_, to| {
         if chunked {
             let _ = to.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
             for piece in given.chunks(70_001) {
@@ -100,16 +106,16 @@
             }
             let _ = to.write_all(b"0\r\n\r\n");
         } else {
-            answer(to, "200 OK", "", &given);
+            respond(to, "200 OK", "", &given);
         }
         true
     });
     let sidecar = small(&[endpoint.address]);
-    let mut client = sidecar.client();
+    let mut client = sidecar.connect();
     for id in ["a", "b"] {
-        let got = ask(&mut client, &look(id)).unwrap();
+        let got = round_trip(&mut client, &get_look(id)).unwrap();
         assert!(
-            got.word() == "200" && got.body == sent,
+            got.status() == "200" && got.body == sent,
             "{}",
             got.body.len()
         );
@@ -182,10 +188,10 @@
                             }
                         }
                         if head.contains("/load ") {
-                            answer(&mut to, "200 OK", "", b"TEXT inflight=0, queue=0, util=0.1");
+                            respond(&mut to, "200 OK", "", b"TEXT inflight=0, queue=0, util=0.1");
                         } else if writers {
                             let got = sip(&mut from, EACH, &written, ALL);
-                            answer(&mut to, "200 OK", "", got.to_string().as_bytes());
+                            respond(&mut to, "200 OK", "", got.to_string().as_bytes());
                         } else {
                             let _ = write!(to, "HTTP/1.1 200 OK\r\nContent-Length: {EACH}\r\n\r\n");
                             pour(&mut to, &sent, &written);
@@ -197,16 +203,16 @@
         at
     };
     let endpoints: Vec<_> = (0..10).map(|_| endpoint()).collect();
-    let sidecar = small_with(&endpoints, &patient());
+    let sidecar = small_with(&endpoints, &long_deadline_settings());
     let clients: Vec<_> = (0..10)
         .map(|n| {
-            let mut client = sidecar.client();
+            let mut client = sidecar.connect();
             client.get_ref().set_read_timeout(None).unwrap();
             let (written, sent) = (Arc::clone(&written), Arc::clone(&sent));
             spawn(move || {
                 let id = n.to_string();
                 if writers {
-                    let head = patiently(&head(&id, &stated(EACH)));
+                    let head = with_long_deadline(&head(&id, &stated(EACH)));
                     client.get_mut().write_all(head.as_bytes()).unwrap();
                     pour(client.get_mut(), &sent, &written);
                     return Message::read(&mut client)
@@ -214,7 +220,7 @@
                 }
                 client
                     .get_mut()
-                    .write_all(patiently(&look(&id)).as_bytes())
+                    .write_all(with_long_deadline(&get_look(&id)).as_bytes())
                     .unwrap();
                 let mut line = String::new();
                 while line != "\r\n" {
@@ -232,7 +238,11 @@
         .map(|client| client.join().unwrap())
         .collect();
     assert_eq!(got, vec![Some(EACH.to_string()); 10]);
-    assert!(sidecar.memory() < 40, "{} MB", sidecar.memory());
+    assert!(
+        sidecar.peak_memory_mb() < 40,
+        "{} MB",
+        sidecar.peak_memory_mb()
+    );
 }
 
 // A client that takes longer than its time limit to write is not late: its time runs from its last byte.
@@ -242,7 +252,7 @@
 fn the_time_of_a_command_runs_from_its_last_byte(#[case] length: usize) {
     let endpoint = counts();
     let sidecar = small(&[endpoint.address]);
-    let (mut client, sent) = (sidecar.client(), body(length));
+    let (mut client, sent) = (sidecar.connect(), body(length));
     client
         .get_mut()
         .write_all(head("a", &stated(length)).as_bytes())
@@ -251,13 +261,13 @@
         client.get_mut().write_all(piece).unwrap();
         sleep(100 * MS);
     }
-    assert_eq!(Message::read(&mut client).unwrap().word(), "200");
+    assert_eq!(Message::read(&mut client).unwrap().status(), "200");
 }
 
 // The first bytes of a long answer are in time, the rest comes when it comes.
 #[rstest]
 fn a_long_answer_is_not_cut_at_the_time_limit() {
-    let endpoint = stand_in(|_, to| {
+    let endpoint = fake_server(|_, to| {
         let _ = to.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 150000\r\n\r\n");
         for _ in 0..15 {
             let _ = to.write_all(&[b'x'; 10_000]);
@@ -266,22 +276,25 @@
         true
     });
     let sidecar = small(&[endpoint.address]);
-    assert_eq!(sidecar.ask(&look("a")).body.len(), 150_000);
+    assert_eq!(sidecar.request(&get_look("a")).body.len(), 150_000);
 }
 
 #[rstest]
 #[case::stated("Content-Length: 150000\r\n\r\n")]
 #[case::in_chunks("Transfer-Encoding: chunked\r\n\r\n249f0\r\n")]
 fn of_a_long_answer_that_breaks_off_the_client_can_tell(#[case] framing: &'static str) {
-    let endpoint = stand_in(move |_, to| {
+    let endpoint = fake_server(move |_, to| {
         let _ = to.write_all(format!("HTTP/1.1 200 OK\r\n{framing}").as_bytes());
         let _ = to.write_all(&[b'x'; 100_000]);
         let _ = to.shutdown(std::net::Shutdown::Both);
         false
     });
     let sidecar = small(&[endpoint.address]);
-    let mut client = sidecar.client();
-    client.get_mut().write_all(look("a").as_bytes()).unwrap();
+    let mut client = sidecar.connect();
+    client
+        .get_mut()
+        .write_all(get_look("a").as_bytes())
+        .unwrap();
     let mut all = Vec::new();
     let _ = client.read_to_end(&mut all);
     let text = String::from_utf8_lossy(&all);
@@ -305,7 +318,7 @@
                     let mut piece = [0; 50_000];
                     let count = stream.read(&mut piece).unwrap_or(0);
                     match piece[..count].starts_with(b"GET /load") {
-                        true => answer(
+                        true => respond(
                             &mut stream,
                             "200 OK",
                             "",
@@ -319,7 +332,7 @@
         at
     };
     let sidecar = small(&[breaks(), breaks()]);
-    let mut client = sidecar.client();
+    let mut client = sidecar.connect();
     let (length, sent) = (4_000_000, body(4_000_000));
     client
         .get_mut()
@@ -327,22 +340,22 @@
         .unwrap();
     // Its client may read only when all is written.
     client.get_mut().write_all(&sent).unwrap();
-    assert_eq!(Message::read(&mut client).unwrap().word(), "503");
+    assert_eq!(Message::read(&mut client).unwrap().status(), "503");
 }
 
 #[rstest]
 fn a_long_body_that_found_no_connection_goes_elsewhere() {
     let endpoint = counts();
-    let list = [nowhere(), endpoint.address];
+    let list = [unused_address(), endpoint.address];
     let sidecar = small(&list);
     for n in 0..6 {
-        let (mut client, sent) = (sidecar.client(), body(2_000_000));
+        let (mut client, sent) = (sidecar.connect(), body(2_000_000));
         client
             .get_mut()
             .write_all(head(&n.to_string(), &stated(sent.len())).as_bytes())
             .unwrap();
         client.get_mut().write_all(&sent).unwrap();
-        assert_eq!(Message::read(&mut client).unwrap().word(), "200");
+        assert_eq!(Message::read(&mut client).unwrap().status(), "200");
     }
 }
 
@@ -351,8 +364,11 @@
 fn slow_clients_have_their_time() {
     let endpoint = counts();
     let sidecar = small(&[endpoint.address]);
-    let mut client = sidecar.client();
-    assert_eq!(ask(&mut client, &look("a")).unwrap().word(), "200");
+    let mut client = sidecar.connect();
+    assert_eq!(
+        round_trip(&mut client, &get_look("a")).unwrap().status(),
+        "200"
+    );
     sleep(1200 * MS);
     let text = head("b", &stated(64_000));
     for piece in text.as_bytes().chunks(text.len() / 9) {
@@ -363,7 +379,7 @@
         client.get_mut().write_all(piece).unwrap();
         sleep(100 * MS);
     }
-    assert_eq!(Message::read(&mut client).unwrap().word(), "200");
+    assert_eq!(Message::read(&mut client).unwrap().status(), "200");
 }
 
 #[rstest]
@@ -372,7 +388,7 @@
 fn a_body_that_trickles_is_given_up(#[case] length: usize) {
     let endpoint = counts();
     let sidecar = small(&[endpoint.address]);
-    let (began, mut client) = (Instant::now(), sidecar.client());
+    let (began, mut client) = (Instant::now(), sidecar.connect());
     client
         .get_mut()
         .write_all(head("a", &stated(length)).as_bytes())
@@ -383,13 +399,13 @@
             sleep(50 * MS);
         }
     });
-    assert_eq!(Message::read(&mut client).unwrap().word(), "408");
+    assert_eq!(Message::read(&mut client).unwrap().status(), "408");
     assert!(
         (2000 * MS..4000 * MS).contains(&began.elapsed()),
         "{:?}",
         began.elapsed()
     );
-    assert_eq!(endpoint.count(), 0);
+    assert_eq!(endpoint.request_count(), 0);
 }
 
 #[rstest]
@@ -399,10 +415,10 @@
     let endpoint = counts();
     let sidecar = small(&[endpoint.address]);
     let text = head("a", framing).replace("POST /book", "GET /look");
-    assert_eq!(sidecar.ask(&text).word(), "200");
+    assert_eq!(sidecar.request(&text).status(), "200");
     let more = head("b", "Transfer-Encoding: chunked\r\n\r\n1\r\nx\r\n0")
         .replace("POST /book", "GET /look");
-    assert_eq!(sidecar.ask(&more).word(), "400");
+    assert_eq!(sidecar.request(&more).status(), "400");
 }
 
 // Whatever a system does to the bytes on their way.
@@ -412,14 +428,14 @@
 fn a_command_may_be_cut_at_every_byte(#[case] text: &str) {
     let endpoint = counts();
     let sidecar = small(&[endpoint.address]);
-    let mut client = sidecar.client();
+    let mut client = sidecar.connect();
     client.get_mut().set_nodelay(true).unwrap();
     for byte in text.as_bytes() {
         client.get_mut().write_all(&[*byte]).unwrap();
         sleep(MS);
     }
     assert_eq!(Message::read(&mut client).unwrap().body, b"14");
-    assert_eq!(endpoint.seen.lock().unwrap()[0].body, b"fourteen bytes");
+    assert_eq!(endpoint.requests.lock().unwrap()[0].body, b"fourteen bytes");
 }
 
 // Answers likewise, also such as end with their connection or come behind 1xx.
@@ -433,7 +449,7 @@
     "HTTP/1.1 102 Processing\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 14\r\n\r\nfourteen bytes"
 )]
 fn an_answer_may_be_cut_at_every_byte(#[case] text: &'static str) {
-    let endpoint = stand_in(move |_, to| {
+    let endpoint = fake_server(move |_, to| {
         let _ = to.set_nodelay(true);
         for byte in text.as_bytes() {
             let _ = to.write_all(&[*byte]);
@@ -442,8 +458,8 @@
         !text.contains("close")
     });
     let sidecar = small(&[endpoint.address]);
-    let mut client = sidecar.client();
-    let answer = ask(&mut client, &look("a")).unwrap();
+    let mut client = sidecar.connect();
+    let answer = round_trip(&mut client, &get_look("a")).unwrap();
     match answer.header("content-length") {
         Some(_) => assert_eq!(answer.body, b"fourteen bytes"),
         // Passed on as it came: no length was stated.
@@ -459,27 +475,30 @@
 fn who_expects_to_be_told_to_go_on_is_told() {
     let endpoint = counts();
     let sidecar = small(&[endpoint.address]);
-    let mut client = sidecar.client();
+    let mut client = sidecar.connect();
     let head = head(
         "a",
         &format!("Expect: 100-continue\r\n{}", stated(2_000_000)),
     );
-    assert_eq!(ask(&mut client, &head).unwrap().word(), "100");
+    assert_eq!(round_trip(&mut client, &head).unwrap().status(), "100");
     client.get_mut().write_all(&body(2_000_000)).unwrap();
-    assert_eq!(Message::read(&mut client).unwrap().word(), "200");
+    assert_eq!(Message::read(&mut client).unwrap().status(), "200");
 }
 
 // Whoever still reads an answer is no quiet client.
 #[rstest]
 fn a_slow_reader_is_not_given_up_while_others_wait() {
     let given = body(20_000_000);
-    let long = stand_in(move |_, to| {
-        answer(to, "200 OK", "", &given);
+    let long = fake_server(move |_, to| {
+        respond(to, "200 OK", "", &given);
         true
     });
     let sidecar = small(&[long.address]);
-    let mut reader = sidecar.client();
-    reader.get_mut().write_all(look("a").as_bytes()).unwrap();
+    let mut reader = sidecar.connect();
+    reader
+        .get_mut()
+        .write_all(get_look("a").as_bytes())
+        .unwrap();
     let mut first = [0; 1000];
     reader.read_exact(&mut first).unwrap();
     let crowd: Vec<_> = (0..400)
--- a/crates/passroad/tests/crossings.rs
+++ b/crates/passroad/tests/races.rs
@@ -1,10 +1,10 @@
 //! Two events that cross, in the bad order each time: the process is stopped and continued so that both lie ready, or
 //! a stand-in holds its byte until it has seen the other event. See `docs/crossings.md`.
 
-mod stand_ins;
+mod harness;
 
+use harness::*;
 use rstest::rstest;
-use stand_ins::*;
 use std::io::{BufReader, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
 use std::sync::atomic::{AtomicUsize, Ordering::SeqCst};
@@ -12,25 +12,27 @@
 
 /// How a client leaves.
 #[derive(Clone, Copy, Debug)]
-enum Leaves {
-    Closes,
-    Resets,
-    ShutsSending,
-    ClosesBehindMore,
+enum Disconnect {
+    Close,
+    Reset,
+    /// Shuts down its sending side only.
+    HalfClose,
+    /// Closes after it has written the request line of a next request.
+    CloseAfterNextRequestLine,
 }
 
-fn leave(mut client: BufReader<TcpStream>, how: Leaves) -> Option<BufReader<TcpStream>> {
+fn disconnect(mut client: BufReader<TcpStream>, how: Disconnect) -> Option<BufReader<TcpStream>> {
     match how {
-        Leaves::Closes => drop(client),
-        Leaves::Resets => {
+        Disconnect::Close => drop(client),
+        Disconnect::Reset => {
             let socket = socket2::SockRef::from(client.get_ref());
             socket.set_linger(Some(std::time::Duration::ZERO)).unwrap();
         }
-        Leaves::ShutsSending => {
+        Disconnect::HalfClose => {
             client.get_ref().shutdown(Shutdown::Write).unwrap();
             return Some(client);
         }
-        Leaves::ClosesBehindMore => client
+        Disconnect::CloseAfterNextRequestLine => client
             .get_mut()
             .write_all(b"GET /look HTTP/1.1\r\n")
             .unwrap(),
@@ -38,55 +40,64 @@
     None
 }
 
-fn ids(endpoint: &StandIn) -> Vec<String> {
+fn ids(endpoint: &FakeServer) -> Vec<String> {
     endpoint
-        .seen
+        .requests
         .lock()
         .unwrap()
         .iter()
-        .filter_map(|m| m.header("req-id"))
+        .filter_map(|request| request.header("req-id"))
         .collect()
 }
 
 // The command and the end of its client lie ready in one turn: the command is read first.
 #[rstest]
-#[case::closes(Leaves::Closes)]
-#[case::resets(Leaves::Resets)]
-#[case::shuts_sending(Leaves::ShutsSending)]
-#[case::closes_behind_more(Leaves::ClosesBehindMore)]
-fn what_a_client_left_behind_while_the_process_stood_still_is_not_sent(#[case] how: Leaves) {
-    let endpoint = willing("ok");
-    let sidecar = sidecar_with(
+#[case::close(Disconnect::Close)]
+#[case::reset(Disconnect::Reset)]
+#[case::half_close(Disconnect::HalfClose)]
+#[case::close_after_next_request_line(Disconnect::CloseAfterNextRequestLine)]
+fn what_a_client_left_behind_while_the_process_stood_still_is_not_sent(#[case] how: Disconnect) {
+    let endpoint = ok_endpoint("ok");
+    let sidecar = start_sidecar_with(
         &member("s-1", endpoint.address, "up"),
-        nowhere(),
-        &patient(),
+        unused_address(),
+        &long_deadline_settings(),
     );
     // One that is let in already, and a connection to the endpoint that is kept.
     for n in 0..5 {
-        let mut known = sidecar.client();
+        let mut known = sidecar.connect();
         assert_eq!(
-            ask(&mut known, &patiently(&look(&format!("first{n}"))))
-                .unwrap()
-                .word(),
+            round_trip(
+                &mut known,
+                &with_long_deadline(&get_look(&format!("first{n}")))
+            )
+            .unwrap()
+            .status(),
             "200"
         );
         sidecar.signal("STOP");
-        let gone: Vec<_> = [known, sidecar.client(), sidecar.client()]
+        let gone: Vec<_> = [known, sidecar.connect(), sidecar.connect()]
             .into_iter()
             .enumerate()
             .map(|(k, mut client)| {
                 let id = format!("left{n}-{k}");
-                let command = if k == 1 { book(&id) } else { look(&id) };
+                let command = if k == 1 {
+                    post_book(&id)
+                } else {
+                    get_look(&id)
+                };
                 client
                     .get_mut()
-                    .write_all(patiently(&command).as_bytes())
+                    .write_all(with_long_deadline(&command).as_bytes())
                     .unwrap();
-                leave(client, how)
+                disconnect(client, how)
             })
             .collect();
         sidecar.signal("CONT");
         assert_eq!(
-            sidecar.ask(&patiently(&look(&format!("next{n}")))).word(),
+            sidecar
+                .request(&with_long_deadline(&get_look(&format!("next{n}"))))
+                .status(),
             "200"
         );
         drop(gone);
@@ -101,15 +112,15 @@
 // The same while the process stops, with half of the body read before.
 #[rstest]
 fn what_a_client_left_behind_during_a_stop_is_not_sent() {
-    let endpoint = willing("ok");
-    let mut sidecar = sidecar_with(
+    let endpoint = ok_endpoint("ok");
+    let mut sidecar = start_sidecar_with(
         &member("s-1", endpoint.address, "up"),
-        nowhere(),
-        &patient(),
+        unused_address(),
+        &long_deadline_settings(),
     );
-    let command = patiently(&book("left-half"));
+    let command = with_long_deadline(&post_book("left-half"));
     let (first, rest) = command.split_at(command.len() - 2);
-    let mut half = sidecar.client();
+    let mut half = sidecar.connect();
     half.get_mut().write_all(first.as_bytes()).unwrap();
     sleep(50 * MS);
     sidecar.signal("STOP");
@@ -117,19 +128,19 @@
     half.get_mut().write_all(rest.as_bytes()).unwrap();
     drop(half);
     for n in 0..5 {
-        let mut client = sidecar.client();
+        let mut client = sidecar.connect();
         client
             .get_mut()
-            .write_all(patiently(&book(&format!("left{n}"))).as_bytes())
+            .write_all(with_long_deadline(&post_book(&format!("left{n}"))).as_bytes())
             .unwrap();
     }
-    let mut stays = sidecar.client();
+    let mut stays = sidecar.connect();
     stays
         .get_mut()
-        .write_all(patiently(&book("stays")).as_bytes())
+        .write_all(with_long_deadline(&post_book("stays")).as_bytes())
         .unwrap();
     sidecar.signal("CONT");
-    assert_eq!(Message::read(&mut stays).unwrap().word(), "200");
+    assert_eq!(Message::read(&mut stays).unwrap().status(), "200");
     assert_eq!(sidecar.child.wait().unwrap().code(), Some(0));
     assert_eq!(ids(&endpoint), ["stays"]);
 }
@@ -141,10 +152,10 @@
 #[case::in_the_module_and_outside(40)]
 fn what_waited_for_room_is_not_sent_once_its_client_left(#[case] count: usize) {
     let gate = Gate::default();
-    let own = gate.clone();
-    let endpoint = stand_in(move |_, to| {
-        own.pass();
-        answer(to, "200 OK", "", b"ok");
+    let handler_gate = gate.clone();
+    let endpoint = fake_server(move |_, to| {
+        handler_gate.wait_until_open();
+        respond(to, "200 OK", "", b"ok");
         true
     });
     // Room is waited for, for a quarter of the goal.
@@ -153,16 +164,20 @@
         "\"response_goal\":40000000000",
     );
     let settings = settings.replace("\"time_limit\":1000000000", "\"time_limit\":60000000000");
-    let sidecar = sidecar_with(&member("s-1", endpoint.address, "up"), nowhere(), &settings);
+    let sidecar = start_sidecar_with(
+        &member("s-1", endpoint.address, "up"),
+        unused_address(),
+        &settings,
+    );
     let send = |n: usize| {
-        let mut client = sidecar.client();
+        let mut client = sidecar.connect();
         let command =
-            book(&n.to_string()).replace("Req-Deadline-Ms: 900", "Req-Deadline-Ms: 59000");
+            post_book(&n.to_string()).replace("Req-Deadline-Ms: 900", "Req-Deadline-Ms: 59000");
         client.get_mut().write_all(command.as_bytes()).unwrap();
         client
     };
     let clients: Vec<_> = (0..count).map(send).collect();
-    until(|| endpoint.count() >= 2);
+    wait_until(|| endpoint.request_count() >= 2);
     sleep(100 * MS);
     sidecar.signal("STOP");
     let out = ids(&endpoint);
@@ -176,12 +191,12 @@
     sidecar.signal("CONT");
     assert!(
         stay.iter_mut()
-            .all(|client| Message::read(client).unwrap().word() == "200")
+            .all(|client| Message::read(client).unwrap().status() == "200")
     );
     assert_eq!(
         sidecar
-            .ask(&look("next").replace("Ms: 900", "Ms: 59000"))
-            .word(),
+            .request(&get_look("next").replace("Ms: 900", "Ms: 59000"))
+            .status(),
         "200"
     );
     let seen: Vec<_> = ids(&endpoint)
@@ -192,16 +207,16 @@
 }
 
 /// An endpoint to which connections come up only once it is told to let them.
-struct Late {
+struct DelayedListener {
     address: SocketAddr,
     listener: TcpListener,
     filling: Vec<TcpStream>,
 }
 
-impl Late {
+impl DelayedListener {
     fn new() -> Self {
-        let (address, listener, filling) = deaf();
-        Late {
+        let (address, listener, filling) = full_backlog_listener();
+        DelayedListener {
             address,
             listener,
             filling,
@@ -209,7 +224,7 @@
     }
 
     /// Lets in what waits; every byte that comes over a connection of the sidecar's within a while.
-    fn lets_in(self) -> Vec<u8> {
+    fn accept_and_read(self) -> Vec<u8> {
         self.listener.set_nonblocking(false).unwrap();
         // Those that filled it come first, and say nothing.
         for filler in &self.filling {
@@ -241,20 +256,20 @@
 }
 
 /// Settings under which a connection may take two seconds to come up, with no probes.
-fn unhurried() -> String {
-    let settings = patient().replace("\"probes\":true", "\"probes\":false");
+fn slow_connect_settings() -> String {
+    let settings = long_deadline_settings().replace("\"probes\":true", "\"probes\":false");
     settings.replace(
         "\"connect_timeout\":250000000",
         "\"connect_timeout\":32000000000",
     )
 }
 
-fn says(came: &[u8], id: &str) -> bool {
+fn contains_request(came: &[u8], id: &str) -> bool {
     String::from_utf8_lossy(came).contains(&format!("req-id: {id}\r\n"))
 }
 
 /// Whether the process has a connection under way to an address.
-fn dials(to: SocketAddr) -> bool {
+fn is_connecting(to: SocketAddr) -> bool {
     let SocketAddr::V4(to) = to else {
         unreachable!()
     };
@@ -275,32 +290,44 @@
     #[case] may_recall: bool,
     #[case] same_turn: bool,
 ) {
-    let late = Late::new();
-    let settings = unhurried().replace(
+    let late = DelayedListener::new();
+    let settings = slow_connect_settings().replace(
         "\"may_cancel\":true",
         &format!("\"may_cancel\":{may_recall}"),
     );
-    let sidecar = sidecar_with(&member("s-1", late.address, "up"), nowhere(), &settings);
-    let mut client = sidecar.client();
+    let sidecar = start_sidecar_with(
+        &member("s-1", late.address, "up"),
+        unused_address(),
+        &settings,
+    );
+    let mut client = sidecar.connect();
     client
         .get_mut()
-        .write_all(patiently(&book("left")).as_bytes())
+        .write_all(with_long_deadline(&post_book("left")).as_bytes())
         .unwrap();
-    until(|| dials(late.address));
+    wait_until(|| is_connecting(late.address));
     if same_turn {
         sidecar.signal("STOP");
         drop(client);
-        let waits = std::thread::spawn(move || late.lets_in());
+        let waits = std::thread::spawn(move || late.accept_and_read());
         sleep(2500 * MS);
         sidecar.signal("CONT");
         let came = waits.join().unwrap();
-        assert!(!says(&came, "left"), "{}", String::from_utf8_lossy(&came));
+        assert!(
+            !contains_request(&came, "left"),
+            "{}",
+            String::from_utf8_lossy(&came)
+        );
     } else {
         drop(client);
         // What it held is free at once: its connection is given up.
-        until(|| !dials(late.address));
-        let came = late.lets_in();
-        assert!(!says(&came, "left"), "{}", String::from_utf8_lossy(&came));
+        wait_until(|| !is_connecting(late.address));
+        let came = late.accept_and_read();
+        assert!(
+            !contains_request(&came, "left"),
+            "{}",
+            String::from_utf8_lossy(&came)
+        );
     }
 }
 
@@ -309,80 +336,93 @@
 #[case::draining(|at| member("s-1", at, "draining"))]
 #[case::removed(|at| member("s-1", at, "removed"))]
 #[case::left_out(|_| String::new())]
-#[case::moved(|_| member("s-1", nowhere(), "draining"))]
+#[case::moved(|_| member("s-1", unused_address(), "draining"))]
 #[case::started_anew(|at| member("s-1", at, "up").replace("\"up_since_ms\":0", "\"up_since_ms\":4000000000000"))]
 fn a_relay_that_has_sent_nothing_goes_elsewhere_once_its_endpoint_is_out(
     #[case] now: fn(SocketAddr) -> String,
     #[values(false, true)] same_turn: bool,
 ) {
-    let (late, well) = (Late::new(), willing("ok"));
+    let (late, well) = (DelayedListener::new(), ok_endpoint("ok"));
     let known = member("s-1", late.address, "up");
-    let discovery = discovery(&known);
-    let sidecar = sidecar_with(&known, discovery.stand_in.address, &unhurried());
-    until(|| discovery.stand_in.count() > 0);
-    let mut client = sidecar.client();
+    let discovery = fake_discovery(&known);
+    let sidecar = start_sidecar_with(&known, discovery.server.address, &slow_connect_settings());
+    wait_until(|| discovery.server.request_count() > 0);
+    let mut client = sidecar.connect();
     client
         .get_mut()
-        .write_all(patiently(&book("a")).as_bytes())
+        .write_all(with_long_deadline(&post_book("a")).as_bytes())
         .unwrap();
-    until(|| dials(late.address));
+    wait_until(|| is_connecting(late.address));
     let list = [now(late.address), member("s-2", well.address, "up")].join(",");
     if same_turn {
         sidecar.signal("STOP");
-        *discovery.list.lock().unwrap() = (2, list.trim_start_matches(',').to_string());
-        let waits = std::thread::spawn(move || late.lets_in());
+        discovery.publish(2, list.trim_start_matches(',').to_string());
+        let waits = std::thread::spawn(move || late.accept_and_read());
         sleep(2500 * MS);
         sidecar.signal("CONT");
         assert_eq!(Message::read(&mut client).unwrap().body, b"ok");
-        assert!(!says(&waits.join().unwrap(), "a"));
+        assert!(!contains_request(&waits.join().unwrap(), "a"));
     } else {
-        *discovery.list.lock().unwrap() = (2, list.trim_start_matches(',').to_string());
+        discovery.publish(2, list.trim_start_matches(',').to_string());
         assert_eq!(Message::read(&mut client).unwrap().body, b"ok");
-        assert!(!says(&late.lets_in(), "a"));
+        assert!(!contains_request(&late.accept_and_read(), "a"));
     }
-    assert_eq!(well.count(), 1);
+    assert_eq!(well.request_count(), 1);
 }
 
 // The same by an operator's word.
 #[rstest]
 fn a_relay_that_has_sent_nothing_goes_elsewhere_once_its_endpoint_is_out_by_hand() {
-    let (late, well, door, address) = (Late::new(), willing("ok"), nowhere(), nowhere());
+    let (late, well, management, address) = (
+        DelayedListener::new(),
+        ok_endpoint("ok"),
+        unused_address(),
+        unused_address(),
+    );
     let known = member("s-1", late.address, "up");
-    let discovery = discovery(&known);
-    let text = told(address, discovery.stand_in.address, &known, &unhurried());
+    let discovery = fake_discovery(&known);
+    let text = config_json(
+        address,
+        discovery.server.address,
+        &known,
+        &slow_connect_settings(),
+    );
     let sidecar = Sidecar::start(
         address,
-        &with_door(&text.replace("\"sockets\":64", "\"sockets\":256"), door),
+        &with_management(
+            &text.replace("\"sockets\":64", "\"sockets\":256"),
+            management,
+        ),
     );
-    until(|| discovery.stand_in.count() > 0);
-    let mut client = sidecar.client();
+    wait_until(|| discovery.server.request_count() > 0);
+    let mut client = sidecar.connect();
     client
         .get_mut()
-        .write_all(patiently(&book("a")).as_bytes())
+        .write_all(with_long_deadline(&post_book("a")).as_bytes())
         .unwrap();
-    until(|| dials(late.address));
-    *discovery.list.lock().unwrap() = (2, [known, member("s-2", well.address, "up")].join(","));
-    until(|| {
+    wait_until(|| is_connecting(late.address));
+    discovery.publish(2, [known, member("s-2", well.address, "up")].join(","));
+    wait_until(|| {
         discovery
-            .stand_in
-            .seen
+            .server
+            .requests
             .lock()
             .unwrap()
             .iter()
-            .any(|m| m.word().contains("from=2&"))
+            .any(|request| request.target().contains("from=2&"))
     });
-    assert_eq!(cordon(door, "cordon", "s-1"), "200");
+    assert_eq!(post_cordon(management, "cordon", "s-1"), "200");
     assert_eq!(Message::read(&mut client).unwrap().body, b"ok");
-    assert!(!says(&late.lets_in(), "a"));
+    assert!(!contains_request(&late.accept_and_read(), "a"));
 }
 
 // ---- the list ----
 
 /// A discovery whose answers a test gives out one by one: `act` has the call's target and its number.
-fn asked(act: impl Fn(&str, usize, &mut TcpStream) + Send + Sync + 'static) -> StandIn {
+fn asked(act: impl Fn(&str, usize, &mut TcpStream) + Send + Sync + 'static) -> FakeServer {
     let calls = AtomicUsize::new(0);
-    stand_in(move |call, to| {
-        act(call.word(), calls.fetch_add(1, SeqCst), to);
+    fake_server(move |call, to| {
+        act(call.target(), calls.fetch_add(1, SeqCst), to);
         true
     })
 }
@@ -396,11 +436,11 @@
 }
 
 fn tells(to: &mut TcpStream, list: &str) {
-    answer(to, "200 OK", "", list.as_bytes());
+    respond(to, "200 OK", "", list.as_bytes());
 }
 
 fn paced(ask_every_ms: u64) -> String {
-    patient().replace(
+    long_deadline_settings().replace(
         "\"ask_every\":400000000",
         &format!("\"ask_every\":{ask_every_ms}000000"),
     )
@@ -408,17 +448,19 @@
 
 /// Waits until the endpoint that drains is out of use: by chance alone it would have one in two.
 fn all_go_to(sidecar: &Sidecar, well: &'static [u8]) {
-    until(|| (0..30).all(|_| sidecar.ask(&patiently(&look("a"))).body == well));
+    wait_until(|| {
+        (0..30).all(|_| sidecar.request(&with_long_deadline(&get_look("a"))).body == well)
+    });
 }
 
 // The module calls again, as it had been refused; meanwhile discovery has moved, and a watch is out there.
 #[rstest]
 fn a_watch_that_is_out_is_not_dropped_for_a_later_word_of_the_module() {
-    let (first, second) = (willing("first"), willing("second"));
+    let (first, second) = (ok_endpoint("first"), ok_endpoint("second"));
     let both = [("s-1", &first), ("s-2", &second)]
-        .map(|(id, e)| member(id, e.address, "up"))
+        .map(|(id, endpoint)| member(id, endpoint.address, "up"))
         .join(",");
-    let refuses = asked(|_, _, to| answer(to, "503 Busy", "", b""));
+    let refuses = asked(|_, _, to| respond(to, "503 Busy", "", b""));
     let (known, gone) = (both.clone(), member("s-1", first.address, "draining"));
     let answers = asked(move |target, _, to| match target {
         "/v1/servers" => tells(to, &whole(5, &known)),
@@ -429,18 +471,18 @@
         }
         _ => {}
     });
-    let address = nowhere();
-    let text = |at| told(address, at, &both, &paced(8000));
+    let address = unused_address();
+    let text = |at| config_json(address, at, &both, &paced(8000));
     let sidecar = Sidecar::start(address, &text(refuses.address));
-    until(|| refuses.count() == 1);
+    wait_until(|| refuses.request_count() == 1);
     sidecar.reload(&text(answers.address));
-    until(|| answers.count() == 3);
+    wait_until(|| answers.request_count() == 3);
     let targets: Vec<_> = answers
-        .seen
+        .requests
         .lock()
         .unwrap()
         .iter()
-        .map(|m| m.word().to_string())
+        .map(|request| request.target().to_string())
         .collect();
     assert!(
         targets[1].contains("from=5&") && targets[2].contains("from=6&"),
@@ -452,26 +494,26 @@
 // SIGHUP while a watch is out whose answer is about to be written: what it says counts as told.
 #[rstest]
 fn what_the_old_discovery_still_says_is_heard_until_the_new_one_has_answered() {
-    let (first, second) = (willing("first"), willing("second"));
+    let (first, second) = (ok_endpoint("first"), ok_endpoint("second"));
     let both = [("s-1", &first), ("s-2", &second)]
-        .map(|(id, e)| member(id, e.address, "up"))
+        .map(|(id, endpoint)| member(id, endpoint.address, "up"))
         .join(",");
     let gate = Gate::default();
-    let (own, gone) = (gate.clone(), member("s-1", first.address, "draining"));
+    let (handler_gate, gone) = (gate.clone(), member("s-1", first.address, "draining"));
     let before = asked(move |_, _, to| {
-        own.pass();
+        handler_gate.wait_until_open();
         tells(to, &changes(2, &gone));
     });
     let after = asked(|_, _, _| {});
-    let address = nowhere();
-    let text = |at| told(address, at, &both, &paced(40_000));
+    let address = unused_address();
+    let text = |at| config_json(address, at, &both, &paced(40_000));
     let sidecar = Sidecar::start(address, &text(before.address));
-    until(|| before.count() == 1);
+    wait_until(|| before.request_count() == 1);
     sidecar.reload(&text(after.address));
-    until(|| after.count() == 1);
+    wait_until(|| after.request_count() == 1);
     gate.open();
     all_go_to(&sidecar, b"second");
-    assert_eq!(after.count(), 1);
+    assert_eq!(after.request_count(), 1);
 }
 
 // A watch is over its time when its answer comes; the whole list has been asked for, and nobody answers that.
@@ -479,24 +521,24 @@
 #[case::later(false)]
 #[case::in_the_same_turn(true)]
 fn the_answer_to_a_watch_that_seemed_silent_is_heard(#[case] same_turn: bool) {
-    let (first, second) = (willing("first"), willing("second"));
+    let (first, second) = (ok_endpoint("first"), ok_endpoint("second"));
     let both = [("s-1", &first), ("s-2", &second)]
-        .map(|(id, e)| member(id, e.address, "up"))
+        .map(|(id, endpoint)| member(id, endpoint.address, "up"))
         .join(",");
     let gate = Gate::default();
-    let (own, gone) = (gate.clone(), member("s-1", first.address, "draining"));
+    let (handler_gate, gone) = (gate.clone(), member("s-1", first.address, "draining"));
     let discovery = asked(move |target, _, to| {
         if target.contains("from=1&") {
-            own.pass();
+            handler_gate.wait_until_open();
             tells(to, &changes(2, &gone));
         }
     });
-    let sidecar = sidecar_with(
+    let sidecar = start_sidecar_with(
         &both,
         discovery.address,
         &paced(40_000).replace("on_request", "pushed"),
     );
-    until(|| discovery.count() == 1);
+    wait_until(|| discovery.request_count() == 1);
     if same_turn {
         sidecar.signal("STOP");
         // Longer than the watch may last.
@@ -505,8 +547,11 @@
         sleep(100 * MS);
         sidecar.signal("CONT");
     } else {
-        until(|| discovery.count() == 2);
-        assert_eq!(discovery.seen.lock().unwrap()[1].word(), "/v1/servers");
+        wait_until(|| discovery.request_count() == 2);
+        assert_eq!(
+            discovery.requests.lock().unwrap()[1].target(),
+            "/v1/servers"
+        );
         gate.open();
     }
     all_go_to(&sidecar, b"second");
@@ -516,9 +561,9 @@
 // sidecar waited for the whole list and then for the module's next call, while what the agent had counted as told.
 #[rstest]
 fn where_lists_are_pushed_a_silent_agent_is_watched_again_at_once() {
-    let (first, second) = (willing("first"), willing("second"));
+    let (first, second) = (ok_endpoint("first"), ok_endpoint("second"));
     let both = [("s-1", &first), ("s-2", &second)]
-        .map(|(id, e)| member(id, e.address, "up"))
+        .map(|(id, endpoint)| member(id, endpoint.address, "up"))
         .join(",");
     let gone = member("s-1", first.address, "draining");
     let watches = AtomicUsize::new(0);
@@ -530,15 +575,15 @@
     });
     // The module's next call is a minute away.
     let settings = paced(4_000_000).replace("on_request", "pushed");
-    let sidecar = sidecar_with(&both, agent.address, &settings);
+    let sidecar = start_sidecar_with(&both, agent.address, &settings);
     all_go_to(&sidecar, b"second");
-    until(|| agent.count() > 2);
+    wait_until(|| agent.request_count() > 2);
     let targets: Vec<_> = agent
-        .seen
+        .requests
         .lock()
         .unwrap()
         .iter()
-        .map(|m| m.word().to_string())
+        .map(|request| request.target().to_string())
         .collect();
     assert_eq!(targets[1], "/v1/servers");
     assert!(
@@ -554,26 +599,30 @@
 fn a_kept_connection_that_closed_in_the_turn_in_which_it_is_chosen_costs_no_command() {
     let closing = std::sync::Arc::new(std::sync::Mutex::new(Vec::<TcpStream>::new()));
     let own = std::sync::Arc::clone(&closing);
-    let endpoint = stand_in(move |_, to| {
+    let endpoint = fake_server(move |_, to| {
         own.lock().unwrap().push(to.try_clone().unwrap());
-        answer(to, "200 OK", "", b"ok");
+        respond(to, "200 OK", "", b"ok");
         true
     });
-    let settings = patient().replace("\"probes\":true", "\"probes\":false");
-    let sidecar = sidecar_with(&member("s-1", endpoint.address, "up"), nowhere(), &settings);
+    let settings = long_deadline_settings().replace("\"probes\":true", "\"probes\":false");
+    let sidecar = start_sidecar_with(
+        &member("s-1", endpoint.address, "up"),
+        unused_address(),
+        &settings,
+    );
     for n in 0..10 {
-        let mut clients: Vec<_> = (0..3).map(|_| sidecar.client()).collect();
+        let mut clients: Vec<_> = (0..3).map(|_| sidecar.connect()).collect();
         // Several are kept, as they are used at the same time.
         for (k, client) in clients.iter_mut().enumerate() {
             client
                 .get_mut()
-                .write_all(patiently(&look(&format!("{n}-{k}"))).as_bytes())
+                .write_all(with_long_deadline(&get_look(&format!("{n}-{k}"))).as_bytes())
                 .unwrap();
         }
         assert!(
             clients
                 .iter_mut()
-                .all(|client| Message::read(client).unwrap().word() == "200")
+                .all(|client| Message::read(client).unwrap().status() == "200")
         );
         sidecar.signal("STOP");
         for stream in closing.lock().unwrap().drain(..) {
@@ -581,12 +630,12 @@
         }
         clients[0]
             .get_mut()
-            .write_all(patiently(&book(&format!("{n}"))).as_bytes())
+            .write_all(with_long_deadline(&post_book(&format!("{n}"))).as_bytes())
             .unwrap();
         sleep(20 * MS);
         sidecar.signal("CONT");
         assert_eq!(
-            Message::read(&mut clients[0]).unwrap().word(),
+            Message::read(&mut clients[0]).unwrap().status(),
             "200",
             "round {n}"
         );
@@ -597,27 +646,31 @@
 
 /// Settings with a limit of twelve seconds.
 fn long() -> String {
-    patient().replace("\"time_limit\":8000000000", "\"time_limit\":12000000000")
+    long_deadline_settings().replace("\"time_limit\":8000000000", "\"time_limit\":12000000000")
 }
 
 // The process may be killed 3.7 s after SIGTERM, however long the limits are.
 #[rstest]
-#[case::pure(look("a"))]
-#[case::effectful(book("a"))]
+#[case::pure(get_look("a"))]
+#[case::effectful(post_book("a"))]
 fn what_is_open_at_the_end_of_a_stop_is_answered_before_the_kill(#[case] command: String) {
-    let hangs = stand_in(|_, _| true);
-    let mut sidecar = sidecar_with(&member("s-1", hangs.address, "up"), nowhere(), &long());
-    let mut client = sidecar.client();
+    let hangs = fake_server(|_, _| true);
+    let mut sidecar = start_sidecar_with(
+        &member("s-1", hangs.address, "up"),
+        unused_address(),
+        &long(),
+    );
+    let mut client = sidecar.connect();
     let command = command.replace("Req-Deadline-Ms: 900", "Req-Deadline-Ms: 11900");
     client.get_mut().write_all(command.as_bytes()).unwrap();
-    until(|| hangs.count() == 1);
+    wait_until(|| hangs.request_count() == 1);
     sidecar.signal("TERM");
     // A supervisor's, as the protocol has it; it starts after the signal, so a slow machine has no less.
     sleep(3700 * MS);
     sidecar.signal("KILL");
     let answer = Message::read(&mut client).expect("an answer");
     assert!(
-        ["502", "503", "504"].contains(&answer.word()),
+        ["502", "503", "504"].contains(&answer.status()),
         "{}",
         answer.head
     );
@@ -633,21 +686,23 @@
     #[case] answered: bool,
     #[case] stands_ms: u32,
 ) {
-    let endpoint = willing("ok");
-    let mut sidecar = sidecar_with(
+    let endpoint = ok_endpoint("ok");
+    let mut sidecar = start_sidecar_with(
         &member("s-1", endpoint.address, "up"),
-        nowhere(),
-        &patient(),
+        unused_address(),
+        &long_deadline_settings(),
     );
-    let mut clients: Vec<_> = (0..10).map(|_| sidecar.client()).collect();
+    let mut clients: Vec<_> = (0..10).map(|_| sidecar.connect()).collect();
     for client in clients.iter_mut().filter(|_| answered) {
         assert_eq!(
-            ask(client, &patiently(&look("first"))).unwrap().word(),
+            round_trip(client, &with_long_deadline(&get_look("first")))
+                .unwrap()
+                .status(),
             "200"
         );
     }
     // Half a head first: the connections are let in and known to be in use.
-    let command = patiently(&book("last"));
+    let command = with_long_deadline(&post_book("last"));
     let (first, rest) = command.split_at(20);
     for client in &mut clients {
         client.get_mut().write_all(first.as_bytes()).unwrap();
@@ -664,7 +719,9 @@
     sidecar.signal("CONT");
     let words: Vec<_> = clients
         .iter_mut()
-        .map(|c| Message::read(c).map_or("none".into(), |m| m.word().to_string()))
+        .map(|client| {
+            Message::read(client).map_or("none".into(), |request| request.status().to_string())
+        })
         .collect();
     assert!(words.iter().all(|word| word == "200"), "{words:?}");
     assert_eq!(sidecar.child.wait().unwrap().code(), Some(0));
@@ -676,43 +733,48 @@
 #[rstest]
 fn past_its_window_a_receipted_command_is_not_sent_again_however_late_its_connection() {
     let gate = Gate::default();
-    let own = gate.clone();
-    let breaks = stand_in(move |_, to| {
-        own.pass();
+    let handler_gate = gate.clone();
+    let breaks = fake_server(move |_, to| {
+        handler_gate.wait_until_open();
         to.shutdown(Shutdown::Both).unwrap();
         false
     });
-    let late = Late::new();
-    let discovery = discovery(&member("s-1", breaks.address, "up"));
-    let settings = unhurried().replace(
+    let late = DelayedListener::new();
+    let discovery = fake_discovery(&member("s-1", breaks.address, "up"));
+    let settings = slow_connect_settings().replace(
         "\"non_idempotent\"",
         "\"idempotency_key\",\"window\":1500000000",
     );
     let known = member("s-1", breaks.address, "up");
-    let sidecar = sidecar_with(&known, discovery.stand_in.address, &settings);
-    let mut client = sidecar.client();
-    let command = patiently(&book("once")).replace("Req-Owner", "Idempotency-Key: 7\r\nReq-Owner");
+    let sidecar = start_sidecar_with(&known, discovery.server.address, &settings);
+    let mut client = sidecar.connect();
+    let command = with_long_deadline(&post_book("once"))
+        .replace("Req-Owner", "Idempotency-Key: 7\r\nReq-Owner");
     client.get_mut().write_all(command.as_bytes()).unwrap();
-    until(|| breaks.count() == 1);
+    wait_until(|| breaks.request_count() == 1);
     let list = format!(
         "{},{}",
         member("s-1", breaks.address, "draining"),
         member("s-2", late.address, "up")
     );
-    *discovery.list.lock().unwrap() = (2, list);
-    until(|| {
+    discovery.publish(2, list);
+    wait_until(|| {
         discovery
-            .stand_in
-            .seen
+            .server
+            .requests
             .lock()
             .unwrap()
             .iter()
-            .any(|m| m.word().contains("from=2&"))
+            .any(|request| request.target().contains("from=2&"))
     });
     gate.open();
-    until(|| dials(late.address));
+    wait_until(|| is_connecting(late.address));
     sleep(1500 * MS);
-    let came = late.lets_in();
-    assert!(!says(&came, "once"), "{}", String::from_utf8_lossy(&came));
-    assert!(["502", "503"].contains(&Message::read(&mut client).unwrap().word()));
+    let came = late.accept_and_read();
+    assert!(
+        !contains_request(&came, "once"),
+        "{}",
+        String::from_utf8_lossy(&came)
+    );
+    assert!(["502", "503"].contains(&Message::read(&mut client).unwrap().status()));
 }
--- a/crates/passroad/tests/restarts.rs
+++ b/crates/passroad/tests/restarts.rs
@@ -1,10 +1,10 @@
 //! Sidecars that start again: what they wait for before they take clients, and what they do not. Clients send from the first
 //! moment, whatever discovery does, and while the process before still holds the address. See `docs/crossings.md`.
 
-mod stand_ins;
+mod harness;
 
+use harness::*;
 use rstest::rstest;
-use stand_ins::*;
 use std::io::{BufReader, Write};
 use std::net::{SocketAddr, TcpStream, UdpSocket};
 use std::process::{Child, Stdio};
@@ -21,7 +21,7 @@
 
 impl Started {
     fn new(text: &str, fleet: Option<&str>) -> Started {
-        let (mut command, folder) = program(text);
+        let (mut command, folder) = sidecar_command(text);
         if let Some(fleet) = fleet {
             let file = folder.join("fleet.toml");
             std::fs::write(&file, fleet).unwrap();
@@ -35,12 +35,12 @@
     }
 
     /// How long after its start it took clients; none if it has ended, or a minute has passed.
-    fn ready(&mut self, address: SocketAddr) -> Option<Duration> {
+    fn wait_until_ready(&mut self, address: SocketAddr) -> Option<Duration> {
         while self.2.elapsed() < Duration::from_secs(60) {
             if self.0.try_wait().unwrap().is_some() {
                 return None;
             }
-            if ready(address) {
+            if is_ready(address) {
                 return Some(self.2.elapsed());
             }
             sleep(10 * MS);
@@ -60,21 +60,21 @@
 // ---- the process before ----
 
 // The process before was told to end and hangs: it holds the address until it is killed, 3.7 s after that. Who waited for less
-// ended with code 2, as if its configuration were at fault; and so did whoever found the operators' door taken.
+// ended with code 2, as if its configuration were at fault; and so did whoever found the operators' management taken.
 #[rstest]
 #[case::without_a_door(false)]
 #[case::with_a_door(true)]
 fn an_address_is_waited_for_until_the_process_before_is_killed(#[case] with_operators: bool) {
-    let endpoint = willing("ok");
-    let (address, door) = (nowhere(), nowhere());
-    let text = told(
+    let endpoint = ok_endpoint("ok");
+    let (address, management) = (unused_address(), unused_address());
+    let text = config_json(
         address,
-        nowhere(),
+        unused_address(),
         &member("s-1", endpoint.address, "up"),
-        &patient(),
+        &long_deadline_settings(),
     );
     let text = if with_operators {
-        with_door(&text, door)
+        with_management(&text, management)
     } else {
         text
     };
@@ -89,70 +89,72 @@
     );
     before.child.kill().unwrap();
     before.child.wait().unwrap();
-    assert!(next.ready(address).expect("it is to come up") < READY_WITHIN);
+    assert!(next.wait_until_ready(address).expect("it is to come up") < READY_WITHIN);
     let mut client = BufReader::new(TcpStream::connect(address).unwrap());
     assert_eq!(
-        ask(&mut client, &patiently(&look("a"))).unwrap().word(),
+        round_trip(&mut client, &with_long_deadline(&get_look("a")))
+            .unwrap()
+            .status(),
         "200"
     );
     if with_operators {
-        until(|| ready_for_operators(door));
+        wait_until(|| ready_for_operators(management));
     }
 }
 
-fn ready_for_operators(door: SocketAddr) -> bool {
-    TcpStream::connect(door).is_ok_and(|mut to| {
+fn ready_for_operators(management: SocketAddr) -> bool {
+    TcpStream::connect(management).is_ok_and(|mut to| {
         let _ = to.set_read_timeout(Some(1000 * MS));
         let _ = to.write_all(b"GET /admin/health HTTP/1.1\r\nHost: b\r\nConnection: close\r\n\r\n");
-        Message::read(&mut BufReader::new(to)).is_some_and(|m| m.word() == "200")
+        Message::read(&mut BufReader::new(to)).is_some_and(|request| request.status() == "200")
     })
 }
 
-// Clients are not kept waiting for the operators' door, and it opens once it is free.
+// Clients are not kept waiting for the operators' management, and it opens once it is free.
 #[rstest]
 fn clients_do_not_wait_for_the_operators_door() {
-    let endpoint = willing("ok");
-    let address = nowhere();
-    let holder = std::net::TcpListener::bind(nowhere()).unwrap();
-    let door = holder.local_addr().unwrap();
-    let text = with_door(
-        &told(
+    let endpoint = ok_endpoint("ok");
+    let address = unused_address();
+    let holder = std::net::TcpListener::bind(unused_address()).unwrap();
+    let management = holder.local_addr().unwrap();
+    let text = with_management(
+        &config_json(
             address,
-            nowhere(),
+            unused_address(),
             &member("s-1", endpoint.address, "up"),
             SETTINGS,
         ),
-        door,
+        management,
     );
     let mut sidecar = Started::new(&text, None);
-    assert!(sidecar.ready(address).is_some(), "it ended");
+    assert!(sidecar.wait_until_ready(address).is_some(), "it ended");
     drop(holder);
-    until(|| ready_for_operators(door));
+    wait_until(|| ready_for_operators(management));
 }
 
 // The process before shares a folder and stands still: it hands nothing over, and is not waited for.
 #[rstest]
 fn a_process_before_that_hands_nothing_over_is_not_waited_for() {
-    let endpoint = willing("ok");
-    let (address, folder) = (nowhere(), shared());
-    let text = told(
+    let endpoint = ok_endpoint("ok");
+    let (address, folder) = (unused_address(), shared_directory());
+    let text = config_json(
         address,
-        nowhere(),
+        unused_address(),
         &member("s-1", endpoint.address, "up"),
-        &patient(),
+        &long_deadline_settings(),
     );
-    let before = Sidecar::start_beside(address, nowhere(), &text, &folder.0);
+    let before = Sidecar::start_with_shared_directory(address, unused_address(), &text, &folder.0);
     before.signal("STOP");
-    let door = nowhere();
-    let (mut command, own) = program(&with_door(&text, door));
+    let management = unused_address();
+    let (mut command, own) = sidecar_command(&with_management(&text, management));
     let child = command
         .env("TMPDIR", &folder.0)
         .stderr(Stdio::null())
         .spawn()
         .unwrap();
     let next = Started(child, own, Instant::now());
-    // At its door: the one that stands still has the clients' address, too.
-    until(|| ready_for_operators(door));
+    // At its management: the one that stands still has the clients' address, too.
+    wait_until(|| ready_for_operators(management));
     assert!(next.2.elapsed() < READY_WITHIN, "{:?}", next.2.elapsed());
 }
 
@@ -169,17 +171,17 @@
 
 fn busy(how: Asked) -> SocketAddr {
     match how {
-        Asked::Down => nowhere(),
+        Asked::Down => unused_address(),
         Asked::Slow => {
-            stand_in(|_, _| {
+            fake_server(|_, _| {
                 sleep(20_000 * MS);
                 false
             })
             .address
         }
         Asked::Refuses => {
-            stand_in(|_, to| {
-                answer(to, "503 Busy", "", b"");
+            fake_server(|_, to| {
+                respond(to, "503 Busy", "", b"");
                 true
             })
             .address
@@ -205,8 +207,13 @@
                 .set_read_timeout(Some(Duration::from_secs(30)))
                 .unwrap();
             let mut client = BufReader::new(stream);
-            match ask(&mut client, &patiently(&look(&format!("first{answered}")))) {
-                Some(message) => answered += usize::from(["200", "503"].contains(&message.word())),
+            match round_trip(
+                &mut client,
+                &with_long_deadline(&get_look(&format!("first{answered}"))),
+            ) {
+                Some(message) => {
+                    answered += usize::from(["200", "503"].contains(&message.status()))
+                }
                 None => lost += 1,
             }
             sleep(20 * MS);
@@ -239,7 +246,7 @@
         .map(|(address, text, fleet)| {
             spawn(move || {
                 let mut started = Started::new(&text, fleet.as_deref());
-                let ready = started.ready(address);
+                let ready = started.wait_until_ready(address);
                 (ready, started)
             })
         })
@@ -278,12 +285,24 @@
     #[values(Asked::Down, Asked::Slow, Asked::Refuses)] how: Asked,
     #[values(false, true)] old: bool,
 ) {
-    let endpoint = willing("ok");
-    let known = member("s-1", if old { nowhere() } else { endpoint.address }, "up");
+    let endpoint = ok_endpoint("ok");
+    let known = member(
+        "s-1",
+        if old {
+            unused_address()
+        } else {
+            endpoint.address
+        },
+        "up",
+    );
     let discovery = busy(how);
     let text = |_| {
-        let address = nowhere();
-        (address, told(address, discovery, &known, &patient()), None)
+        let address = unused_address();
+        (
+            address,
+            config_json(address, discovery, &known, &long_deadline_settings()),
+            None,
+        )
     };
     let times = start_at_once(
         &format!("{how:?}, old list: {old}"),
@@ -297,34 +316,40 @@
 #[case::none("")]
 #[case::ahead("\"revision\":900,")]
 fn who_starts_with_a_list_of_no_use_is_ready_before_it_has_another(#[case] revision: &str) {
-    let endpoint = willing("ok");
+    let endpoint = ok_endpoint("ok");
     let gate = Gate::default();
-    let (own, list) = (gate.clone(), member("s-2", endpoint.address, "up"));
-    let discovery = stand_in(move |_, to| {
-        own.pass();
+    let (handler_gate, list) = (gate.clone(), member("s-2", endpoint.address, "up"));
+    let discovery = fake_server(move |_, to| {
+        handler_gate.wait_until_open();
         let list = format!(r#"{{"revision":3,"complete":true,"members":[{list}]}}"#);
-        answer(to, "200 OK", "", list.as_bytes());
+        respond(to, "200 OK", "", list.as_bytes());
         true
     });
-    let address = nowhere();
+    let address = unused_address();
     let known = if revision.is_empty() {
         String::new()
     } else {
-        member("s-1", nowhere(), "up")
+        member("s-1", unused_address(), "up")
     };
-    let text = told(address, discovery.address, &known, &patient());
+    let text = config_json(
+        address,
+        discovery.address,
+        &known,
+        &long_deadline_settings(),
+    );
     let text = if revision.is_empty() {
         text
     } else {
         text.replace("\"revision\":1,", revision)
     };
     let mut sidecar = Started::new(&text, None);
-    assert!(sidecar.ready(address).is_some());
-    until(|| discovery.count() > 0);
+    assert!(sidecar.wait_until_ready(address).is_some());
+    wait_until(|| discovery.request_count() > 0);
     gate.open();
-    until(|| {
+    wait_until(|| {
         let mut client = BufReader::new(TcpStream::connect(address).unwrap());
-        ask(&mut client, &patiently(&look("a"))).is_some_and(|message| message.word() == "200")
+        round_trip(&mut client, &with_long_deadline(&get_look("a")))
+            .is_some_and(|message| message.status() == "200")
     });
 }
 
@@ -334,11 +359,11 @@
 #[case::alone(false)]
 fn who_has_a_fleets_file_is_ready_without_the_others(#[case] all: bool) {
     const WORK: &str = "lease = \"2s\"\nperiod = \"200ms\"\nvoters = 3\n[upkeep]\n";
-    let endpoint = willing("ok");
+    let endpoint = ok_endpoint("ok");
     let known = member("s-1", endpoint.address, "up");
     let count = crowd();
     let bound: Vec<_> = (0..count)
-        .map(|_| UdpSocket::bind(SocketAddr::new(nowhere().ip(), 0)).unwrap())
+        .map(|_| UdpSocket::bind(SocketAddr::new(unused_address().ip(), 0)).unwrap())
         .collect();
     let peers: Vec<_> = bound
         .iter()
@@ -347,16 +372,20 @@
     drop(bound);
     let list: Vec<String> = peers.iter().map(|at| format!("\"{at}\"")).collect();
     let text = |n: usize| {
-        let settings = patient().replacen('{', &format!(r#"{{"my_number":{n},"#), 1);
+        let settings = long_deadline_settings().replacen('{', &format!(r#"{{"my_number":{n},"#), 1);
         let settings = settings.replace(r#""allowed":{"#, r#""allowed":{"may_tell":true,"#);
         let own = format!(
             r#"{{"peer_listen":"{}","peers":[{}],"#,
             peers[n],
             list.join(",")
         );
-        let address = nowhere();
-        let text = told(address, nowhere(), &known, &settings).replacen('{', &own, 1);
-        (address, with_door(&text, nowhere()), Some(WORK.to_string()))
+        let address = unused_address();
+        let text = config_json(address, unused_address(), &known, &settings).replacen('{', &own, 1);
+        (
+            address,
+            with_management(&text, unused_address()),
+            Some(WORK.to_string()),
+        )
     };
     let texts: Vec<_> = (0..if all { count } else { 1 }).map(text).collect();
     let started = texts.len();
