--- a/crates/passroad/tests/cancellation.rs
+++ b/crates/passroad/tests/cancellation.rs
@@ -1,6 +1,6 @@
-//! A client that has closed, reset or shut its connection has gone: no attempt of its request begins any more, neither the
-//! first nor a further one nor a second copy, wherever it waited. The process stands still for 150 ms between the leaving and
-//! what would have been the send; both lie ready when it goes on. See `docs/crossings.md`.
+//! After a client has closed, reset or half-closed its connection, no attempt of its request starts any more: not the first, no
+//! retry and no hedge, wherever it waited. The process is paused for 150 ms between the disconnect and the moment at which it
+//! would have sent the attempt, so that it finds both at once when it continues. See `docs/crossings.md`.
 
 mod disconnects;
 mod harness;
@@ -14,19 +14,19 @@
 use std::sync::atomic::{AtomicUsize, Ordering::SeqCst};
 use std::thread::sleep;
 
-/// Where attempts may not be cancelled, nothing but the last look keeps them from beginning.
-fn that(may_cancel: bool) -> String {
+/// Where attempts may not be cancelled, only the check right before the send keeps them from starting.
+fn settings_with_cancellation(may_cancel: bool) -> String {
     slow_connect_settings().replace(
         "\"may_cancel\":true",
         &format!("\"may_cancel\":{may_cancel}"),
     )
 }
 
-/// Rounds, so that each of two endpoints alike comes first in some.
+/// Several rounds, so that each of the two endpoints is chosen first in some.
 const ROUNDS: usize = 3;
 
-/// A request that goes on after `first` where its client stays.
-fn request(first: FirstAttempt, id: &str) -> String {
+/// A request that is retried after this first attempt if its client stays connected.
+fn retryable_request(first: FirstAttempt, id: &str) -> String {
     with_long_deadline(&if first == FirstAttempt::Declined {
         post_book(id)
     } else {
@@ -39,10 +39,10 @@
     wait_until(|| {
         n += 1;
         let mut clients: Vec<_> = (0..3)
-            .map(|k| {
+            .map(|index| {
                 send(
                     sidecar,
-                    &with_long_deadline(&get_look(&format!("warm{n}-{k}"))),
+                    &with_long_deadline(&get_look(&format!("warm{n}-{index}"))),
                 )
             })
             .collect();
@@ -55,12 +55,12 @@
     });
 }
 
-// ---- further attempts ----
+// ---- retries ----
 
-// What came of the first attempt and the leaving lie ready in one turn. The next attempt would need a new connection, or one
-// that is kept and rests.
+// The process finds the result of the first attempt and the disconnect at once. The retry would need a new connection, or an idle
+// one that still rests before reuse.
 #[rstest]
-fn no_further_attempt_begins_once_the_client_left(
+fn no_retry_starts_after_the_client_disconnected(
     #[values(FirstAttempt::Declined, FirstAttempt::Failed, FirstAttempt::Reset)]
     first: FirstAttempt,
     #[values(
@@ -69,7 +69,7 @@
         Disconnect::HalfClose,
         Disconnect::AfterNextRequest
     )]
-    how: Disconnect,
+    disconnect_kind: Disconnect,
     #[values(false, true)] kept: bool,
     #[values(false, true)] may_cancel: bool,
 ) {
@@ -82,14 +82,14 @@
         let sidecar = start_sidecar_with(
             &two_members(&one, &other),
             unused_address(),
-            &that(may_cancel),
+            &settings_with_cancellation(may_cancel),
         );
         if kept {
             warm_up(&sidecar, [&one, &other]);
         }
-        let client = send(&sidecar, &request(first, "left"));
+        let client = send(&sidecar, &retryable_request(first, "left"));
         wait_until(|| attempts.load(SeqCst) == 1);
-        let rest = event_then_disconnect(&sidecar, client, how, || gate.open());
+        let half_closed = event_then_disconnect(&sidecar, client, disconnect_kind, || gate.open());
         assert_eq!(
             sidecar
                 .request(&with_long_deadline(&get_look("next-one")))
@@ -98,13 +98,13 @@
         );
         sleep(50 * MS);
         assert_eq!(attempts.load(SeqCst), 1);
-        drop(rest);
+        drop(half_closed);
     }
 }
 
-// The same where the client stays: there is a further attempt, so the test above tells something.
+// Control for the test above: if the client stays connected, there is a retry.
 #[rstest]
-fn a_further_attempt_begins_where_the_client_stays(
+fn retry_starts_while_the_client_is_connected(
     #[values(FirstAttempt::Declined, FirstAttempt::Failed, FirstAttempt::Reset)]
     first: FirstAttempt,
 ) {
@@ -118,19 +118,19 @@
         unused_address(),
         &slow_connect_settings(),
     );
-    let mut client = send(&sidecar, &request(first, "left"));
+    let mut client = send(&sidecar, &retryable_request(first, "left"));
     wait_until(|| attempts.load(SeqCst) == 1);
     gate.open();
     assert_eq!(Message::read(&mut client).unwrap().status(), "200");
     assert_eq!(attempts.load(SeqCst), 2);
 }
 
-/// A sidecar whose first attempt of `left` was turned away, and whose next one waits for a connection.
-fn second_waits(
+/// A sidecar whose first attempt of `left` was declined and whose retry waits for its connect.
+fn start_with_retry_connecting(
     request: &str,
     may_cancel: bool,
 ) -> (Sidecar, BufReader<std::net::TcpStream>, DelayedListener) {
-    let (gate, attempts, late) = (
+    let (gate, attempts, delayed) = (
         Gate::default(),
         Arc::<AtomicUsize>::default(),
         DelayedListener::new(),
@@ -138,13 +138,17 @@
     let first = endpoint_failing_first_attempt(&gate, &attempts, FirstAttempt::Declined);
     let known = member("s-1", first.address, "up");
     let discovery = fake_discovery(&known);
-    let sidecar = start_sidecar_with(&known, discovery.server.address, &that(may_cancel));
+    let sidecar = start_sidecar_with(
+        &known,
+        discovery.server.address,
+        &settings_with_cancellation(may_cancel),
+    );
     let client = send(&sidecar, request);
     wait_until(|| attempts.load(SeqCst) == 1);
     let list = format!(
         "{},{}",
         member("s-1", first.address, "draining"),
-        member("s-2", late.address, "up")
+        member("s-2", delayed.address, "up")
     );
     discovery.publish(2, list);
     wait_until(|| {
@@ -157,57 +161,60 @@
             .any(|request| request.target().contains("from=2&"))
     });
     gate.open();
-    wait_until(|| is_connecting(late.address));
-    (sidecar, client, late)
+    wait_until(|| is_connecting(delayed.address));
+    (sidecar, client, delayed)
 }
 
-// The connection of a further attempt comes up after the client has left, or in the same turn.
+// The connect of the retry completes after the client has disconnected, or the process finds both at once.
 #[rstest]
-fn the_connection_of_a_further_attempt_comes_up_for_nobody(
+fn late_connection_of_a_retry_carries_no_command_of_a_disconnected_client(
     #[values(
         Disconnect::Close,
         Disconnect::Reset,
         Disconnect::HalfClose,
         Disconnect::AfterNextRequest
     )]
-    how: Disconnect,
-    #[values(false, true)] same_turn: bool,
+    disconnect_kind: Disconnect,
+    #[values(false, true)] at_once: bool,
     #[values(false, true)] may_cancel: bool,
 ) {
-    let (sidecar, client, late) = second_waits(&with_long_deadline(&post_book("left")), may_cancel);
-    let address = late.address;
-    let (came, _rest) = if same_turn {
+    let (sidecar, client, delayed) =
+        start_with_retry_connecting(&with_long_deadline(&post_book("left")), may_cancel);
+    let address = delayed.address;
+    let (received, _half_closed) = if at_once {
         sidecar.signal("STOP");
-        let rest = disconnect(client, how);
-        let waits = late.accept_and_read();
+        let half_closed = disconnect(client, disconnect_kind);
+        let accepting = delayed.accept_and_read();
         sleep(2500 * MS);
         sidecar.signal("CONT");
-        (waits.join().unwrap(), rest)
+        (accepting.join().unwrap(), half_closed)
     } else {
-        let rest = disconnect(client, how);
-        // What it held is free at once: its connection is given up.
+        let half_closed = disconnect(client, disconnect_kind);
+        // The disconnect releases its resources at once: the connect is abandoned.
         wait_until(|| !is_connecting(address));
-        (late.accept_and_read().join().unwrap(), rest)
+        (delayed.accept_and_read().join().unwrap(), half_closed)
     };
     assert!(
-        !contains_request(&came, "left"),
+        !contains_request(&received, "left"),
         "{}",
-        String::from_utf8_lossy(&came)
+        String::from_utf8_lossy(&received)
     );
 }
 
-// All endpoints refuse connections, and the request waits out their backoff; one takes connections again, and the backoff
-// ends in the turn in which the client leaves.
+// All endpoints refuse connections, and the request waits for the end of the backoff. Then an endpoint accepts connections again,
+// and the process finds the end of the backoff and the disconnect at once.
 #[rstest]
 #[case::close(Some(Disconnect::Close))]
 #[case::reset(Some(Disconnect::Reset))]
 #[case::half_close(Some(Disconnect::HalfClose))]
 #[case::after_next_request(Some(Disconnect::AfterNextRequest))]
 #[case::stays(None)]
-fn no_attempt_begins_behind_a_backoff_once_the_client_left(#[case] how: Option<Disconnect>) {
+fn no_attempt_starts_after_a_backoff_once_the_client_disconnected(
+    #[case] disconnect_kind: Option<Disconnect>,
+) {
     let address = unused_address();
-    // An endpoint is tried again by the shortest goal, and a request waits for a quarter of its own.
-    let settings = that(false).replacen(
+    // The backoff follows the shortest deadline target of all classes; a request may wait for a quarter of its own.
+    let settings = settings_with_cancellation(false).replacen(
         "\"response_goal\":5000000000",
         "\"response_goal\":400000000",
         1,
@@ -221,10 +228,10 @@
     let mut client = send(&sidecar, &post_book("left").replace("Ms: 900", "Ms: 59000"));
     sleep(50 * MS);
     sidecar.signal("STOP");
-    let seen = ok_endpoint_at(address);
+    let received_ids = ok_endpoint_at(address);
     sleep(1000 * MS);
-    let rest = match how {
-        Some(how) => disconnect(client, how),
+    let half_closed = match disconnect_kind {
+        Some(disconnect_kind) => disconnect(client, disconnect_kind),
         None => {
             sidecar.signal("CONT");
             assert_eq!(Message::read(&mut client).unwrap().status(), "200");
@@ -240,21 +247,21 @@
             == "200"
     });
     assert!(
-        !seen.lock().unwrap().contains(&"left".to_string()),
+        !received_ids.lock().unwrap().contains(&"left".to_string()),
         "{:?}",
-        seen.lock().unwrap()
+        received_ids.lock().unwrap()
     );
-    drop(rest);
+    drop(half_closed);
 }
 
-// ---- second copies ----
+// ---- hedges ----
 
-fn with_copies() -> String {
+fn settings_with_hedging() -> String {
     slow_connect_settings().replace("\"second_copies\":false", "\"second_copies\":true")
 }
 
-/// An endpoint that takes its time, so that a copy is due some time after the first attempt; `left` is never answered.
-fn unhurried_endpoint(attempts: &Arc<AtomicUsize>) -> FakeServer {
+/// An endpoint that answers after 150 ms, so that a hedge is due some time after the first attempt. `left` is never answered.
+fn slow_endpoint(attempts: &Arc<AtomicUsize>) -> FakeServer {
     let attempts = Arc::clone(attempts);
     fake_server(move |message, to| {
         if message
@@ -270,9 +277,12 @@
     })
 }
 
-/// A sidecar that knows how long its endpoints take.
-fn knows_pace(settings: &str, attempts: &Arc<AtomicUsize>) -> (Sidecar, FakeServer, FakeServer) {
-    let (one, other) = (unhurried_endpoint(attempts), unhurried_endpoint(attempts));
+/// A sidecar that has learned the latency of its endpoints.
+fn start_with_known_latency(
+    settings: &str,
+    attempts: &Arc<AtomicUsize>,
+) -> (Sidecar, FakeServer, FakeServer) {
+    let (one, other) = (slow_endpoint(attempts), slow_endpoint(attempts));
     let sidecar = start_sidecar_with(&two_members(&one, &other), unused_address(), settings);
     for n in 0..12 {
         assert_eq!(
@@ -285,17 +295,17 @@
     (sidecar, one, other)
 }
 
-// The first attempt hangs; its copy is due in the turn in which the client leaves.
+// The first attempt hangs, and the process finds the due hedge and the disconnect at once.
 #[rstest]
 #[case::close(Disconnect::Close)]
 #[case::reset(Disconnect::Reset)]
 #[case::half_close(Disconnect::HalfClose)]
 #[case::after_next_request(Disconnect::AfterNextRequest)]
-fn no_second_copy_begins_once_the_client_left(#[case] how: Disconnect) {
+fn no_hedge_starts_after_the_client_disconnected(#[case] disconnect_kind: Disconnect) {
     let attempts = Arc::<AtomicUsize>::default();
-    let (sidecar, ..) = knows_pace(&with_copies(), &attempts);
+    let (sidecar, ..) = start_with_known_latency(&settings_with_hedging(), &attempts);
     let mut rounds = 0;
-    // On a slow machine the copy may have gone out before the process stands still.
+    // On a busy machine the hedge may have been sent before the process was paused; such rounds do not count.
     for n in 0..40 {
         attempts.store(0, SeqCst);
         let client = send(
@@ -306,7 +316,7 @@
         sidecar.signal("STOP");
         sleep(5 * MS);
         let before = attempts.load(SeqCst);
-        let rest = disconnect(client, how);
+        let half_closed = disconnect(client, disconnect_kind);
         sleep(1500 * MS);
         sidecar.signal("CONT");
         assert_eq!(
@@ -316,40 +326,41 @@
             "200"
         );
         assert_eq!(attempts.load(SeqCst), before);
-        drop(rest);
+        drop(half_closed);
         rounds += usize::from(before == 1);
         if rounds == 2 {
             return;
         }
     }
-    panic!("the copy always went out before");
+    panic!("the hedge was always sent before the pause");
 }
 
 #[rstest]
-fn a_second_copy_begins_where_the_client_stays() {
+fn hedge_starts_while_the_client_is_connected() {
     let attempts = Arc::<AtomicUsize>::default();
-    let (sidecar, ..) = knows_pace(&with_copies(), &attempts);
+    let (sidecar, ..) = start_with_known_latency(&settings_with_hedging(), &attempts);
     let _client = send(&sidecar, &with_long_deadline(&get_look("left")));
     wait_until(|| attempts.load(SeqCst) == 2);
 }
 
-// ---- waiting for a permit ----
+// ---- waiting for a connect permit ----
 
-// All connections to endpoints are taken; one ends in the turn in which the client of what waits for it leaves.
+// All connections to endpoints are in use. The process finds the end of one and the disconnect of the client whose command waits
+// for it at once.
 #[rstest]
-fn what_waited_for_a_permit_to_connect_is_not_sent_once_its_client_left(
-    #[values(false, true)] further: bool,
+fn command_waiting_for_a_connect_permit_is_not_sent_after_its_client_disconnected(
+    #[values(false, true)] retry: bool,
     #[values(
         Disconnect::Close,
         Disconnect::Reset,
         Disconnect::HalfClose,
         Disconnect::AfterNextRequest
     )]
-    how: Disconnect,
+    disconnect_kind: Disconnect,
     #[values(false, true)] may_cancel: bool,
 ) {
-    // Six connections to endpoints.
-    const OUT: usize = 6;
+    // As many connections to endpoints as the descriptor limit of 48 allows.
+    const ENDPOINT_CONNECTIONS: usize = 6;
     let (gate, turns_away, attempts) = (
         Gate::default(),
         Gate::default(),
@@ -363,7 +374,7 @@
                 .header("req-id")
                 .is_some_and(|id| id.starts_with("left"))
             {
-                if attempts.fetch_add(1, SeqCst) == 0 && further {
+                if attempts.fetch_add(1, SeqCst) == 0 && retry {
                     turns_away.wait_until_open();
                     respond_declined(to);
                     let _ = to.shutdown(Shutdown::Both);
@@ -389,10 +400,10 @@
         address,
         unused_address(),
         &known.join(","),
-        &that(may_cancel),
+        &settings_with_cancellation(may_cancel),
     );
     let sidecar = Sidecar::start(address, &text.replace("\"sockets\":64", "\"sockets\":48"));
-    let out = || {
+    let requests_received = || {
         endpoints
             .iter()
             .map(FakeServer::request_count)
@@ -404,18 +415,18 @@
             &with_long_deadline(&post_book(&format!("holds{n}"))),
         )
     };
-    let (client, others): (_, Vec<_>) = if further {
+    let (client, others): (_, Vec<_>) = if retry {
         let client = send(&sidecar, &with_long_deadline(&post_book("left")));
         wait_until(|| attempts.load(SeqCst) == 1);
-        // The last of them gets the connection that `left` gives back.
-        let others = (0..OUT).map(holds).collect();
-        wait_until(|| out() == OUT);
+        // The last of them gets the connection that `left` releases.
+        let others = (0..ENDPOINT_CONNECTIONS).map(holds).collect();
+        wait_until(|| requests_received() == ENDPOINT_CONNECTIONS);
         turns_away.open();
-        wait_until(|| out() == OUT + 1);
+        wait_until(|| requests_received() == ENDPOINT_CONNECTIONS + 1);
         (client, others)
     } else {
-        let others = (0..OUT).map(holds).collect();
-        wait_until(|| out() == OUT);
+        let others = (0..ENDPOINT_CONNECTIONS).map(holds).collect();
+        wait_until(|| requests_received() == ENDPOINT_CONNECTIONS);
         (
             send(&sidecar, &with_long_deadline(&post_book("left"))),
             others,
@@ -423,20 +434,20 @@
     };
     sleep(100 * MS);
     let before = attempts.load(SeqCst);
-    let rest = event_then_disconnect(&sidecar, client, how, || gate.open());
+    let half_closed = event_then_disconnect(&sidecar, client, disconnect_kind, || gate.open());
     for mut other in others {
         assert_eq!(Message::read(&mut other).unwrap().status(), "200");
     }
     sleep(50 * MS);
     assert_eq!(attempts.load(SeqCst), before);
-    drop(rest);
+    drop(half_closed);
 }
 
-// ---- waiting in the module ----
+// ---- waiting in the balancer ----
 
-/// Settings under which what finds no room waits for ten seconds.
-fn waits_long(may_cancel: bool) -> String {
-    let settings = that(may_cancel).replace(
+/// Settings under which a command may queue for ten seconds.
+fn settings_with_long_queueing(may_cancel: bool) -> String {
+    let settings = settings_with_cancellation(may_cancel).replace(
         "\"response_goal\":5000000000",
         "\"response_goal\":40000000000",
     );
@@ -444,16 +455,16 @@
     settings.replace("\"probes\":false", "\"probes\":true")
 }
 
-// There is room at the endpoint, and then the client of what waits for it leaves.
+// An endpoint gets capacity, and then the client of the command that waits for it disconnects.
 #[rstest]
-fn what_waited_in_the_module_is_not_sent_once_its_client_left(
+fn queued_command_is_not_sent_after_its_client_disconnected(
     #[values(
         Disconnect::Close,
         Disconnect::Reset,
         Disconnect::HalfClose,
         Disconnect::AfterNextRequest
     )]
-    how: Disconnect,
+    disconnect_kind: Disconnect,
     #[values(false, true)] may_cancel: bool,
 ) {
     let gate = Gate::default();
@@ -464,22 +475,26 @@
         true
     });
     let known = member("s-1", endpoint.address, "up");
-    let sidecar = start_sidecar_with(&known, unused_address(), &waits_long(may_cancel));
+    let sidecar = start_sidecar_with(
+        &known,
+        unused_address(),
+        &settings_with_long_queueing(may_cancel),
+    );
     let send = |id: &str| send(&sidecar, &post_book(id).replace("Ms: 900", "Ms: 59000"));
-    let mut out = Vec::new();
-    // The first that is not sent at once waits for room.
-    let waits = loop {
-        let client = send(&out.len().to_string());
+    let mut sent_clients = Vec::new();
+    // The first command that is not sent at once is queued.
+    let queued = loop {
+        let client = send(&sent_clients.len().to_string());
         sleep(300 * MS);
-        if endpoint.request_count() == out.len() {
+        if endpoint.request_count() == sent_clients.len() {
             break client;
         }
-        out.push(client);
-        assert!(out.len() < 8, "nothing waits");
+        sent_clients.push(client);
+        assert!(sent_clients.len() < 8, "no command was queued");
     };
-    let rest = event_then_disconnect(&sidecar, waits, how, || gate.open());
-    let id = out.len().to_string();
-    for client in &mut out {
+    let half_closed = event_then_disconnect(&sidecar, queued, disconnect_kind, || gate.open());
+    let id = sent_clients.len().to_string();
+    for client in &mut sent_clients {
         assert_eq!(Message::read(client).unwrap().status(), "200");
     }
     assert_eq!(
@@ -489,15 +504,15 @@
         "200"
     );
     assert_eq!(times_sent(&endpoint, &id), 0);
-    drop(rest);
+    drop(half_closed);
 }
 
-// ---- during a stop ----
+// ---- during shutdown ----
 
-// Half of the body was read before, or the connection waits in the backlog; an endpoint's connection is kept, so that nothing
-// but the last look is in the way.
+// Half of the body was read before, or the connection waits in the backlog. A connection to the endpoint is idle, so only the check
+// right before the send can keep the attempt from starting.
 #[rstest]
-fn what_a_client_left_behind_during_a_stop_does_not_begin(
+fn command_of_a_client_that_disconnected_during_shutdown_does_not_start(
     #[values(false, true)] half_read: bool,
     #[values(
         Disconnect::Close,
@@ -505,12 +520,16 @@
         Disconnect::HalfClose,
         Disconnect::AfterNextRequest
     )]
-    how: Disconnect,
+    disconnect_kind: Disconnect,
     #[values(false, true)] may_cancel: bool,
 ) {
     let endpoint = ok_endpoint("ok");
     let known = member("s-1", endpoint.address, "up");
-    let mut sidecar = start_sidecar_with(&known, unused_address(), &that(may_cancel));
+    let mut sidecar = start_sidecar_with(
+        &known,
+        unused_address(),
+        &settings_with_cancellation(may_cancel),
+    );
     let mut warm: Vec<_> = (0..4)
         .map(|n| {
             send(
@@ -529,7 +548,7 @@
     sidecar.signal("TERM");
     let mut client = early.unwrap_or_else(|| send(&sidecar, first));
     client.get_mut().write_all(rest.as_bytes()).unwrap();
-    let kept = disconnect(client, how);
+    let kept = disconnect(client, disconnect_kind);
     let mut stays = send(&sidecar, &with_long_deadline(&post_book("stays")));
     sleep(PAUSE);
     sidecar.signal("CONT");
@@ -545,48 +564,48 @@
     );
 }
 
-// ---- behind bytes that nobody reads ----
+// ---- a disconnect behind unread bytes ----
 
-/// What is written in one go with a first request.
-const NEXT: &str = "GET /look HTTP/1.1\r\nHost: b\r\nX-More: ";
+/// The incomplete head of a next request, written together with the first request.
+const NEXT_REQUEST: &str = "GET /look HTTP/1.1\r\nHost: b\r\nX-More: ";
 
-fn in_chunks(id: &str) -> String {
+fn chunked_book(id: &str) -> String {
     with_long_deadline(&post_book(id)).replace(
         "Content-Length: 4\r\n\r\nseat",
         "Transfer-Encoding: chunked\r\n\r\n4\r\nseat\r\n0\r\n\r\n",
     )
 }
 
-// Where a body comes in chunks only the HTTP library knows its end, and while a next request lies in its buffer it reads
-// nothing more: neither does it see the client leave.
+// Prevents an undetected disconnect: only hyper knows the end of a chunked body, and while a next request is in its buffer it
+// reads nothing more from the socket, not even the end of the connection.
 #[rstest]
-fn the_leaving_behind_a_pipelined_next_request_is_seen(
-    #[values(false, true)] further: bool,
-    #[values(Disconnect::Close, Disconnect::Reset)] how: Disconnect,
+fn disconnect_behind_a_pipelined_request_is_detected(
+    #[values(false, true)] retry: bool,
+    #[values(Disconnect::Close, Disconnect::Reset)] disconnect_kind: Disconnect,
 ) {
-    let request = format!("{}{NEXT}", in_chunks("left"));
-    let (sidecar, mut client, late) = if further {
-        second_waits(&request, true)
+    let request = format!("{}{NEXT_REQUEST}", chunked_book("left"));
+    let (sidecar, mut client, delayed) = if retry {
+        start_with_retry_connecting(&request, true)
     } else {
-        let late = DelayedListener::new();
+        let delayed = DelayedListener::new();
         let sidecar = start_sidecar_with(
-            &member("s-1", late.address, "up"),
+            &member("s-1", delayed.address, "up"),
             unused_address(),
             &slow_connect_settings(),
         );
         let client = send(&sidecar, &request);
-        wait_until(|| is_connecting(late.address));
-        (sidecar, client, late)
+        wait_until(|| is_connecting(delayed.address));
+        (sidecar, client, delayed)
     };
     client.get_mut().write_all(b"more\r\n").unwrap();
     sleep(20 * MS);
-    let rest = disconnect(client, how);
+    let half_closed = disconnect(client, disconnect_kind);
     sleep(PAUSE);
-    let came = late.accept_and_read().join().unwrap();
+    let received = delayed.accept_and_read().join().unwrap();
     assert!(
-        !contains_request(&came, "left"),
+        !contains_request(&received, "left"),
         "{}",
-        String::from_utf8_lossy(&came)
+        String::from_utf8_lossy(&received)
     );
     // Its request is over: the same id is taken again.
     assert_ne!(
@@ -595,18 +614,18 @@
             .status(),
         "409"
     );
-    drop(rest);
+    drop(half_closed);
 }
 
-// A long body is read as it is passed on. Its client leaves halfway, behind bytes that wait for the connection to come up.
+// A long body is read as it is forwarded. Its client disconnects halfway, behind bytes that wait for the connect to complete.
 #[rstest]
 #[case::close(Disconnect::Close)]
 #[case::reset(Disconnect::Reset)]
 #[case::half_close(Disconnect::HalfClose)]
-fn the_leaving_behind_a_part_of_a_long_body_is_seen(#[case] how: Disconnect) {
-    let late = DelayedListener::new();
+fn disconnect_behind_part_of_a_long_body_is_detected(#[case] disconnect_kind: Disconnect) {
+    let delayed = DelayedListener::new();
     let sidecar = start_sidecar_with(
-        &member("s-1", late.address, "up"),
+        &member("s-1", delayed.address, "up"),
         unused_address(),
         &slow_connect_settings(),
     );
@@ -615,16 +634,16 @@
         "Content-Length: 2000000\r\n\r\n",
     );
     let mut client = send(&sidecar, &head);
-    wait_until(|| is_connecting(late.address));
+    wait_until(|| is_connecting(delayed.address));
     client.get_mut().write_all(&[b'x'; 40_000]).unwrap();
     sleep(20 * MS);
-    let rest = disconnect(client, how);
+    let half_closed = disconnect(client, disconnect_kind);
     sleep(PAUSE);
-    let came = late.accept_and_read().join().unwrap();
+    let received = delayed.accept_and_read().join().unwrap();
     assert!(
-        !contains_request(&came, "left"),
+        !contains_request(&received, "left"),
         "{}",
-        String::from_utf8_lossy(&came)
+        String::from_utf8_lossy(&received)
     );
     // Its request is over: the same id is taken again.
     assert_ne!(
@@ -633,38 +652,44 @@
             .status(),
         "409"
     );
-    drop(rest);
+    drop(half_closed);
 }
 
-// ---- a connection that still belongs to another request ----
+// ---- a connection that another request still uses ----
 
-// The end of a long answer is read from its endpoint before its slow client has taken the rest: the connection was given the
-// next request, which then was not looked at before it was sent, and was answered as failed while its endpoint worked.
+// Prevents a wrong failure: the end of a long response is read from the endpoint before the slow client has read the rest. The
+// connection used to be given the next request at that point; that request was sent without the check before the send, and failed
+// although the endpoint was working on it.
 #[rstest]
-fn a_request_behind_a_long_answer_whose_client_is_slow_is_not_taken_for_that() {
-    const PIECE: usize = 0x6000;
-    let long_over = Arc::<AtomicUsize>::default();
-    let over = Arc::clone(&long_over);
-    // An answer tells which connection it came over.
+fn request_is_not_sent_over_a_connection_still_used_by_a_slow_reader() {
+    const CHUNK_BYTES: usize = 0x6000;
+    let long_response_port = Arc::<AtomicUsize>::default();
+    let recorded_port = Arc::clone(&long_response_port);
+    // A short response states the port of the connection that it came over.
     let endpoint = fake_server(move |message, to| {
         let port = usize::from(to.peer_addr().unwrap().port());
         let id = message.header("req-id").unwrap();
-        let Some(pieces) = id
+        let Some(chunks) = id
             .strip_prefix("long")
             .and_then(|n| n.parse::<usize>().ok())
         else {
-            // Longer than an answer may stop halfway.
+            // Longer than a response may stall halfway.
             sleep(250 * MS);
             respond(to, "200 OK", "", port.to_string().as_bytes());
             return true;
         };
-        over.store(port, SeqCst);
-        let piece = [format!("{PIECE:x}\r\n").as_bytes(), &[b'x'; PIECE], b"\r\n"].concat();
+        recorded_port.store(port, SeqCst);
+        let chunk = [
+            format!("{CHUNK_BYTES:x}\r\n").as_bytes(),
+            &[b'x'; CHUNK_BYTES],
+            b"\r\n",
+        ]
+        .concat();
         let _ = to.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-        let _ = to.write_all(&piece.repeat(pieces - 1));
-        // The last piece and the end are read apart.
+        let _ = to.write_all(&chunk.repeat(chunks - 1));
+        // The last chunk and the end of the body arrive separately.
         sleep(20 * MS);
-        let _ = to.write_all(&piece);
+        let _ = to.write_all(&chunk);
         sleep(30 * MS);
         let _ = to.write_all(b"0\r\n\r\n");
         true
@@ -674,32 +699,35 @@
         unused_address(),
         &slow_connect_settings(),
     );
-    // The answer behind a long one that nobody reads, and whether it came over the same connection.
-    let behind = |pieces: usize| {
+    // The status of a request that follows a long response which nobody reads, and whether it used the same connection.
+    let request_after_long_response = |chunks: usize| {
         let socket =
             socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
         socket.set_recv_buffer_size(4096).unwrap();
         socket.connect(&sidecar.address.into()).unwrap();
         let mut slow = std::net::TcpStream::from(socket);
-        slow.write_all(with_long_deadline(&get_look(&format!("long{pieces}"))).as_bytes())
+        slow.write_all(with_long_deadline(&get_look(&format!("long{chunks}"))).as_bytes())
             .unwrap();
         sleep(150 * MS);
-        let answer = sidecar.request(&with_long_deadline(&post_book(&format!("next{pieces}"))));
-        let same = answer.body == long_over.load(SeqCst).to_string().as_bytes();
-        (answer.status().to_string(), same)
+        let response = sidecar.request(&with_long_deadline(&post_book(&format!("next{chunks}"))));
+        let same = response.body == long_response_port.load(SeqCst).to_string().as_bytes();
+        (response.status().to_string(), same)
     };
-    // How many pieces are taken on the way before the client holds all up.
-    let (mut taken, mut held_up) = (2, 1000);
-    while held_up - taken > 2 {
-        let half = (taken + held_up) / 2;
-        *(if behind(half).1 {
-            &mut taken
+    // Bisect how many chunks fit into the buffers on the way before the slow client blocks the response.
+    let (mut buffered, mut blocked) = (2, 1000);
+    while blocked - buffered > 2 {
+        let half = (buffered + blocked) / 2;
+        *(if request_after_long_response(half).1 {
+            &mut buffered
         } else {
-            &mut held_up
+            &mut blocked
         }) = half;
     }
-    let words: Vec<_> = (taken.max(6) - 4..held_up + 4)
-        .map(|pieces| behind(pieces).0)
+    let statuses: Vec<_> = (buffered.max(6) - 4..blocked + 4)
+        .map(|chunks| request_after_long_response(chunks).0)
         .collect();
-    assert!(words.iter().all(|word| word == "200"), "{words:?}");
+    assert!(
+        statuses.iter().all(|status| status == "200"),
+        "{statuses:?}"
+    );
 }
--- a/crates/passroad/tests/long_bodies.rs
+++ b/crates/passroad/tests/long_bodies.rs
@@ -1,4 +1,4 @@
-//! Long and slow bodies through the program on loopback sockets.
+//! Long and slow bodies through the sidecar binary on loopback sockets.
 
 mod harness;
 
@@ -11,33 +11,33 @@
 use std::thread::{sleep, spawn};
 use std::time::{Duration, Instant};
 
-/// A body in which no two places look alike.
-fn body(length: usize) -> Vec<u8> {
+/// A body of pseudo-random bytes, so that misplaced parts are noticed.
+fn random_body(length: usize) -> Vec<u8> {
     (0..length as u32)
         .map(|n| (n.wrapping_mul(2_654_435_761) >> 24) as u8)
         .collect()
 }
 
-fn head(id: &str, framing: &str) -> String {
+fn request_head(id: &str, framing: &str) -> String {
     format!(
         "POST /book HTTP/1.1\r\nHost: b\r\nReq-Id: {id}\r\nReq-Deadline-Ms: 900\r\n{framing}\r\n\r\n"
     )
 }
 
-fn stated(length: usize) -> String {
+fn content_length(length: usize) -> String {
     format!("Content-Length: {length}")
 }
 
-/// A sidecar of little memory before some endpoints.
-fn small(endpoints: &[SocketAddr]) -> Sidecar {
-    small_with(endpoints, SETTINGS)
+/// A sidecar whose bodies may take 8 MB of memory, in front of some endpoints.
+fn start_with_little_memory(endpoints: &[SocketAddr]) -> Sidecar {
+    start_with_little_memory_and(endpoints, SETTINGS)
 }
 
-fn small_with(endpoints: &[SocketAddr], settings: &str) -> Sidecar {
+fn start_with_little_memory_and(endpoints: &[SocketAddr], settings: &str) -> Sidecar {
     let list: Vec<_> = endpoints
         .iter()
         .enumerate()
-        .map(|(n, at)| member(&format!("s-{n}"), *at, "up"))
+        .map(|(n, address)| member(&format!("s-{n}"), *address, "up"))
         .collect();
     let (address, list) = (unused_address(), list.join(","));
     let text = config_json(address, unused_address(), &list, settings)
@@ -45,8 +45,8 @@
     Sidecar::start(address, &text)
 }
 
-/// Answers with the length of what came.
-fn counts() -> FakeServer {
+/// An endpoint that responds with the length of the request body.
+fn length_endpoint() -> FakeServer {
     fake_server(|message, to| {
         respond(to, "200 OK", "", message.body.len().to_string().as_bytes());
         true
@@ -54,16 +54,20 @@
 }
 
 #[rstest]
-#[case::stated(false)]
-#[case::in_chunks(true)]
-fn a_long_body_arrives_as_it_was(#[case] chunked: bool) {
-    let endpoint = counts();
-    let sidecar = small(&[endpoint.address]);
-    let (mut client, sent) = (sidecar.connect(), body(5_000_000));
+#[case::with_length(false)]
+#[case::chunked(true)]
+fn long_request_body_is_forwarded_intact(#[case] chunked: bool) {
+    let endpoint = length_endpoint();
+    let sidecar = start_with_little_memory(&[endpoint.address]);
+    let (mut client, sent) = (sidecar.connect(), random_body(5_000_000));
     let text = match chunked {
-        false => [head("a", &stated(sent.len())).as_bytes(), &sent].concat(),
+        false => [
+            request_head("a", &content_length(sent.len())).as_bytes(),
+            &sent,
+        ]
+        .concat(),
         true => {
-            let mut text = head("a", "Transfer-Encoding: chunked").into_bytes();
+            let mut text = request_head("a", "Transfer-Encoding: chunked").into_bytes();
             for (n, piece) in sent.chunks(70_001).enumerate() {
                 text.extend(format!("{:x};mark={n}\r\n", piece.len()).as_bytes());
                 text.extend(piece);
@@ -74,13 +78,13 @@
         }
     };
     client.get_mut().write_all(&text).unwrap();
-    let answer = Message::read(&mut client).unwrap();
+    let response = Message::read(&mut client).unwrap();
     assert_eq!(
-        (answer.status(), &answer.body[..]),
+        (response.status(), &response.body[..]),
         ("200", &b"5000000"[..])
     );
     assert!(endpoint.requests.lock().unwrap()[0].body == sent);
-    // The connection is as good as ever, or ends where only the library knows how far the body went.
+    // The connection is kept. After a chunked body it is closed, as only hyper knows where that body ended.
     match chunked {
         false => assert_eq!(
             round_trip(&mut client, &get_look("b")).unwrap().status(),
@@ -91,51 +95,51 @@
 }
 
 #[rstest]
-#[case::stated(false)]
-#[case::in_chunks(true)]
-fn a_long_answer_arrives_as_it_was(#[case] chunked: bool) {
-    let sent = body(5_000_000);
-    let given = sent.clone();
+#[case::with_length(false)]
+#[case::chunked(true)]
+fn long_response_body_is_forwarded_intact(#[case] chunked: bool) {
+    let sent = random_body(5_000_000);
+    let response_body = sent.clone();
     let endpoint = fake_server(move |_, to| {
         if chunked {
             let _ = to.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-            for piece in given.chunks(70_001) {
+            for piece in response_body.chunks(70_001) {
                 let _ = to.write_all(
                     &[format!("{:x}\r\n", piece.len()).as_bytes(), piece, b"\r\n"].concat(),
                 );
             }
             let _ = to.write_all(b"0\r\n\r\n");
         } else {
-            respond(to, "200 OK", "", &given);
+            respond(to, "200 OK", "", &response_body);
         }
         true
     });
-    let sidecar = small(&[endpoint.address]);
+    let sidecar = start_with_little_memory(&[endpoint.address]);
     let mut client = sidecar.connect();
     for id in ["a", "b"] {
-        let got = round_trip(&mut client, &get_look(id)).unwrap();
+        let response = round_trip(&mut client, &get_look(id)).unwrap();
         assert!(
-            got.status() == "200" && got.body == sent,
+            response.status() == "200" && response.body == sent,
             "{}",
-            got.body.len()
+            response.body.len()
         );
     }
 }
 
-/// Waits until those who write get no further, as all that lies between is full, or have written all; two seconds at
-/// most, as the sidecar hears for six seconds of no endpoint that takes nothing.
-fn until_full(written: &AtomicUsize, all: usize) {
-    let (mut before, began, mut still) = (0, Instant::now(), 0);
-    while still < 20 && began.elapsed() < 2000 * MS && written.load(SeqCst) < all {
+/// Waits until the writers make no progress, as all buffers on the way are full, or have written everything. Waits two seconds address
+/// most, as the sidecar gives up an endpoint that reads nothing for six seconds.
+fn wait_until_full(written: &AtomicUsize, all: usize) {
+    let (mut before, start, mut unchanged) = (0, Instant::now(), 0);
+    while unchanged < 20 && start.elapsed() < 2000 * MS && written.load(SeqCst) < all {
         let now = written.load(SeqCst);
-        still = if now == before { still + 1 } else { 0 };
+        unchanged = if now == before { unchanged + 1 } else { 0 };
         before = now;
         sleep(10 * MS);
     }
 }
 
-/// Writes in pieces and counts what was taken.
-fn pour(to: &mut TcpStream, bytes: &[u8], written: &AtomicUsize) {
+/// Writes in pieces and counts the bytes written.
+fn write_counted(to: &mut TcpStream, bytes: &[u8], written: &AtomicUsize) {
     for piece in bytes.chunks(100_000) {
         if to.write_all(piece).is_err() {
             return;
@@ -144,66 +148,74 @@
     }
 }
 
-/// Reads so many bytes, the first pieces only when those who write get no further; how many came.
-fn sip(from: &mut impl Read, bytes: usize, written: &AtomicUsize, all: usize) -> usize {
-    let (mut got, mut piece) = (0, vec![0; 200_000]);
+/// Reads so many bytes, the first pieces only when the writers make no progress; returns how many arrived.
+fn read_slowly(from: &mut impl Read, bytes: usize, written: &AtomicUsize, all: usize) -> usize {
+    let (mut received, mut piece) = (0, vec![0; 200_000]);
     for n in 0.. {
         if n < 6 {
-            until_full(written, all);
+            wait_until_full(written, all);
         }
         match from.read(&mut piece) {
             Ok(0) | Err(_) => break,
-            Ok(count) => got += count,
+            Ok(count) => received += count,
         }
-        if got >= bytes {
+        if received >= bytes {
             break;
         }
     }
-    got
+    received
 }
 
-// Ten clients, each with twelve megabytes, at a sidecar that may hold eight in all; whoever is to read waits until the
-// others can write no more. A sidecar that takes whatever comes lets them write all, and holds it.
+// Ten bodies of 12 MB at a sidecar that may buffer 8 MB in all. The readers wait until the writers can write no more, so that a
+// sidecar without backpressure would buffer all of them.
 #[rstest]
-#[case::of_writers(true)]
-#[case::of_readers(false)]
-fn memory_does_not_follow_the_length_of_bodies(#[case] writers: bool) {
-    const EACH: usize = 12_000_000;
-    const ALL: usize = 10 * EACH;
-    let (written, sent) = (Arc::new(AtomicUsize::new(0)), Arc::new(body(EACH)));
+#[case::requests(true)]
+#[case::responses(false)]
+fn memory_is_bounded_regardless_of_body_length(#[case] long_requests: bool) {
+    const BODY_BYTES: usize = 12_000_000;
+    const TOTAL_BYTES: usize = 10 * BODY_BYTES;
+    let (written, sent) = (
+        Arc::new(AtomicUsize::new(0)),
+        Arc::new(random_body(BODY_BYTES)),
+    );
     let endpoint = || {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-        let at = listener.local_addr().unwrap();
+        let address = listener.local_addr().unwrap();
         let (written, sent) = (Arc::clone(&written), Arc::clone(&sent));
         spawn(move || {
             for stream in listener.incoming().flatten() {
                 let (written, sent) = (Arc::clone(&written), Arc::clone(&sent));
                 spawn(move || {
-                    let (mut from, mut to) = (BufReader::new(stream.try_clone().unwrap()), stream);
+                    let (mut reader, mut to) =
+                        (BufReader::new(stream.try_clone().unwrap()), stream);
                     loop {
                         let mut head = String::new();
                         while !head.ends_with("\r\n\r\n") {
-                            if from.read_line(&mut head).unwrap_or(0) == 0 {
+                            if reader.read_line(&mut head).unwrap_or(0) == 0 {
                                 return;
                             }
                         }
                         if head.contains("/load ") {
                             respond(&mut to, "200 OK", "", b"TEXT inflight=0, queue=0, util=0.1");
-                        } else if writers {
-                            let got = sip(&mut from, EACH, &written, ALL);
-                            respond(&mut to, "200 OK", "", got.to_string().as_bytes());
+                        } else if long_requests {
+                            let received =
+                                read_slowly(&mut reader, BODY_BYTES, &written, TOTAL_BYTES);
+                            respond(&mut to, "200 OK", "", received.to_string().as_bytes());
                         } else {
-                            let _ = write!(to, "HTTP/1.1 200 OK\r\nContent-Length: {EACH}\r\n\r\n");
-                            pour(&mut to, &sent, &written);
+                            let _ = write!(
+                                to,
+                                "HTTP/1.1 200 OK\r\nContent-Length: {BODY_BYTES}\r\n\r\n"
+                            );
+                            write_counted(&mut to, &sent, &written);
                         }
                     }
                 });
             }
         });
-        at
+        address
     };
     let endpoints: Vec<_> = (0..10).map(|_| endpoint()).collect();
-    let sidecar = small_with(&endpoints, &long_deadline_settings());
+    let sidecar = start_with_little_memory_and(&endpoints, &long_deadline_settings());
     let clients: Vec<_> = (0..10)
         .map(|n| {
             let mut client = sidecar.connect();
@@ -211,12 +223,12 @@
             let (written, sent) = (Arc::clone(&written), Arc::clone(&sent));
             spawn(move || {
                 let id = n.to_string();
-                if writers {
-                    let head = with_long_deadline(&head(&id, &stated(EACH)));
+                if long_requests {
+                    let head = with_long_deadline(&request_head(&id, &content_length(BODY_BYTES)));
                     client.get_mut().write_all(head.as_bytes()).unwrap();
-                    pour(client.get_mut(), &sent, &written);
+                    write_counted(client.get_mut(), &sent, &written);
                     return Message::read(&mut client)
-                        .map(|m| String::from_utf8_lossy(&m.body).into_owned());
+                        .map(|response| String::from_utf8_lossy(&response.body).into_owned());
                 }
                 client
                     .get_mut()
@@ -229,15 +241,15 @@
                         return None;
                     }
                 }
-                Some(sip(&mut client, EACH, &written, ALL).to_string())
+                Some(read_slowly(&mut client, BODY_BYTES, &written, TOTAL_BYTES).to_string())
             })
         })
         .collect();
-    let got: Vec<_> = clients
+    let lengths: Vec<_> = clients
         .into_iter()
         .map(|client| client.join().unwrap())
         .collect();
-    assert_eq!(got, vec![Some(EACH.to_string()); 10]);
+    assert_eq!(lengths, vec![Some(BODY_BYTES.to_string()); 10]);
     assert!(
         sidecar.peak_memory_mb() < 40,
         "{} MB",
@@ -245,17 +257,17 @@
     );
 }
 
-// A client that takes longer than its time limit to write is not late: its time runs from its last byte.
+// Writing the body takes longer than the time limit of the command; the deadline starts only at the last byte.
 #[rstest]
-#[case::held(300_000)]
-#[case::passed_on(1_200_000)]
-fn the_time_of_a_command_runs_from_its_last_byte(#[case] length: usize) {
-    let endpoint = counts();
-    let sidecar = small(&[endpoint.address]);
-    let (mut client, sent) = (sidecar.connect(), body(length));
+#[case::buffered(300_000)]
+#[case::streamed(1_200_000)]
+fn deadline_starts_at_the_last_body_byte(#[case] length: usize) {
+    let endpoint = length_endpoint();
+    let sidecar = start_with_little_memory(&[endpoint.address]);
+    let (mut client, sent) = (sidecar.connect(), random_body(length));
     client
         .get_mut()
-        .write_all(head("a", &stated(length)).as_bytes())
+        .write_all(request_head("a", &content_length(length)).as_bytes())
         .unwrap();
     for piece in sent.chunks(length / 12) {
         client.get_mut().write_all(piece).unwrap();
@@ -264,9 +276,9 @@
     assert_eq!(Message::read(&mut client).unwrap().status(), "200");
 }
 
-// The first bytes of a long answer are in time, the rest comes when it comes.
+// The first bytes of a long response arrive before the time limit, the rest after it.
 #[rstest]
-fn a_long_answer_is_not_cut_at_the_time_limit() {
+fn long_response_is_not_cut_off_at_the_time_limit() {
     let endpoint = fake_server(|_, to| {
         let _ = to.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 150000\r\n\r\n");
         for _ in 0..15 {
@@ -275,43 +287,47 @@
         }
         true
     });
-    let sidecar = small(&[endpoint.address]);
+    let sidecar = start_with_little_memory(&[endpoint.address]);
     assert_eq!(sidecar.request(&get_look("a")).body.len(), 150_000);
 }
 
 #[rstest]
-#[case::stated("Content-Length: 150000\r\n\r\n")]
-#[case::in_chunks("Transfer-Encoding: chunked\r\n\r\n249f0\r\n")]
-fn of_a_long_answer_that_breaks_off_the_client_can_tell(#[case] framing: &'static str) {
+#[case::with_length("Content-Length: 150000\r\n\r\n")]
+#[case::chunked("Transfer-Encoding: chunked\r\n\r\n249f0\r\n")]
+fn client_can_detect_a_truncated_long_response(#[case] framing: &'static str) {
     let endpoint = fake_server(move |_, to| {
         let _ = to.write_all(format!("HTTP/1.1 200 OK\r\n{framing}").as_bytes());
         let _ = to.write_all(&[b'x'; 100_000]);
         let _ = to.shutdown(std::net::Shutdown::Both);
         false
     });
-    let sidecar = small(&[endpoint.address]);
+    let sidecar = start_with_little_memory(&[endpoint.address]);
     let mut client = sidecar.connect();
     client
         .get_mut()
         .write_all(get_look("a").as_bytes())
         .unwrap();
-    let mut all = Vec::new();
-    let _ = client.read_to_end(&mut all);
-    let text = String::from_utf8_lossy(&all);
+    let mut received = Vec::new();
+    let _ = client.read_to_end(&mut received);
+    let text = String::from_utf8_lossy(&received);
     assert!(
         text.starts_with("HTTP/1.1 200 OK") && !text.ends_with("0\r\n\r\n"),
         "{}",
-        all.len()
+        received.len()
+    );
+    assert!(
+        received.len() > 100_000 && received.len() < 150_000,
+        "{}",
+        received.len()
     );
-    assert!(all.len() > 100_000 && all.len() < 150_000, "{}", all.len());
 }
 
-// What was taken from the client is gone: the command can't go elsewhere, but it never ran.
+// The part of the body that was streamed can't be sent again, so the command can't go elsewhere; but it did not run.
 #[rstest]
-fn a_long_body_that_its_endpoint_broke_off_is_declined_and_not_sent_again() {
-    let breaks = || {
+fn long_body_closed_by_the_endpoint_is_refused_and_not_retried() {
+    let closing_endpoint = || {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-        let at = listener.local_addr().unwrap();
+        let address = listener.local_addr().unwrap();
         spawn(move || {
             for mut stream in listener.incoming().flatten() {
                 spawn(move || {
@@ -329,53 +345,53 @@
                 });
             }
         });
-        at
+        address
     };
-    let sidecar = small(&[breaks(), breaks()]);
+    let sidecar = start_with_little_memory(&[closing_endpoint(), closing_endpoint()]);
     let mut client = sidecar.connect();
-    let (length, sent) = (4_000_000, body(4_000_000));
+    let (length, sent) = (4_000_000, random_body(4_000_000));
     client
         .get_mut()
-        .write_all(head("a", &stated(length)).as_bytes())
+        .write_all(request_head("a", &content_length(length)).as_bytes())
         .unwrap();
-    // Its client may read only when all is written.
+    // The client may read only after it has written everything.
     client.get_mut().write_all(&sent).unwrap();
     assert_eq!(Message::read(&mut client).unwrap().status(), "503");
 }
 
 #[rstest]
-fn a_long_body_that_found_no_connection_goes_elsewhere() {
-    let endpoint = counts();
+fn long_body_goes_elsewhere_after_a_failed_connect() {
+    let endpoint = length_endpoint();
     let list = [unused_address(), endpoint.address];
-    let sidecar = small(&list);
+    let sidecar = start_with_little_memory(&list);
     for n in 0..6 {
-        let (mut client, sent) = (sidecar.connect(), body(2_000_000));
+        let (mut client, sent) = (sidecar.connect(), random_body(2_000_000));
         client
             .get_mut()
-            .write_all(head(&n.to_string(), &stated(sent.len())).as_bytes())
+            .write_all(request_head(&n.to_string(), &content_length(sent.len())).as_bytes())
             .unwrap();
         client.get_mut().write_all(&sent).unwrap();
         assert_eq!(Message::read(&mut client).unwrap().status(), "200");
     }
 }
 
-// Two seconds for a head, also behind a quiet time on a kept connection; 64 kB a second for a body.
+// A client has two seconds for a head, also after an idle period on a kept connection, and may send a body at 64 kB/s.
 #[rstest]
-fn slow_clients_have_their_time() {
-    let endpoint = counts();
-    let sidecar = small(&[endpoint.address]);
+fn slow_clients_within_the_limits_are_served() {
+    let endpoint = length_endpoint();
+    let sidecar = start_with_little_memory(&[endpoint.address]);
     let mut client = sidecar.connect();
     assert_eq!(
         round_trip(&mut client, &get_look("a")).unwrap().status(),
         "200"
     );
     sleep(1200 * MS);
-    let text = head("b", &stated(64_000));
+    let text = request_head("b", &content_length(64_000));
     for piece in text.as_bytes().chunks(text.len() / 9) {
         client.get_mut().write_all(piece).unwrap();
         sleep(180 * MS);
     }
-    for piece in body(64_000).chunks(6_400) {
+    for piece in random_body(64_000).chunks(6_400) {
         client.get_mut().write_all(piece).unwrap();
         sleep(100 * MS);
     }
@@ -383,15 +399,15 @@
 }
 
 #[rstest]
-#[case::held(60_000)]
-#[case::passed_on(3_000_000)]
-fn a_body_that_trickles_is_given_up(#[case] length: usize) {
-    let endpoint = counts();
-    let sidecar = small(&[endpoint.address]);
-    let (began, mut client) = (Instant::now(), sidecar.connect());
+#[case::buffered(60_000)]
+#[case::streamed(3_000_000)]
+fn trickling_body_times_out(#[case] length: usize) {
+    let endpoint = length_endpoint();
+    let sidecar = start_with_little_memory(&[endpoint.address]);
+    let (start, mut client) = (Instant::now(), sidecar.connect());
     client
         .get_mut()
-        .write_all(head("a", &stated(length)).as_bytes())
+        .write_all(request_head("a", &content_length(length)).as_bytes())
         .unwrap();
     let mut writer = client.get_ref().try_clone().unwrap();
     spawn(move || {
@@ -401,33 +417,33 @@
     });
     assert_eq!(Message::read(&mut client).unwrap().status(), "408");
     assert!(
-        (2000 * MS..4000 * MS).contains(&began.elapsed()),
+        (2000 * MS..4000 * MS).contains(&start.elapsed()),
         "{:?}",
-        began.elapsed()
+        start.elapsed()
     );
     assert_eq!(endpoint.request_count(), 0);
 }
 
 #[rstest]
-#[case::stated(&stated(0))]
-#[case::in_chunks("Transfer-Encoding: chunked\r\n\r\n0")]
-fn a_get_may_say_that_it_has_no_body(#[case] framing: &str) {
-    let endpoint = counts();
-    let sidecar = small(&[endpoint.address]);
-    let text = head("a", framing).replace("POST /book", "GET /look");
+#[case::with_length(&content_length(0))]
+#[case::chunked("Transfer-Encoding: chunked\r\n\r\n0")]
+fn get_may_declare_an_empty_body(#[case] framing: &str) {
+    let endpoint = length_endpoint();
+    let sidecar = start_with_little_memory(&[endpoint.address]);
+    let text = request_head("a", framing).replace("POST /book", "GET /look");
     assert_eq!(sidecar.request(&text).status(), "200");
-    let more = head("b", "Transfer-Encoding: chunked\r\n\r\n1\r\nx\r\n0")
+    let with_body = request_head("b", "Transfer-Encoding: chunked\r\n\r\n1\r\nx\r\n0")
         .replace("POST /book", "GET /look");
-    assert_eq!(sidecar.request(&more).status(), "400");
+    assert_eq!(sidecar.request(&with_body).status(), "400");
 }
 
-// Whatever a system does to the bytes on their way.
+// The network may split a request anywhere.
 #[rstest]
-#[case::stated(&format!("{}fourteen bytes", head("a", &stated(14))))]
-#[case::in_chunks(&format!("{}5;a=\"b\"\r\nfourt\r\n9\r\neen bytes\r\n0\r\nSum: 1\r\n\r\n", head("a", "Transfer-Encoding: chunked")))]
-fn a_command_may_be_cut_at_every_byte(#[case] text: &str) {
-    let endpoint = counts();
-    let sidecar = small(&[endpoint.address]);
+#[case::with_length(&format!("{}fourteen bytes", request_head("a", &content_length(14))))]
+#[case::chunked(&format!("{}5;a=\"b\"\r\nfourt\r\n9\r\neen bytes\r\n0\r\nSum: 1\r\n\r\n", request_head("a", "Transfer-Encoding: chunked")))]
+fn request_may_be_split_at_every_byte(#[case] text: &str) {
+    let endpoint = length_endpoint();
+    let sidecar = start_with_little_memory(&[endpoint.address]);
     let mut client = sidecar.connect();
     client.get_mut().set_nodelay(true).unwrap();
     for byte in text.as_bytes() {
@@ -438,17 +454,17 @@
     assert_eq!(endpoint.requests.lock().unwrap()[0].body, b"fourteen bytes");
 }
 
-// Answers likewise, also such as end with their connection or come behind 1xx.
+// The same for responses, also those that end with their connection or follow an informational response.
 #[rstest]
-#[case::stated("HTTP/1.1 200 OK\r\nContent-Length: 14\r\n\r\nfourteen bytes")]
-#[case::in_chunks(
+#[case::with_length("HTTP/1.1 200 OK\r\nContent-Length: 14\r\n\r\nfourteen bytes")]
+#[case::chunked(
     "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5;a=b\r\nfourt\r\n9\r\neen bytes\r\n0\r\nSum: 1\r\n\r\n"
 )]
-#[case::to_the_end("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nfourteen bytes")]
-#[case::behind_another(
+#[case::until_close("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nfourteen bytes")]
+#[case::after_informational(
     "HTTP/1.1 102 Processing\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 14\r\n\r\nfourteen bytes"
 )]
-fn an_answer_may_be_cut_at_every_byte(#[case] text: &'static str) {
+fn response_may_be_split_at_every_byte(#[case] text: &'static str) {
     let endpoint = fake_server(move |_, to| {
         let _ = to.set_nodelay(true);
         for byte in text.as_bytes() {
@@ -457,43 +473,43 @@
         }
         !text.contains("close")
     });
-    let sidecar = small(&[endpoint.address]);
+    let sidecar = start_with_little_memory(&[endpoint.address]);
     let mut client = sidecar.connect();
-    let answer = round_trip(&mut client, &get_look("a")).unwrap();
-    match answer.header("content-length") {
-        Some(_) => assert_eq!(answer.body, b"fourteen bytes"),
-        // Passed on as it came: no length was stated.
+    let response = round_trip(&mut client, &get_look("a")).unwrap();
+    match response.header("content-length") {
+        Some(_) => assert_eq!(response.body, b"fourteen bytes"),
+        // Streamed, as no length was stated.
         None => assert_eq!(
-            answer.header("transfer-encoding").as_deref(),
+            response.header("transfer-encoding").as_deref(),
             Some("chunked")
         ),
     }
-    assert_eq!(answer.body, b"fourteen bytes");
+    assert_eq!(response.body, b"fourteen bytes");
 }
 
 #[rstest]
-fn who_expects_to_be_told_to_go_on_is_told() {
-    let endpoint = counts();
-    let sidecar = small(&[endpoint.address]);
+fn expect_100_continue_is_answered() {
+    let endpoint = length_endpoint();
+    let sidecar = start_with_little_memory(&[endpoint.address]);
     let mut client = sidecar.connect();
-    let head = head(
+    let head = request_head(
         "a",
-        &format!("Expect: 100-continue\r\n{}", stated(2_000_000)),
+        &format!("Expect: 100-continue\r\n{}", content_length(2_000_000)),
     );
     assert_eq!(round_trip(&mut client, &head).unwrap().status(), "100");
-    client.get_mut().write_all(&body(2_000_000)).unwrap();
+    client.get_mut().write_all(&random_body(2_000_000)).unwrap();
     assert_eq!(Message::read(&mut client).unwrap().status(), "200");
 }
 
-// Whoever still reads an answer is no quiet client.
+// A client that still reads a response is not idle, although it sends nothing.
 #[rstest]
-fn a_slow_reader_is_not_given_up_while_others_wait() {
-    let given = body(20_000_000);
+fn slow_reader_is_not_evicted_while_others_wait() {
+    let response_body = random_body(20_000_000);
     let long = fake_server(move |_, to| {
-        respond(to, "200 OK", "", &given);
+        respond(to, "200 OK", "", &response_body);
         true
     });
-    let sidecar = small(&[long.address]);
+    let sidecar = start_with_little_memory(&[long.address]);
     let mut reader = sidecar.connect();
     reader
         .get_mut()
@@ -501,7 +517,7 @@
         .unwrap();
     let mut first = [0; 1000];
     reader.read_exact(&mut first).unwrap();
-    let crowd: Vec<_> = (0..400)
+    let idle_clients: Vec<_> = (0..400)
         .filter_map(|_| TcpStream::connect(sidecar.address).ok())
         .collect();
     sleep(Duration::from_millis(2500));
@@ -510,5 +526,5 @@
         .read_to_end(&mut rest)
         .unwrap_or_default();
     assert!(rest.len() > 19_999_000, "{}", rest.len());
-    drop(crowd);
+    drop(idle_clients);
 }
--- a/crates/passroad/tests/management.rs
+++ b/crates/passroad/tests/management.rs
@@ -1,4 +1,4 @@
-//! The operators' door of the program on loopback sockets.
+//! The management address of the sidecar binary on loopback sockets, and reloads of its settings.
 
 mod harness;
 
@@ -8,8 +8,8 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::Instant;
 
-/// A sidecar with a management, between some endpoints and a discovery.
-fn with_endpoints(endpoints: &[(&str, &FakeServer)]) -> (Sidecar, SocketAddr, FakeDiscovery) {
+/// A sidecar with a management address, in front of some endpoints that a fake discovery server lists.
+fn start_with_endpoints(endpoints: &[(&str, &FakeServer)]) -> (Sidecar, SocketAddr, FakeDiscovery) {
     let list: Vec<_> = endpoints
         .iter()
         .map(|(id, endpoint)| member(id, endpoint.address, "up"))
@@ -34,35 +34,35 @@
 
 #[rstest]
 #[case::health("GET", "/admin/health", "", "200")]
-#[case::unknown_call("GET", "/admin/stats", "", "404")]
-#[case::clients_path("GET", "/healthz", "", "404")]
+#[case::unknown_path("GET", "/admin/stats", "", "404")]
+#[case::path_of_the_client_address("GET", "/healthz", "", "404")]
 #[case::wrong_method("POST", "/admin/health", "", "405")]
 #[case::cordon_by_get("GET", "/admin/cordon", "", "405")]
 #[case::empty("POST", "/admin/cordon", "", "400")]
-#[case::no_json("POST", "/admin/cordon", "s-1", "400")]
+#[case::not_json("POST", "/admin/cordon", "s-1", "400")]
 #[case::no_id("POST", "/admin/uncordon", "{}", "400")]
-#[case::odd_id("POST", "/admin/cordon", r#"{"id":7}"#, "400")]
+#[case::invalid_id("POST", "/admin/cordon", r#"{"id":7}"#, "400")]
 #[case::never_listed("POST", "/admin/cordon", r#"{"id":"s-9"}"#, "404")]
-#[case::never_listed_back("POST", "/admin/uncordon", r#"{"id":"s-9"}"#, "404")]
+#[case::uncordon_never_listed("POST", "/admin/uncordon", r#"{"id":"s-9"}"#, "404")]
 #[case::listed("POST", "/admin/cordon", r#"{"id":"s-1","by":"me"}"#, "200")]
-#[case::not_out("POST", "/admin/uncordon", r#"{"id":"s-1"}"#, "200")]
+#[case::uncordon_not_cordoned("POST", "/admin/uncordon", r#"{"id":"s-1"}"#, "200")]
 #[case::too_large("POST", "/admin/cordon", &format!(r#"{{"id":"{}"}}"#, "x".repeat(5000)), "413")]
-fn each_call_has_its_answer(
+fn each_request_has_its_status(
     #[case] method: &str,
     #[case] path: &str,
     #[case] body: &str,
     #[case] status: &str,
 ) {
     let endpoint = ok_endpoint("ok");
-    let (_sidecar, management, _discovery) = with_endpoints(&[("s-1", &endpoint)]);
+    let (_sidecar, management, _discovery) = start_with_endpoints(&[("s-1", &endpoint)]);
     assert_eq!(management_request(management, method, path, body), status);
 }
 
 #[rstest]
-fn an_endpoint_out_by_hand_gets_nothing_until_it_is_called_back() {
+fn cordoned_endpoint_gets_no_commands_until_it_is_uncordoned() {
     let endpoints = [ok_endpoint("a"), ok_endpoint("b")];
     let (sidecar, management, discovery) =
-        with_endpoints(&[("s-1", &endpoints[0]), ("s-2", &endpoints[1])]);
+        start_with_endpoints(&[("s-1", &endpoints[0]), ("s-2", &endpoints[1])]);
     assert_eq!(post_cordon(management, "cordon", "s-1"), "200");
     let before = endpoints[0].request_count();
     let look = |n: usize| {
@@ -74,17 +74,17 @@
         )
     };
     (0..20).for_each(look);
-    // It goes, and comes back at once as just started.
+    // It leaves the list, and comes back at once as just started.
     let both = |phase: &str, started: u64| {
         let first = member("s-1", endpoints[0].address, phase)
             .replace("since_ms\":0", &format!("since_ms\":{started}"));
         format!("{first},{}", member("s-2", endpoints[1].address, "up"))
     };
     for (n, phase) in ["removed", "up"].into_iter().enumerate() {
-        let calls = discovery.server.request_count();
+        let polls = discovery.server.request_count();
         discovery.publish(2 + n as u64, both(phase, n as u64));
-        // The list has come when the watch after it does.
-        wait_until(|| discovery.server.request_count() > calls);
+        // The next long poll shows that the list has been applied.
+        wait_until(|| discovery.server.request_count() > polls);
         (20 * (n + 1)..20 * (n + 2)).for_each(look);
     }
     assert_eq!(endpoints[0].request_count(), before);
@@ -97,24 +97,24 @@
     });
 }
 
-// Left out of the list and forgotten by the module: its id is still one that was listed, and its ban is kept.
+// The endpoint is missing from the list and unknown to the balancer. Its id still counts as listed, and its cordon is kept.
 #[rstest]
-fn an_id_that_has_left_can_be_taken_out() {
+fn id_that_left_the_list_can_be_cordoned() {
     let endpoints = [ok_endpoint("a"), ok_endpoint("b")];
     let (sidecar, management, discovery) =
-        with_endpoints(&[("s-1", &endpoints[0]), ("s-2", &endpoints[1])]);
-    let list = |revision: u64, ids: &[(&str, &FakeServer)]| {
-        let calls = discovery.server.request_count();
+        start_with_endpoints(&[("s-1", &endpoints[0]), ("s-2", &endpoints[1])]);
+    let publish = |revision: u64, ids: &[(&str, &FakeServer)]| {
+        let polls = discovery.server.request_count();
         let members: Vec<_> = ids
             .iter()
             .map(|(id, endpoint)| member(id, endpoint.address, "up"))
             .collect();
         discovery.publish(revision, members.join(","));
-        wait_until(|| discovery.server.request_count() > calls);
+        wait_until(|| discovery.server.request_count() > polls);
     };
-    list(2, &[("s-2", &endpoints[1])]);
+    publish(2, &[("s-2", &endpoints[1])]);
     assert_eq!(post_cordon(management, "cordon", "s-1"), "200");
-    list(3, &[("s-1", &endpoints[0]), ("s-2", &endpoints[1])]);
+    publish(3, &[("s-1", &endpoints[0]), ("s-2", &endpoints[1])]);
     let before = endpoints[0].request_count();
     (0..30).for_each(|n| {
         assert_eq!(
@@ -128,42 +128,42 @@
 }
 
 #[rstest]
-fn with_all_out_a_command_is_declined_at_once() {
+fn with_all_endpoints_cordoned_commands_are_refused_at_once() {
     let endpoint = ok_endpoint("a");
-    let (sidecar, management, _discovery) = with_endpoints(&[("s-1", &endpoint)]);
+    let (sidecar, management, _discovery) = start_with_endpoints(&[("s-1", &endpoint)]);
     assert_eq!(post_cordon(management, "cordon", "s-1"), "200");
-    let began = Instant::now();
+    let start = Instant::now();
     assert_eq!(
         sidecar
             .request(&with_long_deadline(&post_book("1")))
             .status(),
         "503"
     );
-    // By itself it would wait for a quarter of its goal of five seconds.
-    assert!(began.elapsed() < 1000 * MS, "{:?}", began.elapsed());
+    // Otherwise it would queue for a quarter of its deadline target of five seconds.
+    assert!(start.elapsed() < 1000 * MS, "{:?}", start.elapsed());
 }
 
-// Dozens that connect and say nothing, or half a call: none of them is in the way.
+// Many connections that send nothing or only part of a request do not delay another request.
 #[rstest]
-fn callers_that_hold_connections_are_not_in_the_way_of_others() {
+fn idle_management_connections_do_not_block_others() {
     let endpoint = ok_endpoint("a");
-    let (_sidecar, management, _discovery) = with_endpoints(&[("s-1", &endpoint)]);
+    let (_sidecar, management, _discovery) = start_with_endpoints(&[("s-1", &endpoint)]);
     let held: Vec<_> = (0..200)
         .map(|n| {
             let mut stream = TcpStream::connect(management).unwrap();
-            let part = [
+            let partial_request = [
                 "",
                 "POST /admin/cor",
                 "POST /admin/cordon HTTP/1.1\r\nContent-Length: 12\r\n\r\n{",
             ][n % 3];
-            stream.write_all(part.as_bytes()).unwrap();
+            stream.write_all(partial_request.as_bytes()).unwrap();
             stream
         })
         .collect();
-    let began = Instant::now();
+    let start = Instant::now();
     assert_eq!(post_cordon(management, "cordon", "s-1"), "200");
-    // Left to their own, they would be let go after three seconds.
-    assert!(began.elapsed() < 1500 * MS, "{:?}", began.elapsed());
+    // Without eviction they would be closed after three seconds.
+    assert!(start.elapsed() < 1500 * MS, "{:?}", start.elapsed());
     assert!(
         held.into_iter()
             .take(100)
@@ -171,11 +171,11 @@
     );
 }
 
-// No place is left for clients, and none of the descriptors for them is the management's.
+// Clients take all of their places. The management address has descriptors of its own.
 #[rstest]
-fn clients_that_take_all_places_do_not_take_the_doors() {
+fn clients_that_take_all_places_leave_the_management_address_its_own() {
     let endpoint = ok_endpoint("a");
-    let (sidecar, management, _discovery) = with_endpoints(&[("s-1", &endpoint)]);
+    let (sidecar, management, _discovery) = start_with_endpoints(&[("s-1", &endpoint)]);
     let clients: Vec<_> = (0..300)
         .filter_map(|_| TcpStream::connect(sidecar.address).ok())
         .collect();
@@ -183,6 +183,7 @@
         management_request(management, "GET", "/admin/health", ""),
         "200"
     );
+    // The `sockets` limit, and what is reserved for the management address.
     assert!(
         sidecar.open_descriptors() <= 64 + 56,
         "{}",
@@ -191,10 +192,10 @@
     drop(clients);
 }
 
-// ---- other settings on SIGHUP ----
+// ---- reload on SIGHUP ----
 
-/// Settings with a verb more; `look` has changed its effect.
-fn retuned() -> String {
+/// Settings with another class, `seek`, and with `look` no longer safe but non-idempotent.
+fn changed_settings() -> String {
     let look = r#"{"name":"look","effect":"read_like""#;
     let seek = r#"{"name":"seek","effect":"read_like","response_goal":5000000000,"time_limit":8000000000,"utility":1}"#;
     long_deadline_settings().replace(
@@ -203,17 +204,17 @@
     )
 }
 
-fn post(verb: &str, id: &str) -> String {
-    with_long_deadline(&post_book(id).replace("/book", &format!("/{verb}")))
+fn post_class(class: &str, id: &str) -> String {
+    with_long_deadline(&post_book(id).replace("/book", &format!("/{class}")))
 }
 
 #[rstest]
-fn other_settings_are_taken_while_open_commands_keep_theirs() {
+fn reloaded_settings_apply_while_open_commands_keep_theirs() {
     let gate = Gate::default();
-    let held = gate.clone();
+    let handler_gate = gate.clone();
     let endpoint = fake_server(move |message, to| {
         if message.header("req-id").as_deref() == Some("open") {
-            held.wait_until_open();
+            handler_gate.wait_until_open();
             return false;
         }
         respond(to, "200 OK", "", b"ok");
@@ -225,7 +226,7 @@
         address,
         &config_json(address, discovery, &list, &long_deadline_settings()),
     );
-    // Open, and its verb pure: its endpoint breaks the connection each time.
+    // An open command of the safe class, whose endpoint closes the connection on each attempt.
     let mut open = sidecar.connect();
     open.get_mut()
         .write_all(with_long_deadline(&get_look("open")).as_bytes())
@@ -239,7 +240,7 @@
             .status(),
         "404"
     );
-    sidecar.reload(&config_json(address, discovery, &list, &retuned()));
+    sidecar.reload(&config_json(address, discovery, &list, &changed_settings()));
     let mut n = 0;
     let mut seek = || {
         n += 1;
@@ -251,18 +252,18 @@
             .to_string()
     };
     wait_until(|| seek() == "200");
-    // For a while clients name a verb as before, and as it is now.
+    // For a while clients may use the old and the new method of a class.
     assert_eq!(
         sidecar
             .request(&with_long_deadline(&get_look("n2")))
             .status(),
         "200"
     );
-    assert_eq!(sidecar.request(&post("look", "n3")).status(), "200");
+    assert_eq!(sidecar.request(&post_class("look", "n3")).status(), "200");
     gate.open();
-    // Declined, as is allowed of a pure one alone that may have run.
+    // Refused with 503, which of the commands that may have run is allowed for safe ones only.
     assert_eq!(Message::read(&mut open).unwrap().status(), "503");
-    // Then as it is now alone.
+    // After that, only the new method.
     let mut n = 0;
     wait_until(|| {
         n += 1;
@@ -271,7 +272,7 @@
             .status()
             == "400"
     });
-    assert_eq!(sidecar.request(&post("look", "n4")).status(), "200");
+    assert_eq!(sidecar.request(&post_class("look", "n4")).status(), "200");
 }
 
 #[rstest]
@@ -283,30 +284,30 @@
 #[case::zero_limit(|text: &str| text.replacen("\"time_limit\":8000000000", "\"time_limit\":0", 1))]
 #[case::null_limit(|text: &str| text.replacen("\"time_limit\":8000000000", "\"time_limit\":null", 1))]
 #[case::negative_limit(|text: &str| text.replacen("\"time_limit\":8000000000", "\"time_limit\":-8", 1))]
-#[case::odd_limit(|text: &str| text.replacen("\"time_limit\":8000000000", "\"time_limit\":\"8 s\"", 1))]
+#[case::limit_not_a_number(|text: &str| text.replacen("\"time_limit\":8000000000", "\"time_limit\":\"8 s\"", 1))]
 #[case::zero_attempts(|text: &str| text.replace("\"max_relays\":4", "\"max_relays\":0"))]
-#[case::odd_attempts(|text: &str| text.replace("\"max_relays\":4", "\"max_relays\":\"four\""))]
-#[case::odd_effect(|text: &str| text.replace("non_idempotent", "odd"))]
-#[case::twice(|text: &str| text.replace("\"seek\"", "\"book\""))]
-fn a_faulty_file_changes_nothing(#[case] spoil: fn(&str) -> String) {
+#[case::attempts_not_a_number(|text: &str| text.replace("\"max_relays\":4", "\"max_relays\":\"four\""))]
+#[case::unknown_effect(|text: &str| text.replace("non_idempotent", "odd"))]
+#[case::duplicate_class(|text: &str| text.replace("\"seek\"", "\"book\""))]
+fn reload_of_an_invalid_file_changes_nothing(#[case] corrupt: fn(&str) -> String) {
     let endpoint = ok_endpoint("ok");
     let (before, after) = (
         fake_discovery(&member("s-1", endpoint.address, "up")),
         fake_discovery(""),
     );
     let (address, list) = (unused_address(), member("s-1", endpoint.address, "up"));
-    let text =
+    let config =
         |settings: &str, discovery: SocketAddr| config_json(address, discovery, &list, settings);
     let sidecar = Sidecar::start(
         address,
-        &text(&long_deadline_settings(), before.server.address),
+        &config(&long_deadline_settings(), before.server.address),
     );
-    let faulty = spoil(&text(&retuned(), after.server.address));
-    assert_ne!(faulty, text(&retuned(), after.server.address));
-    sidecar.reload(&faulty);
-    // What comes behind it is taken, so it has been read by then; only the good one moves discovery.
+    let invalid = corrupt(&config(&changed_settings(), after.server.address));
+    assert_ne!(invalid, config(&changed_settings(), after.server.address));
+    sidecar.reload(&invalid);
+    // A valid reload follows: once it is applied, the invalid file has been read. Only the valid one may change discovery.
     let last = fake_discovery(&member("s-1", endpoint.address, "up"));
-    sidecar.reload(&text(&long_deadline_settings(), last.server.address));
+    sidecar.reload(&config(&long_deadline_settings(), last.server.address));
     wait_until(|| last.server.request_count() > 0);
     assert_eq!(after.server.request_count(), 0);
     assert_eq!(
--- a/crates/passroad/tests/races.rs
+++ b/crates/passroad/tests/races.rs
@@ -1,5 +1,5 @@
-//! Two events that cross, in the bad order each time: the process is stopped and continued so that both lie ready, or
-//! a stand-in holds its byte until it has seen the other event. See `docs/crossings.md`.
+//! Races between two events, always in the unfavourable order: the process is paused (SIGSTOP) and continued so that it finds
+//! both at once, or a fake server delays its response until it has seen the other event. See `docs/crossings.md`.
 
 mod harness;
 
@@ -10,7 +10,7 @@
 use std::sync::atomic::{AtomicUsize, Ordering::SeqCst};
 use std::thread::sleep;
 
-/// How a client leaves.
+/// How a client disconnects.
 #[derive(Clone, Copy, Debug)]
 enum Disconnect {
     Close,
@@ -40,7 +40,7 @@
     None
 }
 
-fn ids(endpoint: &FakeServer) -> Vec<String> {
+fn request_ids(endpoint: &FakeServer) -> Vec<String> {
     endpoint
         .requests
         .lock()
@@ -50,25 +50,27 @@
         .collect()
 }
 
-// The command and the end of its client lie ready in one turn: the command is read first.
+// The process finds a command and the disconnect of its client at once, and reads the command first.
 #[rstest]
 #[case::close(Disconnect::Close)]
 #[case::reset(Disconnect::Reset)]
 #[case::half_close(Disconnect::HalfClose)]
 #[case::close_after_next_request_line(Disconnect::CloseAfterNextRequestLine)]
-fn what_a_client_left_behind_while_the_process_stood_still_is_not_sent(#[case] how: Disconnect) {
+fn command_of_a_client_that_disconnected_during_a_process_pause_is_not_sent(
+    #[case] how: Disconnect,
+) {
     let endpoint = ok_endpoint("ok");
     let sidecar = start_sidecar_with(
         &member("s-1", endpoint.address, "up"),
         unused_address(),
         &long_deadline_settings(),
     );
-    // One that is let in already, and a connection to the endpoint that is kept.
+    // One client connection is accepted before the pause, and one connection to the endpoint is idle.
     for n in 0..5 {
-        let mut known = sidecar.connect();
+        let mut accepted = sidecar.connect();
         assert_eq!(
             round_trip(
-                &mut known,
+                &mut accepted,
                 &with_long_deadline(&get_look(&format!("first{n}")))
             )
             .unwrap()
@@ -76,12 +78,12 @@
             "200"
         );
         sidecar.signal("STOP");
-        let gone: Vec<_> = [known, sidecar.connect(), sidecar.connect()]
+        let disconnected: Vec<_> = [accepted, sidecar.connect(), sidecar.connect()]
             .into_iter()
             .enumerate()
-            .map(|(k, mut client)| {
-                let id = format!("left{n}-{k}");
-                let command = if k == 1 {
+            .map(|(index, mut client)| {
+                let id = format!("left{n}-{index}");
+                let command = if index == 1 {
                     post_book(&id)
                 } else {
                     get_look(&id)
@@ -100,18 +102,20 @@
                 .status(),
             "200"
         );
-        drop(gone);
+        drop(disconnected);
     }
     assert!(
-        ids(&endpoint).iter().all(|id| !id.starts_with("left")),
+        request_ids(&endpoint)
+            .iter()
+            .all(|id| !id.starts_with("left")),
         "{:?}",
-        ids(&endpoint)
+        request_ids(&endpoint)
     );
 }
 
-// The same while the process stops, with half of the body read before.
+// The same during shutdown, for clients in the backlog and for one of whose body half was read before.
 #[rstest]
-fn what_a_client_left_behind_during_a_stop_is_not_sent() {
+fn command_of_a_client_that_disconnected_during_shutdown_is_not_sent() {
     let endpoint = ok_endpoint("ok");
     let mut sidecar = start_sidecar_with(
         &member("s-1", endpoint.address, "up"),
@@ -120,13 +124,13 @@
     );
     let command = with_long_deadline(&post_book("left-half"));
     let (first, rest) = command.split_at(command.len() - 2);
-    let mut half = sidecar.connect();
-    half.get_mut().write_all(first.as_bytes()).unwrap();
+    let mut half_read = sidecar.connect();
+    half_read.get_mut().write_all(first.as_bytes()).unwrap();
     sleep(50 * MS);
     sidecar.signal("STOP");
     sidecar.signal("TERM");
-    half.get_mut().write_all(rest.as_bytes()).unwrap();
-    drop(half);
+    half_read.get_mut().write_all(rest.as_bytes()).unwrap();
+    drop(half_read);
     for n in 0..5 {
         let mut client = sidecar.connect();
         client
@@ -142,15 +146,15 @@
     sidecar.signal("CONT");
     assert_eq!(Message::read(&mut stays).unwrap().status(), "200");
     assert_eq!(sidecar.child.wait().unwrap().code(), Some(0));
-    assert_eq!(ids(&endpoint), ["stays"]);
+    assert_eq!(request_ids(&endpoint), ["stays"]);
 }
 
-// Commands wait in the module for room at the endpoint, others outside for a place; room and places come in the turn in
-// which their clients leave.
+// Commands wait in the balancer for capacity at the endpoint, others in the backlog for a client place. Both become free at the
+// moment at which the clients disconnect.
 #[rstest]
-#[case::in_the_module(4)]
-#[case::in_the_module_and_outside(40)]
-fn what_waited_for_room_is_not_sent_once_its_client_left(#[case] count: usize) {
+#[case::in_the_balancer(4)]
+#[case::in_the_balancer_and_the_backlog(40)]
+fn queued_command_is_not_sent_after_its_client_disconnected(#[case] count: usize) {
     let gate = Gate::default();
     let handler_gate = gate.clone();
     let endpoint = fake_server(move |_, to| {
@@ -158,7 +162,7 @@
         respond(to, "200 OK", "", b"ok");
         true
     });
-    // Room is waited for, for a quarter of the goal.
+    // A command may queue for a quarter of the deadline target.
     let settings = SETTINGS.replace(
         "\"response_goal\":400000000",
         "\"response_goal\":40000000000",
@@ -180,11 +184,11 @@
     wait_until(|| endpoint.request_count() >= 2);
     sleep(100 * MS);
     sidecar.signal("STOP");
-    let out = ids(&endpoint);
-    assert!(out.len() < count, "{out:?}");
+    let sent = request_ids(&endpoint);
+    assert!(sent.len() < count, "{sent:?}");
     let mut stay = Vec::new();
     for (n, client) in clients.into_iter().enumerate() {
-        stay.extend(Some(client).filter(|_| out.contains(&n.to_string())));
+        stay.extend(Some(client).filter(|_| sent.contains(&n.to_string())));
     }
     gate.open();
     sleep(50 * MS);
@@ -199,14 +203,14 @@
             .status(),
         "200"
     );
-    let seen: Vec<_> = ids(&endpoint)
+    let received: Vec<_> = request_ids(&endpoint)
         .into_iter()
         .filter(|id| id != "next")
         .collect();
-    assert_eq!(seen, out);
+    assert_eq!(received, sent);
 }
 
-/// An endpoint to which connections come up only once it is told to let them.
+/// A listener whose backlog is full, so that connects hang until `accept_and_read` accepts them.
 struct DelayedListener {
     address: SocketAddr,
     listener: TcpListener,
@@ -223,18 +227,18 @@
         }
     }
 
-    /// Lets in what waits; every byte that comes over a connection of the sidecar's within a while.
+    /// Accepts all connections for several seconds; returns the bytes received over those of the sidecar.
     fn accept_and_read(self) -> Vec<u8> {
         self.listener.set_nonblocking(false).unwrap();
-        // Those that filled it come first, and say nothing.
+        // The connections that filled the backlog come first; nothing is sent over them.
         for filler in &self.filling {
-            let ours = filler.local_addr().unwrap();
-            let (_, from) = self.listener.accept().unwrap();
-            assert_eq!(from, ours);
+            let expected = filler.local_addr().unwrap();
+            let (_, peer) = self.listener.accept().unwrap();
+            assert_eq!(peer, expected);
         }
         self.listener.set_nonblocking(true).unwrap();
-        let (mut came, mut open) = (Vec::new(), Vec::new());
-        // The system tries a connection again after one second, two, and four.
+        let (mut received, mut open) = (Vec::new(), Vec::new());
+        // The kernel retries a SYN after one, two and four seconds.
         for _ in 0..700 {
             while let Ok((stream, _)) = self.listener.accept() {
                 stream.set_nonblocking(true).unwrap();
@@ -243,7 +247,7 @@
             for stream in &mut open {
                 let mut bytes = [0; 4000];
                 while let Ok(n) = stream.read(&mut bytes) {
-                    came.extend_from_slice(&bytes[..n]);
+                    received.extend_from_slice(&bytes[..n]);
                     if n == 0 {
                         break;
                     }
@@ -251,11 +255,11 @@
             }
             sleep(5 * MS);
         }
-        came
+        received
     }
 }
 
-/// Settings under which a connection may take two seconds to come up, with no probes.
+/// `long_deadline_settings` without probes, under which a connect may take two seconds.
 fn slow_connect_settings() -> String {
     let settings = long_deadline_settings().replace("\"probes\":true", "\"probes\":false");
     settings.replace(
@@ -264,39 +268,40 @@
     )
 }
 
-fn contains_request(came: &[u8], id: &str) -> bool {
-    String::from_utf8_lossy(came).contains(&format!("req-id: {id}\r\n"))
+/// Whether the bytes contain a request with this id.
+fn contains_request(received: &[u8], id: &str) -> bool {
+    String::from_utf8_lossy(received).contains(&format!("req-id: {id}\r\n"))
 }
 
-/// Whether the process has a connection under way to an address.
+/// Whether a socket of this machine is connecting to the address (state SYN_SENT in `/proc/net/tcp`).
 fn is_connecting(to: SocketAddr) -> bool {
     let SocketAddr::V4(to) = to else {
         unreachable!()
     };
     let [a, b, c, d] = to.ip().octets();
-    let at = format!("{:02X}{:02X}{:02X}{:02X}:{:04X} 02", d, c, b, a, to.port());
+    let syn_sent = format!("{:02X}{:02X}{:02X}{:02X}:{:04X} 02", d, c, b, a, to.port());
     std::fs::read_to_string("/proc/net/tcp")
         .unwrap()
-        .contains(&at)
+        .contains(&syn_sent)
 }
 
-// The connection comes up after the client has left, or in the same turn.
+// The connect completes after the client has disconnected, or the process finds both at once.
 #[rstest]
 #[case::later(true, false)]
-#[case::in_the_same_turn(true, true)]
-#[case::no_recalls_later(false, false)]
-#[case::no_recalls_in_the_same_turn(false, true)]
-fn a_connection_that_comes_up_late_carries_nothing_for_a_client_that_left(
-    #[case] may_recall: bool,
-    #[case] same_turn: bool,
+#[case::at_once(true, true)]
+#[case::no_cancellation_later(false, false)]
+#[case::no_cancellation_at_once(false, true)]
+fn late_connection_carries_no_command_of_a_disconnected_client(
+    #[case] may_cancel: bool,
+    #[case] at_once: bool,
 ) {
-    let late = DelayedListener::new();
+    let delayed = DelayedListener::new();
     let settings = slow_connect_settings().replace(
         "\"may_cancel\":true",
-        &format!("\"may_cancel\":{may_recall}"),
+        &format!("\"may_cancel\":{may_cancel}"),
     );
     let sidecar = start_sidecar_with(
-        &member("s-1", late.address, "up"),
+        &member("s-1", delayed.address, "up"),
         unused_address(),
         &settings,
     );
@@ -305,45 +310,45 @@
         .get_mut()
         .write_all(with_long_deadline(&post_book("left")).as_bytes())
         .unwrap();
-    wait_until(|| is_connecting(late.address));
-    if same_turn {
+    wait_until(|| is_connecting(delayed.address));
+    if at_once {
         sidecar.signal("STOP");
         drop(client);
-        let waits = std::thread::spawn(move || late.accept_and_read());
+        let accepting = std::thread::spawn(move || delayed.accept_and_read());
         sleep(2500 * MS);
         sidecar.signal("CONT");
-        let came = waits.join().unwrap();
+        let received = accepting.join().unwrap();
         assert!(
-            !contains_request(&came, "left"),
+            !contains_request(&received, "left"),
             "{}",
-            String::from_utf8_lossy(&came)
+            String::from_utf8_lossy(&received)
         );
     } else {
         drop(client);
-        // What it held is free at once: its connection is given up.
-        wait_until(|| !is_connecting(late.address));
-        let came = late.accept_and_read();
+        // The disconnect releases its resources at once: the connect is abandoned.
+        wait_until(|| !is_connecting(delayed.address));
+        let received = delayed.accept_and_read();
         assert!(
-            !contains_request(&came, "left"),
+            !contains_request(&received, "left"),
             "{}",
-            String::from_utf8_lossy(&came)
+            String::from_utf8_lossy(&received)
         );
     }
 }
 
-// What was ordered before the endpoint was told to be out has sent nothing yet: it goes elsewhere.
+// The relay began before discovery withdrew its endpoint, and its connect still hangs: nothing was sent, so it may go elsewhere.
 #[rstest]
-#[case::draining(|at| member("s-1", at, "draining"))]
-#[case::removed(|at| member("s-1", at, "removed"))]
-#[case::left_out(|_| String::new())]
+#[case::draining(|address| member("s-1", address, "draining"))]
+#[case::removed(|address| member("s-1", address, "removed"))]
+#[case::missing_from_the_list(|_| String::new())]
 #[case::moved(|_| member("s-1", unused_address(), "draining"))]
-#[case::started_anew(|at| member("s-1", at, "up").replace("\"up_since_ms\":0", "\"up_since_ms\":4000000000000"))]
-fn a_relay_that_has_sent_nothing_goes_elsewhere_once_its_endpoint_is_out(
-    #[case] now: fn(SocketAddr) -> String,
-    #[values(false, true)] same_turn: bool,
+#[case::restarted(|address| member("s-1", address, "up").replace("\"up_since_ms\":0", "\"up_since_ms\":4000000000000"))]
+fn unsent_relay_goes_elsewhere_when_discovery_withdraws_its_endpoint(
+    #[case] new_member: fn(SocketAddr) -> String,
+    #[values(false, true)] at_once: bool,
 ) {
-    let (late, well) = (DelayedListener::new(), ok_endpoint("ok"));
-    let known = member("s-1", late.address, "up");
+    let (delayed, healthy) = (DelayedListener::new(), ok_endpoint("ok"));
+    let known = member("s-1", delayed.address, "up");
     let discovery = fake_discovery(&known);
     let sidecar = start_sidecar_with(&known, discovery.server.address, &slow_connect_settings());
     wait_until(|| discovery.server.request_count() > 0);
@@ -352,34 +357,38 @@
         .get_mut()
         .write_all(with_long_deadline(&post_book("a")).as_bytes())
         .unwrap();
-    wait_until(|| is_connecting(late.address));
-    let list = [now(late.address), member("s-2", well.address, "up")].join(",");
-    if same_turn {
+    wait_until(|| is_connecting(delayed.address));
+    let members = [
+        new_member(delayed.address),
+        member("s-2", healthy.address, "up"),
+    ]
+    .join(",");
+    if at_once {
         sidecar.signal("STOP");
-        discovery.publish(2, list.trim_start_matches(',').to_string());
-        let waits = std::thread::spawn(move || late.accept_and_read());
+        discovery.publish(2, members.trim_start_matches(',').to_string());
+        let accepting = std::thread::spawn(move || delayed.accept_and_read());
         sleep(2500 * MS);
         sidecar.signal("CONT");
         assert_eq!(Message::read(&mut client).unwrap().body, b"ok");
-        assert!(!contains_request(&waits.join().unwrap(), "a"));
+        assert!(!contains_request(&accepting.join().unwrap(), "a"));
     } else {
-        discovery.publish(2, list.trim_start_matches(',').to_string());
+        discovery.publish(2, members.trim_start_matches(',').to_string());
         assert_eq!(Message::read(&mut client).unwrap().body, b"ok");
-        assert!(!contains_request(&late.accept_and_read(), "a"));
+        assert!(!contains_request(&delayed.accept_and_read(), "a"));
     }
-    assert_eq!(well.request_count(), 1);
+    assert_eq!(healthy.request_count(), 1);
 }
 
-// The same by an operator's word.
+// The same when an operator cordons the endpoint.
 #[rstest]
-fn a_relay_that_has_sent_nothing_goes_elsewhere_once_its_endpoint_is_out_by_hand() {
-    let (late, well, management, address) = (
+fn unsent_relay_goes_elsewhere_when_its_endpoint_is_cordoned() {
+    let (delayed, healthy, management, address) = (
         DelayedListener::new(),
         ok_endpoint("ok"),
         unused_address(),
         unused_address(),
     );
-    let known = member("s-1", late.address, "up");
+    let known = member("s-1", delayed.address, "up");
     let discovery = fake_discovery(&known);
     let text = config_json(
         address,
@@ -400,8 +409,8 @@
         .get_mut()
         .write_all(with_long_deadline(&post_book("a")).as_bytes())
         .unwrap();
-    wait_until(|| is_connecting(late.address));
-    discovery.publish(2, [known, member("s-2", well.address, "up")].join(","));
+    wait_until(|| is_connecting(delayed.address));
+    discovery.publish(2, [known, member("s-2", healthy.address, "up")].join(","));
     wait_until(|| {
         discovery
             .server
@@ -413,71 +422,73 @@
     });
     assert_eq!(post_cordon(management, "cordon", "s-1"), "200");
     assert_eq!(Message::read(&mut client).unwrap().body, b"ok");
-    assert!(!contains_request(&late.accept_and_read(), "a"));
+    assert!(!contains_request(&delayed.accept_and_read(), "a"));
 }
 
-// ---- the list ----
+// ---- endpoint lists ----
 
-/// A discovery whose answers a test gives out one by one: `act` has the call's target and its number.
-fn asked(act: impl Fn(&str, usize, &mut TcpStream) + Send + Sync + 'static) -> FakeServer {
+/// A fake discovery server whose handler gets the target of each request and how many came before it.
+fn scripted_discovery(
+    handler: impl Fn(&str, usize, &mut TcpStream) + Send + Sync + 'static,
+) -> FakeServer {
     let calls = AtomicUsize::new(0);
-    fake_server(move |call, to| {
-        act(call.target(), calls.fetch_add(1, SeqCst), to);
+    fake_server(move |request, to| {
+        handler(request.target(), calls.fetch_add(1, SeqCst), to);
         true
     })
 }
 
-fn changes(revision: u64, members: &str) -> String {
+fn delta_list(revision: u64, members: &str) -> String {
     format!(r#"{{"revision":{revision},"complete":false,"members":[{members}]}}"#)
 }
 
-fn whole(revision: u64, members: &str) -> String {
-    changes(revision, members).replace("false", "true")
+fn full_list(revision: u64, members: &str) -> String {
+    delta_list(revision, members).replace("false", "true")
 }
 
-fn tells(to: &mut TcpStream, list: &str) {
+fn respond_list(to: &mut TcpStream, list: &str) {
     respond(to, "200 OK", "", list.as_bytes());
 }
 
-fn paced(ask_every_ms: u64) -> String {
+fn settings_polling_every(ask_every_ms: u64) -> String {
     long_deadline_settings().replace(
         "\"ask_every\":400000000",
         &format!("\"ask_every\":{ask_every_ms}000000"),
     )
 }
 
-/// Waits until the endpoint that drains is out of use: by chance alone it would have one in two.
-fn all_go_to(sidecar: &Sidecar, well: &'static [u8]) {
+/// Waits until no command goes to the draining endpoint; as long as it is in use, it gets about every other command.
+fn wait_until_all_go_to(sidecar: &Sidecar, healthy: &'static [u8]) {
     wait_until(|| {
-        (0..30).all(|_| sidecar.request(&with_long_deadline(&get_look("a"))).body == well)
+        (0..30).all(|_| sidecar.request(&with_long_deadline(&get_look("a"))).body == healthy)
     });
 }
 
-// The module calls again, as it had been refused; meanwhile discovery has moved, and a watch is out there.
+// The balancer asks to poll again because the old discovery server had refused; meanwhile a long poll is open at the new one.
 #[rstest]
-fn a_watch_that_is_out_is_not_dropped_for_a_later_word_of_the_module() {
+fn open_long_poll_is_kept_when_the_balancer_asks_to_poll_again() {
     let (first, second) = (ok_endpoint("first"), ok_endpoint("second"));
     let both = [("s-1", &first), ("s-2", &second)]
         .map(|(id, endpoint)| member(id, endpoint.address, "up"))
         .join(",");
-    let refuses = asked(|_, _, to| respond(to, "503 Busy", "", b""));
-    let (known, gone) = (both.clone(), member("s-1", first.address, "draining"));
-    let answers = asked(move |target, _, to| match target {
-        "/v1/servers" => tells(to, &whole(5, &known)),
-        // The module calls again half a second to one and a half after it was refused.
+    let refusing = scripted_discovery(|_, _, to| respond(to, "503 Busy", "", b""));
+    let (known, draining) = (both.clone(), member("s-1", first.address, "draining"));
+    let answering = scripted_discovery(move |target, _, to| match target {
+        "/v1/servers" => respond_list(to, &full_list(5, &known)),
+        // The balancer polls again 0.5 to 1.5 s after a refusal.
         _ if target.contains("from=5&") => {
             sleep(1800 * MS);
-            tells(to, &changes(6, &gone));
+            respond_list(to, &delta_list(6, &draining));
         }
         _ => {}
     });
     let address = unused_address();
-    let text = |at| config_json(address, at, &both, &paced(8000));
-    let sidecar = Sidecar::start(address, &text(refuses.address));
-    wait_until(|| refuses.request_count() == 1);
-    sidecar.reload(&text(answers.address));
-    wait_until(|| answers.request_count() == 3);
-    let targets: Vec<_> = answers
+    let config = |discovery| config_json(address, discovery, &both, &settings_polling_every(8000));
+    let sidecar = Sidecar::start(address, &config(refusing.address));
+    wait_until(|| refusing.request_count() == 1);
+    sidecar.reload(&config(answering.address));
+    wait_until(|| answering.request_count() == 3);
+    let targets: Vec<_> = answering
         .requests
         .lock()
         .unwrap()
@@ -488,60 +499,62 @@
         targets[1].contains("from=5&") && targets[2].contains("from=6&"),
         "{targets:?}"
     );
-    all_go_to(&sidecar, b"second");
+    wait_until_all_go_to(&sidecar, b"second");
 }
 
-// SIGHUP while a watch is out whose answer is about to be written: what it says counts as told.
+// SIGHUP changes the discovery address while the old server is about to answer a long poll. The server counts that answer as
+// delivered, so its change has to be applied.
 #[rstest]
-fn what_the_old_discovery_still_says_is_heard_until_the_new_one_has_answered() {
+fn response_of_the_old_discovery_counts_until_the_new_one_has_answered() {
     let (first, second) = (ok_endpoint("first"), ok_endpoint("second"));
     let both = [("s-1", &first), ("s-2", &second)]
         .map(|(id, endpoint)| member(id, endpoint.address, "up"))
         .join(",");
     let gate = Gate::default();
-    let (handler_gate, gone) = (gate.clone(), member("s-1", first.address, "draining"));
-    let before = asked(move |_, _, to| {
+    let (handler_gate, draining) = (gate.clone(), member("s-1", first.address, "draining"));
+    let before = scripted_discovery(move |_, _, to| {
         handler_gate.wait_until_open();
-        tells(to, &changes(2, &gone));
+        respond_list(to, &delta_list(2, &draining));
     });
-    let after = asked(|_, _, _| {});
+    let after = scripted_discovery(|_, _, _| {});
     let address = unused_address();
-    let text = |at| config_json(address, at, &both, &paced(40_000));
-    let sidecar = Sidecar::start(address, &text(before.address));
+    let config =
+        |discovery| config_json(address, discovery, &both, &settings_polling_every(40_000));
+    let sidecar = Sidecar::start(address, &config(before.address));
     wait_until(|| before.request_count() == 1);
-    sidecar.reload(&text(after.address));
+    sidecar.reload(&config(after.address));
     wait_until(|| after.request_count() == 1);
     gate.open();
-    all_go_to(&sidecar, b"second");
+    wait_until_all_go_to(&sidecar, b"second");
     assert_eq!(after.request_count(), 1);
 }
 
-// A watch is over its time when its answer comes; the whole list has been asked for, and nobody answers that.
+// The answer to a long poll comes after its timeout. The full list has been requested by then, and that request is never answered.
 #[rstest]
 #[case::later(false)]
-#[case::in_the_same_turn(true)]
-fn the_answer_to_a_watch_that_seemed_silent_is_heard(#[case] same_turn: bool) {
+#[case::at_once(true)]
+fn late_response_to_a_timed_out_long_poll_is_applied(#[case] at_once: bool) {
     let (first, second) = (ok_endpoint("first"), ok_endpoint("second"));
     let both = [("s-1", &first), ("s-2", &second)]
         .map(|(id, endpoint)| member(id, endpoint.address, "up"))
         .join(",");
     let gate = Gate::default();
-    let (handler_gate, gone) = (gate.clone(), member("s-1", first.address, "draining"));
-    let discovery = asked(move |target, _, to| {
+    let (handler_gate, draining) = (gate.clone(), member("s-1", first.address, "draining"));
+    let discovery = scripted_discovery(move |target, _, to| {
         if target.contains("from=1&") {
             handler_gate.wait_until_open();
-            tells(to, &changes(2, &gone));
+            respond_list(to, &delta_list(2, &draining));
         }
     });
     let sidecar = start_sidecar_with(
         &both,
         discovery.address,
-        &paced(40_000).replace("on_request", "pushed"),
+        &settings_polling_every(40_000).replace("on_request", "pushed"),
     );
     wait_until(|| discovery.request_count() == 1);
-    if same_turn {
+    if at_once {
         sidecar.signal("STOP");
-        // Longer than the watch may last.
+        // Longer than the timeout of the long poll.
         sleep(3500 * MS);
         gate.open();
         sleep(100 * MS);
@@ -554,29 +567,30 @@
         );
         gate.open();
     }
-    all_go_to(&sidecar, b"second");
+    wait_until_all_go_to(&sidecar, b"second");
 }
 
-// galway-tills herd+mass: an agent that was silent answers no whole call once it is back, but a watch that is out; the
-// sidecar waited for the whole list and then for the module's next call, while what the agent had counted as told.
+// Prevents a missed change: an agent that was silent answers an open long poll once it is back, but not a request for the full
+// list. The sidecar used to wait for the full list and then for the next poll of the balancer, while the agent counted its change
+// as delivered.
 #[rstest]
-fn where_lists_are_pushed_a_silent_agent_is_watched_again_at_once() {
+fn with_pushed_lists_a_silent_agent_is_polled_again_at_once() {
     let (first, second) = (ok_endpoint("first"), ok_endpoint("second"));
     let both = [("s-1", &first), ("s-2", &second)]
         .map(|(id, endpoint)| member(id, endpoint.address, "up"))
         .join(",");
-    let gone = member("s-1", first.address, "draining");
-    let watches = AtomicUsize::new(0);
-    let agent = asked(move |target, _, to| {
-        // Back between the first watch and the second.
-        if target.contains("from=1&") && watches.fetch_add(1, SeqCst) == 1 {
-            tells(to, &changes(2, &gone));
+    let draining = member("s-1", first.address, "draining");
+    let polls = AtomicUsize::new(0);
+    let agent = scripted_discovery(move |target, _, to| {
+        // The agent is back between the first long poll and the second.
+        if target.contains("from=1&") && polls.fetch_add(1, SeqCst) == 1 {
+            respond_list(to, &delta_list(2, &draining));
         }
     });
-    // The module's next call is a minute away.
-    let settings = paced(4_000_000).replace("on_request", "pushed");
+    // The next poll of the balancer is more than a minute away.
+    let settings = settings_polling_every(4_000_000).replace("on_request", "pushed");
     let sidecar = start_sidecar_with(&both, agent.address, &settings);
-    all_go_to(&sidecar, b"second");
+    wait_until_all_go_to(&sidecar, b"second");
     wait_until(|| agent.request_count() > 2);
     let targets: Vec<_> = agent
         .requests
@@ -594,13 +608,13 @@
 
 // ---- connections that close ----
 
-// The endpoint closes all that is kept to it while the process stands still; the end of each and the command lie ready.
+// The endpoint closes all idle connections while the process is paused: the process finds the closes and a new command at once.
 #[rstest]
-fn a_kept_connection_that_closed_in_the_turn_in_which_it_is_chosen_costs_no_command() {
+fn idle_connection_that_closes_while_it_is_chosen_fails_no_command() {
     let closing = std::sync::Arc::new(std::sync::Mutex::new(Vec::<TcpStream>::new()));
-    let own = std::sync::Arc::clone(&closing);
+    let recorded = std::sync::Arc::clone(&closing);
     let endpoint = fake_server(move |_, to| {
-        own.lock().unwrap().push(to.try_clone().unwrap());
+        recorded.lock().unwrap().push(to.try_clone().unwrap());
         respond(to, "200 OK", "", b"ok");
         true
     });
@@ -612,11 +626,11 @@
     );
     for n in 0..10 {
         let mut clients: Vec<_> = (0..3).map(|_| sidecar.connect()).collect();
-        // Several are kept, as they are used at the same time.
-        for (k, client) in clients.iter_mut().enumerate() {
+        // Concurrent commands, so that several connections to the endpoint are left idle.
+        for (index, client) in clients.iter_mut().enumerate() {
             client
                 .get_mut()
-                .write_all(with_long_deadline(&get_look(&format!("{n}-{k}"))).as_bytes())
+                .write_all(with_long_deadline(&get_look(&format!("{n}-{index}"))).as_bytes())
                 .unwrap();
         }
         assert!(
@@ -642,49 +656,49 @@
     }
 }
 
-// ---- the stop ----
+// ---- shutdown ----
 
-/// Settings with a limit of twelve seconds.
-fn long() -> String {
+/// Settings with a time limit of 12 s.
+fn settings_with_12_s_limit() -> String {
     long_deadline_settings().replace("\"time_limit\":8000000000", "\"time_limit\":12000000000")
 }
 
 // The process may be killed 3.7 s after SIGTERM, however long the limits are.
 #[rstest]
-#[case::pure(get_look("a"))]
-#[case::effectful(post_book("a"))]
-fn what_is_open_at_the_end_of_a_stop_is_answered_before_the_kill(#[case] command: String) {
-    let hangs = fake_server(|_, _| true);
+#[case::safe(get_look("a"))]
+#[case::non_idempotent(post_book("a"))]
+fn commands_open_at_the_end_of_shutdown_are_answered_before_the_kill(#[case] command: String) {
+    let silent = fake_server(|_, _| true);
     let mut sidecar = start_sidecar_with(
-        &member("s-1", hangs.address, "up"),
+        &member("s-1", silent.address, "up"),
         unused_address(),
-        &long(),
+        &settings_with_12_s_limit(),
     );
     let mut client = sidecar.connect();
     let command = command.replace("Req-Deadline-Ms: 900", "Req-Deadline-Ms: 11900");
     client.get_mut().write_all(command.as_bytes()).unwrap();
-    wait_until(|| hangs.request_count() == 1);
+    wait_until(|| silent.request_count() == 1);
     sidecar.signal("TERM");
-    // A supervisor's, as the protocol has it; it starts after the signal, so a slow machine has no less.
+    // The supervisor kills this long after SIGTERM. The wait starts after the signal is sent, so a busy machine only makes it longer.
     sleep(3700 * MS);
     sidecar.signal("KILL");
-    let answer = Message::read(&mut client).expect("an answer");
+    let response = Message::read(&mut client).expect("a response");
     assert!(
-        ["502", "503", "504"].contains(&answer.status()),
+        ["502", "503", "504"].contains(&response.status()),
         "{}",
-        answer.head
+        response.head
     );
     let _ = sidecar.child.wait();
 }
 
-// What was written within 0.7 s of SIGTERM lies unread when the connection is due to be closed.
+// Prevents lost commands: what was written within 0.7 s of SIGTERM may still be unread when its connection is due to be closed.
 #[rstest]
 #[case::at_once(false, 0)]
 #[case::never_answered(false, 900)]
 #[case::answered_before(true, 900)]
-fn what_came_before_the_end_of_a_stop_is_read_though_the_process_stood_still(
+fn commands_received_during_shutdown_are_read_despite_a_process_pause(
     #[case] answered: bool,
-    #[case] stands_ms: u32,
+    #[case] pause_ms: u32,
 ) {
     let endpoint = ok_endpoint("ok");
     let mut sidecar = start_sidecar_with(
@@ -701,7 +715,7 @@
             "200"
         );
     }
-    // Half a head first: the connections are let in and known to be in use.
+    // Send part of the head first, so that the connections are accepted and known to be in use.
     let command = with_long_deadline(&post_book("last"));
     let (first, rest) = command.split_at(20);
     for client in &mut clients {
@@ -715,49 +729,52 @@
         let rest = rest.replace("Req-Id: last", &format!("Req-Id: last{n}"));
         client.get_mut().write_all(rest.as_bytes()).unwrap();
     }
-    sleep(stands_ms * MS);
+    sleep(pause_ms * MS);
     sidecar.signal("CONT");
-    let words: Vec<_> = clients
+    let statuses: Vec<_> = clients
         .iter_mut()
         .map(|client| {
             Message::read(client).map_or("none".into(), |request| request.status().to_string())
         })
         .collect();
-    assert!(words.iter().all(|word| word == "200"), "{words:?}");
+    assert!(
+        statuses.iter().all(|status| status == "200"),
+        "{statuses:?}"
+    );
     assert_eq!(sidecar.child.wait().unwrap().code(), Some(0));
 }
 
-// ---- the window of a receipted command ----
+// ---- the deduplication window of a keyed command ----
 
-// The first relay may have run; the next one's connection comes up when the endpoints no longer drop a repeat.
+// The first relay may have run; the connect of the second completes when the endpoints no longer recognise a repeat.
 #[rstest]
-fn past_its_window_a_receipted_command_is_not_sent_again_however_late_its_connection() {
+fn keyed_command_is_not_sent_again_after_its_deduplication_window() {
     let gate = Gate::default();
     let handler_gate = gate.clone();
-    let breaks = fake_server(move |_, to| {
+    let failing = fake_server(move |_, to| {
         handler_gate.wait_until_open();
         to.shutdown(Shutdown::Both).unwrap();
         false
     });
-    let late = DelayedListener::new();
-    let discovery = fake_discovery(&member("s-1", breaks.address, "up"));
+    let delayed = DelayedListener::new();
+    let discovery = fake_discovery(&member("s-1", failing.address, "up"));
     let settings = slow_connect_settings().replace(
         "\"non_idempotent\"",
         "\"idempotency_key\",\"window\":1500000000",
     );
-    let known = member("s-1", breaks.address, "up");
+    let known = member("s-1", failing.address, "up");
     let sidecar = start_sidecar_with(&known, discovery.server.address, &settings);
     let mut client = sidecar.connect();
     let command = with_long_deadline(&post_book("once"))
         .replace("Req-Owner", "Idempotency-Key: 7\r\nReq-Owner");
     client.get_mut().write_all(command.as_bytes()).unwrap();
-    wait_until(|| breaks.request_count() == 1);
-    let list = format!(
+    wait_until(|| failing.request_count() == 1);
+    let members = format!(
         "{},{}",
-        member("s-1", breaks.address, "draining"),
-        member("s-2", late.address, "up")
+        member("s-1", failing.address, "draining"),
+        member("s-2", delayed.address, "up")
     );
-    discovery.publish(2, list);
+    discovery.publish(2, members);
     wait_until(|| {
         discovery
             .server
@@ -768,13 +785,13 @@
             .any(|request| request.target().contains("from=2&"))
     });
     gate.open();
-    wait_until(|| is_connecting(late.address));
+    wait_until(|| is_connecting(delayed.address));
     sleep(1500 * MS);
-    let came = late.accept_and_read();
+    let received = delayed.accept_and_read();
     assert!(
-        !contains_request(&came, "once"),
+        !contains_request(&received, "once"),
         "{}",
-        String::from_utf8_lossy(&came)
+        String::from_utf8_lossy(&received)
     );
     assert!(["502", "503"].contains(&Message::read(&mut client).unwrap().status()));
 }
--- a/crates/passroad/tests/restarts.rs
+++ b/crates/passroad/tests/restarts.rs
@@ -1,5 +1,5 @@
-//! Sidecars that start again: what they wait for before they take clients, and what they do not. Clients send from the first
-//! moment, whatever discovery does, and while the process before still holds the address. See `docs/crossings.md`.
+//! Starts and restarts: what a sidecar waits for before it serves clients, and what not. Clients send from the first moment,
+//! whatever discovery does, and while the old process still holds the address. See `docs/crossings.md`.
 
 mod harness;
 
@@ -13,35 +13,39 @@
 use std::thread::{JoinHandle, sleep, spawn};
 use std::time::{Duration, Instant};
 
-/// Nine in ten are to be ready so soon after their start.
+/// Nine in ten sidecars have to be ready this soon after their start.
 const READY_WITHIN: Duration = Duration::from_secs(10);
 
-/// A started process, which goes with the test.
-struct Started(Child, std::path::PathBuf, Instant);
+/// A sidecar process that need not become ready; dropping it kills the process.
+struct StartedSidecar {
+    child: Child,
+    directory: std::path::PathBuf,
+    started_at: Instant,
+}
 
-impl Started {
-    fn new(text: &str, fleet: Option<&str>) -> Started {
-        let (mut command, folder) = sidecar_command(text);
+impl StartedSidecar {
+    fn new(config: &str, fleet: Option<&str>) -> StartedSidecar {
+        let (mut command, directory) = sidecar_command(config);
         if let Some(fleet) = fleet {
-            let file = folder.join("fleet.toml");
+            let file = directory.join("fleet.toml");
             std::fs::write(&file, fleet).unwrap();
             command.env("LB_FLEET", file);
         }
-        Started(
-            command.stderr(Stdio::null()).spawn().unwrap(),
-            folder,
-            Instant::now(),
-        )
+        StartedSidecar {
+            child: command.stderr(Stdio::null()).spawn().unwrap(),
+            directory,
+            started_at: Instant::now(),
+        }
     }
 
-    /// How long after its start it took clients; none if it has ended, or a minute has passed.
+    /// How long after its start it was ready; `None` if the process has exited or a minute has passed.
     fn wait_until_ready(&mut self, address: SocketAddr) -> Option<Duration> {
-        while self.2.elapsed() < Duration::from_secs(60) {
-            if self.0.try_wait().unwrap().is_some() {
+        while self.started_at.elapsed() < Duration::from_secs(60) {
+            if self.child.try_wait().unwrap().is_some() {
                 return None;
             }
             if is_ready(address) {
-                return Some(self.2.elapsed());
+                return Some(self.started_at.elapsed());
             }
             sleep(10 * MS);
         }
@@ -49,47 +53,48 @@
     }
 }
 
-impl Drop for Started {
+impl Drop for StartedSidecar {
     fn drop(&mut self) {
-        let _ = self.0.kill();
-        let _ = self.0.wait();
-        let _ = std::fs::remove_dir_all(&self.1);
+        let _ = self.child.kill();
+        let _ = self.child.wait();
+        let _ = std::fs::remove_dir_all(&self.directory);
     }
 }
 
-// ---- the process before ----
+// ---- the old process ----
 
-// The process before was told to end and hangs: it holds the address until it is killed, 3.7 s after that. Who waited for less
-// ended with code 2, as if its configuration were at fault; and so did whoever found the operators' management taken.
+// Prevents an exit with code 2, as for a configuration error, while an old process still holds the address. The old process was
+// told to stop and hangs, so it holds its addresses until it is killed 3.7 s later. A new process that waited for less exited, and
+// so did one that found the management address in use.
 #[rstest]
-#[case::without_a_door(false)]
-#[case::with_a_door(true)]
-fn an_address_is_waited_for_until_the_process_before_is_killed(#[case] with_operators: bool) {
+#[case::without_management(false)]
+#[case::with_management(true)]
+fn start_waits_for_the_address_until_the_old_process_is_killed(#[case] has_management: bool) {
     let endpoint = ok_endpoint("ok");
     let (address, management) = (unused_address(), unused_address());
-    let text = config_json(
+    let config = config_json(
         address,
         unused_address(),
         &member("s-1", endpoint.address, "up"),
         &long_deadline_settings(),
     );
-    let text = if with_operators {
-        with_management(&text, management)
+    let config = if has_management {
+        with_management(&config, management)
     } else {
-        text
+        config
     };
-    let mut before = Sidecar::start(address, &text);
-    before.signal("STOP");
-    let mut next = Started::new(&text, None);
+    let mut old = Sidecar::start(address, &config);
+    old.signal("STOP");
+    let mut new = StartedSidecar::new(&config, None);
     sleep(3700 * MS);
     assert!(
-        next.0.try_wait().unwrap().is_none(),
-        "it ended with {:?}",
-        next.0.try_wait()
+        new.child.try_wait().unwrap().is_none(),
+        "it exited with {:?}",
+        new.child.try_wait()
     );
-    before.child.kill().unwrap();
-    before.child.wait().unwrap();
-    assert!(next.wait_until_ready(address).expect("it is to come up") < READY_WITHIN);
+    old.child.kill().unwrap();
+    old.child.wait().unwrap();
+    assert!(new.wait_until_ready(address).expect("not ready") < READY_WITHIN);
     let mut client = BufReader::new(TcpStream::connect(address).unwrap());
     assert_eq!(
         round_trip(&mut client, &with_long_deadline(&get_look("a")))
@@ -97,12 +102,12 @@
             .status(),
         "200"
     );
-    if with_operators {
-        wait_until(|| ready_for_operators(management));
+    if has_management {
+        wait_until(|| management_is_ready(management));
     }
 }
 
-fn ready_for_operators(management: SocketAddr) -> bool {
+fn management_is_ready(management: SocketAddr) -> bool {
     TcpStream::connect(management).is_ok_and(|mut to| {
         let _ = to.set_read_timeout(Some(1000 * MS));
         let _ = to.write_all(b"GET /admin/health HTTP/1.1\r\nHost: b\r\nConnection: close\r\n\r\n");
@@ -110,14 +115,14 @@
     })
 }
 
-// Clients are not kept waiting for the operators' management, and it opens once it is free.
+// The management address is in use at first: clients do not wait for it, and it is opened once it is free.
 #[rstest]
-fn clients_do_not_wait_for_the_operators_door() {
+fn clients_do_not_wait_for_the_management_address() {
     let endpoint = ok_endpoint("ok");
     let address = unused_address();
     let holder = std::net::TcpListener::bind(unused_address()).unwrap();
     let management = holder.local_addr().unwrap();
-    let text = with_management(
+    let config = with_management(
         &config_json(
             address,
             unused_address(),
@@ -126,60 +131,68 @@
         ),
         management,
     );
-    let mut sidecar = Started::new(&text, None);
-    assert!(sidecar.wait_until_ready(address).is_some(), "it ended");
+    let mut sidecar = StartedSidecar::new(&config, None);
+    assert!(sidecar.wait_until_ready(address).is_some(), "it exited");
     drop(holder);
-    wait_until(|| ready_for_operators(management));
+    wait_until(|| management_is_ready(management));
 }
 
-// The process before shares a folder and stands still: it hands nothing over, and is not waited for.
+// The old process shares the handover directory but is paused, so it hands nothing over.
 #[rstest]
-fn a_process_before_that_hands_nothing_over_is_not_waited_for() {
+fn start_does_not_wait_for_an_old_process_that_hands_nothing_over() {
     let endpoint = ok_endpoint("ok");
     let (address, folder) = (unused_address(), shared_directory());
-    let text = config_json(
+    let config = config_json(
         address,
         unused_address(),
         &member("s-1", endpoint.address, "up"),
         &long_deadline_settings(),
     );
-    let before = Sidecar::start_with_shared_directory(address, unused_address(), &text, &folder.0);
-    before.signal("STOP");
+    let old = Sidecar::start_with_shared_directory(address, unused_address(), &config, &folder.0);
+    old.signal("STOP");
     let management = unused_address();
-    let (mut command, own) = sidecar_command(&with_management(&text, management));
+    let (mut command, directory) = sidecar_command(&with_management(&config, management));
     let child = command
         .env("TMPDIR", &folder.0)
         .stderr(Stdio::null())
         .spawn()
         .unwrap();
-    let next = Started(child, own, Instant::now());
-    // At its management: the one that stands still has the clients' address, too.
-    wait_until(|| ready_for_operators(management));
-    assert!(next.2.elapsed() < READY_WITHIN, "{:?}", next.2.elapsed());
+    let new = StartedSidecar {
+        child,
+        directory,
+        started_at: Instant::now(),
+    };
+    // Asked at its management address: the paused process still accepts at the client address, too.
+    wait_until(|| management_is_ready(management));
+    assert!(
+        new.started_at.elapsed() < READY_WITHIN,
+        "{:?}",
+        new.started_at.elapsed()
+    );
 }
 
-// ---- a crowd ----
+// ---- many starts at once ----
 
-/// What discovery does while all start.
+/// What discovery does while the sidecars start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Asked {
+enum DiscoveryState {
     Down,
-    /// It takes the call and is in no hurry.
+    /// Accepts requests but does not answer for 20 s.
     Slow,
     Refuses,
 }
 
-fn busy(how: Asked) -> SocketAddr {
-    match how {
-        Asked::Down => unused_address(),
-        Asked::Slow => {
+fn start_discovery(state: DiscoveryState) -> SocketAddr {
+    match state {
+        DiscoveryState::Down => unused_address(),
+        DiscoveryState::Slow => {
             fake_server(|_, _| {
                 sleep(20_000 * MS);
                 false
             })
             .address
         }
-        Asked::Refuses => {
+        DiscoveryState::Refuses => {
             fake_server(|_, to| {
                 respond(to, "503 Busy", "", b"");
                 true
@@ -189,16 +202,16 @@
     }
 }
 
-/// A client that sends one request after the other from before its sidecar is there, each on a connection of its own: how
-/// many were answered, and how many were taken and had no answer.
-fn sends_from_the_first_moment(
+/// A client that sends one request after the other, each over a new connection, from before its sidecar listens. Returns how many
+/// requests were answered, and how many were accepted and not answered.
+fn send_until_finished(
     address: SocketAddr,
-    over: &Arc<AtomicBool>,
+    finished: &Arc<AtomicBool>,
 ) -> JoinHandle<(usize, usize)> {
-    let over = Arc::clone(over);
+    let finished = Arc::clone(finished);
     spawn(move || {
         let (mut answered, mut lost) = (0, 0);
-        while !over.load(SeqCst) {
+        while !finished.load(SeqCst) {
             let Ok(stream) = TcpStream::connect(address) else {
                 sleep(5 * MS);
                 continue;
@@ -222,51 +235,54 @@
     })
 }
 
-/// So many start at once, 210 where that is measured: `PASSROAD_CROWD=210`.
-fn crowd() -> usize {
+/// How many sidecars start at once. For a measurement of more, set `PASSROAD_CROWD=210`.
+fn sidecars_at_once() -> usize {
     std::env::var("PASSROAD_CROWD")
         .ok()
         .and_then(|n| n.parse().ok())
         .unwrap_or(12)
 }
 
-fn share(sorted: &[Duration], share: f64) -> Duration {
+fn percentile(sorted: &[Duration], share: f64) -> Duration {
     sorted[((sorted.len() as f64 * share).ceil() as usize).clamp(1, sorted.len()) - 1]
 }
 
-/// Starts them all at once; how long each took to be ready, sorted, of those that came up.
-fn start_at_once(what: &str, texts: Vec<(SocketAddr, String, Option<String>)>) -> Vec<Duration> {
-    let over = Arc::<AtomicBool>::default();
-    let clients: Vec<_> = texts
+/// Starts all sidecars at once; returns the sorted times to readiness of those that became ready.
+fn start_at_once(
+    description: &str,
+    starts: Vec<(SocketAddr, String, Option<String>)>,
+) -> Vec<Duration> {
+    let finished = Arc::<AtomicBool>::default();
+    let clients: Vec<_> = starts
         .iter()
-        .map(|(address, ..)| sends_from_the_first_moment(*address, &over))
+        .map(|(address, ..)| send_until_finished(*address, &finished))
         .collect();
-    let all: Vec<_> = texts
+    let all: Vec<_> = starts
         .into_iter()
-        .map(|(address, text, fleet)| {
+        .map(|(address, config, fleet)| {
             spawn(move || {
-                let mut started = Started::new(&text, fleet.as_deref());
+                let mut started = StartedSidecar::new(&config, fleet.as_deref());
                 let ready = started.wait_until_ready(address);
                 (ready, started)
             })
         })
         .collect();
     let all: Vec<_> = all.into_iter().map(|one| one.join().unwrap()).collect();
-    over.store(true, SeqCst);
+    finished.store(true, SeqCst);
     let (answered, lost): (Vec<_>, Vec<_>) =
         clients.into_iter().map(|one| one.join().unwrap()).unzip();
     let mut times: Vec<_> = all.iter().filter_map(|(ready, _)| *ready).collect();
     times.sort();
     if !times.is_empty() {
-        let [half, most, last] = [0.5, 0.9, 1.0].map(|s| share(&times, s));
+        let [half, most, last] = [0.5, 0.9, 1.0].map(|s| percentile(&times, s));
         println!(
-            "{what}: {} of {} ready, p50 {half:?}, p90 {most:?}, max {last:?}",
+            "{description}: {} of {} ready, p50 {half:?}, p90 {most:?}, max {last:?}",
             times.len(),
             all.len()
         );
     }
-    assert_eq!(lost.iter().sum::<usize>(), 0, "taken and not answered");
-    // Who is ready answers; a client may not have come between.
+    assert_eq!(lost.iter().sum::<usize>(), 0, "accepted and not answered");
+    // A sidecar that is ready answers; a client may not have connected in time to see it.
     assert!(
         answered.iter().filter(|n| **n > 0).count() * 10 >= answered.len() * 9,
         "{answered:?}"
@@ -274,15 +290,16 @@
     times
 }
 
-fn nine_in_ten(times: &[Duration], count: usize) {
-    let soon = times.iter().filter(|time| **time < READY_WITHIN).count();
-    assert!(soon * 10 >= count * 9, "{soon} of {count}: {times:?}");
+fn assert_nine_in_ten_in_time(times: &[Duration], count: usize) {
+    let in_time = times.iter().filter(|time| **time < READY_WITHIN).count();
+    assert!(in_time * 10 >= count * 9, "{in_time} of {count}: {times:?}");
 }
 
-// A known list that is right, or one so old that none of its endpoints is there any more.
+// The known list is current, or so old that none of its endpoints exists any more.
 #[rstest]
-fn a_crowd_that_starts_at_once_is_ready_whatever_discovery_does(
-    #[values(Asked::Down, Asked::Slow, Asked::Refuses)] how: Asked,
+fn many_sidecars_started_at_once_are_ready_whatever_discovery_does(
+    #[values(DiscoveryState::Down, DiscoveryState::Slow, DiscoveryState::Refuses)]
+    state: DiscoveryState,
     #[values(false, true)] old: bool,
 ) {
     let endpoint = ok_endpoint("ok");
@@ -295,8 +312,8 @@
         },
         "up",
     );
-    let discovery = busy(how);
-    let text = |_| {
+    let discovery = start_discovery(state);
+    let config = |_| {
         let address = unused_address();
         (
             address,
@@ -305,17 +322,17 @@
         )
     };
     let times = start_at_once(
-        &format!("{how:?}, old list: {old}"),
-        (0..crowd()).map(text).collect(),
+        &format!("{state:?}, old list: {old}"),
+        (0..sidecars_at_once()).map(config).collect(),
     );
-    nine_in_ten(&times, crowd());
+    assert_nine_in_ten_in_time(&times, sidecars_at_once());
 }
 
-// With no list at all, and with one of a revision that discovery has left behind.
+// Without any known list, and with one whose revision is ahead of that of discovery.
 #[rstest]
 #[case::none("")]
 #[case::ahead("\"revision\":900,")]
-fn who_starts_with_a_list_of_no_use_is_ready_before_it_has_another(#[case] revision: &str) {
+fn start_without_a_usable_list_is_ready_before_discovery_answers(#[case] revision: &str) {
     let endpoint = ok_endpoint("ok");
     let gate = Gate::default();
     let (handler_gate, list) = (gate.clone(), member("s-2", endpoint.address, "up"));
@@ -331,18 +348,18 @@
     } else {
         member("s-1", unused_address(), "up")
     };
-    let text = config_json(
+    let config = config_json(
         address,
         discovery.address,
         &known,
         &long_deadline_settings(),
     );
-    let text = if revision.is_empty() {
-        text
+    let config = if revision.is_empty() {
+        config
     } else {
-        text.replace("\"revision\":1,", revision)
+        config.replace("\"revision\":1,", revision)
     };
-    let mut sidecar = Started::new(&text, None);
+    let mut sidecar = StartedSidecar::new(&config, None);
     assert!(sidecar.wait_until_ready(address).is_some());
     wait_until(|| discovery.request_count() > 0);
     gate.open();
@@ -353,15 +370,15 @@
     });
 }
 
-// With a fleet's file and all the others just as new, or none of them there.
+// All peers start at the same time, or none of them runs.
 #[rstest]
 #[case::all_start(true)]
 #[case::alone(false)]
-fn who_has_a_fleets_file_is_ready_without_the_others(#[case] all: bool) {
-    const WORK: &str = "lease = \"2s\"\nperiod = \"200ms\"\nvoters = 3\n[upkeep]\n";
+fn start_with_a_fleet_file_is_ready_without_its_peers(#[case] all: bool) {
+    const FLEET_FILE: &str = "lease = \"2s\"\nperiod = \"200ms\"\nvoters = 3\n[upkeep]\n";
     let endpoint = ok_endpoint("ok");
     let known = member("s-1", endpoint.address, "up");
-    let count = crowd();
+    let count = sidecars_at_once();
     let bound: Vec<_> = (0..count)
         .map(|_| UdpSocket::bind(SocketAddr::new(unused_address().ip(), 0)).unwrap())
         .collect();
@@ -370,25 +387,29 @@
         .map(|socket| socket.local_addr().unwrap())
         .collect();
     drop(bound);
-    let list: Vec<String> = peers.iter().map(|at| format!("\"{at}\"")).collect();
-    let text = |n: usize| {
+    let list: Vec<String> = peers.iter().map(|peer| format!("\"{peer}\"")).collect();
+    let config = |n: usize| {
         let settings = long_deadline_settings().replacen('{', &format!(r#"{{"my_number":{n},"#), 1);
         let settings = settings.replace(r#""allowed":{"#, r#""allowed":{"may_tell":true,"#);
-        let own = format!(
+        let peer_settings = format!(
             r#"{{"peer_listen":"{}","peers":[{}],"#,
             peers[n],
             list.join(",")
         );
         let address = unused_address();
-        let text = config_json(address, unused_address(), &known, &settings).replacen('{', &own, 1);
+        let config = config_json(address, unused_address(), &known, &settings).replacen(
+            '{',
+            &peer_settings,
+            1,
+        );
         (
             address,
-            with_management(&text, unused_address()),
-            Some(WORK.to_string()),
+            with_management(&config, unused_address()),
+            Some(FLEET_FILE.to_string()),
         )
     };
-    let texts: Vec<_> = (0..if all { count } else { 1 }).map(text).collect();
-    let started = texts.len();
-    let times = start_at_once(&format!("fleet's file, all start: {all}"), texts);
-    nine_in_ten(&times, started);
+    let starts: Vec<_> = (0..if all { count } else { 1 }).map(config).collect();
+    let started = starts.len();
+    let times = start_at_once(&format!("fleet file, all start: {all}"), starts);
+    assert_nine_in_ten_in_time(&times, started);
 }
--- a/crates/passroad/tests/upgrades.rs
+++ b/crates/passroad/tests/upgrades.rs
@@ -1,4 +1,4 @@
-//! A second process beside the first, on loopback sockets.
+//! Handover from an old sidecar process to a new one, on loopback sockets.
 
 mod harness;
 
@@ -13,8 +13,8 @@
 use std::thread::spawn;
 use std::time::Instant;
 
-/// Two endpoints, a discovery, and all that two processes share.
-struct Scene {
+/// Two endpoints, a fake discovery server, and what the processes of a handover share.
+struct Deployment {
     endpoints: [FakeServer; 2],
     _discovery: FakeDiscovery,
     address: SocketAddr,
@@ -22,8 +22,8 @@
     shared: SharedDirectory,
 }
 
-impl Scene {
-    fn new() -> Scene {
+impl Deployment {
+    fn new() -> Deployment {
         let endpoints = [ok_endpoint("a"), ok_endpoint("b")];
         let list = format!(
             "{},{}",
@@ -38,7 +38,7 @@
             &long_deadline_settings(),
         )
         .replace("\"sockets\":64", "\"sockets\":256");
-        Scene {
+        Deployment {
             endpoints,
             _discovery: discovery,
             address,
@@ -60,20 +60,20 @@
         )
     }
 
-    fn place(&self) -> PathBuf {
+    fn handover_socket(&self) -> PathBuf {
         self.shared.0.join(format!(
             "passroad-{}.sock",
             self.address.to_string().replace(':', "-")
         ))
     }
 
-    /// How many of some commands the first endpoint gets.
-    fn of_first(&self, sidecar: &Sidecar, mark: &str) -> usize {
+    /// Sends 20 commands; how many of them the first endpoint gets.
+    fn commands_at_first(&self, sidecar: &Sidecar, id_prefix: &str) -> usize {
         let before = self.endpoints[0].request_count();
         for n in 0..20 {
             assert_eq!(
                 sidecar
-                    .request(&with_long_deadline(&get_look(&format!("{mark}{n}"))))
+                    .request(&with_long_deadline(&get_look(&format!("{id_prefix}{n}"))))
                     .status(),
                 "200"
             );
@@ -82,12 +82,12 @@
     }
 }
 
-// Clients come all the time, each over a connection of its own, while one process gives way to the next, twice.
+// Clients keep sending commands, each over a new connection, during two handovers.
 #[rstest]
-fn no_client_is_turned_away_while_a_process_gives_way_to_the_next() {
-    let scene = Scene::new();
-    let (mut old, _) = scene.start();
-    let (stop, address) = (Arc::new(AtomicBool::new(false)), scene.address);
+fn no_client_is_refused_during_a_handover() {
+    let deployment = Deployment::new();
+    let (mut old, _) = deployment.start();
+    let (stop, address) = (Arc::new(AtomicBool::new(false)), deployment.address);
     let clients: Vec<_> = (0..4)
         .map(|client| {
             let stop = Arc::clone(&stop);
@@ -96,18 +96,18 @@
                 while !stop.load(SeqCst) {
                     n += 1;
                     let mut to = BufReader::new(std::net::TcpStream::connect(address).unwrap());
-                    let answer = round_trip(
+                    let response = round_trip(
                         &mut to,
                         &with_long_deadline(&post_book(&format!("{client}-{n}"))),
                     );
-                    assert_eq!(answer.expect("an answer").status(), "200");
+                    assert_eq!(response.expect("a response").status(), "200");
                 }
                 n
             })
         })
         .collect();
     for _ in 0..2 {
-        let (new, _) = scene.start();
+        let (new, _) = deployment.start();
         old.signal("TERM");
         wait_until(|| {
             old.child
@@ -118,51 +118,53 @@
         old = new;
     }
     stop.store(true, SeqCst);
-    let asked: usize = clients
+    let answered: usize = clients
         .into_iter()
         .map(|client| client.join().unwrap())
         .sum();
-    assert!(asked > 20, "{asked}");
+    assert!(answered > 20, "{answered}");
 }
 
 #[rstest]
-fn a_ban_outlives_the_process_that_was_told() {
-    let scene = Scene::new();
-    let (mut old, management) = scene.start();
+fn cordon_survives_a_handover() {
+    let deployment = Deployment::new();
+    let (mut old, management) = deployment.start();
     assert_eq!(post_cordon(management, "cordon", "s-1"), "200");
-    let (new, management) = scene.start();
+    let (new, management) = deployment.start();
     old.signal("TERM");
     wait_until(|| old.child.try_wait().unwrap().is_some());
-    assert_eq!(scene.of_first(&new, "n"), 0);
+    assert_eq!(deployment.commands_at_first(&new, "n"), 0);
     assert_eq!(post_cordon(management, "uncordon", "s-1"), "200");
-    wait_until(|| scene.of_first(&new, "m") > 0);
+    wait_until(|| deployment.commands_at_first(&new, "m") > 0);
 }
 
-// While both serve, a ban told to either holds in both when the yes is said.
+// While both processes serve, a cordon set at either applies to both by the time it is confirmed.
 #[rstest]
-fn beside_each_other_two_processes_keep_the_same_bans() {
-    let scene = Scene::new();
-    let (old, old_door) = scene.start();
-    let mut kept = old.connect();
-    let mut ask_old = |id: &str| round_trip(&mut kept, &with_long_deadline(&get_look(id)));
-    assert!(ask_old("k1").is_some());
-    let (new, new_door) = scene.start();
-    assert_eq!(post_cordon(new_door, "cordon", "s-1"), "200");
-    let before = scene.endpoints[0].request_count();
-    // Its connections end with their next answer.
+fn cordons_apply_to_both_processes_of_a_handover() {
+    let deployment = Deployment::new();
+    let (old, old_management) = deployment.start();
+    let mut old_client = old.connect();
+    let mut request_old =
+        |id: &str| round_trip(&mut old_client, &with_long_deadline(&get_look(id)));
+    assert!(request_old("k1").is_some());
+    let (new, new_management) = deployment.start();
+    assert_eq!(post_cordon(new_management, "cordon", "s-1"), "200");
+    let before = deployment.endpoints[0].request_count();
+    // The connections of the old process close with their next response.
     assert!(
-        ask_old("k2").is_some_and(|answer| answer.header("connection").as_deref() == Some("close"))
+        request_old("k2")
+            .is_some_and(|response| response.header("connection").as_deref() == Some("close"))
     );
-    assert_eq!(scene.endpoints[0].request_count(), before);
-    assert_eq!(post_cordon(old_door, "cordon", "s-2"), "200");
+    assert_eq!(deployment.endpoints[0].request_count(), before);
+    assert_eq!(post_cordon(old_management, "cordon", "s-2"), "200");
     assert_eq!(
         new.request(&with_long_deadline(&get_look("n1"))).status(),
         "503"
     );
     assert_eq!(
         (
-            post_cordon(old_door, "uncordon", "s-1"),
-            post_cordon(new_door, "uncordon", "s-2")
+            post_cordon(old_management, "uncordon", "s-1"),
+            post_cordon(new_management, "uncordon", "s-2")
         ),
         ("200".into(), "200".into())
     );
@@ -174,20 +176,20 @@
 }
 
 #[rstest]
-fn where_the_next_process_is_killed_the_one_before_goes_on() {
-    let scene = Scene::new();
-    let (old, _) = scene.start();
-    let (new, _) = scene.start();
+fn old_process_continues_if_the_new_one_is_killed() {
+    let deployment = Deployment::new();
+    let (old, _) = deployment.start();
+    let (new, _) = deployment.start();
     drop(new);
-    // What had come to the killed one is lost with it; whoever comes once it is gone is served.
+    // Commands at the killed process are lost. Once it is gone, clients are served again.
     wait_until(|| {
         let mut client = old.connect();
         let _ = client.get_mut().set_read_timeout(Some(500 * MS));
         round_trip(&mut client, &with_long_deadline(&get_look("o")))
-            .is_some_and(|answer| answer.status() == "200")
+            .is_some_and(|response| response.status() == "200")
     });
-    // And it has its place again: the next one takes over from it.
-    let (next, _) = scene.start();
+    // It listens on the handover socket again: the next process takes over from it.
+    let (next, _) = deployment.start();
     old.signal("TERM");
     assert_eq!(
         next.request(&with_long_deadline(&get_look("p"))).status(),
@@ -195,52 +197,53 @@
     );
 }
 
-// It asks, and then says nothing, or what can't be read.
+// The successor asks for the handover and goes silent, or sends nothing or something malformed.
 #[rstest]
 #[case::asks_and_hangs(&b"{\"ask\":1}\n"[..])]
-#[case::says_nothing(&b""[..])]
-#[case::nonsense(&b"GET / HTTP/1.1\r\n\r\n"[..])]
-#[case::asks_and_talks_nonsense(&b"{\"ask\":1}\nready?\n"[..])]
-fn a_next_process_that_is_no_good_changes_nothing(#[case] says: &[u8]) {
-    let scene = Scene::new();
-    let (old, management) = scene.start();
+#[case::sends_nothing(&b""[..])]
+#[case::malformed(&b"GET / HTTP/1.1\r\n\r\n"[..])]
+#[case::asks_and_sends_malformed_line(&b"{\"ask\":1}\nready?\n"[..])]
+fn broken_successor_changes_nothing(#[case] request: &[u8]) {
+    let deployment = Deployment::new();
+    let (old, management) = deployment.start();
     let mut held = Vec::new();
     for _ in 0..3 {
-        let mut asker = std::os::unix::net::UnixStream::connect(scene.place()).unwrap();
-        asker.write_all(says).unwrap();
-        held.push(asker);
+        let mut successor =
+            std::os::unix::net::UnixStream::connect(deployment.handover_socket()).unwrap();
+        successor.write_all(request).unwrap();
+        held.push(successor);
     }
-    let began = Instant::now();
+    let start = Instant::now();
     assert_eq!(post_cordon(management, "cordon", "s-1"), "200");
-    assert!(began.elapsed() < 1000 * MS, "{:?}", began.elapsed());
-    assert_eq!(scene.of_first(&old, "o"), 0);
-    let (new, _) = scene.start();
+    assert!(start.elapsed() < 1000 * MS, "{:?}", start.elapsed());
+    assert_eq!(deployment.commands_at_first(&old, "o"), 0);
+    let (new, _) = deployment.start();
     old.signal("TERM");
-    assert_eq!(scene.of_first(&new, "n"), 0);
+    assert_eq!(deployment.commands_at_first(&new, "n"), 0);
 }
 
 #[rstest]
 #[case::stale(None)]
-#[case::nonsense(Some(&b"HTTP/1.1 200 OK\r\n\r\n"[..]))]
+#[case::malformed(Some(&b"HTTP/1.1 200 OK\r\n\r\n"[..]))]
 #[case::silent(Some(&b""[..]))]
-fn where_nobody_answers_in_the_shared_folder_it_starts_from_nothing(
-    #[case] says: Option<&'static [u8]>,
+fn without_a_predecessor_that_answers_it_starts_from_nothing(
+    #[case] response: Option<&'static [u8]>,
 ) {
-    let scene = Scene::new();
-    let listener = UnixListener::bind(scene.place()).unwrap();
-    match says {
+    let deployment = Deployment::new();
+    let listener = UnixListener::bind(deployment.handover_socket()).unwrap();
+    match response {
         None => drop(listener),
-        Some(says) => drop(spawn(move || {
+        Some(response) => drop(spawn(move || {
             let mut held = Vec::new();
             for stream in listener.incoming().flatten() {
                 let mut stream = BufReader::new(stream);
                 let _ = stream.read_line(&mut String::new());
-                let _ = stream.get_mut().write_all(says);
+                let _ = stream.get_mut().write_all(response);
                 held.push(stream);
             }
         })),
     }
-    let (sidecar, management) = scene.start();
+    let (sidecar, management) = deployment.start();
     assert_eq!(
         sidecar
             .request(&with_long_deadline(&get_look("a")))
@@ -253,12 +256,12 @@
     );
 }
 
-// An endpoint would take the two for one.
+// Prevents two commands with one id at an endpoint, which would take the second for a repeat of the first.
 #[rstest]
-fn an_id_that_is_open_in_one_process_is_turned_away_in_the_other() {
+fn id_open_in_one_process_is_rejected_by_the_other() {
     let gate = Gate::default();
     let handler_gate = gate.clone();
-    let slow = fake_server(move |_, to| {
+    let endpoint = fake_server(move |_, to| {
         handler_gate.wait_until_open();
         respond(to, "200 OK", "", b"ok");
         true
@@ -267,7 +270,7 @@
     let text = config_json(
         address,
         unused_address(),
-        &member("s-1", slow.address, "up"),
+        &member("s-1", endpoint.address, "up"),
         &long_deadline_settings(),
     );
     let text = text.replace("\"sockets\":64", "\"sockets\":256");
@@ -277,29 +280,29 @@
         .get_mut()
         .write_all(with_long_deadline(&post_book("a")).as_bytes())
         .unwrap();
-    wait_until(|| slow.request_count() == 1);
+    wait_until(|| endpoint.request_count() == 1);
     let new = Sidecar::start_with_shared_directory(address, unused_address(), &text, &shared.0);
     wait_until(|| new.request(&with_long_deadline(&post_book("a"))).status() == "409");
-    assert_eq!(slow.request_count(), 1);
+    assert_eq!(endpoint.request_count(), 1);
     gate.open();
     assert_eq!(Message::read(&mut first).unwrap().status(), "200");
     wait_until(|| new.request(&with_long_deadline(&post_book("a"))).status() == "200");
 }
 
-// Together two processes hold no more than one may.
+// Two processes together hold no more descriptors than one may.
 #[rstest]
-fn descriptors_of_both_stay_within_the_limit() {
-    let scene = Scene::new();
-    let (old, _) = scene.start();
-    let crowd = || {
+fn descriptors_of_both_processes_stay_within_the_limit() {
+    let deployment = Deployment::new();
+    let (old, _) = deployment.start();
+    let connect_200 = || {
         (0..200)
-            .filter_map(|_| std::net::TcpStream::connect(scene.address).ok())
+            .filter_map(|_| std::net::TcpStream::connect(deployment.address).ok())
             .collect::<Vec<_>>()
     };
-    let first = crowd();
+    let first = connect_200();
     wait_until(|| old.open_descriptors() > 70);
-    let (new, _) = scene.start();
-    let second = crowd();
+    let (new, _) = deployment.start();
+    let second = connect_200();
     wait_until(|| new.open_descriptors() > 30);
     assert!(
         old.open_descriptors() + new.open_descriptors() <= 256,
@@ -310,42 +313,43 @@
     drop((first, second));
 }
 
-/// Hands on between the two what the old process gives, its socket too, and holds back all lines that it says later.
-fn hold_back_lines(
-    place: &std::path::Path,
+/// A proxy on the handover socket: forwards the request of the new process and the state and listener of the old one, and then
+/// withholds all further lines of the old one.
+fn withhold_lines(
+    socket_path: &std::path::Path,
 ) -> std::thread::JoinHandle<std::os::unix::net::UnixStream> {
     use rustix::net::*;
     use std::io::{IoSlice, IoSliceMut, Read};
     use std::os::fd::AsFd;
-    let old = place.with_extension("old");
-    std::fs::rename(place, &old).unwrap();
-    let listener = UnixListener::bind(place).unwrap();
+    let old_socket = socket_path.with_extension("old");
+    std::fs::rename(socket_path, &old_socket).unwrap();
+    let listener = UnixListener::bind(socket_path).unwrap();
     spawn(move || {
-        let (mut next, _) = listener.accept().unwrap();
-        let mut before = std::os::unix::net::UnixStream::connect(old).unwrap();
+        let (mut new, _) = listener.accept().unwrap();
+        let mut old = std::os::unix::net::UnixStream::connect(old_socket).unwrap();
         let mut line = Vec::new();
         while line.last() != Some(&b'\n') {
             let mut byte = [0];
-            next.read_exact(&mut byte).unwrap();
+            new.read_exact(&mut byte).unwrap();
             line.extend(byte);
         }
-        before.write_all(&line).unwrap();
+        old.write_all(&line).unwrap();
         let (mut size, mut space) = (
             [0; 4],
             [std::mem::MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))],
         );
-        let mut beside = RecvAncillaryBuffer::new(&mut space);
+        let mut ancillary = RecvAncillaryBuffer::new(&mut space);
         recvmsg(
-            &before,
+            &old,
             &mut [IoSliceMut::new(&mut size)],
-            &mut beside,
+            &mut ancillary,
             RecvFlags::empty(),
         )
         .unwrap();
-        let sockets: Vec<_> = beside
+        let sockets: Vec<_> = ancillary
             .drain()
-            .filter_map(|m| {
-                if let RecvAncillaryMessage::ScmRights(sockets) = m {
+            .filter_map(|message| {
+                if let RecvAncillaryMessage::ScmRights(sockets) = message {
                     Some(sockets)
                 } else {
                     None
@@ -354,31 +358,31 @@
             .flatten()
             .collect();
         let mut state = vec![0; u32::from_be_bytes(size) as usize];
-        before.read_exact(&mut state).unwrap();
+        old.read_exact(&mut state).unwrap();
         let mut space = [std::mem::MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))];
-        let mut beside = SendAncillaryBuffer::new(&mut space);
+        let mut ancillary = SendAncillaryBuffer::new(&mut space);
         let sockets = [sockets[0].as_fd()];
-        assert!(beside.push(SendAncillaryMessage::ScmRights(&sockets)));
+        assert!(ancillary.push(SendAncillaryMessage::ScmRights(&sockets)));
         sendmsg(
-            &next,
+            &new,
             &[IoSlice::new(&size)],
-            &mut beside,
+            &mut ancillary,
             SendFlags::empty(),
         )
         .unwrap();
-        next.write_all(&state).unwrap();
-        // Both stay open, and nothing more passes.
-        std::mem::forget(before);
-        next
+        new.write_all(&state).unwrap();
+        // Both connections stay open, and nothing more is forwarded.
+        std::mem::forget(old);
+        new
     })
 }
 
-// The command is open in the old process, and the new one takes clients before it has read a line of the old one's.
+// The command is open in the old process, and the new one accepts clients before it has read a line from the old one.
 #[rstest]
-fn an_id_that_is_open_is_known_before_the_first_line_of_the_other_process() {
+fn open_ids_are_known_before_the_first_line_of_the_old_process() {
     let gate = Gate::default();
     let handler_gate = gate.clone();
-    let slow = fake_server(move |_, to| {
+    let endpoint = fake_server(move |_, to| {
         handler_gate.wait_until_open();
         respond(to, "200 OK", "", b"ok");
         true
@@ -387,7 +391,7 @@
     let text = config_json(
         address,
         unused_address(),
-        &member("s-1", slow.address, "up"),
+        &member("s-1", endpoint.address, "up"),
         &long_deadline_settings(),
     );
     let text = text.replace("\"sockets\":64", "\"sockets\":256");
@@ -397,22 +401,22 @@
         .get_mut()
         .write_all(with_long_deadline(&post_book("a")).as_bytes())
         .unwrap();
-    wait_until(|| slow.request_count() == 1);
-    let place = shared.0.join(format!(
+    wait_until(|| endpoint.request_count() == 1);
+    let socket = shared.0.join(format!(
         "passroad-{}.sock",
         address.to_string().replace(':', "-")
     ));
-    let proxy = hold_back_lines(&place);
+    let proxy = withhold_lines(&socket);
     let new = Sidecar::start_with_shared_directory(address, unused_address(), &text, &shared.0);
     let _link = proxy.join().unwrap();
-    // The old one has not been told to give way, so either may take a client; both know the id.
+    // The old process has not been told to stop, so either may accept a client; both know the id.
     for _ in 0..30 {
         assert_eq!(
             new.request(&with_long_deadline(&post_book("a"))).status(),
             "409"
         );
     }
-    assert_eq!(slow.request_count(), 1);
+    assert_eq!(endpoint.request_count(), 1);
     gate.open();
     assert_eq!(Message::read(&mut first).unwrap().status(), "200");
 }
