--- a/crates/passroad/tests/discovery.rs
+++ b/crates/passroad/tests/discovery.rs
@@ -1,5 +1,5 @@
-//! How soon a change is heard after discovery failed, in whichever way, and what the fleet's calls cost a discovery that
-//! comes back. See `docs/crossings.md`.
+//! How soon a change of the list is applied after discovery failed in any way, and the load that the requests of all sidecars put
+//! on a discovery server that recovers. See `docs/crossings.md`.
 
 mod harness;
 
@@ -15,42 +15,45 @@
 use std::thread::{sleep, spawn};
 use std::time::{Duration, Instant};
 
-/// STANDING: whatever failed before, a change counts as told so long after discovery had it and could be reached.
-const TOLD_AFTER: Duration = Duration::from_secs(6);
+/// Whatever failed before, a sidecar has to get a change this soon after discovery has it and is reachable.
+const CHANGE_DEADLINE: Duration = Duration::from_secs(6);
 
-/// When something happened first, or last.
-type Moment = Arc<Mutex<Option<Instant>>>;
+/// When an event happened, if it has.
+type EventTime = Arc<Mutex<Option<Instant>>>;
 
-/// How a call of discovery fails.
+/// How a request to discovery fails.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Failure {
     Busy,
     NotFound,
     Malformed,
-    ResetBeforeAnswer,
-    ResetInAnswer,
+    ResetBeforeResponse,
+    ResetInResponse,
     HalfThenClosed,
     HalfThenSilent,
     Silent,
 }
 
-const HALF: &[u8] =
+const TRUNCATED_RESPONSE: &[u8] =
     b"HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\n{\"revision\":9,\"complete\":true";
 
 impl Failure {
-    /// Answers so; tells whether the connection stays open.
+    /// Fails a request in this way; whether the connection stays open.
     fn respond(self, to: &mut TcpStream) -> bool {
         match self {
             Failure::Busy => respond(to, "503 Busy", "", b""),
             Failure::NotFound => respond(to, "404 Not Found", "", b""),
             Failure::Malformed => respond(to, "200 OK", "", b"list"),
-            Failure::ResetInAnswer | Failure::HalfThenClosed | Failure::HalfThenSilent => {
-                let _ = to.write_all(HALF);
+            Failure::ResetInResponse | Failure::HalfThenClosed | Failure::HalfThenSilent => {
+                let _ = to.write_all(TRUNCATED_RESPONSE);
             }
-            Failure::ResetBeforeAnswer | Failure::Silent => {}
+            Failure::ResetBeforeResponse | Failure::Silent => {}
         }
-        if matches!(self, Failure::ResetInAnswer | Failure::ResetBeforeAnswer) {
-            // What was written is on its way before the reset.
+        if matches!(
+            self,
+            Failure::ResetInResponse | Failure::ResetBeforeResponse
+        ) {
+            // Let the written bytes leave before the reset.
             sleep(10 * MS);
             let _ = socket2::SockRef::from(&*to).set_linger(Some(Duration::ZERO));
         }
@@ -65,24 +68,24 @@
     format!(r#"{{"revision":{revision},"complete":{complete},"members":[{members}]}}"#)
 }
 
-/// Settings in which a list may go unasked for this long, with a minute's grace for drains.
-fn asking_every(span: Duration, discovery: &str) -> String {
-    let every = format!("\"ask_every\":{}", span.as_nanos());
-    let every = format!("{every},\"drain_grace\":60000000000");
+/// Settings with this longest interval between polls and a drain grace of a minute.
+fn settings_polling_every(interval: Duration, discovery_mode: &str) -> String {
+    let ask_every = format!("\"ask_every\":{}", interval.as_nanos());
+    let ask_every = format!("{ask_every},\"drain_grace\":60000000000");
     long_deadline_settings()
-        .replace("\"ask_every\":400000000", &every)
-        .replace("on_request", discovery)
+        .replace("\"ask_every\":400000000", &ask_every)
+        .replace("on_request", discovery_mode)
 }
 
-/// Waits until the endpoint that drains is out of use: by chance alone it would have one in two.
-fn all_go_to(sidecar: &Sidecar, well: &'static [u8]) {
+/// Waits until no command goes to the draining endpoint; as long as it is in use, it gets about every other command.
+fn wait_until_all_go_to(sidecar: &Sidecar, healthy: &'static [u8]) {
     wait_until(|| {
-        (0..30).all(|_| sidecar.request(&with_long_deadline(&get_look("a"))).body == well)
+        (0..30).all(|_| sidecar.request(&with_long_deadline(&get_look("a"))).body == healthy)
     });
 }
 
-/// Two endpoints, of which the first is to drain: what a sidecar knows, and the list that tells.
-fn about_to_drain() -> (FakeServer, FakeServer, String, String) {
+/// Two endpoints, the known list of the sidecar, and the next list, in which the first endpoint drains.
+fn endpoints_and_drain_list() -> (FakeServer, FakeServer, String, String) {
     let (first, second) = (ok_endpoint("first"), ok_endpoint("second"));
     let both = |phase| {
         [
@@ -91,225 +94,235 @@
         ]
         .join(",")
     };
-    let (known, told) = (both("up"), list(9, true, &both("draining")));
-    (first, second, known, told)
+    let (known, next_list) = (both("up"), list(9, true, &both("draining")));
+    (first, second, known, next_list)
 }
 
-// After `well` calls that bring nothing new, `failed` calls fail. From the moment at which the last of them is taken discovery
-// has a change and tells it to whoever calls. Settings with an hour between calls, so that no wait of theirs is short.
+// After `unchanged` requests that bring nothing new, `failed` requests fail. From the moment at which the last of them arrives,
+// discovery has a change and sends it with every response. The settings allow an hour between polls, so they shorten no wait.
 #[rstest]
 #[case::busy(Failure::Busy, 0, 5)]
-#[case::busy_after_a_watch(Failure::Busy, 2, 5)]
+#[case::busy_after_a_long_poll(Failure::Busy, 2, 5)]
 #[case::not_found(Failure::NotFound, 0, 5)]
 #[case::malformed(Failure::Malformed, 0, 9)]
-#[case::reset_once(Failure::ResetBeforeAnswer, 1, 1)]
-#[case::reset_in_the_answer_once(Failure::ResetInAnswer, 1, 1)]
-#[case::seven_resets(Failure::ResetBeforeAnswer, 1, 7)]
-#[case::seven_resets_in_the_answer(Failure::ResetInAnswer, 1, 7)]
-#[case::resets_on_and_on(Failure::ResetInAnswer, 0, 9)]
-#[case::seven_half_answers(Failure::HalfThenClosed, 0, 7)]
-#[case::half_an_answer_to_the_first_watch(Failure::HalfThenSilent, 0, 1)]
-#[case::half_an_answer_to_a_renewed_watch(Failure::HalfThenSilent, 2, 1)]
-#[case::half_an_answer_to_the_whole_call(Failure::HalfThenSilent, 2, 2)]
-#[case::first_watch_silent(Failure::Silent, 0, 1)]
-#[case::renewed_watch_silent(Failure::Silent, 2, 1)]
-#[case::whole_call_silent(Failure::Silent, 2, 2)]
-#[case::watch_silent_again(Failure::Silent, 0, 3)]
-fn a_change_is_heard_within_six_seconds_whatever_failed_before(
+#[case::reset_once(Failure::ResetBeforeResponse, 1, 1)]
+#[case::reset_in_the_response_once(Failure::ResetInResponse, 1, 1)]
+#[case::seven_resets(Failure::ResetBeforeResponse, 1, 7)]
+#[case::seven_resets_in_the_response(Failure::ResetInResponse, 1, 7)]
+#[case::nine_resets_in_the_response(Failure::ResetInResponse, 0, 9)]
+#[case::seven_truncated_responses(Failure::HalfThenClosed, 0, 7)]
+#[case::truncated_response_to_the_first_long_poll(Failure::HalfThenSilent, 0, 1)]
+#[case::truncated_response_to_a_renewed_long_poll(Failure::HalfThenSilent, 2, 1)]
+#[case::truncated_full_list(Failure::HalfThenSilent, 2, 2)]
+#[case::first_long_poll_silent(Failure::Silent, 0, 1)]
+#[case::renewed_long_poll_silent(Failure::Silent, 2, 1)]
+#[case::full_list_silent(Failure::Silent, 2, 2)]
+#[case::long_poll_silent_again(Failure::Silent, 0, 3)]
+fn change_is_applied_within_six_seconds_after_any_failure(
     #[case] failure: Failure,
-    #[case] well: usize,
+    #[case] unchanged: usize,
     #[case] failed: usize,
     #[values("on_request", "pushed")] mode: &str,
 ) {
-    let (_first, _second, known, told) = about_to_drain();
-    let (calls, failed_at, told_at) = (AtomicUsize::new(0), Moment::default(), Moment::default());
-    let (last, heard) = (Arc::clone(&failed_at), Arc::clone(&told_at));
+    let (_first, _second, known, next_list) = endpoints_and_drain_list();
+    let (request_count, failed_at, sent_at) = (
+        AtomicUsize::new(0),
+        EventTime::default(),
+        EventTime::default(),
+    );
+    let (last_failure, sent) = (Arc::clone(&failed_at), Arc::clone(&sent_at));
     let discovery = fake_server(move |_, to| {
-        let call = calls.fetch_add(1, SeqCst);
-        if call < well {
+        let index = request_count.fetch_add(1, SeqCst);
+        if index < unchanged {
             respond(to, "200 OK", "", list(1, false, "").as_bytes());
-        } else if call < well + failed {
-            *last.lock().unwrap() = Some(Instant::now());
+        } else if index < unchanged + failed {
+            *last_failure.lock().unwrap() = Some(Instant::now());
             return failure.respond(to);
-        } else if call == well + failed {
-            respond(to, "200 OK", "", told.as_bytes());
-            *heard.lock().unwrap() = Some(Instant::now());
+        } else if index == unchanged + failed {
+            respond(to, "200 OK", "", next_list.as_bytes());
+            *sent.lock().unwrap() = Some(Instant::now());
         }
         true
     });
     let sidecar = start_sidecar_with(
         &known,
         discovery.address,
-        &asking_every(Duration::from_secs(3600), mode),
+        &settings_polling_every(Duration::from_secs(3600), mode),
     );
-    wait_until(|| told_at.lock().unwrap().is_some());
-    let waited = told_at.lock().unwrap().unwrap() - failed_at.lock().unwrap().unwrap();
-    println!("heard {waited:?} after the last call that failed");
-    assert!(waited < TOLD_AFTER, "{waited:?}");
-    all_go_to(&sidecar, b"second");
+    wait_until(|| sent_at.lock().unwrap().is_some());
+    let waited = sent_at.lock().unwrap().unwrap() - failed_at.lock().unwrap().unwrap();
+    println!("change sent {waited:?} after the last request that failed");
+    assert!(waited < CHANGE_DEADLINE, "{waited:?}");
+    wait_until_all_go_to(&sidecar, b"second");
 }
 
-// Row 46. A watch falls silent, and so does the whole call behind it; discovery can be reached all along and has a change. With the
-// module's wait, half a second at least, behind the second silent call it is heard 7 s late. A busy machine makes some rounds longer,
-// hardly each.
+// Prevents a late change: a long poll falls silent, and so does the request for the full list that follows, while discovery is
+// reachable and has a change. If the balancer's wait of at least 0.5 s followed the second silent request, the change would be applied
+// after 7 s. A busy machine makes some rounds longer, but hardly all.
 #[rstest]
-fn a_whole_call_that_falls_silent_behind_a_watch_is_followed_by_another_at_once() {
+fn silent_full_list_request_after_a_silent_long_poll_is_repeated_at_once() {
     let round = || {
-        let (_first, _second, known, told) = about_to_drain();
-        let (calls, moments) = (AtomicUsize::new(0), Arc::<Mutex<Vec<Instant>>>::default());
-        let seen = Arc::clone(&moments);
+        let (_first, _second, known, next_list) = endpoints_and_drain_list();
+        let (request_count, times) = (AtomicUsize::new(0), Arc::<Mutex<Vec<Instant>>>::default());
+        let recorded = Arc::clone(&times);
         let discovery = fake_server(move |_, to| {
-            match calls.fetch_add(1, SeqCst) {
+            match request_count.fetch_add(1, SeqCst) {
                 0 => respond(to, "200 OK", "", list(1, false, "").as_bytes()),
-                // The renewed watch, and the whole call.
-                1 | 2 => seen.lock().unwrap().push(Instant::now()),
+                // The renewed long poll, and the request for the full list.
+                1 | 2 => recorded.lock().unwrap().push(Instant::now()),
                 3 => {
-                    seen.lock().unwrap().push(Instant::now());
-                    respond(to, "200 OK", "", told.as_bytes());
+                    recorded.lock().unwrap().push(Instant::now());
+                    respond(to, "200 OK", "", next_list.as_bytes());
                 }
                 _ => {}
             }
             true
         });
-        let settings = asking_every(Duration::from_secs(3600), "on_request");
+        let settings = settings_polling_every(Duration::from_secs(3600), "on_request");
         let sidecar = start_sidecar_with(&known, discovery.address, &settings);
-        wait_until(|| moments.lock().unwrap().len() == 3);
-        all_go_to(&sidecar, b"second");
-        let at = moments.lock().unwrap();
-        (at[2] - at[1], at[2] - at[0])
+        wait_until(|| times.lock().unwrap().len() == 3);
+        wait_until_all_go_to(&sidecar, b"second");
+        let times = times.lock().unwrap();
+        (times[2] - times[1], times[2] - times[0])
     };
     let rounds: Vec<_> = std::iter::repeat_with(round).take(3).collect();
-    println!("behind the whole call, behind the watch: {rounds:?}");
-    // Its own two seconds, and no more than a breath.
+    println!("after the full list request, after the long poll: {rounds:?}");
+    // The timeout of two seconds, and only a short pause.
     assert!(
         rounds
             .iter()
-            .any(|(whole, _)| *whole < Duration::from_millis(2400)),
+            .any(|(after_full_list, _)| *after_full_list < Duration::from_millis(2400)),
         "{rounds:?}"
     );
     assert!(
-        rounds.iter().any(|(_, watch)| *watch < TOLD_AFTER),
+        rounds
+            .iter()
+            .any(|(_, after_long_poll)| *after_long_poll < CHANGE_DEADLINE),
         "{rounds:?}"
     );
 }
 
-/// Serves a discovery's calls from a listener: each is told the same. When the first call came.
-fn tells_from(listener: TcpListener, told: String) -> Moment {
-    let came = Moment::default();
-    let own = Arc::clone(&came);
+/// A discovery server on a given listener that sends the same list in every response. Returns when the first request arrived.
+fn serve_list(listener: TcpListener, list: String) -> EventTime {
+    let first_request_at = EventTime::default();
+    let recorded = Arc::clone(&first_request_at);
     spawn(move || {
         for stream in listener.incoming().flatten() {
-            let (own, told) = (Arc::clone(&own), told.clone());
+            let (recorded, list) = (Arc::clone(&recorded), list.clone());
             spawn(move || {
                 let (mut reader, mut stream) =
                     (std::io::BufReader::new(stream.try_clone().unwrap()), stream);
-                while let Some(call) = Message::read(&mut reader) {
-                    // A watch from there waits.
-                    if !call.target().contains("from=9&") {
-                        own.lock().unwrap().get_or_insert(Instant::now());
-                        respond(&mut stream, "200 OK", "", told.as_bytes());
+                while let Some(request) = Message::read(&mut reader) {
+                    // A long poll from the revision of this list is left waiting.
+                    if !request.target().contains("from=9&") {
+                        recorded.lock().unwrap().get_or_insert(Instant::now());
+                        respond(&mut stream, "200 OK", "", list.as_bytes());
                     }
                 }
             });
         }
     });
-    came
+    first_request_at
 }
 
-// Nobody listens where discovery is to be, or its machine says nothing; then it is there, and has a change.
+// Connects to discovery are refused or hang; then discovery is reachable and has a change.
 #[rstest]
 #[case::refused(false)]
-#[case::connections_that_never_come_up(true)]
-fn a_change_is_heard_within_six_seconds_once_discovery_can_be_reached(
+#[case::connects_that_hang(true)]
+fn change_is_applied_within_six_seconds_once_discovery_is_reachable(
     #[case] hangs: bool,
     #[values("on_request", "pushed")] mode: &str,
 ) {
-    let (_first, _second, known, told) = about_to_drain();
-    let settings = asking_every(Duration::from_secs(3600), mode);
-    let deaf = hangs.then(full_backlog_listener);
-    let address = deaf
+    let (_first, _second, known, next_list) = endpoints_and_drain_list();
+    let settings = settings_polling_every(Duration::from_secs(3600), mode);
+    let full_backlog = hangs.then(full_backlog_listener);
+    let address = full_backlog
         .as_ref()
         .map_or_else(unused_address, |(address, ..)| *address);
     let sidecar = start_sidecar_with(&known, address, &settings);
-    // For so long that several calls have failed, and waits have grown.
+    // Long enough for several requests to fail and for the waits to grow.
     sleep(Duration::from_secs(8));
-    let (listener, _filling) = match deaf {
+    let (listener, _filling) = match full_backlog {
         Some((_, listener, filling)) => {
             listener.set_nonblocking(false).unwrap();
             (listener, filling)
         }
         None => (TcpListener::bind(address).unwrap(), Vec::new()),
     };
-    let began = Instant::now();
-    let came = tells_from(listener, told);
-    wait_until(|| came.lock().unwrap().is_some());
-    let waited = came.lock().unwrap().unwrap() - began;
-    println!("heard {waited:?} after discovery could be reached");
-    assert!(waited < TOLD_AFTER, "{waited:?}");
-    all_go_to(&sidecar, b"second");
+    let reachable_at = Instant::now();
+    let first_request_at = serve_list(listener, next_list);
+    wait_until(|| first_request_at.lock().unwrap().is_some());
+    let waited = first_request_at.lock().unwrap().unwrap() - reachable_at;
+    println!("asked {waited:?} after discovery was reachable");
+    assert!(waited < CHANGE_DEADLINE, "{waited:?}");
+    wait_until_all_go_to(&sidecar, b"second");
 }
 
-// Row 44. An agent that says nothing answers no whole call, but a watch that is out once it is back: so a watch follows the whole
-// call at once, and not after a wait of the module's, which is half a second at least here.
+// Prevents a missed change: an agent that was silent answers an open long poll once it is back, but not a request for the full list.
+// So a long poll follows a timed-out request for the full list at once, and not after the balancer's wait, which is at least 0.5 s
+// here.
 #[rstest]
-fn where_lists_are_pushed_a_watch_follows_a_whole_call_that_is_given_up_with_no_wait() {
-    let (_first, _second, known, _) = about_to_drain();
+fn with_pushed_lists_a_long_poll_follows_a_timed_out_full_list_request_at_once() {
+    let (_first, _second, known, _) = endpoints_and_drain_list();
     let agent = fake_server(|_, _| true);
-    let settings = asking_every(Duration::from_secs(3600), "pushed")
+    let settings = settings_polling_every(Duration::from_secs(3600), "pushed")
         .replace("\"drain_grace\":60000000000", "\"drain_grace\":4000000000");
     let _sidecar = start_sidecar_with(&known, agent.address, &settings);
     wait_until(|| agent.request_count() >= 7);
-    let seen = agent.requests.lock().unwrap();
-    let whole = |call: &Message| call.target() == "/v1/servers";
-    assert!(seen.iter().skip(1).step_by(2).all(whole), "{seen:?}");
-    // A whole call has half of the grace. A busy machine makes some of them longer, hardly each.
-    let gaps = seen
+    let requests = agent.requests.lock().unwrap();
+    let is_full_list = |request: &Message| request.target() == "/v1/servers";
+    assert!(
+        requests.iter().skip(1).step_by(2).all(is_full_list),
+        "{requests:?}"
+    );
+    // A request for the full list times out after half of the drain grace. A busy machine makes some of them longer, but hardly all.
+    let gaps = requests
         .windows(2)
-        .filter(|pair| whole(&pair[0]))
+        .filter(|pair| is_full_list(&pair[0]))
         .map(|pair| pair[1].received_at - pair[0].received_at);
     let shortest = gaps.min().unwrap();
     assert!(shortest < 2400 * MS, "{shortest:?}");
 }
 
-// A discovery with more calls than it can do in the time of one works through them in turn: by the time at which it comes to
-// the first of a sidecar's, several have been given up.
+// An overloaded discovery server works through its requests in order. By the time it reaches the first one of a sidecar, that one and
+// several later ones have timed out.
 #[rstest]
-fn the_first_call_that_was_given_up_is_heard_however_many_were_after_it() {
-    let (_first, _second, known, told) = about_to_drain();
+fn late_response_to_the_first_timed_out_request_is_applied() {
+    let (_first, _second, known, next_list) = endpoints_and_drain_list();
     let gate = Gate::default();
-    let (handler_gate, calls) = (gate.clone(), AtomicUsize::new(0));
+    let (handler_gate, request_count) = (gate.clone(), AtomicUsize::new(0));
     let discovery = fake_server(move |_, to| {
-        if calls.fetch_add(1, SeqCst) == 0 {
+        if request_count.fetch_add(1, SeqCst) == 0 {
             handler_gate.wait_until_open();
-            respond(to, "200 OK", "", told.as_bytes());
+            respond(to, "200 OK", "", next_list.as_bytes());
         }
         true
     });
     let sidecar = start_sidecar_with(
         &known,
         discovery.address,
-        &asking_every(Duration::from_secs(3600), "on_request"),
+        &settings_polling_every(Duration::from_secs(3600), "on_request"),
     );
     wait_until(|| discovery.request_count() == 4);
     gate.open();
-    all_go_to(&sidecar, b"second");
+    wait_until_all_go_to(&sidecar, b"second");
 }
 
-// Resets that go on and on: the quick repeats are used up once, not once for each call of the module.
+// Every request is reset: the quick retries are used up once in all, not once for each poll of the balancer.
 #[rstest]
-fn quick_repeats_are_used_up_until_discovery_has_said_something() {
-    let (_first, _second, known, _) = about_to_drain();
-    let resets = fake_server(|_, to| Failure::ResetBeforeAnswer.respond(to));
-    let settings = asking_every(Duration::from_secs(3600), "on_request");
+fn quick_retries_are_limited_until_discovery_answers() {
+    let (_first, _second, known, _) = endpoints_and_drain_list();
+    let resets = fake_server(|_, to| Failure::ResetBeforeResponse.respond(to));
+    let settings = settings_polling_every(Duration::from_secs(3600), "on_request");
     let _sidecar = start_sidecar_with(&known, resets.address, &settings);
     wait_until(|| resets.request_count() >= 12);
-    let seen = resets.requests.lock().unwrap();
-    // Six, a breath apart; then the module's waits of half a second at least.
-    let apart: Vec<_> = seen
+    let requests = resets.requests.lock().unwrap();
+    // Six with short pauses, then the waits of the balancer of at least 0.5 s.
+    let gaps: Vec<_> = requests
         .windows(2)
         .map(|pair| pair[1].received_at - pair[0].received_at)
         .collect();
-    assert!(apart[6..].iter().all(|wait| *wait >= 450 * MS), "{apart:?}");
+    assert!(gaps[6..].iter().all(|wait| *wait >= 450 * MS), "{gaps:?}");
 }
 
 fn balancer(seed: u64, settings: &str) -> Balancer {
@@ -317,39 +330,42 @@
     Balancer::new(passroad_orders::from_value(seed, &settings).unwrap())
 }
 
-/// What the module says to a call that was refused: the wait until the next.
-fn wait_after_refusal(module: &mut Balancer, now: Duration) -> Duration {
-    let refused = Event::Listed {
+/// Reports a failed poll to the balancer; the wait until the next poll.
+fn wait_after_failed_poll(balancer: &mut Balancer, now: Duration) -> Duration {
+    let failed = Event::Listed {
         kind: ListKind::Refused,
         entries: Vec::new(),
     };
-    let out = module.decide(now, refused);
-    let wait = out.iter().find_map(|action| match action {
+    let actions = balancer.decide(now, failed);
+    let wait = actions.iter().find_map(|action| match action {
         Action::Alarm { after, token } => Some((*after, *token)),
         _ => None,
     });
-    let (wait, token) = wait.expect("an alarm");
-    let out = module.decide(now + wait, Event::Due { token });
-    assert!(out.contains(&Action::Listen { active: true }), "{out:?}");
+    let (wait, token) = wait.expect("a timer");
+    let actions = balancer.decide(now + wait, Event::Due { token });
+    assert!(
+        actions.contains(&Action::Listen { active: true }),
+        "{actions:?}"
+    );
     wait
 }
 
-// From the shortest settings to such as no deployment has; the longest wait is the same.
+// The bound holds for all settings, including some that are longer than in any deployment.
 #[rstest]
-fn no_wait_after_a_refusal_is_longer_than_a_second_and_a_half(
+fn wait_after_a_failed_poll_is_at_most_one_and_a_half_seconds(
     #[values("on_request", "pushed")] mode: &str,
-    #[values(400, 10_000, 60_000, 3_600_000)] every_ms: u64,
+    #[values(400, 10_000, 60_000, 3_600_000)] interval_ms: u64,
     #[values(100, 4_000, 600_000)] grace_ms: u64,
 ) {
-    let settings = asking_every(Duration::from_millis(every_ms), mode).replace(
+    let settings = settings_polling_every(Duration::from_millis(interval_ms), mode).replace(
         "\"drain_grace\":60000000000",
         &format!("\"drain_grace\":{grace_ms}000000"),
     );
     for seed in 0..30 {
-        let (mut module, mut now) = (balancer(seed, &settings), Duration::from_secs(100));
+        let (mut balancer, mut now) = (balancer(seed, &settings), Duration::from_secs(100));
         let waits: Vec<_> = (0..20)
             .map(|_| {
-                let wait = wait_after_refusal(&mut module, now);
+                let wait = wait_after_failed_poll(&mut balancer, now);
                 now += wait;
                 wait
             })
@@ -358,165 +374,181 @@
     }
 }
 
-// ---- what the fleet's calls cost ----
+// ---- load of the fleet on discovery ----
 
-/// One sidecar of the simulated fleet, as `list.rs` calls: the waits after a refusal are the module's own.
-struct Caller {
-    module: Balancer,
+/// One sidecar of the simulated fleet, which polls as the sidecar does; the waits after a failed poll are those of the balancer.
+struct SimulatedSidecar {
+    balancer: Balancer,
     state: State,
-    calls: usize,
-    overtaken: Vec<usize>, // calls that were given up and are heard if their answer comes: the first and the last
+    requests: usize,
+    timed_out: Vec<usize>, // requests whose late responses are still applied: the first and the last that timed out
 }
 
 #[derive(Clone, Copy)]
 enum State {
-    Rests {
-        until: u64,
-        whole: bool,
+    Waiting {
+        until_ms: u64,
+        full_list: bool,
     },
-    Calls {
-        call: usize,
-        until: u64,
-        whole: bool,
+    Requesting {
+        request: usize,
+        until_ms: u64,
+        full_list: bool,
     },
-    Told {
-        at: u64,
+    UpToDate {
+        since_ms: u64,
     },
 }
 
 const SIDECARS: usize = 300;
-const DOWN: u64 = 8000; // ms
-const FIRST_WATCH: u64 = 3000; // what a first watch may take, ms
-const WHOLE: u64 = 2000; // and a whole list
+const DOWN_MS: u64 = 8000;
+const FIRST_LONG_POLL_TIMEOUT_MS: u64 = 3000;
+const FULL_LIST_TIMEOUT_MS: u64 = 2000;
 
-/// What the fleet did, in milliseconds and calls.
+/// The load of the fleet on discovery, and when the sidecars got the change.
 #[derive(Debug, Default)]
-struct Price {
+struct FleetLoad {
     down_each_second: Vec<usize>,
     up_each_second: Vec<usize>,
-    in_step: usize, // most calls in 10 ms, from a second after the fall on
-    told: Vec<u64>, // after the return
-    wasted: usize,  // served for nobody
+    most_in_10_ms: usize, // requests, from a second after discovery went down
+    updated_after_ms: Vec<u64>, // after discovery was back, sorted
+    wasted: usize,        // requests served although their response was no longer applied
 }
 
-/// A discovery that refuses all calls for 8 s, from the end of all watches on, and then works through calls in turn:
-/// so many a second, where it turns away (503) what has waited for longer than `patience`. Simulated: no sockets, no clock.
-fn back_after_8_s(a_second: u64, patience: u64) -> Price {
-    let settings = asking_every(Duration::from_secs(10), "on_request");
-    let mut chance = short_pauses();
+/// Simulates, without sockets or clock, a discovery server that refuses all requests for 8 s after all long polls have ended. Then
+/// it works through requests in order at a fixed rate, and rejects (503) those that have waited for longer than `patience_ms`.
+fn simulate_recovery_after_8_s(requests_per_second: u64, patience_ms: u64) -> FleetLoad {
+    let settings = settings_polling_every(Duration::from_secs(10), "on_request");
+    let mut next_pause_ms = short_pauses_ms();
     let mut fleet: Vec<_> = (0..SIDECARS)
-        .map(|n| Caller {
-            module: balancer(0x51ab_37c5 + 7919 * n as u64, &settings),
-            state: State::Rests {
-                until: chance(),
-                whole: false,
+        .map(|n| SimulatedSidecar {
+            balancer: balancer(0x51ab_37c5 + 7919 * n as u64, &settings),
+            state: State::Waiting {
+                until_ms: next_pause_ms(),
+                full_list: false,
             },
-            calls: 0,
-            overtaken: Vec::new(),
+            requests: 0,
+            timed_out: Vec::new(),
         })
         .collect();
-    let (mut price, mut queue, mut busy_until) = (Price::default(), VecDeque::new(), DOWN * 1000);
+    let (mut load, mut queue, mut busy_until_us) =
+        (FleetLoad::default(), VecDeque::new(), DOWN_MS * 1000);
     let mut each_ms = Vec::new();
-    for now in 0..60_000u64 {
-        let (up, mut calls) = (now >= DOWN, 0);
-        for (n, caller) in fleet.iter_mut().enumerate() {
-            let refused = |caller: &mut Caller| {
-                let wait =
-                    wait_after_refusal(&mut caller.module, Duration::from_millis(100_000 + now));
-                State::Rests {
-                    until: now + wait.as_millis() as u64,
-                    whole: false,
+    for now_ms in 0..60_000u64 {
+        let (up, mut sent) = (now_ms >= DOWN_MS, 0);
+        for (index, sidecar) in fleet.iter_mut().enumerate() {
+            let after_failed_poll = |sidecar: &mut SimulatedSidecar| {
+                let wait = wait_after_failed_poll(
+                    &mut sidecar.balancer,
+                    Duration::from_millis(100_000 + now_ms),
+                );
+                State::Waiting {
+                    until_ms: now_ms + wait.as_millis() as u64,
+                    full_list: false,
                 }
             };
-            match caller.state {
-                State::Rests { until, whole } if until <= now => {
-                    calls += 1;
-                    caller.calls += 1;
+            match sidecar.state {
+                State::Waiting {
+                    until_ms,
+                    full_list,
+                } if until_ms <= now_ms => {
+                    sent += 1;
+                    sidecar.requests += 1;
                     if up {
-                        queue.push_back((n, caller.calls, now));
-                        let until = now + if whole { WHOLE } else { FIRST_WATCH };
-                        caller.state = State::Calls {
-                            call: caller.calls,
-                            until,
-                            whole,
+                        queue.push_back((index, sidecar.requests, now_ms));
+                        let until_ms = now_ms
+                            + if full_list {
+                                FULL_LIST_TIMEOUT_MS
+                            } else {
+                                FIRST_LONG_POLL_TIMEOUT_MS
+                            };
+                        sidecar.state = State::Requesting {
+                            request: sidecar.requests,
+                            until_ms,
+                            full_list,
                         };
                     } else {
-                        caller.state = refused(caller);
+                        sidecar.state = after_failed_poll(sidecar);
                     }
                 }
-                State::Calls { call, until, whole } if until <= now => {
-                    caller.overtaken.truncate(1);
-                    caller.overtaken.push(call);
-                    caller.state = match whole {
-                        true => refused(caller),
-                        false => State::Rests {
-                            until: now + chance(),
-                            whole: true,
+                State::Requesting {
+                    request,
+                    until_ms,
+                    full_list,
+                } if until_ms <= now_ms => {
+                    sidecar.timed_out.truncate(1);
+                    sidecar.timed_out.push(request);
+                    sidecar.state = match full_list {
+                        true => after_failed_poll(sidecar),
+                        false => State::Waiting {
+                            until_ms: now_ms + next_pause_ms(),
+                            full_list: true,
                         },
                     };
                 }
                 _ => {}
             }
         }
-        each_ms.push(calls);
-        while up && busy_until <= now * 1000 {
-            let Some((n, call, at)) = queue.pop_front() else {
-                busy_until = now * 1000;
+        each_ms.push(sent);
+        while up && busy_until_us <= now_ms * 1000 {
+            let Some((index, request, received_ms)) = queue.pop_front() else {
+                busy_until_us = now_ms * 1000;
                 break;
             };
-            let caller = &mut fleet[n];
-            let current = matches!(caller.state, State::Calls { call: out, .. } if out == call);
-            if now - at > patience {
-                if current {
-                    let wait = wait_after_refusal(
-                        &mut caller.module,
-                        Duration::from_millis(100_000 + now),
+            let sidecar = &mut fleet[index];
+            let is_current = matches!(sidecar.state, State::Requesting { request: current, .. } if current == request);
+            if now_ms - received_ms > patience_ms {
+                if is_current {
+                    let wait = wait_after_failed_poll(
+                        &mut sidecar.balancer,
+                        Duration::from_millis(100_000 + now_ms),
                     );
-                    caller.state = State::Rests {
-                        until: now + wait.as_millis() as u64,
-                        whole: false,
+                    sidecar.state = State::Waiting {
+                        until_ms: now_ms + wait.as_millis() as u64,
+                        full_list: false,
                     };
                 }
                 continue;
             }
-            busy_until += 1_000_000 / a_second;
-            if current
-                || caller.overtaken.contains(&call) && !matches!(caller.state, State::Told { .. })
+            busy_until_us += 1_000_000 / requests_per_second;
+            if is_current
+                || sidecar.timed_out.contains(&request)
+                    && !matches!(sidecar.state, State::UpToDate { .. })
             {
-                caller.state = State::Told { at: now };
+                sidecar.state = State::UpToDate { since_ms: now_ms };
             } else {
-                price.wasted += 1;
+                load.wasted += 1;
             }
         }
     }
-    let (down, up) = each_ms.split_at(DOWN as usize);
-    price.down_each_second = down
+    let (down, up) = each_ms.split_at(DOWN_MS as usize);
+    load.down_each_second = down
         .chunks(1000)
         .map(|second| second.iter().sum())
         .collect();
-    price.up_each_second = up
+    load.up_each_second = up
         .chunks(1000)
         .map(|second| second.iter().sum())
         .take(12)
         .collect();
-    price.in_step = each_ms[1000..]
+    load.most_in_10_ms = each_ms[1000..]
         .windows(10)
         .map(|span| span.iter().sum())
         .max()
         .unwrap_or_default();
-    price.told = fleet
+    load.updated_after_ms = fleet
         .iter()
-        .filter_map(|caller| match caller.state {
-            State::Told { at } => Some(at - DOWN),
+        .filter_map(|sidecar| match sidecar.state {
+            State::UpToDate { since_ms } => Some(since_ms - DOWN_MS),
             _ => None,
         })
         .collect();
-    price.told.sort_unstable();
-    price
+    load.updated_after_ms.sort_unstable();
+    load
 }
 
-/// The pause before a quick repeat: 25 to 75 ms, the same in each run.
-fn short_pauses() -> impl FnMut() -> u64 {
+/// Pauses before quick retries: 25 to 75 ms, from a fixed seed.
+fn short_pauses_ms() -> impl FnMut() -> u64 {
     let mut state = 0x9e37_79b9_7f4a_7c15u64;
     move || {
         state = state
@@ -526,43 +558,46 @@
     }
 }
 
-// 300 sidecars call a discovery that was down for 8 s. `within_ms`: when all are told; a discovery that does so many a
-// second can't be done before.
+// 300 sidecars poll a discovery server that was down for 8 s. `within_ms` is when all have the change; with its request rate the
+// server can't be done much earlier.
 #[rstest]
 #[case::quick(1000, 30_000, 2500)]
-#[case::middling(200, 30_000, 4000)]
+#[case::medium(200, 30_000, 4000)]
 #[case::slow(100, 30_000, 6000)]
 #[case::very_slow(40, 30_000, 9000)]
-#[case::hardly(20, 30_000, 18_000)]
-#[case::slow_and_turns_away(100, 1000, 6000)]
-#[case::very_slow_and_turns_away(40, 1000, 9000)]
-fn a_discovery_that_works_through_calls_in_turn_comes_up_under_the_fleet(
-    #[case] a_second: u64,
+#[case::extremely_slow(20, 30_000, 18_000)]
+#[case::slow_and_rejects(100, 1000, 6000)]
+#[case::very_slow_and_rejects(40, 1000, 9000)]
+fn recovering_discovery_is_not_overloaded_by_the_fleet(
+    #[case] requests_per_second: u64,
     #[case] patience_ms: u64,
     #[case] within_ms: u64,
 ) {
-    let price = back_after_8_s(a_second, patience_ms);
-    let all = price.told.last().copied().unwrap_or_default();
+    let load = simulate_recovery_after_8_s(requests_per_second, patience_ms);
+    let all = load.updated_after_ms.last().copied().unwrap_or_default();
     println!(
-        "{a_second} a second: told {} by {} / {all} ms (half / all), down {:?}, up {:?} calls a second, {} in 10 ms, {} wasted",
-        price.told.len(),
-        price.told.get(SIDECARS / 2).copied().unwrap_or_default(),
-        price.down_each_second,
-        price.up_each_second,
-        price.in_step,
-        price.wasted
+        "{requests_per_second} a second: updated {} by {} / {all} ms (half / all), down {:?}, up {:?} requests a second, {} in 10 ms, {} wasted",
+        load.updated_after_ms.len(),
+        load.updated_after_ms
+            .get(SIDECARS / 2)
+            .copied()
+            .unwrap_or_default(),
+        load.down_each_second,
+        load.up_each_second,
+        load.most_in_10_ms,
+        load.wasted
     );
-    assert_eq!(price.told.len(), SIDECARS);
+    assert_eq!(load.updated_after_ms.len(), SIDECARS);
     assert!(all <= within_ms, "{all} ms");
-    // About one call a second of each, and at no moment a crowd: in step they would be 300.
+    // About one request a second of each sidecar, and never many at once: synchronised they would be 300.
     assert!(
-        price.down_each_second[1..]
+        load.down_each_second[1..]
             .iter()
-            .all(|calls| *calls <= 400),
+            .all(|requests| *requests <= 400),
         "{:?}",
-        price.down_each_second
+        load.down_each_second
     );
-    assert!(price.in_step <= 20, "{}", price.in_step);
-    // What was given up and asked for again, where the queue is longer than calls may take.
-    assert!(price.wasted <= 2 * SIDECARS, "{}", price.wasted);
+    assert!(load.most_in_10_ms <= 20, "{}", load.most_in_10_ms);
+    // Requests that timed out and were repeated, where the queue is longer than the timeouts.
+    assert!(load.wasted <= 2 * SIDECARS, "{}", load.wasted);
 }
--- a/crates/passroad/tests/fleet.rs
+++ b/crates/passroad/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! Several processes of the program that talk, on loopback: who owns a duty, and what each is told.
+//! Several sidecar processes that exchange messages on loopback: leased duties, their owners, and maintenance of machines.
 
 mod harness;
 
@@ -9,8 +9,8 @@
 use std::process::Command;
 use std::sync::{Arc, Mutex};
 
-/// Addresses for datagrams that nobody else comes to.
-fn datagrams(count: usize) -> Vec<SocketAddr> {
+/// UDP addresses that nobody else uses.
+fn unused_udp_addresses(count: usize) -> Vec<SocketAddr> {
     let bound: Vec<_> = (0..count)
         .map(|_| UdpSocket::bind(SocketAddr::new(unused_address().ip(), 0)).unwrap())
         .collect();
@@ -20,69 +20,86 @@
         .collect()
 }
 
-/// What came to the resource: epoch, owner, whether it was accepted.
-type Acts = Arc<Mutex<Vec<(u64, usize, bool)>>>;
+/// A request of the owner of a duty to the resource.
+#[derive(Clone, Copy, Debug)]
+struct Act {
+    epoch: u64,
+    owner: usize,
+    accepted: bool,
+}
+
+type Acts = Arc<Mutex<Vec<Act>>>;
 
-/// A resource that keeps the highest epoch.
+/// A resource that rejects requests with an epoch lower than the highest accepted one (a fencing token).
 fn resource() -> (FakeServer, Acts) {
     let acts = Acts::default();
-    let own = Arc::clone(&acts);
-    let stand_in = fake_server(move |message, to| {
+    let recorded = Arc::clone(&acts);
+    let server = fake_server(move |message, to| {
         let number = |name| message.header(name).unwrap().parse::<u64>().unwrap();
         let (epoch, owner) = (number("epoch"), number("owner") as usize);
-        let mut acts = own.lock().unwrap();
-        let highest = acts.iter().filter(|a| a.2).map(|a| a.0).max().unwrap_or(0);
-        acts.push((epoch, owner, epoch >= highest));
+        let mut acts = recorded.lock().unwrap();
+        let highest = acts
+            .iter()
+            .filter(|act| act.accepted)
+            .map(|act| act.epoch)
+            .max()
+            .unwrap_or(0);
+        acts.push(Act {
+            epoch,
+            owner,
+            accepted: epoch >= highest,
+        });
         match epoch >= highest {
             true => respond(to, "200 OK", "", b""),
             false => respond(to, "409 Conflict", &format!("Epoch: {highest}\r\n"), b""),
         }
         true
     });
-    (stand_in, acts)
+    (server, acts)
 }
 
-/// The configuration of the nth of some.
-fn among(
-    n: usize,
+/// The configuration of the sidecar with this index.
+fn peer_config(
+    index: usize,
     peers: &[SocketAddr],
     address: SocketAddr,
     management: SocketAddr,
-    may_talk: bool,
+    may_tell: bool,
 ) -> String {
-    before(n, peers, address, management, may_talk, "")
+    peer_config_with_endpoints(index, peers, address, management, may_tell, "")
 }
 
-/// The same before some endpoints.
-fn before(
-    n: usize,
+/// The same, with known endpoints.
+fn peer_config_with_endpoints(
+    index: usize,
     peers: &[SocketAddr],
     address: SocketAddr,
     management: SocketAddr,
-    may_talk: bool,
+    may_tell: bool,
     known: &str,
 ) -> String {
-    let settings = SETTINGS.replacen('{', &format!(r#"{{"my_number":{n},"#), 1);
+    let settings = SETTINGS.replacen('{', &format!(r#"{{"my_number":{index},"#), 1);
     let settings = settings.replace(
         r#""allowed":{"#,
-        &format!(r#""allowed":{{"may_tell":{may_talk},"#),
+        &format!(r#""allowed":{{"may_tell":{may_tell},"#),
     );
-    let list: Vec<String> = peers.iter().map(|at| format!("\"{at}\"")).collect();
-    let own = format!(
+    let list: Vec<String> = peers.iter().map(|peer| format!("\"{peer}\"")).collect();
+    let peer_settings = format!(
         r#"{{"peer_listen":"{}","peers":[{}],"#,
-        peers[n],
+        peers[index],
         list.join(",")
     );
     with_management(
-        &config_json(address, unused_address(), known, &settings).replacen('{', &own, 1),
+        &config_json(address, unused_address(), known, &settings).replacen('{', &peer_settings, 1),
         management,
     )
 }
 
-fn file(call: SocketAddr) -> String {
+/// A fleet file with the duty `sweep`, whose owner calls the resource at this address.
+fn fleet_file(resource: SocketAddr) -> String {
     format!(
         "lease = \"600ms\"\nperiod = \"200ms\"\nvoters = 3\n[[duty]]\nname = \"sweep\"\nevery = \"20ms\"\n\
-         within = \"200ms\"\ncall = \"http://{call}/sweep\"\n"
+         within = \"200ms\"\ncall = \"http://{resource}/sweep\"\n"
     )
 }
 
@@ -93,16 +110,16 @@
     acts: Acts,
 }
 
-fn fleet(count: usize) -> Fleet {
+fn start_fleet(count: usize) -> Fleet {
     let (resource, acts) = resource();
-    let peers = datagrams(count);
+    let peers = unused_udp_addresses(count);
     let management_addresses: Vec<_> = (0..count).map(|_| unused_address()).collect();
     let start = |n: usize| {
         let address = unused_address();
         Sidecar::start_with_fleet(
             address,
-            &among(n, &peers, address, management_addresses[n], true),
-            &file(resource.address),
+            &peer_config(n, &peers, address, management_addresses[n], true),
+            &fleet_file(resource.address),
         )
         .0
     };
@@ -118,38 +135,44 @@
 impl Fleet {
     fn owner(&self) -> usize {
         wait_until(|| !self.acts.lock().unwrap().is_empty());
-        self.acts.lock().unwrap().last().unwrap().1
+        self.acts.lock().unwrap().last().unwrap().owner
     }
 
-    /// Epochs only rise, and each is one owner's.
-    fn in_order(&self) {
+    /// Epochs of accepted requests never decrease, and each belongs to one owner.
+    fn assert_epochs_ordered(&self) {
         let acts = self.acts.lock().unwrap();
-        let accepted: Vec<_> = acts.iter().filter(|a| a.2).collect();
-        assert!(accepted.windows(2).all(|w| w[0].0 <= w[1].0), "{acts:?}");
+        let accepted: Vec<_> = acts.iter().filter(|act| act.accepted).collect();
+        assert!(
+            accepted
+                .windows(2)
+                .all(|pair| pair[0].epoch <= pair[1].epoch),
+            "{acts:?}"
+        );
         assert!(
             accepted
                 .windows(2)
-                .all(|w| w[0].0 < w[1].0 || w[0].1 == w[1].1),
+                .all(|pair| pair[0].epoch < pair[1].epoch || pair[0].owner == pair[1].owner),
             "{acts:?}"
         );
     }
 }
 
-fn status(management: SocketAddr) -> (String, String) {
-    let call = "GET /admin/fleet HTTP/1.1\r\nHost: b\r\nConnection: close\r\n\r\n";
-    let mut caller = BufReader::new(TcpStream::connect(management).unwrap());
-    let said = round_trip(&mut caller, call).expect("an answer");
+/// Status and body of `GET /admin/fleet`.
+fn fleet_status(management: SocketAddr) -> (String, String) {
+    let request = "GET /admin/fleet HTTP/1.1\r\nHost: b\r\nConnection: close\r\n\r\n";
+    let mut client = BufReader::new(TcpStream::connect(management).unwrap());
+    let response = round_trip(&mut client, request).expect("a response");
     (
-        said.status().to_string(),
-        String::from_utf8_lossy(&said.body).into_owned(),
+        response.status().to_string(),
+        String::from_utf8_lossy(&response.body).into_owned(),
     )
 }
 
 #[rstest]
-#[case::told_to_stop("TERM")]
+#[case::stopped("TERM")]
 #[case::killed("KILL")]
-fn another_one_takes_over_and_the_old_owner_is_not_heard_again(#[case] signal: &str) {
-    let fleet = fleet(3);
+fn another_sidecar_takes_over_and_the_old_owner_stays_silent(#[case] signal: &str) {
+    let fleet = start_fleet(3);
     let owner = fleet.owner();
     fleet.sidecars[owner].signal(signal);
     wait_until(|| {
@@ -158,23 +181,24 @@
             .lock()
             .unwrap()
             .last()
-            .is_some_and(|act| act.1 != owner)
+            .is_some_and(|act| act.owner != owner)
     });
     let count = fleet.acts.lock().unwrap().len();
     wait_until(|| fleet.acts.lock().unwrap().len() > count + 20);
-    fleet.in_order();
+    fleet.assert_epochs_ordered();
     let acts = fleet.acts.lock().unwrap();
     let last = acts
         .iter()
-        .rposition(|act| act.1 == owner && act.2)
+        .rposition(|act| act.owner == owner && act.accepted)
         .unwrap();
     assert!(last < count, "{acts:?}");
 }
 
-// Stopped for longer than its lease with a call under way: when it wakes it is owner no more, and asks first.
+// The owner is paused for longer than its lease with a request in flight. When it continues it is no longer the owner and must
+// acquire the lease again before it acts.
 #[rstest]
-fn an_owner_that_slept_acts_on_nothing() {
-    let fleet = fleet(3);
+fn paused_owner_acts_no_more_with_its_old_epoch() {
+    let fleet = start_fleet(3);
     let owner = fleet.owner();
     fleet.sidecars[owner].signal("STOP");
     wait_until(|| {
@@ -183,38 +207,38 @@
             .lock()
             .unwrap()
             .last()
-            .is_some_and(|act| act.1 != owner)
+            .is_some_and(|act| act.owner != owner)
     });
     let count = fleet.acts.lock().unwrap().len();
     wait_until(|| fleet.acts.lock().unwrap().len() > count + 10);
     fleet.sidecars[owner].signal("CONT");
     let count = fleet.acts.lock().unwrap().len();
     wait_until(|| fleet.acts.lock().unwrap().len() > count + 20);
-    fleet.in_order();
-    // What it does by its old epoch behind another's act was under way, and is refused.
+    fleet.assert_epochs_ordered();
+    // A request with its old epoch that arrives after one of the new owner was in flight, and is rejected.
     let acts = fleet.acts.lock().unwrap();
-    let other = acts.iter().position(|act| act.1 != owner).unwrap();
+    let other = acts.iter().position(|act| act.owner != owner).unwrap();
     let old = acts[other..]
         .iter()
-        .filter(|act| act.1 == owner && act.0 < acts[other].0);
+        .filter(|act| act.owner == owner && act.epoch < acts[other].epoch);
     assert!(
-        old.clone().all(|act| !act.2) && old.count() <= 1,
+        old.clone().all(|act| !act.accepted) && old.count() <= 1,
         "{acts:?}"
     );
 }
 
 #[rstest]
-fn operators_are_told_who_owns_what() {
-    let fleet = fleet(3);
+fn fleet_status_shows_the_owners() {
+    let fleet = start_fleet(3);
     let owner = fleet.owner();
-    let word = format!("\"owner\":{owner}");
+    let owner_entry = format!("\"owner\":{owner}");
     wait_until(|| {
         fleet
             .management_addresses
             .iter()
-            .all(|management| status(*management).1.contains(&word))
+            .all(|management| fleet_status(*management).1.contains(&owner_entry))
     });
-    let run = |more: &[&str]| {
+    let run_status = |arguments: &[&str]| {
         let mut command = Command::new(env!("CARGO_BIN_EXE_passroad"));
         let output = command
             .args([
@@ -223,35 +247,35 @@
                 "--door",
                 &fleet.management_addresses[0].to_string(),
             ])
-            .args(more)
+            .args(arguments)
             .output();
         let output = output.unwrap();
         assert!(output.status.success(), "{output:?}");
         String::from_utf8(output.stdout).unwrap()
     };
-    let table = run(&[]);
+    let table = run_status(&[]);
     assert!(
         table.contains("sidecar 0 of 3: 3 here, 0 in doubt, 0 gone") && table.contains("sweep"),
         "{table}"
     );
-    assert!(run(&["--json"]).contains(&word));
-    let gone = Command::new(env!("CARGO_BIN_EXE_passroad"))
+    assert!(run_status(&["--json"]).contains(&owner_entry));
+    let unreachable = Command::new(env!("CARGO_BIN_EXE_passroad"))
         .args(["fleet", "status", "--door", &unused_address().to_string()])
         .output()
         .unwrap();
-    assert_eq!(gone.status.code(), Some(2));
+    assert_eq!(unreachable.status.code(), Some(2));
 }
 
-// What nobody may send here is dropped, counted, and does no harm.
+// Datagrams from an address that is not a peer are dropped, counted, and have no effect.
 #[rstest]
-fn what_strangers_send_is_not_heard() {
-    let fleet = fleet(3);
-    // Whoever answers for the fleet has its address by then; before, what is sent to it is lost.
+fn datagrams_of_strangers_are_dropped_and_counted() {
+    let fleet = start_fleet(3);
+    // A sidecar that reports fleet status has bound its UDP address; datagrams sent earlier would be lost.
     wait_until(|| {
         fleet
             .management_addresses
             .iter()
-            .all(|management| status(*management).0 == "200")
+            .all(|management| fleet_status(*management).0 == "200")
     });
     let stranger = UdpSocket::bind("127.0.0.1:0").unwrap();
     for bytes in [&b"GET / HTTP/1.1"[..], &[0xb5, 1, 9], &[0; 256], &[]] {
@@ -260,57 +284,58 @@
             .iter()
             .for_each(|to| drop(stranger.send_to(bytes, to)));
     }
-    let word = "of an address that is not in peers\":4";
+    let drop_count = "of an address that is not in peers\":4";
     wait_until(|| {
         fleet
             .management_addresses
             .iter()
-            .all(|management| status(*management).1.contains(word))
+            .all(|management| fleet_status(*management).1.contains(drop_count))
     });
     let count = fleet.acts.lock().unwrap().len();
     wait_until(|| fleet.acts.lock().unwrap().len() > count + 5);
 }
 
 #[rstest]
-fn without_a_file_or_leave_to_talk_nothing_of_it_is_there() {
-    let (peers, address, management) = (datagrams(2), unused_address(), unused_address());
-    let plain = Sidecar::start(address, &among(0, &peers, address, management, true));
+fn without_a_fleet_file_or_permission_there_is_no_fleet_thread() {
+    let (peers, address, management) =
+        (unused_udp_addresses(2), unused_address(), unused_address());
+    let plain = Sidecar::start(address, &peer_config(0, &peers, address, management, true));
     assert!(!plain.thread_names().contains(&"fleet".to_string()));
-    assert_eq!(status(management).0, "404");
-    // Nobody has the address.
+    assert_eq!(fleet_status(management).0, "404");
+    // The UDP address is not bound.
     drop(UdpSocket::bind(peers[0]).unwrap());
     let (address, management) = (unused_address(), unused_address());
-    let text = among(1, &peers, address, management, false);
-    let (quiet, log) = Sidecar::start_with_fleet(address, &text, &file(unused_address()));
-    assert!(!quiet.thread_names().contains(&"fleet".to_string()));
-    assert_eq!(status(management).0, "404");
+    let text = peer_config(1, &peers, address, management, false);
+    let (forbidden, log) = Sidecar::start_with_fleet(address, &text, &fleet_file(unused_address()));
+    assert!(!forbidden.thread_names().contains(&"fleet".to_string()));
+    assert_eq!(fleet_status(management).0, "404");
     drop(UdpSocket::bind(peers[1]).unwrap());
-    let said = std::fs::read_to_string(log).unwrap();
+    let log = std::fs::read_to_string(log).unwrap();
     assert_eq!(
-        said.matches("the settings forbid talk between sidecars")
+        log.matches("the settings forbid talk between sidecars")
             .count(),
         1,
-        "{said}"
+        "{log}"
     );
 }
 
 #[rstest]
-#[case::sound(|text: String| text, 0, "1 duties among 2 sidecars")]
-#[case::faulty(|text: String| text.replace("voters = 3", "voters = 2"), 2, "line 3: voters: 2 is not 1, 3, 5 or 7")]
-fn a_fleets_file_is_checked(
-    #[case] turn: fn(String) -> String,
+#[case::valid(|text: String| text, 0, "1 duties among 2 sidecars")]
+#[case::invalid(|text: String| text.replace("voters = 3", "voters = 2"), 2, "line 3: voters: 2 is not 1, 3, 5 or 7")]
+fn fleet_file_is_checked(
+    #[case] change: fn(String) -> String,
     #[case] code: i32,
-    #[case] what: &str,
+    #[case] message: &str,
 ) {
-    let (mut command, folder) = sidecar_command(&among(
+    let (mut command, folder) = sidecar_command(&peer_config(
         0,
-        &datagrams(2),
+        &unused_udp_addresses(2),
         unused_address(),
         unused_address(),
         true,
     ));
     let path = folder.join("fleet.toml");
-    std::fs::write(&path, turn(file(unused_address()))).unwrap();
+    std::fs::write(&path, change(fleet_file(unused_address()))).unwrap();
     let output = command
         .arg("check")
         .arg("--fleet")
@@ -318,30 +343,30 @@
         .output()
         .unwrap();
     std::fs::remove_dir_all(folder).unwrap();
-    let said = String::from_utf8_lossy(&[output.stdout, output.stderr].concat()).into_owned();
+    let text = String::from_utf8_lossy(&[output.stdout, output.stderr].concat()).into_owned();
     assert!(
-        output.status.code() == Some(code) && said.contains(what),
-        "{said}"
+        output.status.code() == Some(code) && text.contains(message),
+        "{text}"
     );
 }
 
-// A voter that is restarted with its file has forgotten nothing; a file of another name is refused.
+// A voter that restarts with its state file has kept its state; the file of another sidecar is refused.
 #[rstest]
-fn a_state_file_is_kept_and_refused_to_another() {
+fn state_file_is_kept_and_refused_to_another_sidecar() {
     let (resource, acts) = resource();
-    let (peers, folder) = (datagrams(1), shared_directory());
+    let (peers, folder) = (unused_udp_addresses(1), shared_directory());
     let state = folder.0.join("state");
-    let fleet = format!(
+    let fleet_file = format!(
         "state = {:?}\n{}",
         state.display().to_string(),
-        file(resource.address)
+        fleet_file(resource.address)
     );
     let start = || {
         let address = unused_address();
         Sidecar::start_with_fleet(
             address,
-            &among(0, &peers, address, unused_address(), true),
-            &fleet,
+            &peer_config(0, &peers, address, unused_address(), true),
+            &fleet_file,
         )
         .0
     };
@@ -352,52 +377,58 @@
     let second = start();
     wait_until(|| acts.lock().unwrap().len() > count);
     let acts = acts.lock().unwrap();
-    assert!(acts[count].0 > acts[0].0 && acts[count].2, "{acts:?}");
+    assert!(
+        acts[count].epoch > acts[0].epoch && acts[count].accepted,
+        "{acts:?}"
+    );
     drop(second);
     let (mut command, other) = sidecar_command(
-        &among(0, &peers, unused_address(), unused_address(), true).replace("\"n0\"", "\"n1\""),
+        &peer_config(0, &peers, unused_address(), unused_address(), true)
+            .replace("\"n0\"", "\"n1\""),
     );
-    std::fs::write(other.join("fleet.toml"), &fleet).unwrap();
+    std::fs::write(other.join("fleet.toml"), &fleet_file).unwrap();
     let output = command
         .env("LB_FLEET", other.join("fleet.toml"))
         .output()
         .unwrap();
     std::fs::remove_dir_all(other).unwrap();
-    let said = String::from_utf8_lossy(&output.stderr).into_owned();
+    let text = String::from_utf8_lossy(&output.stderr).into_owned();
     assert!(
-        output.status.code() == Some(2) && said.contains("it is of n0, not of n1"),
-        "{said}"
+        output.status.code() == Some(2) && text.contains("it is of n0, not of n1"),
+        "{text}"
     );
 }
 
-/// Three sidecars before four machines, which settle an order of work.
-struct Upkeep {
+/// Three sidecars in front of four machines, whose maintenance the sidecars coordinate.
+struct Maintenance {
     sidecars: Vec<Sidecar>,
     management_addresses: Vec<SocketAddr>,
     peers: Vec<SocketAddr>,
     machines: Vec<FakeServer>,
 }
 
-const UPKEEP: &str = "lease = \"2s\"\nperiod = \"200ms\"\nvoters = 3\n[upkeep]\n";
+const MAINTENANCE_FILE: &str = "lease = \"2s\"\nperiod = \"200ms\"\nvoters = 3\n[upkeep]\n";
 
-impl Upkeep {
+impl Maintenance {
     fn new(
-        act: impl Fn(usize, &Message, &mut TcpStream) -> bool + Clone + Send + Sync + 'static,
-    ) -> Upkeep {
+        handler: impl Fn(usize, &Message, &mut TcpStream) -> bool + Clone + Send + Sync + 'static,
+    ) -> Maintenance {
         let machine = |n: usize| {
-            let act = act.clone();
-            fake_server(move |message, to| act(n, message, to))
+            let handler = handler.clone();
+            fake_server(move |message, to| handler(n, message, to))
         };
-        let (peers, management_addresses) =
-            (datagrams(3), (0..3).map(|_| unused_address()).collect());
-        let mut upkeep = Upkeep {
+        let (peers, management_addresses) = (
+            unused_udp_addresses(3),
+            (0..3).map(|_| unused_address()).collect(),
+        );
+        let mut maintenance = Maintenance {
             sidecars: Vec::new(),
             management_addresses,
             peers,
             machines: (0..4).map(machine).collect(),
         };
-        upkeep.sidecars = (0..3).map(|n| upkeep.start(n)).collect();
-        upkeep
+        maintenance.sidecars = (0..3).map(|n| maintenance.start(n)).collect();
+        maintenance
     }
 
     fn start(&self, n: usize) -> Sidecar {
@@ -405,7 +436,7 @@
             |(n, machine): (usize, &FakeServer)| member(&format!("s-{n}"), machine.address, "up");
         let known: Vec<String> = self.machines.iter().enumerate().map(listed).collect();
         let address = unused_address();
-        let text = before(
+        let text = peer_config_with_endpoints(
             n,
             &self.peers,
             address,
@@ -413,21 +444,21 @@
             true,
             &known.join(","),
         );
-        // What is held is not given up meanwhile, on however busy a machine.
+        // Held commands must not time out, even on a busy machine.
         let text = text.replace(
             "\"response_goal\":400000000,\"time_limit\":1000000000",
             "\"response_goal\":50000000000,\"time_limit\":60000000000",
         );
-        Sidecar::start_with_fleet(address, &text, UPKEEP).0
+        Sidecar::start_with_fleet(address, &text, MAINTENANCE_FILE).0
     }
 
-    /// Asks one of the sidecars by the command line.
-    fn work(&self, at: usize, words: &[&str]) -> (Option<i32>, String) {
+    /// Runs `passroad work` against one sidecar; exit code and output.
+    fn work(&self, sidecar: usize, arguments: &[&str]) -> (Option<i32>, String) {
         let mut command = Command::new(env!("CARGO_BIN_EXE_passroad"));
-        let management = self.management_addresses[at].to_string();
+        let management = self.management_addresses[sidecar].to_string();
         let output = command
             .arg("work")
-            .args(words)
+            .args(arguments)
             .args(["--door", &management])
             .output()
             .unwrap();
@@ -437,10 +468,10 @@
         )
     }
 
-    /// What a sidecar says of a machine's state.
-    fn state(&self, at: usize, machine: &str) -> String {
-        let (_, said) = self.work(at, &["status"]);
-        let line = said
+    /// The state of a machine as one sidecar reports it.
+    fn state(&self, sidecar: usize, machine: &str) -> String {
+        let (_, output) = self.work(sidecar, &["status"]);
+        let line = output
             .lines()
             .find(|line| line.contains(machine))
             .unwrap_or_default();
@@ -450,11 +481,11 @@
             .join(" ")
     }
 
-    fn wait_for_state(&self, at: usize, machine: &str, state: &str) {
-        wait_until(|| self.state(at, machine) == state);
+    fn wait_for_state(&self, sidecar: usize, machine: &str, state: &str) {
+        wait_until(|| self.state(sidecar, machine) == state);
     }
 
-    /// Commands through all sidecars; at which machines they came.
+    /// Sends commands through all sidecars; the machines that received some.
     fn machines_receiving(&self) -> Vec<usize> {
         let counts = || {
             self.machines
@@ -465,7 +496,7 @@
         let before = counts();
         for (n, sidecar) in self.sidecars.iter().enumerate() {
             for k in 0..20 {
-                let command = unhurried(&get_look(&format!("{n}-{k}-{}", before[0])));
+                let command = with_60_s_deadline(&get_look(&format!("{n}-{k}-{}", before[0])));
                 assert_eq!(sidecar.request(&command).status(), "200");
             }
         }
@@ -473,221 +504,225 @@
             .iter()
             .zip(before)
             .enumerate()
-            .filter(|(_, (now, then))| *now > then)
+            .filter(|(_, (after, before))| *after > before)
             .map(|(n, _)| n)
             .collect()
     }
 }
 
-/// A command whose client waits nearly as long as these settings allow.
-fn unhurried(command: &str) -> String {
+/// Raises the deadline of a command to just under the time limit of these settings.
+fn with_60_s_deadline(command: &str) -> String {
     command.replace("Req-Deadline-Ms: 900", "Req-Deadline-Ms: 59900")
 }
 
-fn answers(_: usize, _: &Message, to: &mut TcpStream) -> bool {
+fn respond_ok(_: usize, _: &Message, to: &mut TcpStream) -> bool {
     respond(to, "200 OK", "", b"ok");
     true
 }
 
-// The main job: asked at any one sidecar, one machine after the other is out at all of them, and back.
+// The main function: a request at any sidecar takes one machine after the other out of use at all sidecars, and back into use.
 #[rstest]
-fn machines_go_out_for_work_one_after_the_other_at_all_sidecars() {
-    let upkeep = Upkeep::new(answers);
-    assert_eq!(upkeep.machines_receiving(), [0, 1, 2, 3]);
+fn machines_are_maintained_one_after_the_other_at_all_sidecars() {
+    let maintenance = Maintenance::new(respond_ok);
+    assert_eq!(maintenance.machines_receiving(), [0, 1, 2, 3]);
     wait_until(|| {
-        upkeep
+        maintenance
             .work(2, &["request", "s-1", "s-3", "--name", "patch"])
             .1
             .contains("taken into the order")
     });
-    // Asked again by its name, and elsewhere, it stays one.
+    // The same request, repeated by its name at another sidecar, is not queued twice.
     wait_until(|| {
-        upkeep
+        maintenance
             .work(0, &["request", "s-1", "s-3", "--name", "patch"])
             .1
             .contains("taken into the order")
     });
-    upkeep.wait_for_state(1, "s-1", "at work");
-    assert_eq!(upkeep.state(1, "s-3"), "queued");
-    assert_eq!(upkeep.machines_receiving(), [0, 2, 3]);
-    assert_eq!(upkeep.work(0, &["withdraw", "s-1"]).0, Some(2));
-    assert_eq!(upkeep.work(0, &["done", "s-1"]).0, Some(0));
-    upkeep.wait_for_state(1, "s-3", "at work");
-    assert_eq!(upkeep.state(1, "s-1"), "warm");
-    assert_eq!(upkeep.machines_receiving(), [0, 1, 2]);
-    assert_eq!(upkeep.work(2, &["done", "s-3"]).0, Some(0));
-    upkeep.wait_for_state(0, "s-3", "warm");
-    assert_eq!(upkeep.machines_receiving(), [0, 1, 2, 3]);
-    assert_eq!(upkeep.work(1, &["request", "s-9"]).0, Some(2));
+    maintenance.wait_for_state(1, "s-1", "at work");
+    assert_eq!(maintenance.state(1, "s-3"), "queued");
+    assert_eq!(maintenance.machines_receiving(), [0, 2, 3]);
+    assert_eq!(maintenance.work(0, &["withdraw", "s-1"]).0, Some(2));
+    assert_eq!(maintenance.work(0, &["done", "s-1"]).0, Some(0));
+    maintenance.wait_for_state(1, "s-3", "at work");
+    assert_eq!(maintenance.state(1, "s-1"), "warm");
+    assert_eq!(maintenance.machines_receiving(), [0, 1, 2]);
+    assert_eq!(maintenance.work(2, &["done", "s-3"]).0, Some(0));
+    maintenance.wait_for_state(0, "s-3", "warm");
+    assert_eq!(maintenance.machines_receiving(), [0, 1, 2, 3]);
+    assert_eq!(maintenance.work(1, &["request", "s-9"]).0, Some(2));
 }
 
-// By what the list says of them; the rest, and what names none, is turned away with a reason.
+// Machines may be selected by their labels in the list. A selection of none, or an invalid one, is rejected with a reason.
 #[rstest]
 #[case::by_zone(&["request", "--zone", "a"], 0, "taken into the order")]
 #[case::by_kind_and_cell(&["request", "--kind", "m", "--cell", "0"], 0, "taken into the order")]
-#[case::none_there(&["request", "--zone", "x"], 2, "these are 0")]
-#[case::both(&["request", "s-1", "--zone", "a"], 2, "cannot be used with")]
-#[case::neither(&["request"], 2, "required")]
-#[case::odd_time(&["request", "s-1", "--for", "5"], 2, "has no unit")]
+#[case::no_match(&["request", "--zone", "x"], 2, "these are 0")]
+#[case::name_and_label(&["request", "s-1", "--zone", "a"], 2, "cannot be used with")]
+#[case::no_selection(&["request"], 2, "required")]
+#[case::time_without_unit(&["request", "s-1", "--for", "5"], 2, "has no unit")]
 #[case::too_long(&["request", "s-1", "--for", "60000m"], 2, "to thirty days")]
 #[case::unknown(&["done", "s-9"], 2, "no such machine is listed")]
-fn machines_may_be_asked_for_by_label(
-    #[case] words: &[&str],
+fn maintenance_may_be_requested_by_label(
+    #[case] arguments: &[&str],
     #[case] code: i32,
-    #[case] what: &str,
+    #[case] message: &str,
 ) {
-    let upkeep = Upkeep::new(answers);
-    // Until there is a conductor a request is only held.
+    let maintenance = Maintenance::new(respond_ok);
+    // Until there is a coordinator, a request is only held.
     wait_until(|| {
-        (0..3).any(|at| {
-            upkeep
-                .work(at, &["status", "--json"])
+        (0..3).any(|index| {
+            maintenance
+                .work(index, &["status", "--json"])
                 .1
                 .contains("\"conducts\":true")
         })
     });
     let mut last = (None, String::new());
     wait_until(|| {
-        last = upkeep.work(1, words);
+        last = maintenance.work(1, arguments);
         !last.1.contains("no conductor has answered yet")
     });
-    assert!(last.0 == Some(code) && last.1.contains(what), "{last:?}");
-    if words.len() > 2 && code == 0 {
-        wait_until(|| upkeep.work(1, &["status"]).1.lines().count() == 4);
+    assert!(last.0 == Some(code) && last.1.contains(message), "{last:?}");
+    if arguments.len() > 2 && code == 0 {
+        wait_until(|| maintenance.work(1, &["status"]).1.lines().count() == 4);
     }
 }
 
-// What one sidecar still has on a machine keeps the machine from work at all of them.
+// A command that one sidecar still has open on a machine delays its maintenance at all of them.
 #[rstest]
-fn a_machine_is_at_work_only_when_nothing_is_out_on_it_anywhere() {
+fn maintenance_starts_only_when_no_command_is_open_on_the_machine() {
     let gate = Gate::default();
-    let held = gate.clone();
-    let upkeep = Upkeep::new(move |n, message, to| {
+    let handler_gate = gate.clone();
+    let maintenance = Maintenance::new(move |n, message, to| {
         if n == 1
             && message
                 .header("req-id")
                 .is_some_and(|id| id.starts_with("held"))
         {
-            held.wait_until_open();
+            handler_gate.wait_until_open();
         }
-        answers(n, message, to)
+        respond_ok(n, message, to)
     });
-    let mut client = upkeep.sidecars[2].connect();
+    let mut client = maintenance.sidecars[2].connect();
     let mut n = 0;
-    // One that has come to the machine that is to go.
-    while upkeep.machines[1]
+    // Send commands until one is open on the machine that is to be maintained.
+    while maintenance.machines[1]
         .requests
         .lock()
         .unwrap()
         .iter()
-        .all(|m| !m.head.contains("held"))
+        .all(|request| !request.head.contains("held"))
     {
         n += 1;
-        let command = unhurried(&get_look(&format!("held-{n}")));
+        let command = with_60_s_deadline(&get_look(&format!("held-{n}")));
         client.get_mut().write_all(command.as_bytes()).unwrap();
         wait_until(|| {
-            upkeep.machines.iter().any(|m| {
-                m.requests
+            maintenance.machines.iter().any(|machine| {
+                machine
+                    .requests
                     .lock()
                     .unwrap()
                     .iter()
                     .any(|request| request.head.contains(&format!("held-{n}\r")))
             })
         });
-        if upkeep.machines[1]
+        if maintenance.machines[1]
             .requests
             .lock()
             .unwrap()
             .iter()
-            .all(|m| !m.head.contains("held"))
+            .all(|request| !request.head.contains("held"))
         {
             Message::read(&mut client).unwrap();
         }
     }
     wait_until(|| {
-        upkeep
+        maintenance
             .work(0, &["request", "s-1"])
             .1
             .contains("taken into the order")
     });
-    upkeep.wait_for_state(0, "s-1", "leaving");
-    (0..3).for_each(|at| upkeep.wait_for_state(at, "s-1", "leaving"));
-    let (_, said) = upkeep.work(2, &["status", "--json"]);
-    assert!(said.contains("\"free_here\":false"), "{said}");
+    maintenance.wait_for_state(0, "s-1", "leaving");
+    (0..3).for_each(|index| maintenance.wait_for_state(index, "s-1", "leaving"));
+    let (_, output) = maintenance.work(2, &["status", "--json"]);
+    assert!(output.contains("\"free_here\":false"), "{output}");
     gate.open();
-    upkeep.wait_for_state(0, "s-1", "at work");
+    maintenance.wait_for_state(0, "s-1", "at work");
 }
 
-// The conductor is killed, and one sidecar starts from nothing: it knows what is out before its first command.
+// The coordinator is killed and starts again without state: it knows which machine is under maintenance before its first command.
 #[rstest]
-fn the_order_outlives_its_conductor_and_is_learnt_by_who_starts_from_nothing() {
-    let mut upkeep = Upkeep::new(answers);
+fn maintenance_order_survives_its_coordinator_and_reaches_a_new_sidecar() {
+    let mut maintenance = Maintenance::new(respond_ok);
     wait_until(|| {
-        upkeep
+        maintenance
             .work(2, &["request", "s-1", "s-3"])
             .1
             .contains("taken into the order")
     });
-    // Where one alone knows, it may be leaving again when that one ends.
-    (0..3).for_each(|at| upkeep.wait_for_state(at, "s-1", "at work"));
-    let conducts = |at: usize| {
-        upkeep
-            .work(at, &["status", "--json"])
+    // If only the coordinator knew, the machine could be `leaving` again after its end.
+    (0..3).for_each(|index| maintenance.wait_for_state(index, "s-1", "at work"));
+    let coordinates = |index: usize| {
+        maintenance
+            .work(index, &["status", "--json"])
             .1
             .contains("\"conducts\":true")
     };
-    let conductor = (0..3).find(|at| conducts(*at)).unwrap();
-    upkeep.sidecars[conductor].signal("KILL");
-    let other = (conductor + 1) % 3;
-    wait_until(|| (0..3).any(|at| at != conductor && conducts(at)));
+    let coordinator = (0..3).find(|index| coordinates(*index)).unwrap();
+    maintenance.sidecars[coordinator].signal("KILL");
+    let other = (coordinator + 1) % 3;
+    wait_until(|| (0..3).any(|index| index != coordinator && coordinates(index)));
     assert_eq!(
         (
-            upkeep.state(other, "s-1").as_str(),
-            upkeep.state(other, "s-3").as_str()
+            maintenance.state(other, "s-1").as_str(),
+            maintenance.state(other, "s-3").as_str()
         ),
         ("at work", "queued")
     );
-    let again = upkeep.start(conductor);
-    drop(std::mem::replace(&mut upkeep.sidecars[conductor], again));
-    assert_eq!(upkeep.machines_receiving(), [0, 2, 3]);
-    wait_until(|| upkeep.work(conductor, &["done", "s-1"]).0 == Some(0));
-    upkeep.wait_for_state(conductor, "s-3", "at work");
-    assert_eq!(upkeep.machines_receiving(), [0, 1, 2]);
+    let again = maintenance.start(coordinator);
+    drop(std::mem::replace(
+        &mut maintenance.sidecars[coordinator],
+        again,
+    ));
+    assert_eq!(maintenance.machines_receiving(), [0, 2, 3]);
+    wait_until(|| maintenance.work(coordinator, &["done", "s-1"]).0 == Some(0));
+    maintenance.wait_for_state(coordinator, "s-3", "at work");
+    assert_eq!(maintenance.machines_receiving(), [0, 1, 2]);
 }
 
-// One that is stopped says nothing: the order waits for it, or for an operator.
+// A paused sidecar does not answer: the maintenance waits for it, or for an operator who overrides it.
 #[rstest]
-fn one_that_says_nothing_is_waited_for_or_forced_past() {
-    let upkeep = Upkeep::new(answers);
+fn silent_sidecar_is_waited_for_or_overridden() {
+    let maintenance = Maintenance::new(respond_ok);
     wait_until(|| {
-        upkeep
+        maintenance
             .work(2, &["request", "s-1"])
             .1
             .contains("taken into the order")
     });
-    upkeep.wait_for_state(0, "s-1", "at work");
-    assert_eq!(upkeep.work(0, &["done", "s-1"]).0, Some(0));
-    upkeep.wait_for_state(0, "s-1", "warm");
-    let conducts = |at: usize| {
-        upkeep
-            .work(at, &["status", "--json"])
+    maintenance.wait_for_state(0, "s-1", "at work");
+    assert_eq!(maintenance.work(0, &["done", "s-1"]).0, Some(0));
+    maintenance.wait_for_state(0, "s-1", "warm");
+    let coordinates = |index: usize| {
+        maintenance
+            .work(index, &["status", "--json"])
             .1
             .contains("\"conducts\":true")
     };
-    let conductor = (0..3).find(|at| conducts(*at)).unwrap();
-    let silent = (conductor + 1) % 3;
-    upkeep.sidecars[silent].signal("STOP");
+    let coordinator = (0..3).find(|index| coordinates(*index)).unwrap();
+    let silent = (coordinator + 1) % 3;
+    maintenance.sidecars[silent].signal("STOP");
     wait_until(|| {
-        upkeep
-            .work(conductor, &["request", "s-2"])
+        maintenance
+            .work(coordinator, &["request", "s-2"])
             .1
             .contains("taken into the order")
     });
-    upkeep.wait_for_state(conductor, "s-2", "leaving");
-    assert_eq!(upkeep.work(conductor, &["done", "s-2"]).0, Some(2));
-    assert_eq!(upkeep.work(conductor, &["force", "s-2"]).0, Some(0));
-    upkeep.wait_for_state(conductor, "s-2", "at work");
-    upkeep.sidecars[silent].signal("CONT");
-    upkeep.wait_for_state(silent, "s-2", "at work");
-    assert_eq!(upkeep.machines_receiving(), [0, 1, 3]);
+    maintenance.wait_for_state(coordinator, "s-2", "leaving");
+    assert_eq!(maintenance.work(coordinator, &["done", "s-2"]).0, Some(2));
+    assert_eq!(maintenance.work(coordinator, &["force", "s-2"]).0, Some(0));
+    maintenance.wait_for_state(coordinator, "s-2", "at work");
+    maintenance.sidecars[silent].signal("CONT");
+    maintenance.wait_for_state(silent, "s-2", "at work");
+    assert_eq!(maintenance.machines_receiving(), [0, 1, 3]);
 }
