--- a/crates/passroad-rig/src/fleet/mod.rs
+++ b/crates/passroad-rig/src/fleet/mod.rs
@@ -6,7 +6,7 @@
 pub mod world;
 
 use passroad::fleet::DutyOrder;
-use passroad_lease::{council, order};
+use passroad_lease::{candidate_order, voters_for};
 use std::time::Duration;
 
 /// What an experiment says of sidecars that talk.
@@ -107,14 +107,14 @@
     pub fn find(&self, plan: &FleetPlan, instances: usize, owner: Option<usize>) -> Vec<usize> {
         let mark = match plan.duties.first() {
             Some(duty) => duty.mark(),
-            None => passroad_choice::door::mark("upkeep"),
+            None => passroad_choice::interner::stable_hash("upkeep"),
         };
-        let voters: Vec<usize> = council(mark, instances, plan.voters)
+        let voters: Vec<usize> = voters_for(mark, instances, plan.voters)
             .into_iter()
             .map(usize::from)
             .collect();
         let first = || {
-            order(mark, instances)
+            candidate_order(mark, instances)
                 .first()
                 .map_or(0, |n| usize::from(*n))
         };
@@ -136,7 +136,7 @@
 
 impl DutyPlan {
     pub fn mark(&self) -> u64 {
-        passroad_choice::door::mark(&self.name)
+        passroad_choice::interner::stable_hash(&self.name)
     }
 
     pub fn orders(&self) -> DutyOrder {
--- a/crates/passroad-rig/src/scale/mod.rs
+++ b/crates/passroad-rig/src/scale/mod.rs
@@ -19,9 +19,9 @@
 use discovery::Discovery;
 use load::Load;
 use measure::{Look, Roles};
-use passroad_choice::Mode;
-use passroad_choice::door::mark;
-use passroad_peers::Standing;
+use passroad_choice::EndpointState;
+use passroad_choice::interner::stable_hash;
+use passroad_peers::MemberState;
 use plan::{Event, Kind};
 use processes::{Processes, Turn};
 use serde_json::{Value, json};
@@ -311,11 +311,11 @@
                 return;
             }
             match drained.take() {
-                Some(n) => self.discovery.tell(&[n], Mode::Running),
+                Some(n) => self.discovery.tell(&[n], EndpointState::Running),
                 None => {
                     let n = dice.below(count);
                     drained = Some(n);
-                    self.discovery.tell(&[n], Mode::Stopping)
+                    self.discovery.tell(&[n], EndpointState::Draining)
                 }
             };
         }
@@ -349,7 +349,7 @@
                     self.processes.kill(*n)?;
                 }
                 sleep_until((Instant::now() + event.noticed).min(ends).into()).await;
-                self.discovery.tell(&these, Mode::Deleted);
+                self.discovery.tell(&these, EndpointState::Removed);
                 sleep_until(ends.into()).await;
                 for n in &these {
                     self.discovery.forget(*n);
@@ -357,7 +357,7 @@
                     self.processes.begin(*n)?;
                 }
                 self.processes.up(&these).await?;
-                self.discovery.tell(&these, Mode::Running);
+                self.discovery.tell(&these, EndpointState::Running);
                 while self.discovery.listed(&these) < 1.0 && ends.elapsed() < AFTERMATH {
                     sleep(BETWEEN_LOOKS).await;
                 }
@@ -371,15 +371,15 @@
                     let (own, at) = (Arc::clone(self), Instant::now() + apart * k as u32);
                     turns.spawn(async move {
                         sleep_until(at.into()).await;
-                        own.discovery.tell(&[n], Mode::Stopping);
+                        own.discovery.tell(&[n], EndpointState::Draining);
                         own.trouble(n);
                         own.processes.stop(n).await?;
-                        own.discovery.tell(&[n], Mode::Deleted);
+                        own.discovery.tell(&[n], EndpointState::Removed);
                         own.discovery.forget(n);
                         own.processes.begin(n)?;
                         own.processes.up(&[n]).await?;
                         own.well(n);
-                        own.discovery.tell(&[n], Mode::Running);
+                        own.discovery.tell(&[n], EndpointState::Running);
                         Ok::<_, std::io::Error>(())
                     });
                 }
@@ -409,7 +409,7 @@
     fn false_doubts(&self, turns: &[Turn], from: Duration, to: Duration) -> usize {
         let mut last: BTreeMap<usize, Duration> = BTreeMap::new();
         let mut count = 0;
-        let wrong = |turn: &&Turn| turn.standing != Standing::Here && !self.rightly(turn);
+        let wrong = |turn: &&Turn| turn.standing != MemberState::Alive && !self.rightly(turn);
         for turn in turns
             .iter()
             .filter(wrong)
@@ -449,27 +449,28 @@
             .iter()
             .filter(|turn| whose.contains(&turn.of))
             .for_each(|turn| by.entry(turn.of).or_default().push(turn));
-        let first = |of: usize, standing: Standing, after: Duration, before: Option<Duration>| {
-            let mut seen: BTreeMap<usize, Duration> = BTreeMap::new();
-            for turn in by.get(&of).into_iter().flatten() {
-                let fits = turn.standing == standing
-                    && turn.at >= after
-                    && before.is_none_or(|b| turn.at < b);
-                if fits {
-                    seen.entry(turn.by).or_insert(turn.at - after);
+        let first =
+            |of: usize, standing: MemberState, after: Duration, before: Option<Duration>| {
+                let mut seen: BTreeMap<usize, Duration> = BTreeMap::new();
+                for turn in by.get(&of).into_iter().flatten() {
+                    let fits = turn.standing == standing
+                        && turn.at >= after
+                        && before.is_none_or(|b| turn.at < b);
+                    if fits {
+                        seen.entry(turn.by).or_insert(turn.at - after);
+                    }
                 }
-            }
-            let all = watch.iter().map(|n| seen.get(n).copied());
-            all.collect::<Option<Vec<_>>>()
-                .and_then(|all| all.into_iter().max())
-        };
+                let all = watch.iter().map(|n| seen.get(n).copied());
+                all.collect::<Option<Vec<_>>>()
+                    .and_then(|all| all.into_iter().max())
+            };
         let deaths = hit
             .iter()
-            .map(|(n, began, back)| first(*n, Standing::Gone, *began, *back))
+            .map(|(n, began, back)| first(*n, MemberState::Dead, *began, *back))
             .collect();
         let starts = hit
             .iter()
-            .filter_map(|(n, _, back)| back.map(|back| first(*n, Standing::Here, back, None)));
+            .filter_map(|(n, _, back)| back.map(|back| first(*n, MemberState::Alive, back, None)));
         [deaths, starts.collect()]
     }
 
@@ -479,7 +480,7 @@
         let mut away: BTreeSet<(usize, usize)> = BTreeSet::new();
         let mut last = end;
         for turn in turns {
-            if turn.standing == Standing::Here {
+            if turn.standing == MemberState::Alive {
                 if away.remove(&(turn.by, turn.of)) && away.is_empty() {
                     last = turn.at;
                 }
@@ -504,9 +505,9 @@
         let count = hollow.len() + real.len();
         let mut turns = held(&self.processes.heard).turns.clone();
         turns.sort_by_key(|turn| turn.at);
-        let voters: BTreeSet<usize> = [mark("sweep"), mark("upkeep")]
+        let voters: BTreeSet<usize> = [stable_hash("sweep"), stable_hash("upkeep")]
             .into_iter()
-            .flat_map(|duty| passroad_lease::council(duty, count, plan.fleet.voters))
+            .flat_map(|duty| passroad_lease::voters_for(duty, count, plan.fleet.voters))
             .map(usize::from)
             .collect();
         let owners: BTreeSet<usize> = held(&self.discovery.owners)
--- a/crates/passroad-routes/src/text.rs
+++ b/crates/passroad-routes/src/text.rs
@@ -1,8 +1,8 @@
 //! The file of routes as it is written, checked against the settings, and what it comes to. Nothing is guessed: what is
 //! unknown, can't be reached or leaves a command without a route is an error that names its line.
 
-use passroad_choice::StandingOrders;
-use passroad_units::{Share, Time, Wrong, line_of};
+use passroad_choice::BalancerConfig;
+use passroad_units::{ConfigError, HumanDuration, Ratio, line_number};
 use serde::Deserialize;
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -41,19 +41,19 @@
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields, default)]
 struct SpillText {
-    most: Share,
+    most: Ratio,
     per_second: Option<f64>,
-    ceiling: Share,
-    trickle: Share,
+    ceiling: Ratio,
+    trickle: Ratio,
 }
 
 impl Default for SpillText {
     fn default() -> Self {
         SpillText {
-            most: Share(1.0),
+            most: Ratio(1.0),
             per_second: None,
-            ceiling: Share(0.8),
-            trickle: Share(0.02),
+            ceiling: Ratio(0.8),
+            trickle: Ratio(0.02),
         }
     }
 }
@@ -61,15 +61,15 @@
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields, default)]
 struct ReturnText {
-    over: Time,
-    spread: Share,
+    over: HumanDuration,
+    spread: Ratio,
 }
 
 impl Default for ReturnText {
     fn default() -> Self {
         ReturnText {
-            over: Time(Duration::from_secs(60)),
-            spread: Share(0.25),
+            over: HumanDuration(Duration::from_secs(60)),
+            spread: Ratio(0.25),
         }
     }
 }
@@ -86,7 +86,7 @@
 
 /// Which zones a tier holds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Place {
+pub enum ZoneSelector {
     Own,
     Zone(usize),
     /// All that no earlier tier names.
@@ -94,13 +94,13 @@
 }
 
 #[derive(Debug, Clone, PartialEq)]
-pub struct PoolOrder {
+pub struct PoolConfig {
     pub name: String,
     /// An endpoint belongs if its id begins with one of these; with none named all do. The same for kinds.
     pub labels: Vec<String>,
     pub kinds: Vec<String>,
     pub weights: BTreeMap<String, f64>, // of kinds, on top of the list's; one if not named
-    pub tiers: Vec<Vec<Place>>,
+    pub tiers: Vec<Vec<ZoneSelector>>,
     pub headroom: f64, // a tier keeps all of its traffic while so many times its usable share is one
     pub most: f64,     // of the own rate, that may spill
     pub per_second: f64, // and no more than this
@@ -111,22 +111,22 @@
 }
 
 #[derive(Debug, Clone, PartialEq)]
-pub struct RouteOrder {
+pub struct RouteConfig {
     pub verbs: Vec<usize>, // none: all
     pub companies: Vec<usize>,
     pub pool: usize,
 }
 
 #[derive(Debug, Clone, PartialEq)]
-pub struct RouteOrders {
-    pub pools: Vec<PoolOrder>,
-    pub routes: Vec<RouteOrder>,
+pub struct RoutesConfig {
+    pub pools: Vec<PoolConfig>,
+    pub routes: Vec<RouteConfig>,
 }
 
-impl RouteOrders {
+impl RoutesConfig {
     /// The pool that serves a command: the first route that fits.
     pub fn pool_of(&self, verb: usize, company: Option<usize>) -> usize {
-        let fits = |route: &&RouteOrder| {
+        let fits = |route: &&RouteConfig| {
             (route.verbs.is_empty() || route.verbs.contains(&verb))
                 && (route.companies.is_empty()
                     || company.is_some_and(|c| route.companies.contains(&c)))
@@ -136,15 +136,15 @@
 }
 
 /// Reads a file of routes against the settings it is to work with.
-pub fn read(text: &str, orders: &StandingOrders) -> Result<RouteOrders, Wrong> {
+pub fn parse_routes(text: &str, orders: &BalancerConfig) -> Result<RoutesConfig, ConfigError> {
     let told: Text = toml::from_str(text)
-        .map_err(|e| Wrong::of(text, e.span().map(|s| s.start), e.message()))?;
-    let mut pools: Vec<PoolOrder> = Vec::new();
+        .map_err(|e| ConfigError::from_parser(text, e.span().map(|s| s.start), e.message()))?;
+    let mut pools: Vec<PoolConfig> = Vec::new();
     for pool in &told.pool {
         let wrong = |what: String| {
-            Err(Wrong {
-                line: line_of(text, pool.span().start),
-                what,
+            Err(ConfigError {
+                line: line_number(text, pool.span().start),
+                message: what,
             })
         };
         let p = pool.get_ref();
@@ -189,7 +189,7 @@
                 p.name
             ));
         }
-        pools.push(PoolOrder {
+        pools.push(PoolConfig {
             name: p.name.clone(),
             labels: p.labels.clone(),
             kinds: p.kinds.clone(),
@@ -204,12 +204,12 @@
             back_spread: p.way_back.spread.0,
         });
     }
-    let mut routes: Vec<RouteOrder> = Vec::new();
+    let mut routes: Vec<RouteConfig> = Vec::new();
     for route in &told.route {
         let wrong = |what: String| {
-            Err(Wrong {
-                line: line_of(text, route.span().start),
-                what,
+            Err(ConfigError {
+                line: line_number(text, route.span().start),
+                message: what,
             })
         };
         let r = route.get_ref();
@@ -225,19 +225,19 @@
         };
         let verbs = find(
             &r.verbs,
-            orders.verbs.iter().map(|v| v.name.as_str()).collect(),
+            orders.classes.iter().map(|v| v.name.as_str()).collect(),
             "verbs",
         );
         let companies = find(
             &r.companies,
-            orders.companies.iter().map(|c| c.name.as_str()).collect(),
+            orders.tenants.iter().map(|c| c.name.as_str()).collect(),
             "companies",
         );
         let (verbs, companies) = match (verbs, companies) {
             (Ok(verbs), Ok(companies)) => (verbs, companies),
             (Err(what), _) | (_, Err(what)) => return wrong(what),
         };
-        let hidden = |e: &RouteOrder| {
+        let hidden = |e: &RouteConfig| {
             let covers = |wide: &[usize], narrow: &[usize]| {
                 wide.is_empty() || (!narrow.is_empty() && narrow.iter().all(|n| wide.contains(n)))
             };
@@ -249,39 +249,40 @@
                 r.pool
             ));
         }
-        routes.push(RouteOrder {
+        routes.push(RouteConfig {
             verbs,
             companies,
             pool,
         });
     }
     // A command of no company, or of one that no route names, needs one that names none.
-    for (n, verb) in orders.verbs.iter().enumerate() {
-        let takes =
-            |r: &RouteOrder| r.companies.is_empty() && (r.verbs.is_empty() || r.verbs.contains(&n));
+    for (n, verb) in orders.classes.iter().enumerate() {
+        let takes = |r: &RouteConfig| {
+            r.companies.is_empty() && (r.verbs.is_empty() || r.verbs.contains(&n))
+        };
         if !routes.iter().any(takes) {
             let what = format!(
                 "route: none takes {} of any company; end with a route that names none",
                 verb.name
             );
-            return Err(Wrong {
-                line: line_of(text, told.route.last().map_or(0, |r| r.span().start)),
-                what,
+            return Err(ConfigError {
+                line: line_number(text, told.route.last().map_or(0, |r| r.span().start)),
+                message: what,
             });
         }
     }
     if let Some(n) = (0..pools.len()).find(|n| !routes.iter().any(|r| r.pool == *n)) {
-        let line = line_of(text, told.pool[n].span().start);
-        return Err(Wrong {
+        let line = line_number(text, told.pool[n].span().start);
+        return Err(ConfigError {
             line,
-            what: format!("pool {}: no route leads to it", pools[n].name),
+            message: format!("pool {}: no route leads to it", pools[n].name),
         });
     }
-    Ok(RouteOrders { pools, routes })
+    Ok(RoutesConfig { pools, routes })
 }
 
-fn tiers(pool: &PoolText, orders: &StandingOrders) -> Result<Vec<Vec<Place>>, String> {
-    let mut seen: Vec<Place> = Vec::new();
+fn tiers(pool: &PoolText, orders: &BalancerConfig) -> Result<Vec<Vec<ZoneSelector>>, String> {
+    let mut seen: Vec<ZoneSelector> = Vec::new();
     let mut tiers = Vec::new();
     if pool.tiers.is_empty() {
         return Err("none".into());
@@ -292,16 +293,16 @@
         }
         let mut tier = Vec::new();
         for name in names {
-            if seen.contains(&Place::Rest) {
+            if seen.contains(&ZoneSelector::Rest) {
                 return Err(format!(
                     "'{name}' stands behind \"*\", which holds all the rest"
                 ));
             }
             let place = match name.as_str() {
-                "own" => Place::Own,
-                "*" => Place::Rest,
+                "own" => ZoneSelector::Own,
+                "*" => ZoneSelector::Rest,
                 name => match orders.zones.iter().position(|z| z == name) {
-                    Some(zone) => Place::Zone(zone),
+                    Some(zone) => ZoneSelector::Zone(zone),
                     None => {
                         return Err(format!(
                             "unknown zone '{name}'; there are {}",
@@ -327,7 +328,7 @@
     use rstest::rstest;
 
     /// Two verbs, two companies, zones a to c; the sidecar stands in `a`.
-    pub fn orders() -> StandingOrders {
+    pub fn orders() -> BalancerConfig {
         let text = r#"{"verbs":[
             {"name":"look","effect":"read_like","response_goal":400000000,"time_limit":1000000000,"utility":1},
             {"name":"book","effect":"non_idempotent","response_goal":400000000,"time_limit":1000000000,"utility":4}],
@@ -335,7 +336,7 @@
             "dcs":["a","b","c"],"az":"a","discovery":"pushed","report":{"how":"piggyback"},
             "rules":{"cold_from":0.13,"warm_within":24000000000,"tip_multiple":2.5,"tip_after":2000000000},
             "allowed":{"max_relays":4,"may_cancel":true,"probes":true,"retry_after":true,"max_retry_after":2000000000}}"#;
-        passroad_orders::read(7, text).expect("settings")
+        passroad_orders::config_from_text(7, text).expect("settings")
     }
 
     const POOL: &str = "[[pool]]\nname = \"all\"\ntiers = [[\"own\"], [\"*\"]]\n";
@@ -343,8 +344,8 @@
 
     #[rstest]
     #[case::unknown_key(format!("{POOL}speed = 1\n{ROUTE}"), 4, "speed: unknown field")]
-    #[case::odd_share(format!("{POOL}spill = {{ most = \"40ms\" }}\n{ROUTE}"), 4, "'40ms' is no share")]
-    #[case::odd_time(format!("{POOL}return = {{ over = \"13%\" }}\n{ROUTE}"), 4, "is a share where a time is expected")]
+    #[case::odd_share(format!("{POOL}spill = {{ most = \"40ms\" }}\n{ROUTE}"), 4, "'40ms' is not a share")]
+    #[case::odd_time(format!("{POOL}return = {{ over = \"13%\" }}\n{ROUTE}"), 4, "is a share where a duration is expected")]
     #[case::no_zone(POOL.replace("\"*\"", "\"d\"") + ROUTE, 1, "unknown zone 'd'; there are a, b, c")]
     #[case::twice(POOL.replace("\"*\"", "\"own\"") + ROUTE, 1, "'own' is named twice")]
     #[case::behind_the_rest(POOL.replace("[\"*\"]", "[\"*\"], [\"b\"]") + ROUTE, 1, "stands behind \"*\"")]
@@ -365,8 +366,11 @@
         #[case] line: usize,
         #[case] what: &str,
     ) {
-        let wrong = read(&text, &orders()).expect_err("it is wrong");
-        assert!(wrong.line == line && wrong.what.contains(what), "{wrong}");
+        let wrong = parse_routes(&text, &orders()).expect_err("it is wrong");
+        assert!(
+            wrong.line == line && wrong.message.contains(what),
+            "{wrong}"
+        );
     }
 
     #[rstest]
@@ -384,7 +388,7 @@
             .concat();
         let routes = "[[route]]\npool = \"look\"\nverbs = [\"look\"]\n[[route]]\npool = \"acme\"\ncompanies = [\"acme\"]\n\
                       [[route]]\npool = \"rest\"\n";
-        let read = read(&format!("{pools}{routes}"), &orders()).expect("routes");
+        let read = parse_routes(&format!("{pools}{routes}"), &orders()).expect("routes");
         assert_eq!(read.pool_of(verb, company), pool);
     }
 }
--- a/crates/passroad/src/start.rs
+++ b/crates/passroad/src/start.rs
@@ -3,8 +3,8 @@
 use crate::Files;
 use crate::fleet;
 use crate::members::List;
-use passroad_choice::StandingOrders;
-use passroad_routes::RouteOrders;
+use passroad_choice::BalancerConfig;
+use passroad_routes::RoutesConfig;
 use serde::Deserialize;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -23,12 +23,12 @@
     pub sockets: usize,
     pub memory: usize, // bytes
     pub known: Option<List>,
-    pub orders: StandingOrders,
+    pub orders: BalancerConfig,
     /// Orders that are only watched: what they would have decided otherwise is counted.
     pub watch: Option<Watch>,
     pub connect_within: Duration,
     /// Which pool serves what, where a file says so.
-    pub routes: Option<RouteOrders>,
+    pub routes: Option<RoutesConfig>,
     /// Its part in the fleet, where a file asks for one.
     pub fleet: Option<(fleet::FleetOrders, fleet::Place)>,
     /// The whole file.
@@ -49,16 +49,16 @@
 }
 
 impl Pace {
-    pub fn of(orders: &StandingOrders) -> Self {
+    pub fn of(orders: &BalancerConfig) -> Self {
         let longest = orders
-            .verbs
+            .classes
             .iter()
-            .map(|v| v.limit)
+            .map(|v| v.time_limit)
             .max()
             .unwrap_or_default();
         let agent = (!orders.list_on_request).then_some(orders.drain_grace / 2);
         Pace {
-            hold: orders.ask_every / 4,
+            hold: orders.list_poll_interval / 4,
             longest,
             agent,
         }
@@ -75,7 +75,7 @@
 
 /// Settings of another shape, and how often the log says what they would have decided otherwise.
 pub struct Watch {
-    pub orders: StandingOrders,
+    pub orders: BalancerConfig,
     pub every: Duration,
 }
 
@@ -143,7 +143,7 @@
         let mut orders =
             fleet::read(&text).map_err(|wrong| format!("{}: {wrong}", path.display()))?;
         // As long as the settings say, where the file does not.
-        let warm = start.orders.warm_within;
+        let warm = start.orders.warm_up_time;
         orders
             .upkeep
             .iter_mut()
@@ -162,7 +162,7 @@
     } else {
         ""
     };
-    let (verbs, zones) = (start.orders.verbs.len(), start.orders.zones.len());
+    let (verbs, zones) = (start.orders.classes.len(), start.orders.zones.len());
     let routes = match &start.routes {
         Some(routes) => format!(
             "{} routes to {} pools",
@@ -192,9 +192,10 @@
 }
 
 /// Reads the file of routes that `LB_ROUTES` names, against the settings that it is to work with.
-fn read_routes(path: &Path, orders: &StandingOrders) -> Result<RouteOrders, String> {
+fn read_routes(path: &Path, orders: &BalancerConfig) -> Result<RoutesConfig, String> {
     let text = std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))?;
-    passroad_routes::read(&text, orders).map_err(|wrong| format!("{}: {wrong}", path.display()))
+    passroad_routes::parse_routes(&text, orders)
+        .map_err(|wrong| format!("{}: {wrong}", path.display()))
 }
 
 /// Caught from before the sidecar says that it is ready: by default the signal would end it.
@@ -246,7 +247,7 @@
 /// The configuration in force, and what of it stays so until the process ends.
 pub struct Kept {
     told: serde_json::Value,
-    routes: Option<RouteOrders>,
+    routes: Option<RoutesConfig>,
     discovery: watch::Sender<SocketAddr>,
     at_start: [(&'static str, serde_json::Value); 6],
 }
@@ -366,8 +367,8 @@
         sockets: told.limits.sockets,
         memory: (told.limits.memory_mb.clamp(1.0, 1e6) * 1e6) as usize,
         known: told.known,
-        connect_within: passroad_orders::connect_within(&told.settings)?,
-        orders: passroad_orders::from_value(seed, &told.settings)?,
+        connect_within: passroad_orders::connect_timeout(&told.settings)?,
+        orders: passroad_orders::config_from_value(seed, &told.settings)?,
         routes: None,
         fleet: None,
         name: told
@@ -398,7 +399,7 @@
     }
     let mut whole = settings.clone();
     lay_over(&mut whole, &watch.settings);
-    let orders = passroad_orders::from_value(seed, &whole)?;
+    let orders = passroad_orders::config_from_value(seed, &whole)?;
     Ok(Watch {
         orders,
         every: Duration::from_secs_f64(watch.every_s),
--- a/crates/passroad/tests/discovery.rs
+++ b/crates/passroad/tests/discovery.rs
@@ -5,7 +5,7 @@
 
 use harness::*;
 use passroad_choice::choice::Balancer;
-use passroad_choice::{Action, Event, ListKind};
+use passroad_choice::{Action, Event, ListUpdateKind};
 use rstest::rstest;
 use std::collections::VecDeque;
 use std::io::Write;
@@ -327,24 +327,24 @@
 
 fn balancer(seed: u64, settings: &str) -> Balancer {
     let settings = serde_json::from_str(settings).unwrap();
-    Balancer::new(passroad_orders::from_value(seed, &settings).unwrap())
+    Balancer::new(passroad_orders::config_from_value(seed, &settings).unwrap())
 }
 
 /// Reports a failed poll to the balancer; the wait until the next poll.
 fn wait_after_failed_poll(balancer: &mut Balancer, now: Duration) -> Duration {
-    let failed = Event::Listed {
-        kind: ListKind::Refused,
+    let failed = Event::ListUpdated {
+        kind: ListUpdateKind::Failed,
         entries: Vec::new(),
     };
     let actions = balancer.decide(now, failed);
     let wait = actions.iter().find_map(|action| match action {
-        Action::Alarm { after, token } => Some((*after, *token)),
+        Action::SetTimer { after, token } => Some((*after, *token)),
         _ => None,
     });
     let (wait, token) = wait.expect("a timer");
-    let actions = balancer.decide(now + wait, Event::Due { token });
+    let actions = balancer.decide(now + wait, Event::TimerFired { token });
     assert!(
-        actions.contains(&Action::Listen { active: true }),
+        actions.contains(&Action::Subscribe { active: true }),
         "{actions:?}"
     );
     wait
