--- a/crates/passroad/tests/cancellation.rs
+++ b/crates/passroad/tests/cancellation.rs
@@ -396,13 +396,13 @@
         .map(|(n, e)| member(&format!("s-{n}"), e.address, "up"))
         .collect();
     let address = unused_address();
-    let text = config_json(
+    let config = config_json(
         address,
         unused_address(),
         &known.join(","),
         &settings_with_cancellation(may_cancel),
     );
-    let sidecar = Sidecar::start(address, &text.replace("\"sockets\":64", "\"sockets\":48"));
+    let sidecar = Sidecar::start(address, &config.replace("\"sockets\":64", "\"sockets\":48"));
     let requests_received = || {
         endpoints
             .iter()
@@ -548,12 +548,12 @@
     sidecar.signal("TERM");
     let mut client = early.unwrap_or_else(|| send(&sidecar, first));
     client.get_mut().write_all(rest.as_bytes()).unwrap();
-    let kept = disconnect(client, disconnect_kind);
+    let half_closed = disconnect(client, disconnect_kind);
     let mut stays = send(&sidecar, &with_long_deadline(&post_book("stays")));
     sleep(PAUSE);
     sidecar.signal("CONT");
     assert_eq!(Message::read(&mut stays).unwrap().status(), "200");
-    drop(kept);
+    drop(half_closed);
     assert_eq!(sidecar.child.wait().unwrap().code(), Some(0));
     assert_eq!(
         (
--- a/crates/passroad/tests/descriptors.rs
+++ b/crates/passroad/tests/descriptors.rs
@@ -101,7 +101,7 @@
     #[case] lowered_limit: Option<usize>,
 ) {
     let (first, second) = (ok_endpoint("first"), ok_endpoint("second"));
-    let both = |phase| {
+    let members = |phase| {
         [
             member("s-1", first.address, phase),
             member("s-2", second.address, "up"),
@@ -116,9 +116,9 @@
         "\"connect_timeout\":250000000",
         "\"connect_timeout\":8000000000",
     );
-    let text = config_json(address, discovery, &both("up"), &settings)
+    let config = config_json(address, discovery, &members("up"), &settings)
         .replace("\"sockets\":64", &format!("\"sockets\":{configured_limit}"));
-    let sidecar = LimitedSidecar::start(address, &text, limit_at_start);
+    let sidecar = LimitedSidecar::start(address, &config, limit_at_start);
     lowered_limit
         .into_iter()
         .for_each(|limit| sidecar.set_descriptor_limit(limit));
@@ -143,7 +143,7 @@
     }
     let list = format!(
         r#"{{"revision":9,"complete":true,"members":[{}]}}"#,
-        both("draining")
+        members("draining")
     );
     let (returned_at, first_request_at) = (Instant::now(), start_discovery(discovery, list));
     wait_until(|| first_request_at.lock().unwrap().is_some());
--- a/crates/passroad/tests/disconnects/mod.rs
+++ b/crates/passroad/tests/disconnects/mod.rs
@@ -27,9 +27,9 @@
 /// Disconnects a client. A half-closed connection is returned, as it stays open until it is dropped.
 pub fn disconnect(
     mut client: BufReader<TcpStream>,
-    how: Disconnect,
+    kind: Disconnect,
 ) -> Option<BufReader<TcpStream>> {
-    match how {
+    match kind {
         Disconnect::Close => drop(client),
         Disconnect::Reset => {
             let socket = socket2::SockRef::from(client.get_ref());
@@ -53,16 +53,16 @@
 pub fn event_then_disconnect(
     sidecar: &Sidecar,
     client: BufReader<TcpStream>,
-    how: Disconnect,
+    kind: Disconnect,
     event: impl FnOnce(),
 ) -> Option<BufReader<TcpStream>> {
     sidecar.signal("STOP");
     event();
     sleep(20 * MS);
-    let kept = disconnect(client, how);
+    let half_closed = disconnect(client, kind);
     sleep(PAUSE);
     sidecar.signal("CONT");
-    kept
+    half_closed
 }
 
 /// Sends a request over a new connection, without waiting for the response.
@@ -102,7 +102,7 @@
 pub fn endpoint_failing_first_attempt(
     gate: &Gate,
     attempts: &Arc<AtomicUsize>,
-    how: FirstAttempt,
+    kind: FirstAttempt,
 ) -> FakeServer {
     let (gate, attempts) = (gate.clone(), attempts.clone());
     fake_server(move |message, to| {
@@ -111,7 +111,7 @@
             .is_some_and(|id| id.starts_with("left"));
         if fails && attempts.fetch_add(1, SeqCst) == 0 {
             gate.wait_until_open();
-            match how {
+            match kind {
                 FirstAttempt::Declined => respond_declined(to),
                 FirstAttempt::Failed => respond(to, "500 Oops", "", b""),
                 FirstAttempt::Reset => {
--- a/crates/passroad/tests/discovery.rs
+++ b/crates/passroad/tests/discovery.rs
@@ -87,14 +87,14 @@
 /// Two endpoints, the known list of the sidecar, and the next list, in which the first endpoint drains.
 fn endpoints_and_drain_list() -> (FakeServer, FakeServer, String, String) {
     let (first, second) = (ok_endpoint("first"), ok_endpoint("second"));
-    let both = |phase| {
+    let members = |phase| {
         [
             member("s-1", first.address, phase),
             member("s-2", second.address, "up"),
         ]
         .join(",")
     };
-    let (known, next_list) = (both("up"), list(9, true, &both("draining")));
+    let (known, next_list) = (members("up"), list(9, true, &members("draining")));
     (first, second, known, next_list)
 }
 
--- a/crates/passroad/tests/fleet.rs
+++ b/crates/passroad/tests/fleet.rs
@@ -305,8 +305,9 @@
     // The UDP address is not bound.
     drop(UdpSocket::bind(peers[0]).unwrap());
     let (address, management) = (unused_address(), unused_address());
-    let text = peer_config(1, &peers, address, management, false);
-    let (forbidden, log) = Sidecar::start_with_fleet(address, &text, &fleet_file(unused_address()));
+    let config = peer_config(1, &peers, address, management, false);
+    let (forbidden, log) =
+        Sidecar::start_with_fleet(address, &config, &fleet_file(unused_address()));
     assert!(!forbidden.thread_names().contains(&"fleet".to_string()));
     assert_eq!(fleet_status(management).0, "404");
     drop(UdpSocket::bind(peers[1]).unwrap());
@@ -327,14 +328,14 @@
     #[case] code: i32,
     #[case] message: &str,
 ) {
-    let (mut command, folder) = sidecar_command(&peer_config(
+    let (mut command, directory) = sidecar_command(&peer_config(
         0,
         &unused_udp_addresses(2),
         unused_address(),
         unused_address(),
         true,
     ));
-    let path = folder.join("fleet.toml");
+    let path = directory.join("fleet.toml");
     std::fs::write(&path, change(fleet_file(unused_address()))).unwrap();
     let output = command
         .arg("check")
@@ -342,7 +343,7 @@
         .arg(path)
         .output()
         .unwrap();
-    std::fs::remove_dir_all(folder).unwrap();
+    std::fs::remove_dir_all(directory).unwrap();
     let text = String::from_utf8_lossy(&[output.stdout, output.stderr].concat()).into_owned();
     assert!(
         output.status.code() == Some(code) && text.contains(message),
@@ -354,8 +355,8 @@
 #[rstest]
 fn state_file_is_kept_and_refused_to_another_sidecar() {
     let (resource, acts) = resource();
-    let (peers, folder) = (unused_udp_addresses(1), shared_directory());
-    let state = folder.0.join("state");
+    let (peers, directory) = (unused_udp_addresses(1), shared_directory());
+    let state = directory.0.join("state");
     let fleet_file = format!(
         "state = {:?}\n{}",
         state.display().to_string(),
@@ -436,7 +437,7 @@
             |(n, machine): (usize, &FakeServer)| member(&format!("s-{n}"), machine.address, "up");
         let known: Vec<String> = self.machines.iter().enumerate().map(listed).collect();
         let address = unused_address();
-        let text = peer_config_with_endpoints(
+        let config = peer_config_with_endpoints(
             n,
             &self.peers,
             address,
@@ -445,11 +446,11 @@
             &known.join(","),
         );
         // Held commands must not time out, even on a busy machine.
-        let text = text.replace(
+        let config = config.replace(
             "\"response_goal\":400000000,\"time_limit\":1000000000",
             "\"response_goal\":50000000000,\"time_limit\":60000000000",
         );
-        Sidecar::start_with_fleet(address, &text, MAINTENANCE_FILE).0
+        Sidecar::start_with_fleet(address, &config, MAINTENANCE_FILE).0
     }
 
     /// Runs `passroad work` against one sidecar; exit code and output.
--- a/crates/passroad/tests/long_bodies.rs
+++ b/crates/passroad/tests/long_bodies.rs
@@ -40,9 +40,9 @@
         .map(|(n, address)| member(&format!("s-{n}"), *address, "up"))
         .collect();
     let (address, list) = (unused_address(), list.join(","));
-    let text = config_json(address, unused_address(), &list, settings)
+    let config = config_json(address, unused_address(), &list, settings)
         .replace("\"sockets\":64", "\"sockets\":400,\"memory_mb\":8");
-    Sidecar::start(address, &text)
+    Sidecar::start(address, &config)
 }
 
 /// An endpoint that responds with the length of the request body.
--- a/crates/passroad/tests/management.rs
+++ b/crates/passroad/tests/management.rs
@@ -19,14 +19,14 @@
         unused_address(),
         fake_discovery(&list.join(",")),
     );
-    let text = config_json(
+    let config = config_json(
         address,
         discovery.server.address,
         &list.join(","),
         &long_deadline_settings(),
     );
     (
-        Sidecar::start(address, &with_management(&text, management)),
+        Sidecar::start(address, &with_management(&config, management)),
         management,
         discovery,
     )
@@ -75,14 +75,14 @@
     };
     (0..20).for_each(look);
     // It leaves the list, and comes back at once as just started.
-    let both = |phase: &str, started: u64| {
+    let members = |phase: &str, started: u64| {
         let first = member("s-1", endpoints[0].address, phase)
             .replace("since_ms\":0", &format!("since_ms\":{started}"));
         format!("{first},{}", member("s-2", endpoints[1].address, "up"))
     };
     for (n, phase) in ["removed", "up"].into_iter().enumerate() {
         let polls = discovery.server.request_count();
-        discovery.publish(2 + n as u64, both(phase, n as u64));
+        discovery.publish(2 + n as u64, members(phase, n as u64));
         // The next long poll shows that the list has been applied.
         wait_until(|| discovery.server.request_count() > polls);
         (20 * (n + 1)..20 * (n + 2)).for_each(look);
@@ -291,7 +291,7 @@
 #[case::duplicate_class(|text: &str| text.replace("\"seek\"", "\"book\""))]
 fn reload_of_an_invalid_file_changes_nothing(#[case] corrupt: fn(&str) -> String) {
     let endpoint = ok_endpoint("ok");
-    let (before, after) = (
+    let (old_discovery, new_discovery) = (
         fake_discovery(&member("s-1", endpoint.address, "up")),
         fake_discovery(""),
     );
@@ -300,16 +300,19 @@
         |settings: &str, discovery: SocketAddr| config_json(address, discovery, &list, settings);
     let sidecar = Sidecar::start(
         address,
-        &config(&long_deadline_settings(), before.server.address),
+        &config(&long_deadline_settings(), old_discovery.server.address),
+    );
+    let invalid = corrupt(&config(&changed_settings(), new_discovery.server.address));
+    assert_ne!(
+        invalid,
+        config(&changed_settings(), new_discovery.server.address)
     );
-    let invalid = corrupt(&config(&changed_settings(), after.server.address));
-    assert_ne!(invalid, config(&changed_settings(), after.server.address));
     sidecar.reload(&invalid);
     // A valid reload follows: once it is applied, the invalid file has been read. Only the valid one may change discovery.
     let last = fake_discovery(&member("s-1", endpoint.address, "up"));
     sidecar.reload(&config(&long_deadline_settings(), last.server.address));
     wait_until(|| last.server.request_count() > 0);
-    assert_eq!(after.server.request_count(), 0);
+    assert_eq!(new_discovery.server.request_count(), 0);
     assert_eq!(
         sidecar
             .request(&with_long_deadline(
--- a/crates/passroad/tests/races.rs
+++ b/crates/passroad/tests/races.rs
@@ -21,8 +21,8 @@
     CloseAfterNextRequestLine,
 }
 
-fn disconnect(mut client: BufReader<TcpStream>, how: Disconnect) -> Option<BufReader<TcpStream>> {
-    match how {
+fn disconnect(mut client: BufReader<TcpStream>, kind: Disconnect) -> Option<BufReader<TcpStream>> {
+    match kind {
         Disconnect::Close => drop(client),
         Disconnect::Reset => {
             let socket = socket2::SockRef::from(client.get_ref());
@@ -57,7 +57,7 @@
 #[case::half_close(Disconnect::HalfClose)]
 #[case::close_after_next_request_line(Disconnect::CloseAfterNextRequestLine)]
 fn command_of_a_client_that_disconnected_during_a_process_pause_is_not_sent(
-    #[case] how: Disconnect,
+    #[case] kind: Disconnect,
 ) {
     let endpoint = ok_endpoint("ok");
     let sidecar = start_sidecar_with(
@@ -92,7 +92,7 @@
                     .get_mut()
                     .write_all(with_long_deadline(&command).as_bytes())
                     .unwrap();
-                disconnect(client, how)
+                disconnect(client, kind)
             })
             .collect();
         sidecar.signal("CONT");
@@ -390,7 +390,7 @@
     );
     let known = member("s-1", delayed.address, "up");
     let discovery = fake_discovery(&known);
-    let text = config_json(
+    let config = config_json(
         address,
         discovery.server.address,
         &known,
@@ -399,7 +399,7 @@
     let sidecar = Sidecar::start(
         address,
         &with_management(
-            &text.replace("\"sockets\":64", "\"sockets\":256"),
+            &config.replace("\"sockets\":64", "\"sockets\":256"),
             management,
         ),
     );
@@ -468,11 +468,11 @@
 #[rstest]
 fn open_long_poll_is_kept_when_the_balancer_asks_to_poll_again() {
     let (first, second) = (ok_endpoint("first"), ok_endpoint("second"));
-    let both = [("s-1", &first), ("s-2", &second)]
+    let members = [("s-1", &first), ("s-2", &second)]
         .map(|(id, endpoint)| member(id, endpoint.address, "up"))
         .join(",");
     let refusing = scripted_discovery(|_, _, to| respond(to, "503 Busy", "", b""));
-    let (known, draining) = (both.clone(), member("s-1", first.address, "draining"));
+    let (known, draining) = (members.clone(), member("s-1", first.address, "draining"));
     let answering = scripted_discovery(move |target, _, to| match target {
         "/v1/servers" => respond_list(to, &full_list(5, &known)),
         // The balancer polls again 0.5 to 1.5 s after a refusal.
@@ -483,7 +483,8 @@
         _ => {}
     });
     let address = unused_address();
-    let config = |discovery| config_json(address, discovery, &both, &settings_polling_every(8000));
+    let config =
+        |discovery| config_json(address, discovery, &members, &settings_polling_every(8000));
     let sidecar = Sidecar::start(address, &config(refusing.address));
     wait_until(|| refusing.request_count() == 1);
     sidecar.reload(&config(answering.address));
@@ -507,26 +508,32 @@
 #[rstest]
 fn response_of_the_old_discovery_counts_until_the_new_one_has_answered() {
     let (first, second) = (ok_endpoint("first"), ok_endpoint("second"));
-    let both = [("s-1", &first), ("s-2", &second)]
+    let members = [("s-1", &first), ("s-2", &second)]
         .map(|(id, endpoint)| member(id, endpoint.address, "up"))
         .join(",");
     let gate = Gate::default();
     let (handler_gate, draining) = (gate.clone(), member("s-1", first.address, "draining"));
-    let before = scripted_discovery(move |_, _, to| {
+    let old_discovery = scripted_discovery(move |_, _, to| {
         handler_gate.wait_until_open();
         respond_list(to, &delta_list(2, &draining));
     });
-    let after = scripted_discovery(|_, _, _| {});
+    let new_discovery = scripted_discovery(|_, _, _| {});
     let address = unused_address();
-    let config =
-        |discovery| config_json(address, discovery, &both, &settings_polling_every(40_000));
-    let sidecar = Sidecar::start(address, &config(before.address));
-    wait_until(|| before.request_count() == 1);
-    sidecar.reload(&config(after.address));
-    wait_until(|| after.request_count() == 1);
+    let config = |discovery| {
+        config_json(
+            address,
+            discovery,
+            &members,
+            &settings_polling_every(40_000),
+        )
+    };
+    let sidecar = Sidecar::start(address, &config(old_discovery.address));
+    wait_until(|| old_discovery.request_count() == 1);
+    sidecar.reload(&config(new_discovery.address));
+    wait_until(|| new_discovery.request_count() == 1);
     gate.open();
     wait_until_all_go_to(&sidecar, b"second");
-    assert_eq!(after.request_count(), 1);
+    assert_eq!(new_discovery.request_count(), 1);
 }
 
 // The answer to a long poll comes after its timeout. The full list has been requested by then, and that request is never answered.
@@ -535,7 +542,7 @@
 #[case::at_once(true)]
 fn late_response_to_a_timed_out_long_poll_is_applied(#[case] at_once: bool) {
     let (first, second) = (ok_endpoint("first"), ok_endpoint("second"));
-    let both = [("s-1", &first), ("s-2", &second)]
+    let members = [("s-1", &first), ("s-2", &second)]
         .map(|(id, endpoint)| member(id, endpoint.address, "up"))
         .join(",");
     let gate = Gate::default();
@@ -547,7 +554,7 @@
         }
     });
     let sidecar = start_sidecar_with(
-        &both,
+        &members,
         discovery.address,
         &settings_polling_every(40_000).replace("on_request", "pushed"),
     );
@@ -576,7 +583,7 @@
 #[rstest]
 fn with_pushed_lists_a_silent_agent_is_polled_again_at_once() {
     let (first, second) = (ok_endpoint("first"), ok_endpoint("second"));
-    let both = [("s-1", &first), ("s-2", &second)]
+    let members = [("s-1", &first), ("s-2", &second)]
         .map(|(id, endpoint)| member(id, endpoint.address, "up"))
         .join(",");
     let draining = member("s-1", first.address, "draining");
@@ -589,7 +596,7 @@
     });
     // The next poll of the balancer is more than a minute away.
     let settings = settings_polling_every(4_000_000).replace("on_request", "pushed");
-    let sidecar = start_sidecar_with(&both, agent.address, &settings);
+    let sidecar = start_sidecar_with(&members, agent.address, &settings);
     wait_until_all_go_to(&sidecar, b"second");
     wait_until(|| agent.request_count() > 2);
     let targets: Vec<_> = agent
--- a/crates/passroad/tests/sidecar.rs
+++ b/crates/passroad/tests/sidecar.rs
@@ -481,19 +481,19 @@
 #[rstest]
 fn commands_stay_in_the_own_zone_until_it_drains() {
     let (own_zone, other_zone) = (ok_endpoint("home"), ok_endpoint("away"));
-    let both = |phase| {
+    let members = |phase| {
         let far = member("s-2", other_zone.address, "up")
             .replace("\"locality\":\"a\"", "\"locality\":\"b\"");
         format!("{},{far}", member("s-1", own_zone.address, phase))
     };
-    let discovery = fake_discovery(&both("up"));
+    let discovery = fake_discovery(&members("up"));
     let settings = SETTINGS.replace("\"dcs\":[\"a\"]", "\"dcs\":[\"a\",\"b\"]");
     let address = unused_address();
-    let text = config_json(address, discovery.server.address, &both("up"), &settings);
-    let sidecar = Sidecar::start_with_routes(address, &text, ROUTES);
+    let config = config_json(address, discovery.server.address, &members("up"), &settings);
+    let sidecar = Sidecar::start_with_routes(address, &config, ROUTES);
     wait_until(|| discovery.server.request_count() > 0);
     assert!((0..40).all(|n| sidecar.request(&get_look(&n.to_string())).body == b"home"));
-    discovery.publish(2, both("draining"));
+    discovery.publish(2, members("draining"));
     let next_poll = |request: &Message| request.target().contains("from=2&");
     wait_until(|| {
         discovery
@@ -523,12 +523,12 @@
         .collect::<Vec<_>>()
         .join(",");
     let address = unused_address();
-    let text = config_json(address, unused_address(), &list, SETTINGS).replacen(
+    let config = config_json(address, unused_address(), &list, SETTINGS).replacen(
         "\"settings\"",
         SHADOW_SETTINGS,
         1,
     );
-    let (mut command, directory) = sidecar_command(&text);
+    let (mut command, directory) = sidecar_command(&config);
     let child = command.env("RUST_LOG", "info").spawn().unwrap();
     wait_until(|| is_ready(address));
     let mut client = std::io::BufReader::new(std::net::TcpStream::connect(address).unwrap());
@@ -592,13 +592,13 @@
     #[case] watch: &str,
     #[case] error: &str,
 ) {
-    let text = config_json(unused_address(), unused_address(), "", SETTINGS);
-    let text = text.replacen(
+    let config = config_json(unused_address(), unused_address(), "", SETTINGS);
+    let config = config.replacen(
         "\"settings\"",
         &format!("\"watch\":{watch},\"settings\""),
         1,
     );
-    let (mut command, directory) = sidecar_command(&text);
+    let (mut command, directory) = sidecar_command(&config);
     let output = command.output().unwrap();
     let stderr = String::from_utf8(output.stderr).unwrap();
     let _ = std::fs::remove_dir_all(directory);
@@ -731,7 +731,7 @@
     let recorded_rests = Arc::clone(&rests);
     let endpoint = fake_server(move |command, to| {
         let (mut answered, client) = (answered.lock().unwrap(), to.peer_addr().unwrap());
-        if command.header("req-id").as_deref() == Some("spoilt") {
+        if command.header("req-id").as_deref() == Some("malformed") {
             let _ = to.write_all(b"noise\r\n\r\n");
             return false;
         }
@@ -747,7 +747,7 @@
     let mut client = sidecar.connect();
     assert!(
         !malformed_response
-            || round_trip(&mut client, &post_book("spoilt"))
+            || round_trip(&mut client, &post_book("malformed"))
                 .unwrap()
                 .status()
                 == "502"
@@ -1190,18 +1190,18 @@
 #[case("removed")]
 fn draining_or_removed_endpoint_gets_no_more_commands(#[case] phase: &str) {
     let (first, second) = (ok_endpoint("first"), ok_endpoint("second"));
-    let both = |phase| {
+    let members = |phase| {
         format!(
             "{},{}",
             member("s-1", first.address, phase),
             member("s-2", second.address, "up")
         )
     };
-    let discovery = fake_discovery(&both("up"));
-    let sidecar = start_sidecar_with(&both("up"), discovery.server.address, SETTINGS);
+    let discovery = fake_discovery(&members("up"));
+    let sidecar = start_sidecar_with(&members("up"), discovery.server.address, SETTINGS);
     wait_until(|| discovery.server.request_count() > 0);
     wait_until(|| sidecar.request(&get_look("a")).body == b"first");
-    discovery.publish(2, both(phase));
+    discovery.publish(2, members(phase));
     // The next long poll starts from revision 2: the list has been applied.
     let next_poll = |request: &Message| request.target().contains("from=2&");
     wait_until(|| {
@@ -1439,9 +1439,9 @@
     let endpoint = ok_endpoint("ok");
     let discovery = fake_discovery(&member("s-1", endpoint.address, "up"));
     let address = unused_address();
-    let text = config_json(address, discovery.server.address, "", SETTINGS)
+    let config = config_json(address, discovery.server.address, "", SETTINGS)
         .replace("\"known\":", "\"unknown\":");
-    let sidecar = Sidecar::start(address, &text);
+    let sidecar = Sidecar::start(address, &config);
     wait_until(|| sidecar.request(&get_look("a")).status() == "200");
     assert_eq!(
         discovery.server.requests.lock().unwrap()[0].target(),
@@ -1492,26 +1492,26 @@
     });
     let new = ok_endpoint("new");
     let known = member("s-1", old.address, "up");
-    let [before, after] = [
+    let [old_discovery, new_discovery] = [
         fake_discovery(&known),
         fake_discovery(&member("s-2", new.address, "up")),
     ];
-    after.set_revision(revision);
+    new_discovery.set_revision(revision);
     let address = unused_address();
     let config = |discovery| config_json(address, discovery, &known, &long_deadline_settings());
-    let sidecar = Sidecar::start(address, &config(before.server.address));
-    wait_until(|| before.server.request_count() > 0);
+    let sidecar = Sidecar::start(address, &config(old_discovery.server.address));
+    wait_until(|| old_discovery.server.request_count() > 0);
     let mut busy = sidecar.connect();
     busy.get_mut()
         .write_all(with_long_deadline(&post_book("a")).as_bytes())
         .unwrap();
     wait_until(|| old.request_count() == 1);
     sidecar.reload("{");
-    sidecar.reload(&config(after.server.address));
-    wait_until(|| before.server.open_connections.load(SeqCst) == 0);
-    wait_until(|| after.server.request_count() > 1);
+    sidecar.reload(&config(new_discovery.server.address));
+    wait_until(|| old_discovery.server.open_connections.load(SeqCst) == 0);
+    wait_until(|| new_discovery.server.request_count() > 1);
     assert_eq!(
-        after.server.requests.lock().unwrap()[0].target(),
+        new_discovery.server.requests.lock().unwrap()[0].target(),
         "/v1/servers"
     );
     assert_eq!(
--- a/crates/passroad/tests/upgrades.rs
+++ b/crates/passroad/tests/upgrades.rs
@@ -18,7 +18,7 @@
     endpoints: [FakeServer; 2],
     _discovery: FakeDiscovery,
     address: SocketAddr,
-    text: String,
+    config: String,
     shared: SharedDirectory,
 }
 
@@ -31,7 +31,7 @@
             member("s-2", endpoints[1].address, "up")
         );
         let (address, discovery) = (unused_address(), fake_discovery(&list));
-        let text = config_json(
+        let config = config_json(
             address,
             discovery.server.address,
             &list,
@@ -42,7 +42,7 @@
             endpoints,
             _discovery: discovery,
             address,
-            text,
+            config,
             shared: shared_directory(),
         }
     }
@@ -53,7 +53,7 @@
             Sidecar::start_with_shared_directory(
                 self.address,
                 management,
-                &self.text,
+                &self.config,
                 &self.shared.0,
             ),
             management,
@@ -267,21 +267,21 @@
         true
     });
     let (address, shared) = (unused_address(), shared_directory());
-    let text = config_json(
+    let config = config_json(
         address,
         unused_address(),
         &member("s-1", endpoint.address, "up"),
         &long_deadline_settings(),
     );
-    let text = text.replace("\"sockets\":64", "\"sockets\":256");
-    let old = Sidecar::start_with_shared_directory(address, unused_address(), &text, &shared.0);
+    let config = config.replace("\"sockets\":64", "\"sockets\":256");
+    let old = Sidecar::start_with_shared_directory(address, unused_address(), &config, &shared.0);
     let mut first = old.connect();
     first
         .get_mut()
         .write_all(with_long_deadline(&post_book("a")).as_bytes())
         .unwrap();
     wait_until(|| endpoint.request_count() == 1);
-    let new = Sidecar::start_with_shared_directory(address, unused_address(), &text, &shared.0);
+    let new = Sidecar::start_with_shared_directory(address, unused_address(), &config, &shared.0);
     wait_until(|| new.request(&with_long_deadline(&post_book("a"))).status() == "409");
     assert_eq!(endpoint.request_count(), 1);
     gate.open();
@@ -388,14 +388,14 @@
         true
     });
     let (address, shared) = (unused_address(), shared_directory());
-    let text = config_json(
+    let config = config_json(
         address,
         unused_address(),
         &member("s-1", endpoint.address, "up"),
         &long_deadline_settings(),
     );
-    let text = text.replace("\"sockets\":64", "\"sockets\":256");
-    let old = Sidecar::start_with_shared_directory(address, unused_address(), &text, &shared.0);
+    let config = config.replace("\"sockets\":64", "\"sockets\":256");
+    let old = Sidecar::start_with_shared_directory(address, unused_address(), &config, &shared.0);
     let mut first = old.connect();
     first
         .get_mut()
@@ -407,7 +407,7 @@
         address.to_string().replace(':', "-")
     ));
     let proxy = withhold_lines(&socket);
-    let new = Sidecar::start_with_shared_directory(address, unused_address(), &text, &shared.0);
+    let new = Sidecar::start_with_shared_directory(address, unused_address(), &config, &shared.0);
     let _link = proxy.join().unwrap();
     // The old process has not been told to stop, so either may accept a client; both know the id.
     for _ in 0..30 {
