--- a/crates/passroad/tests/cancellation.rs
+++ b/crates/passroad/tests/cancellation.rs
@@ -1,6 +1,7 @@
-//! After a client has closed, reset or half-closed its connection, no attempt of its request starts any more: not the first, no
-//! retry and no hedge, wherever it waited. The process is paused for 150 ms between the disconnect and the moment at which it
-//! would have sent the attempt, so that it finds both at once when it continues. See `docs/crossings.md`.
+//! After a client has closed, reset or half-closed its connection, no attempt of its request starts
+//! any more: not the first, no retry and no hedge, wherever it waited. The process is paused for
+//! 150 ms between the disconnect and the moment at which it would have sent the attempt, so that it
+//! finds both at once when it continues. See `docs/crossings.md`.
 
 mod disconnects;
 mod harness;
@@ -14,7 +15,8 @@
 use std::sync::atomic::{AtomicUsize, Ordering::SeqCst};
 use std::thread::sleep;
 
-/// Where attempts may not be cancelled, only the check right before the send keeps them from starting.
+/// Where attempts may not be cancelled, only the check right before the send keeps them from
+/// starting.
 fn settings_with_cancellation(may_cancel: bool) -> String {
     slow_connect_settings().replace(
         "\"may_cancel\":true",
@@ -57,8 +59,8 @@
 
 // ---- retries ----
 
-// The process finds the result of the first attempt and the disconnect at once. The retry would need a new connection, or an idle
-// one that still rests before reuse.
+// The process finds the result of the first attempt and the disconnect at once. The retry would
+// need a new connection, or an idle one that still rests before reuse.
 #[rstest]
 fn no_retry_starts_after_the_client_disconnected(
     #[values(FirstAttempt::Declined, FirstAttempt::Failed, FirstAttempt::Reset)]
@@ -70,7 +72,7 @@
         Disconnect::AfterNextRequest
     )]
     disconnect_kind: Disconnect,
-    #[values(false, true)] kept: bool,
+    #[values(false, true)] idle_connections: bool,
     #[values(false, true)] may_cancel: bool,
 ) {
     for _ in 0..ROUNDS {
@@ -84,7 +86,7 @@
             unused_address(),
             &settings_with_cancellation(may_cancel),
         );
-        if kept {
+        if idle_connections {
             warm_up(&sidecar, [&one, &other]);
         }
         let client = send(&sidecar, &retryable_request(first, "left"));
@@ -165,7 +167,8 @@
     (sidecar, client, delayed)
 }
 
-// The connect of the retry completes after the client has disconnected, or the process finds both at once.
+// The connect of the retry completes after the client has disconnected, or the process finds both
+// at once.
 #[rstest]
 fn late_connection_of_a_retry_carries_no_command_of_a_disconnected_client(
     #[values(
@@ -201,8 +204,9 @@
     );
 }
 
-// All endpoints refuse connections, and the request waits for the end of the backoff. Then an endpoint accepts connections again,
-// and the process finds the end of the backoff and the disconnect at once.
+// All endpoints refuse connections, and the request waits for the end of the backoff. Then an
+// endpoint accepts connections again, and the process finds the end of the backoff and the
+// disconnect at once.
 #[rstest]
 #[case::close(Some(Disconnect::Close))]
 #[case::reset(Some(Disconnect::Reset))]
@@ -213,7 +217,8 @@
     #[case] disconnect_kind: Option<Disconnect>,
 ) {
     let address = unused_address();
-    // The backoff follows the shortest deadline target of all classes; a request may wait for a quarter of its own.
+    // The backoff follows the shortest deadline target of all classes; a request may wait for a
+    // quarter of its own.
     let settings = settings_with_cancellation(false).replacen(
         "\"response_goal\":5000000000",
         "\"response_goal\":400000000",
@@ -260,7 +265,8 @@
     slow_connect_settings().replace("\"second_copies\":false", "\"second_copies\":true")
 }
 
-/// An endpoint that answers after 150 ms, so that a hedge is due some time after the first attempt. `left` is never answered.
+/// An endpoint that answers after 150 ms, so that a hedge is due some time after the first attempt.
+/// `left` is never answered.
 fn slow_endpoint(attempts: &Arc<AtomicUsize>) -> FakeServer {
     let attempts = Arc::clone(attempts);
     fake_server(move |message, to| {
@@ -305,7 +311,8 @@
     let attempts = Arc::<AtomicUsize>::default();
     let (sidecar, ..) = start_with_known_latency(&settings_with_hedging(), &attempts);
     let mut rounds = 0;
-    // On a busy machine the hedge may have been sent before the process was paused; such rounds do not count.
+    // On a busy machine the hedge may have been sent before the process was paused; such rounds do
+    // not count.
     for n in 0..40 {
         attempts.store(0, SeqCst);
         let client = send(
@@ -345,8 +352,8 @@
 
 // ---- waiting for a connect permit ----
 
-// All connections to endpoints are in use. The process finds the end of one and the disconnect of the client whose command waits
-// for it at once.
+// All connections to endpoints are in use. The process finds the end of one and the disconnect of
+// the client whose command waits for it at once.
 #[rstest]
 fn command_waiting_for_a_connect_permit_is_not_sent_after_its_client_disconnected(
     #[values(false, true)] retry: bool,
@@ -509,8 +516,8 @@
 
 // ---- during shutdown ----
 
-// Half of the body was read before, or the connection waits in the backlog. A connection to the endpoint is idle, so only the check
-// right before the send can keep the attempt from starting.
+// Half of the body was read before, or the connection waits in the backlog. A connection to the
+// endpoint is idle, so only the check right before the send can keep the attempt from starting.
 #[rstest]
 fn command_of_a_client_that_disconnected_during_shutdown_does_not_start(
     #[values(false, true)] half_read: bool,
@@ -576,8 +583,9 @@
     )
 }
 
-// Prevents an undetected disconnect: only hyper knows the end of a chunked body, and while a next request is in its buffer it
-// reads nothing more from the socket, not even the end of the connection.
+// Prevents an undetected disconnect: only hyper knows the end of a chunked body, and while a next
+// request is in its buffer it reads nothing more from the socket, not even the end of the
+// connection.
 #[rstest]
 fn disconnect_behind_a_pipelined_request_is_detected(
     #[values(false, true)] retry: bool,
@@ -617,7 +625,8 @@
     drop(half_closed);
 }
 
-// A long body is read as it is forwarded. Its client disconnects halfway, behind bytes that wait for the connect to complete.
+// A long body is read as it is forwarded. Its client disconnects halfway, behind bytes that wait
+// for the connect to complete.
 #[rstest]
 #[case::close(Disconnect::Close)]
 #[case::reset(Disconnect::Reset)]
@@ -657,9 +666,10 @@
 
 // ---- a connection that another request still uses ----
 
-// Prevents a wrong failure: the end of a long response is read from the endpoint before the slow client has read the rest. The
-// connection used to be given the next request at that point; that request was sent without the check before the send, and failed
-// although the endpoint was working on it.
+// Prevents a wrong failure: the end of a long response is read from the endpoint before the slow
+// client has read the rest. The connection used to be given the next request at that point; that
+// request was sent without the check before the send, and failed although the endpoint was working
+// on it.
 #[rstest]
 fn request_is_not_sent_over_a_connection_still_used_by_a_slow_reader() {
     const CHUNK_BYTES: usize = 0x6000;
@@ -699,7 +709,8 @@
         unused_address(),
         &slow_connect_settings(),
     );
-    // The status of a request that follows a long response which nobody reads, and whether it used the same connection.
+    // The status of a request that follows a long response which nobody reads, and whether it used
+    // the same connection.
     let request_after_long_response = |chunks: usize| {
         let socket =
             socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
@@ -713,7 +724,8 @@
         let same = response.body == long_response_port.load(SeqCst).to_string().as_bytes();
         (response.status().to_string(), same)
     };
-    // Bisect how many chunks fit into the buffers on the way before the slow client blocks the response.
+    // Bisect how many chunks fit into the buffers on the way before the slow client blocks the
+    // response.
     let (mut buffered, mut blocked) = (2, 1000);
     while blocked - buffered > 2 {
         let half = (buffered + blocked) / 2;
--- a/crates/passroad/tests/descriptors.rs
+++ b/crates/passroad/tests/descriptors.rs
@@ -12,14 +12,15 @@
 use std::thread::{sleep, spawn};
 use std::time::{Duration, Instant};
 
-/// Not a test: it does nothing unless `IdleClients` started this process to hold client connections.
+/// Not a test: it does nothing unless `IdleClients` started this process to hold client
+/// connections.
 #[test]
 fn idle_client_process() {
     idle_clients::run_child();
 }
 
-/// Starts a discovery server that sends a list and leaves long polls from its revision waiting. Returns when the first request
-/// arrived.
+/// Starts a discovery server that sends a list and leaves long polls from its revision waiting.
+/// Returns when the first request arrived.
 fn start_discovery(address: SocketAddr, list: String) -> Arc<Mutex<Option<Instant>>> {
     let (first_request_at, listener) = (
         Arc::<Mutex<Option<Instant>>>::default(),
@@ -44,7 +45,8 @@
     first_request_at
 }
 
-/// Sends one request over a new connection, right after the connect as clients do; the status and body of the response.
+/// Sends one request over a new connection, right after the connect as clients do; the status and
+/// body of the response.
 fn request(address: SocketAddr, id: &str) -> Option<(String, Vec<u8>)> {
     let mut stream = TcpStream::connect(address).ok()?;
     stream
@@ -66,7 +68,8 @@
 }
 
 impl Requests {
-    /// Sends the next request; the body of its response. A refused request (503) is sent again, as clients do.
+    /// Sends the next request; the body of its response. A refused request (503) is sent again, as
+    /// clients do.
     fn next(&mut self) -> Vec<u8> {
         let start = Instant::now();
         let body = loop {
@@ -85,9 +88,10 @@
     }
 }
 
-// Idle clients use up the client places while discovery is down and other clients send requests. Then discovery is back and has a
-// drain to report: the sidecar must still have a descriptor for its long poll. The descriptor limit of the process equals the
-// configured one or is lower, or it is lowered after the start, so that the sidecar notices only when accept fails.
+// Idle clients use up the client places while discovery is down and other clients send requests.
+// Then discovery is back and has a drain to report: the sidecar must still have a descriptor for
+// its long poll. The descriptor limit of the process equals the configured one or is lower, or it
+// is lowered after the start, so that the sidecar notices only when accept fails.
 #[rstest]
 #[case::limit_512(512, 512, None)]
 #[case::limit_1024(1024, 1024, None)]
@@ -111,7 +115,8 @@
     let (address, discovery) = (unused_address(), unused_address());
     let settings =
         long_deadline_settings().replace("\"ask_every\":400000000", "\"ask_every\":10000000000");
-    // A delay of a busy machine is not mistaken for an unreachable endpoint: connects have 2 s, probes 1.6 s.
+    // A delay of a busy machine is not mistaken for an unreachable endpoint: connects have 2 s,
+    // probes 1.6 s.
     let settings = settings.replace(
         "\"connect_timeout\":250000000",
         "\"connect_timeout\":8000000000",
@@ -132,7 +137,8 @@
         refused: 0,
         slowest: Duration::ZERO,
     };
-    // Longer than the time limit of a request, so that the idle clients are there for as long as any request may wait.
+    // Longer than the time limit of a request, so that the idle clients are there for as long as
+    // any request may wait.
     while start.elapsed() < Duration::from_secs(9) {
         requests.next();
         assert!(
--- a/crates/passroad/tests/disconnects/mod.rs
+++ b/crates/passroad/tests/disconnects/mod.rs
@@ -1,4 +1,5 @@
-//! Clients that disconnect while their command is open, and endpoints whose response or connection is delayed.
+//! Clients that disconnect while their command is open, and endpoints whose response or connection
+//! is delayed.
 
 #![allow(dead_code)] // each test file uses only some of this
 
@@ -10,7 +11,8 @@
 use std::thread::{JoinHandle, sleep, spawn};
 use std::time::Duration;
 
-/// How long the sidecar stays paused (SIGSTOP) between the disconnect and the moment at which it would have sent an attempt.
+/// How long the sidecar stays paused (SIGSTOP) between the disconnect and the moment at which it
+/// would have sent an attempt.
 pub const PAUSE: Duration = Duration::from_millis(150);
 
 /// How a client disconnects.
@@ -24,7 +26,8 @@
     AfterNextRequest,
 }
 
-/// Disconnects a client. A half-closed connection is returned, as it stays open until it is dropped.
+/// Disconnects a client. A half-closed connection is returned, as it stays open until it is
+/// dropped.
 pub fn disconnect(
     mut client: BufReader<TcpStream>,
     kind: Disconnect,
@@ -49,7 +52,8 @@
     None
 }
 
-/// Pauses the sidecar, runs `event`, then disconnects the client, so that the sidecar finds both at once when it continues.
+/// Pauses the sidecar, runs `event`, then disconnects the client, so that the sidecar finds both at
+/// once when it continues.
 pub fn event_then_disconnect(
     sidecar: &Sidecar,
     client: BufReader<TcpStream>,
@@ -97,8 +101,9 @@
     Hangs,
 }
 
-/// An endpoint that answers at once, except for requests whose id begins with `left`: their first attempt, counted over all
-/// endpoints that share `attempts`, waits at the gate and then fails; further attempts are answered.
+/// An endpoint that answers at once, except for requests whose id begins with `left`: their first
+/// attempt, counted over all endpoints that share `attempts`, waits at the gate and then fails;
+/// further attempts are answered.
 pub fn endpoint_failing_first_attempt(
     gate: &Gate,
     attempts: &Arc<AtomicUsize>,
@@ -144,8 +149,8 @@
         }
     }
 
-    /// Accepts all connections for several seconds, as the kernel retries a SYN after one, two and four seconds. Returns the
-    /// bytes received over them.
+    /// Accepts all connections for several seconds, as the kernel retries a SYN after one, two and
+    /// four seconds. Returns the bytes received over them.
     pub fn accept_and_read(self) -> JoinHandle<Vec<u8>> {
         spawn(move || {
             self.listener.set_nonblocking(true).unwrap();
@@ -183,7 +188,8 @@
     String::from_utf8_lossy(received).contains(&format!("req-id: {id}\r\n"))
 }
 
-/// Whether a socket of this machine is connecting to the address (state SYN_SENT in `/proc/net/tcp`).
+/// Whether a socket of this machine is connecting to the address (state SYN_SENT in
+/// `/proc/net/tcp`).
 pub fn is_connecting(to: SocketAddr) -> bool {
     let SocketAddr::V4(to) = to else {
         unreachable!()
@@ -211,7 +217,8 @@
         .join(",")
 }
 
-/// Starts an endpoint that answers every command, at a given address; returns the request ids that it receives.
+/// Starts an endpoint that answers every command, at a given address; returns the request ids that
+/// it receives.
 pub fn ok_endpoint_at(address: SocketAddr) -> Arc<Mutex<Vec<String>>> {
     let (listener, request_ids) = (
         TcpListener::bind(address).unwrap(),
--- a/crates/passroad/tests/discovery.rs
+++ b/crates/passroad/tests/discovery.rs
@@ -1,5 +1,5 @@
-//! How soon a change of the list is applied after discovery failed in any way, and the load that the requests of all sidecars put
-//! on a discovery server that recovers. See `docs/crossings.md`.
+//! How soon a change of the list is applied after discovery failed in any way, and the load that
+//! the requests of all sidecars put on a discovery server that recovers. See `docs/crossings.md`.
 
 mod harness;
 
@@ -15,7 +15,8 @@
 use std::thread::{sleep, spawn};
 use std::time::{Duration, Instant};
 
-/// Whatever failed before, a sidecar has to get a change this soon after discovery has it and is reachable.
+/// Whatever failed before, a sidecar has to get a change this soon after discovery has it and is
+/// reachable.
 const CHANGE_DEADLINE: Duration = Duration::from_secs(6);
 
 /// When an event happened, if it has.
@@ -77,14 +78,16 @@
         .replace("on_request", discovery_mode)
 }
 
-/// Waits until no command goes to the draining endpoint; as long as it is in use, it gets about every other command.
+/// Waits until no command goes to the draining endpoint; as long as it is in use, it gets about
+/// every other command.
 fn wait_until_all_go_to(sidecar: &Sidecar, healthy: &'static [u8]) {
     wait_until(|| {
         (0..30).all(|_| sidecar.request(&with_long_deadline(&get_look("a"))).body == healthy)
     });
 }
 
-/// Two endpoints, the known list of the sidecar, and the next list, in which the first endpoint drains.
+/// Two endpoints, the known list of the sidecar, and the next list, in which the first endpoint
+/// drains.
 fn endpoints_and_drain_list() -> (FakeServer, FakeServer, String, String) {
     let (first, second) = (ok_endpoint("first"), ok_endpoint("second"));
     let members = |phase| {
@@ -98,8 +101,9 @@
     (first, second, known, next_list)
 }
 
-// After `unchanged` requests that bring nothing new, `failed` requests fail. From the moment at which the last of them arrives,
-// discovery has a change and sends it with every response. The settings allow an hour between polls, so they shorten no wait.
+// After `unchanged` requests that bring nothing new, `failed` requests fail. From the moment at
+// which the last of them arrives, discovery has a change and sends it with every response. The
+// settings allow an hour between polls, so they shorten no wait.
 #[rstest]
 #[case::busy(Failure::Busy, 0, 5)]
 #[case::busy_after_a_long_poll(Failure::Busy, 2, 5)]
@@ -156,9 +160,10 @@
     wait_until_all_go_to(&sidecar, b"second");
 }
 
-// Prevents a late change: a long poll falls silent, and so does the request for the full list that follows, while discovery is
-// reachable and has a change. If the balancer's wait of at least 0.5 s followed the second silent request, the change would be applied
-// after 7 s. A busy machine makes some rounds longer, but hardly all.
+// Prevents a late change: a long poll falls silent, and so does the request for the full list that
+// follows, while discovery is reachable and has a change. If the balancer's wait of at least 0.5 s
+// followed the second silent request, the change would be applied after 7 s. A busy machine makes
+// some rounds longer, but hardly all.
 #[rstest]
 fn silent_full_list_request_after_a_silent_long_poll_is_repeated_at_once() {
     let round = || {
@@ -202,7 +207,8 @@
     );
 }
 
-/// A discovery server on a given listener that sends the same list in every response. Returns when the first request arrived.
+/// A discovery server on a given listener that sends the same list in every response. Returns when
+/// the first request arrived.
 fn serve_list(listener: TcpListener, list: String) -> EventTime {
     let first_request_at = EventTime::default();
     let recorded = Arc::clone(&first_request_at);
@@ -258,9 +264,9 @@
     wait_until_all_go_to(&sidecar, b"second");
 }
 
-// Prevents a missed change: an agent that was silent answers an open long poll once it is back, but not a request for the full list.
-// So a long poll follows a timed-out request for the full list at once, and not after the balancer's wait, which is at least 0.5 s
-// here.
+// Prevents a missed change: an agent that was silent answers an open long poll once it is back, but
+// not a request for the full list. So a long poll follows a timed-out request for the full list at
+// once, and not after the balancer's wait, which is at least 0.5 s here.
 #[rstest]
 fn with_pushed_lists_a_long_poll_follows_a_timed_out_full_list_request_at_once() {
     let (_first, _second, known, _) = endpoints_and_drain_list();
@@ -275,7 +281,8 @@
         requests.iter().skip(1).step_by(2).all(is_full_list),
         "{requests:?}"
     );
-    // A request for the full list times out after half of the drain grace. A busy machine makes some of them longer, but hardly all.
+    // A request for the full list times out after half of the drain grace. A busy machine makes
+    // some of them longer, but hardly all.
     let gaps = requests
         .windows(2)
         .filter(|pair| is_full_list(&pair[0]))
@@ -284,8 +291,8 @@
     assert!(shortest < 2400 * MS, "{shortest:?}");
 }
 
-// An overloaded discovery server works through its requests in order. By the time it reaches the first one of a sidecar, that one and
-// several later ones have timed out.
+// An overloaded discovery server works through its requests in order. By the time it reaches the
+// first one of a sidecar, that one and several later ones have timed out.
 #[rstest]
 fn late_response_to_the_first_timed_out_request_is_applied() {
     let (_first, _second, known, next_list) = endpoints_and_drain_list();
@@ -308,7 +315,8 @@
     wait_until_all_go_to(&sidecar, b"second");
 }
 
-// Every request is reset: the quick retries are used up once in all, not once for each poll of the balancer.
+// Every request is reset: the quick retries are used up once in all, not once for each poll of the
+// balancer.
 #[rstest]
 fn quick_retries_are_limited_until_discovery_answers() {
     let (_first, _second, known, _) = endpoints_and_drain_list();
@@ -376,12 +384,14 @@
 
 // ---- load of the fleet on discovery ----
 
-/// One sidecar of the simulated fleet, which polls as the sidecar does; the waits after a failed poll are those of the balancer.
+/// One sidecar of the simulated fleet, which polls as the sidecar does; the waits after a failed
+/// poll are those of the balancer.
 struct SimulatedSidecar {
     balancer: Balancer,
     state: State,
     requests: usize,
-    timed_out: Vec<usize>, // requests whose late responses are still applied: the first and the last that timed out
+    /// Requests whose late responses are still applied: the first and the last that timed out.
+    timed_out: Vec<usize>,
 }
 
 #[derive(Clone, Copy)]
@@ -415,8 +425,9 @@
     wasted: usize,        // requests served although their response was no longer applied
 }
 
-/// Simulates, without sockets or clock, a discovery server that refuses all requests for 8 s after all long polls have ended. Then
-/// it works through requests in order at a fixed rate, and rejects (503) those that have waited for longer than `patience_ms`.
+/// Simulates, without sockets or clock, a discovery server that refuses all requests for 8 s after
+/// all long polls have ended. Then it works through requests in order at a fixed rate, and rejects
+/// (503) those that have waited for longer than `patience_ms`.
 fn simulate_recovery_after_8_s(requests_per_second: u64, patience_ms: u64) -> FleetLoad {
     let settings = settings_polling_every(Duration::from_secs(10), "on_request");
     let mut next_pause_ms = short_pauses_ms();
@@ -558,8 +569,8 @@
     }
 }
 
-// 300 sidecars poll a discovery server that was down for 8 s. `within_ms` is when all have the change; with its request rate the
-// server can't be done much earlier.
+// 300 sidecars poll a discovery server that was down for 8 s. `within_ms` is when all have the
+// change; with its request rate the server can't be done much earlier.
 #[rstest]
 #[case::quick(1000, 30_000, 2500)]
 #[case::medium(200, 30_000, 4000)]
@@ -589,7 +600,8 @@
     );
     assert_eq!(load.updated_after_ms.len(), SIDECARS);
     assert!(all <= within_ms, "{all} ms");
-    // About one request a second of each sidecar, and never many at once: synchronised they would be 300.
+    // About one request a second of each sidecar, and never many at once: synchronised they would
+    // be 300.
     assert!(
         load.down_each_second[1..]
             .iter()
--- a/crates/passroad/tests/fleet.rs
+++ b/crates/passroad/tests/fleet.rs
@@ -1,4 +1,5 @@
-//! Several sidecar processes that exchange messages on loopback: leased duties, their owners, and maintenance of machines.
+//! Several sidecar processes that exchange messages on loopback: leased duties, their owners, and
+//! maintenance of machines.
 
 mod harness;
 
@@ -30,7 +31,8 @@
 
 type Acts = Arc<Mutex<Vec<Act>>>;
 
-/// A resource that rejects requests with an epoch lower than the highest accepted one (a fencing token).
+/// A resource that rejects requests with an epoch lower than the highest accepted one (a fencing
+/// token).
 fn resource() -> (FakeServer, Acts) {
     let acts = Acts::default();
     let recorded = Arc::clone(&acts);
@@ -194,8 +196,8 @@
     assert!(last < count, "{acts:?}");
 }
 
-// The owner is paused for longer than its lease with a request in flight. When it continues it is no longer the owner and must
-// acquire the lease again before it acts.
+// The owner is paused for longer than its lease with a request in flight. When it continues it is
+// no longer the owner and must acquire the lease again before it acts.
 #[rstest]
 fn paused_owner_acts_no_more_with_its_old_epoch() {
     let fleet = start_fleet(3);
@@ -215,7 +217,8 @@
     let count = fleet.acts.lock().unwrap().len();
     wait_until(|| fleet.acts.lock().unwrap().len() > count + 20);
     fleet.assert_epochs_ordered();
-    // A request with its old epoch that arrives after one of the new owner was in flight, and is rejected.
+    // A request with its old epoch that arrives after one of the new owner was in flight, and is
+    // rejected.
     let acts = fleet.acts.lock().unwrap();
     let other = acts.iter().position(|act| act.owner != owner).unwrap();
     let old = acts[other..]
@@ -270,7 +273,8 @@
 #[rstest]
 fn datagrams_of_strangers_are_dropped_and_counted() {
     let fleet = start_fleet(3);
-    // A sidecar that reports fleet status has bound its UDP address; datagrams sent earlier would be lost.
+    // A sidecar that reports fleet status has bound its UDP address; datagrams sent earlier would
+    // be lost.
     wait_until(|| {
         fleet
             .management_addresses
@@ -351,7 +355,8 @@
     );
 }
 
-// A voter that restarts with its state file has kept its state; the file of another sidecar is refused.
+// A voter that restarts with its state file has kept its state; the file of another sidecar is
+// refused.
 #[rstest]
 fn state_file_is_kept_and_refused_to_another_sidecar() {
     let (resource, acts) = resource();
@@ -521,7 +526,8 @@
     true
 }
 
-// The main function: a request at any sidecar takes one machine after the other out of use at all sidecars, and back into use.
+// The main function: a request at any sidecar takes one machine after the other out of use at all
+// sidecars, and back into use.
 #[rstest]
 fn machines_are_maintained_one_after_the_other_at_all_sidecars() {
     let maintenance = Maintenance::new(respond_ok);
@@ -553,7 +559,8 @@
     assert_eq!(maintenance.work(1, &["request", "s-9"]).0, Some(2));
 }
 
-// Machines may be selected by their labels in the list. A selection of none, or an invalid one, is rejected with a reason.
+// Machines may be selected by their labels in the list. A selection of none, or an invalid one, is
+// rejected with a reason.
 #[rstest]
 #[case::by_zone(&["request", "--zone", "a"], 0, "taken into the order")]
 #[case::by_kind_and_cell(&["request", "--kind", "m", "--cell", "0"], 0, "taken into the order")]
@@ -651,7 +658,8 @@
     maintenance.wait_for_state(0, "s-1", "at work");
 }
 
-// The coordinator is killed and starts again without state: it knows which machine is under maintenance before its first command.
+// The coordinator is killed and starts again without state: it knows which machine is under
+// maintenance before its first command.
 #[rstest]
 fn maintenance_order_survives_its_coordinator_and_reaches_a_new_sidecar() {
     let mut maintenance = Maintenance::new(respond_ok);
@@ -691,7 +699,8 @@
     assert_eq!(maintenance.machines_receiving(), [0, 1, 2]);
 }
 
-// A paused sidecar does not answer: the maintenance waits for it, or for an operator who overrides it.
+// A paused sidecar does not answer: the maintenance waits for it, or for an operator who overrides
+// it.
 #[rstest]
 fn silent_sidecar_is_waited_for_or_overridden() {
     let maintenance = Maintenance::new(respond_ok);
--- a/crates/passroad/tests/harness/mod.rs
+++ b/crates/passroad/tests/harness/mod.rs
@@ -1,4 +1,5 @@
-//! Test harness: runs the sidecar binary and provides the fake servers and client connections that it talks to.
+//! Test harness: runs the sidecar binary and provides the fake servers and client connections that
+//! it talks to.
 
 #![allow(dead_code)] // each test file uses only some of this
 
@@ -82,8 +83,8 @@
     }
 }
 
-/// A fake HTTP/1.1 server: an endpoint, a discovery server or another server that the sidecar calls. It answers load probes as
-/// an idle endpoint and leaves all other requests to its handler.
+/// A fake HTTP/1.1 server: an endpoint, a discovery server or another server that the sidecar
+/// calls. It answers load probes as an idle endpoint and leaves all other requests to its handler.
 #[derive(Clone)]
 pub struct FakeServer {
     pub address: SocketAddr,
@@ -94,7 +95,8 @@
     pub closed_at: Arc<Mutex<Vec<Instant>>>,
 }
 
-/// Starts a fake server. The handler returns whether to keep the connection open for a next request.
+/// Starts a fake server. The handler returns whether to keep the connection open for a next
+/// request.
 pub fn fake_server(
     handler: impl Fn(&Message, &mut TcpStream) -> bool + Send + Sync + 'static,
 ) -> FakeServer {
@@ -160,7 +162,8 @@
     })
 }
 
-/// A fake discovery server. A long poll (`?from=REVISION&hold_ms=MS`) waits until the list is newer than that revision.
+/// A fake discovery server. A long poll (`?from=REVISION&hold_ms=MS`) waits until the list is newer
+/// than that revision.
 pub struct FakeDiscovery {
     pub server: FakeServer,
     /// Revision and members (JSON, comma separated).
@@ -212,7 +215,8 @@
     )
 }
 
-/// An address at which nobody listens. Each call takes its own loopback host, so that no other test gets the same address.
+/// An address at which nobody listens. Each call takes its own loopback host, so that no other test
+/// gets the same address.
 pub fn unused_address() -> SocketAddr {
     static COUNT: AtomicUsize = AtomicUsize::new(1);
     let (count, process) = (COUNT.fetch_add(1, SeqCst), std::process::id());
@@ -225,7 +229,8 @@
     TcpListener::bind((host, 0)).unwrap().local_addr().unwrap()
 }
 
-/// An address at which connects hang: the backlog of the listener is full and nobody accepts. The connections returned fill it.
+/// An address at which connects hang: the backlog of the listener is full and nobody accepts. The
+/// connections returned fill it.
 pub fn full_backlog_listener() -> (SocketAddr, TcpListener, Vec<TcpStream>) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -257,8 +262,8 @@
  "allowed":{"max_relays":4,"may_cancel":true,"probes":true,"second_copies":false,"retry_after":true,
   "max_retry_after":1500000000,"connect_timeout":250000000,"idle_close":60000000000}}"#;
 
-/// `SETTINGS` with deadline targets and time limits of several seconds, so that a delay of a busy machine is not mistaken for
-/// something that the sidecar does at a target or limit.
+/// `SETTINGS` with deadline targets and time limits of several seconds, so that a delay of a busy
+/// machine is not mistaken for something that the sidecar does at a target or limit.
 pub fn long_deadline_settings() -> String {
     SETTINGS.replace(
         "\"response_goal\":400000000,\"time_limit\":1000000000",
@@ -309,9 +314,9 @@
     try_management_request(management, method, path, body).expect("a response")
 }
 
-/// The same; `None` if there is no response. An address of `unused_address` may accept connections for a moment longer if
-/// another test spawns a process just then: until its exec the child holds copies of all sockets, and then resets whoever has
-/// connected.
+/// The same; `None` if there is no response. An address of `unused_address` may accept connections
+/// for a moment longer if another test spawns a process just then: until its exec the child holds
+/// copies of all sockets, and then resets whoever has connected.
 fn try_management_request(
     management: SocketAddr,
     method: &str,
@@ -414,7 +419,8 @@
         sidecar
     }
 
-    /// Starts a sidecar that hands over with others through a shared directory; waits until its management address answers.
+    /// Starts a sidecar that hands over with others through a shared directory; waits until its
+    /// management address answers.
     pub fn start_with_shared_directory(
         address: SocketAddr,
         management: SocketAddr,
@@ -558,7 +564,8 @@
     Message::read(client)
 }
 
-/// Whether the connection closes or is reset with nothing more to read. A read timeout does not count as a close.
+/// Whether the connection closes or is reset with nothing more to read. A read timeout does not
+/// count as a close.
 pub fn closes_without_data(client: &mut BufReader<TcpStream>) -> bool {
     let mut rest = Vec::new();
     let result = client.read_to_end(&mut rest);
@@ -580,7 +587,8 @@
     )
 }
 
-/// Polls a condition that usually holds within a few seconds; fails after 30 s, which allows for a busy machine.
+/// Polls a condition that usually holds within a few seconds; fails after 30 s, which allows for a
+/// busy machine.
 pub fn wait_until(mut condition: impl FnMut() -> bool) {
     let deadline = Instant::now() + Duration::from_secs(30);
     while !condition() {
--- a/crates/passroad/tests/idle_clients/mod.rs
+++ b/crates/passroad/tests/idle_clients/mod.rs
@@ -1,5 +1,6 @@
-//! A sidecar under a descriptor limit, and many idle clients that reconnect as soon as they are closed. Child processes hold the
-//! client connections, so that the test process stays within its own descriptor limit.
+//! A sidecar under a descriptor limit, and many idle clients that reconnect as soon as they are
+//! closed. Child processes hold the client connections, so that the test process stays within its
+//! own descriptor limit.
 
 use super::harness::{MS, is_ready, sidecar_command, wait_until};
 use std::io::{ErrorKind, Read, Write};
@@ -138,8 +139,9 @@
     }
 }
 
-/// Does nothing unless this is a child process of `IdleClients::connect`. A child keeps its connections open without sending
-/// anything, and opens each again as soon as it is closed, until its standard input ends.
+/// Does nothing unless this is a child process of `IdleClients::connect`. A child keeps its
+/// connections open without sending anything, and opens each again as soon as it is closed, until
+/// its standard input ends.
 pub fn run_child() {
     let Ok(task) = std::env::var(CHILD_VARIABLE) else {
         return;
--- a/crates/passroad/tests/long_bodies.rs
+++ b/crates/passroad/tests/long_bodies.rs
@@ -84,7 +84,8 @@
         ("200", &b"5000000"[..])
     );
     assert!(endpoint.requests.lock().unwrap()[0].body == sent);
-    // The connection is kept. After a chunked body it is closed, as only hyper knows where that body ended.
+    // The connection is kept. After a chunked body it is closed, as only hyper knows where that
+    // body ended.
     match chunked {
         false => assert_eq!(
             round_trip(&mut client, &get_look("b")).unwrap().status(),
@@ -126,8 +127,9 @@
     }
 }
 
-/// Waits until the writers make no progress, as all buffers on the way are full, or have written everything. Waits two seconds address
-/// most, as the sidecar gives up an endpoint that reads nothing for six seconds.
+/// Waits until the writers make no progress, as all buffers on the way are full, or have written
+/// everything. Waits two seconds address most, as the sidecar gives up an endpoint that reads
+/// nothing for six seconds.
 fn wait_until_full(written: &AtomicUsize, all: usize) {
     let (mut before, start, mut unchanged) = (0, Instant::now(), 0);
     while unchanged < 20 && start.elapsed() < 2000 * MS && written.load(SeqCst) < all {
@@ -148,7 +150,8 @@
     }
 }
 
-/// Reads so many bytes, the first pieces only when the writers make no progress; returns how many arrived.
+/// Reads so many bytes, the first pieces only when the writers make no progress; returns how many
+/// arrived.
 fn read_slowly(from: &mut impl Read, bytes: usize, written: &AtomicUsize, all: usize) -> usize {
     let (mut received, mut piece) = (0, vec![0; 200_000]);
     for n in 0.. {
@@ -166,8 +169,8 @@
     received
 }
 
-// Ten bodies of 12 MB at a sidecar that may buffer 8 MB in all. The readers wait until the writers can write no more, so that a
-// sidecar without backpressure would buffer all of them.
+// Ten bodies of 12 MB at a sidecar that may buffer 8 MB in all. The readers wait until the writers
+// can write no more, so that a sidecar without backpressure would buffer all of them.
 #[rstest]
 #[case::requests(true)]
 #[case::responses(false)]
@@ -257,7 +260,8 @@
     );
 }
 
-// Writing the body takes longer than the time limit of the command; the deadline starts only at the last byte.
+// Writing the body takes longer than the time limit of the command; the deadline starts only at the
+// last byte.
 #[rstest]
 #[case::buffered(300_000)]
 #[case::streamed(1_200_000)]
@@ -322,7 +326,8 @@
     );
 }
 
-// The part of the body that was streamed can't be sent again, so the command can't go elsewhere; but it did not run.
+// The part of the body that was streamed can't be sent again, so the command can't go elsewhere;
+// but it did not run.
 #[rstest]
 fn long_body_closed_by_the_endpoint_is_refused_and_not_retried() {
     let closing_endpoint = || {
@@ -375,7 +380,8 @@
     }
 }
 
-// A client has two seconds for a head, also after an idle period on a kept connection, and may send a body at 64 kB/s.
+// A client has two seconds for a head, also after an idle period on a kept connection, and may send
+// a body at 64 kB/s.
 #[rstest]
 fn slow_clients_within_the_limits_are_served() {
     let endpoint = length_endpoint();
@@ -454,7 +460,8 @@
     assert_eq!(endpoint.requests.lock().unwrap()[0].body, b"fourteen bytes");
 }
 
-// The same for responses, also those that end with their connection or follow an informational response.
+// The same for responses, also those that end with their connection or follow an informational
+// response.
 #[rstest]
 #[case::with_length("HTTP/1.1 200 OK\r\nContent-Length: 14\r\n\r\nfourteen bytes")]
 #[case::chunked(
--- a/crates/passroad/tests/management.rs
+++ b/crates/passroad/tests/management.rs
@@ -8,7 +8,8 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::Instant;
 
-/// A sidecar with a management address, in front of some endpoints that a fake discovery server lists.
+/// A sidecar with a management address, in front of some endpoints that a fake discovery server
+/// lists.
 fn start_with_endpoints(endpoints: &[(&str, &FakeServer)]) -> (Sidecar, SocketAddr, FakeDiscovery) {
     let list: Vec<_> = endpoints
         .iter()
@@ -97,7 +98,8 @@
     });
 }
 
-// The endpoint is missing from the list and unknown to the balancer. Its id still counts as listed, and its cordon is kept.
+// The endpoint is missing from the list and unknown to the balancer. Its id still counts as listed,
+// and its cordon is kept.
 #[rstest]
 fn id_that_left_the_list_can_be_cordoned() {
     let endpoints = [ok_endpoint("a"), ok_endpoint("b")];
@@ -308,7 +310,8 @@
         config(&changed_settings(), new_discovery.server.address)
     );
     sidecar.reload(&invalid);
-    // A valid reload follows: once it is applied, the invalid file has been read. Only the valid one may change discovery.
+    // A valid reload follows: once it is applied, the invalid file has been read. Only the valid
+    // one may change discovery.
     let last = fake_discovery(&member("s-1", endpoint.address, "up"));
     sidecar.reload(&config(&long_deadline_settings(), last.server.address));
     wait_until(|| last.server.request_count() > 0);
--- a/crates/passroad/tests/races.rs
+++ b/crates/passroad/tests/races.rs
@@ -1,5 +1,6 @@
-//! Races between two events, always in the unfavourable order: the process is paused (SIGSTOP) and continued so that it finds
-//! both at once, or a fake server delays its response until it has seen the other event. See `docs/crossings.md`.
+//! Races between two events, always in the unfavourable order: the process is paused (SIGSTOP) and
+//! continued so that it finds both at once, or a fake server delays its response until it has seen
+//! the other event. See `docs/crossings.md`.
 
 mod harness;
 
@@ -50,7 +51,8 @@
         .collect()
 }
 
-// The process finds a command and the disconnect of its client at once, and reads the command first.
+// The process finds a command and the disconnect of its client at once, and reads the command
+// first.
 #[rstest]
 #[case::close(Disconnect::Close)]
 #[case::reset(Disconnect::Reset)]
@@ -65,7 +67,8 @@
         unused_address(),
         &long_deadline_settings(),
     );
-    // One client connection is accepted before the pause, and one connection to the endpoint is idle.
+    // One client connection is accepted before the pause, and one connection to the endpoint is
+    // idle.
     for n in 0..5 {
         let mut accepted = sidecar.connect();
         assert_eq!(
@@ -113,7 +116,8 @@
     );
 }
 
-// The same during shutdown, for clients in the backlog and for one of whose body half was read before.
+// The same during shutdown, for clients in the backlog and for one of whose body half was read
+// before.
 #[rstest]
 fn command_of_a_client_that_disconnected_during_shutdown_is_not_sent() {
     let endpoint = ok_endpoint("ok");
@@ -149,8 +153,8 @@
     assert_eq!(request_ids(&endpoint), ["stays"]);
 }
 
-// Commands wait in the balancer for capacity at the endpoint, others in the backlog for a client place. Both become free at the
-// moment at which the clients disconnect.
+// Commands wait in the balancer for capacity at the endpoint, others in the backlog for a client
+// place. Both become free at the moment at which the clients disconnect.
 #[rstest]
 #[case::in_the_balancer(4)]
 #[case::in_the_balancer_and_the_backlog(40)]
@@ -227,7 +231,8 @@
         }
     }
 
-    /// Accepts all connections for several seconds; returns the bytes received over those of the sidecar.
+    /// Accepts all connections for several seconds; returns the bytes received over those of the
+    /// sidecar.
     fn accept_and_read(self) -> Vec<u8> {
         self.listener.set_nonblocking(false).unwrap();
         // The connections that filled the backlog come first; nothing is sent over them.
@@ -273,7 +278,8 @@
     String::from_utf8_lossy(received).contains(&format!("req-id: {id}\r\n"))
 }
 
-/// Whether a socket of this machine is connecting to the address (state SYN_SENT in `/proc/net/tcp`).
+/// Whether a socket of this machine is connecting to the address (state SYN_SENT in
+/// `/proc/net/tcp`).
 fn is_connecting(to: SocketAddr) -> bool {
     let SocketAddr::V4(to) = to else {
         unreachable!()
@@ -336,7 +342,8 @@
     }
 }
 
-// The relay began before discovery withdrew its endpoint, and its connect still hangs: nothing was sent, so it may go elsewhere.
+// The relay began before discovery withdrew its endpoint, and its connect still hangs: nothing was
+// sent, so it may go elsewhere.
 #[rstest]
 #[case::draining(|address| member("s-1", address, "draining"))]
 #[case::removed(|address| member("s-1", address, "removed"))]
@@ -427,7 +434,8 @@
 
 // ---- endpoint lists ----
 
-/// A fake discovery server whose handler gets the target of each request and how many came before it.
+/// A fake discovery server whose handler gets the target of each request and how many came before
+/// it.
 fn scripted_discovery(
     handler: impl Fn(&str, usize, &mut TcpStream) + Send + Sync + 'static,
 ) -> FakeServer {
@@ -457,14 +465,16 @@
     )
 }
 
-/// Waits until no command goes to the draining endpoint; as long as it is in use, it gets about every other command.
+/// Waits until no command goes to the draining endpoint; as long as it is in use, it gets about
+/// every other command.
 fn wait_until_all_go_to(sidecar: &Sidecar, healthy: &'static [u8]) {
     wait_until(|| {
         (0..30).all(|_| sidecar.request(&with_long_deadline(&get_look("a"))).body == healthy)
     });
 }
 
-// The balancer asks to poll again because the old discovery server had refused; meanwhile a long poll is open at the new one.
+// The balancer asks to poll again because the old discovery server had refused; meanwhile a long
+// poll is open at the new one.
 #[rstest]
 fn open_long_poll_is_kept_when_the_balancer_asks_to_poll_again() {
     let (first, second) = (ok_endpoint("first"), ok_endpoint("second"));
@@ -503,8 +513,8 @@
     wait_until_all_go_to(&sidecar, b"second");
 }
 
-// SIGHUP changes the discovery address while the old server is about to answer a long poll. The server counts that answer as
-// delivered, so its change has to be applied.
+// SIGHUP changes the discovery address while the old server is about to answer a long poll. The
+// server counts that answer as delivered, so its change has to be applied.
 #[rstest]
 fn response_of_the_old_discovery_counts_until_the_new_one_has_answered() {
     let (first, second) = (ok_endpoint("first"), ok_endpoint("second"));
@@ -536,7 +546,8 @@
     assert_eq!(new_discovery.request_count(), 1);
 }
 
-// The answer to a long poll comes after its timeout. The full list has been requested by then, and that request is never answered.
+// The answer to a long poll comes after its timeout. The full list has been requested by then, and
+// that request is never answered.
 #[rstest]
 #[case::later(false)]
 #[case::at_once(true)]
@@ -577,9 +588,9 @@
     wait_until_all_go_to(&sidecar, b"second");
 }
 
-// Prevents a missed change: an agent that was silent answers an open long poll once it is back, but not a request for the full
-// list. The sidecar used to wait for the full list and then for the next poll of the balancer, while the agent counted its change
-// as delivered.
+// Prevents a missed change: an agent that was silent answers an open long poll once it is back, but
+// not a request for the full list. The sidecar used to wait for the full list and then for the next
+// poll of the balancer, while the agent counted its change as delivered.
 #[rstest]
 fn with_pushed_lists_a_silent_agent_is_polled_again_at_once() {
     let (first, second) = (ok_endpoint("first"), ok_endpoint("second"));
@@ -615,7 +626,8 @@
 
 // ---- connections that close ----
 
-// The endpoint closes all idle connections while the process is paused: the process finds the closes and a new command at once.
+// The endpoint closes all idle connections while the process is paused: the process finds the
+// closes and a new command at once.
 #[rstest]
 fn idle_connection_that_closes_while_it_is_chosen_fails_no_command() {
     let closing = std::sync::Arc::new(std::sync::Mutex::new(Vec::<TcpStream>::new()));
@@ -686,7 +698,8 @@
     client.get_mut().write_all(command.as_bytes()).unwrap();
     wait_until(|| silent.request_count() == 1);
     sidecar.signal("TERM");
-    // The supervisor kills this long after SIGTERM. The wait starts after the signal is sent, so a busy machine only makes it longer.
+    // The supervisor kills this long after SIGTERM. The wait starts after the signal is sent, so a
+    // busy machine only makes it longer.
     sleep(3700 * MS);
     sidecar.signal("KILL");
     let response = Message::read(&mut client).expect("a response");
@@ -698,7 +711,8 @@
     let _ = sidecar.child.wait();
 }
 
-// Prevents lost commands: what was written within 0.7 s of SIGTERM may still be unread when its connection is due to be closed.
+// Prevents lost commands: what was written within 0.7 s of SIGTERM may still be unread when its
+// connection is due to be closed.
 #[rstest]
 #[case::at_once(false, 0)]
 #[case::never_answered(false, 900)]
@@ -753,7 +767,8 @@
 
 // ---- the deduplication window of a keyed command ----
 
-// The first relay may have run; the connect of the second completes when the endpoints no longer recognise a repeat.
+// The first relay may have run; the connect of the second completes when the endpoints no longer
+// recognise a repeat.
 #[rstest]
 fn keyed_command_is_not_sent_again_after_its_deduplication_window() {
     let gate = Gate::default();
--- a/crates/passroad/tests/restarts.rs
+++ b/crates/passroad/tests/restarts.rs
@@ -1,5 +1,6 @@
-//! Starts and restarts: what a sidecar waits for before it serves clients, and what not. Clients send from the first moment,
-//! whatever discovery does, and while the old process still holds the address. See `docs/crossings.md`.
+//! Starts and restarts: what a sidecar waits for before it serves clients, and what not. Clients
+//! send from the first moment, whatever discovery does, and while the old process still holds the
+//! address. See `docs/crossings.md`.
 
 mod harness;
 
@@ -38,7 +39,8 @@
         }
     }
 
-    /// How long after its start it was ready; `None` if the process has exited or a minute has passed.
+    /// How long after its start it was ready; `None` if the process has exited or a minute has
+    /// passed.
     fn wait_until_ready(&mut self, address: SocketAddr) -> Option<Duration> {
         while self.started_at.elapsed() < Duration::from_secs(60) {
             if self.child.try_wait().unwrap().is_some() {
@@ -63,9 +65,10 @@
 
 // ---- the old process ----
 
-// Prevents an exit with code 2, as for a configuration error, while an old process still holds the address. The old process was
-// told to stop and hangs, so it holds its addresses until it is killed 3.7 s later. A new process that waited for less exited, and
-// so did one that found the management address in use.
+// Prevents an exit with code 2, as for a configuration error, while an old process still holds the
+// address. The old process was told to stop and hangs, so it holds its addresses until it is killed
+// 3.7 s later. A new process that waited for less exited, and so did one that found the management
+// address in use.
 #[rstest]
 #[case::without_management(false)]
 #[case::with_management(true)]
@@ -115,7 +118,8 @@
     })
 }
 
-// The management address is in use at first: clients do not wait for it, and it is opened once it is free.
+// The management address is in use at first: clients do not wait for it, and it is opened once it
+// is free.
 #[rstest]
 fn clients_do_not_wait_for_the_management_address() {
     let endpoint = ok_endpoint("ok");
@@ -202,8 +206,9 @@
     }
 }
 
-/// A client that sends one request after the other, each over a new connection, from before its sidecar listens. Returns how many
-/// requests were answered, and how many were accepted and not answered.
+/// A client that sends one request after the other, each over a new connection, from before its
+/// sidecar listens. Returns how many requests were answered, and how many were accepted and not
+/// answered.
 fn send_until_finished(
     address: SocketAddr,
     finished: &Arc<AtomicBool>,
@@ -224,8 +229,8 @@
                 &mut client,
                 &with_long_deadline(&get_look(&format!("first{answered}"))),
             ) {
-                Some(message) => {
-                    answered += usize::from(["200", "503"].contains(&message.status()))
+                Some(response) => {
+                    answered += usize::from(["200", "503"].contains(&response.status()))
                 }
                 None => lost += 1,
             }
@@ -366,7 +371,7 @@
     wait_until(|| {
         let mut client = BufReader::new(TcpStream::connect(address).unwrap());
         round_trip(&mut client, &with_long_deadline(&get_look("a")))
-            .is_some_and(|message| message.status() == "200")
+            .is_some_and(|response| response.status() == "200")
     });
 }
 
--- a/crates/passroad/tests/sidecar.rs
+++ b/crates/passroad/tests/sidecar.rs
@@ -1,4 +1,5 @@
-//! The sidecar binary on loopback sockets, between test clients, fake endpoints and a fake discovery server.
+//! The sidecar binary on loopback sockets, between test clients, fake endpoints and a fake
+//! discovery server.
 
 mod harness;
 
@@ -152,8 +153,8 @@
     );
 }
 
-// Prevents clients from giving up first: a head used to have 75 s and a body 10 s. The sidecar answers 408 or closes the
-// connection while the client still reads.
+// Prevents clients from giving up first: a head used to have 75 s and a body 10 s. The sidecar
+// answers 408 or closes the connection while the client still reads.
 #[rstest]
 #[case::silent("", None)]
 #[case::half_a_head("GET /look HTTP/1.1\r\nReq-", Some("408"))]
@@ -195,7 +196,8 @@
     assert!((2000 * MS..5000 * MS).contains(&elapsed), "{elapsed:?}");
 }
 
-// Prevents lost commands: the close of an idle connection raced with the next command of a client that sent one a second.
+// Prevents lost commands: the close of an idle connection raced with the next command of a client
+// that sent one a second.
 #[rstest]
 fn idle_client_connections_stay_open_when_few_are_open() {
     let endpoint = ok_endpoint("ok");
@@ -273,7 +275,8 @@
     );
 }
 
-// The first command is already at its endpoint when the second arrives: the first ends with 400, the second is not forwarded.
+// The first command is already at its endpoint when the second arrives: the first ends with 400,
+// the second is not forwarded.
 #[rstest]
 fn pipelined_request_behind_an_open_command_is_rejected() {
     let gate = Gate::default();
@@ -326,7 +329,8 @@
     assert_eq!(names, ["req-id", "req-deadline-ms", "host"]);
 }
 
-// Prevents a lost key: an endpoint does not accept a keyed command that arrives without the key its client sent.
+// Prevents a lost key: an endpoint does not accept a keyed command that arrives without the key its
+// client sent.
 #[rstest]
 #[case::once("Idempotency-Key: 5b7a-f9\r\n", "200")]
 #[case::none("", "400")]
@@ -482,9 +486,9 @@
 fn commands_stay_in_the_own_zone_until_it_drains() {
     let (own_zone, other_zone) = (ok_endpoint("home"), ok_endpoint("away"));
     let members = |phase| {
-        let far = member("s-2", other_zone.address, "up")
+        let other_member = member("s-2", other_zone.address, "up")
             .replace("\"locality\":\"a\"", "\"locality\":\"b\"");
-        format!("{},{far}", member("s-1", own_zone.address, phase))
+        format!("{},{other_member}", member("s-1", own_zone.address, phase))
     };
     let discovery = fake_discovery(&members("up"));
     let settings = SETTINGS.replace("\"dcs\":[\"a\"]", "\"dcs\":[\"a\",\"b\"]");
@@ -562,8 +566,8 @@
             .parse()
             .unwrap()
     };
-    // All forty commands were sent. The shadow settings would have sent them too, but to the endpoint with the warm cache of
-    // their key.
+    // All forty commands were sent. The shadow settings would have sent them too, but to the
+    // endpoint with the warm cache of their key.
     assert_eq!(
         count("same") + count("elsewhere") + count("waited"),
         40,
@@ -648,7 +652,8 @@
     );
 }
 
-// The endpoint keeps the connection open and sends nothing more: detected at once, not at the time limit.
+// The endpoint keeps the connection open and sends nothing more: detected at once, not at the time
+// limit.
 #[rstest]
 #[case::noise("\u{1}\u{2}noise\r\n\r\n")]
 #[case::head_without_end("HTTP/1.1 200 OK\r\nOdd: ")]
@@ -713,12 +718,14 @@
         );
         sleep(std::time::Duration::from_micros(50 * delay_us));
     }
-    // Each command was sent once: none went out over a connection that was dropped because of surplus bytes.
+    // Each command was sent once: none went out over a connection that was dropped because of
+    // surplus bytes.
     assert_eq!(endpoint.request_count(), 50);
 }
 
-// Prevents a late second response from being read as the response to the next command. A connection rests for 1 ms before reuse,
-// and for 5 ms while the endpoint has recently sent a malformed response, as second responses came up to 4 ms late.
+// Prevents a late second response from being read as the response to the next command. A connection
+// rests for 1 ms before reuse, and for 5 ms while the endpoint has recently sent a malformed
+// response, as second responses came up to 4 ms late.
 #[rstest]
 #[case::healthy_endpoint(false, MS)]
 #[case::recent_malformed_response(true, 5 * MS)]
@@ -801,9 +808,10 @@
     assert_eq!(healthy.request_count(), 40);
 }
 
-// The kernel of the endpoint accepts a few KiB of a long body, then the connection is reset. How much of the rest the sidecar's
-// own kernel has buffered by then varies. A command that was written whole may have run, as far as the sidecar can know, and
-// fails; one that was not written whole did not run, and is sent elsewhere.
+// The kernel of the endpoint accepts a few KiB of a long body, then the connection is reset. How
+// much of the rest the sidecar's own kernel has buffered by then varies. A command that was written
+// whole may have run, as far as the sidecar can know, and fails; one that was not written whole did
+// not run, and is sent elsewhere.
 #[rstest]
 fn non_idempotent_command_reset_mid_write_fails_or_runs_elsewhere() {
     let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
@@ -918,7 +926,8 @@
         Instant::now(),
         sidecar.request(&with_long_deadline(&post_book("a"))),
     );
-    // It may queue for a quarter of its deadline target and twice that again; its time limit is much later.
+    // It may queue for a quarter of its deadline target and twice that again; its time limit is
+    // much later.
     assert_eq!(
         (response.status(), start.elapsed() < 5000 * MS),
         ("503", true)
@@ -942,7 +951,8 @@
 ) {
     let silent = fake_server(|_, _| true);
     let sidecar = start_sidecar(&member("s-1", silent.address, "up"));
-    // The balancer itself gives up in time: past the time limit, the sidecar's own timeout would answer 504.
+    // The balancer itself gives up in time: past the time limit, the sidecar's own timeout would
+    // answer 504.
     assert_eq!(sidecar.request(&command).status(), status);
     // Abandoning the attempt closed its connection.
     wait_until(|| {
@@ -994,8 +1004,8 @@
     assert_eq!(sidecar.request(&get_look("a")).body, b"free");
 }
 
-// With `late_utility` the balancer waits until the time limit; its refusal (503) still comes before the sidecar's own timeout
-// (504).
+// With `late_utility` the balancer waits until the time limit; its refusal (503) still comes before
+// the sidecar's own timeout (504).
 #[rstest]
 fn safe_command_is_refused_at_its_time_limit() {
     let silent = fake_server(|_, _| true);
@@ -1129,8 +1139,9 @@
     );
 }
 
-// Prevents a wrong guess: after a pause of the process, commands arrive with less time left, as a client's repeats do. The
-// balancer must not treat them as repeats that have already used up most of their time.
+// Prevents a wrong guess: after a pause of the process, commands arrive with less time left, as a
+// client's repeats do. The balancer must not treat them as repeats that have already used up most
+// of their time.
 #[rstest]
 fn commands_are_served_after_a_short_process_pause() {
     let endpoint = ok_endpoint("ok");
@@ -1288,9 +1299,9 @@
 fn outdated_changes_are_ignored_and_the_full_list_is_requested() {
     let endpoint = ok_endpoint("ok");
     let list = member("s-1", endpoint.address, "up");
-    let gone = list.replace("\"up\"", "\"removed\"");
+    let removed = list.replace("\"up\"", "\"removed\"");
     let whole = format!(r#"{{"revision":4,"complete":true,"members":[{list}]}}"#);
-    let older = format!(r#"{{"revision":0,"complete":false,"members":[{gone}]}}"#);
+    let older = format!(r#"{{"revision":0,"complete":false,"members":[{removed}]}}"#);
     let discovery = fake_server(move |message, to| {
         let body = if message.target().contains("from=1&") {
             &older
@@ -1318,7 +1329,8 @@
     assert_eq!(sidecar.request(&get_look("a")).status(), "200");
 }
 
-// Prevents a stale list: in one outage long polls fell silent during a rollout, and sidecars did not ask again for 40 s.
+// Prevents a stale list: in one outage long polls fell silent during a rollout, and sidecars did
+// not ask again for 40 s.
 #[rstest]
 fn silent_long_poll_is_followed_by_a_full_list_request() {
     let (old, new) = (ok_endpoint("old"), ok_endpoint("new"));
@@ -1349,8 +1361,8 @@
     );
 }
 
-// Prevents a missed change: discovery counts what it sent in a response that broke off as delivered, and the next request used to
-// come 1 to 5 s later.
+// Prevents a missed change: discovery counts what it sent in a response that broke off as
+// delivered, and the next request used to come 1 to 5 s later.
 #[rstest]
 #[case::closes_without_response("")]
 #[case::cut_off("HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\n{\"revision\":2")]
@@ -1385,7 +1397,8 @@
     );
 }
 
-// `ask_every` is long here: only a short first long poll reveals in time that discovery has another revision.
+// `ask_every` is long here: only a short first long poll reveals in time that discovery has another
+// revision.
 #[rstest]
 fn known_list_with_a_future_revision_is_soon_replaced() {
     let endpoint = ok_endpoint("ok");
@@ -1571,7 +1584,8 @@
         (response.status(), response.header("connection").as_deref()),
         ("200", Some("close"))
     );
-    // New connections are accepted for a while; this command is sent as late as the protocol allows.
+    // New connections are accepted for a while; this command is sent as late as the protocol
+    // allows.
     sleep(150 * MS);
     let mut late = sidecar.connect();
     sleep((600 * MS).saturating_sub(signalled.elapsed()));
--- a/crates/passroad/tests/upgrades.rs
+++ b/crates/passroad/tests/upgrades.rs
@@ -256,7 +256,8 @@
     );
 }
 
-// Prevents two commands with one id at an endpoint, which would take the second for a repeat of the first.
+// Prevents two commands with one id at an endpoint, which would take the second for a repeat of the
+// first.
 #[rstest]
 fn id_open_in_one_process_is_rejected_by_the_other() {
     let gate = Gate::default();
@@ -313,8 +314,8 @@
     drop((first, second));
 }
 
-/// A proxy on the handover socket: forwards the request of the new process and the state and listener of the old one, and then
-/// withholds all further lines of the old one.
+/// A proxy on the handover socket: forwards the request of the new process and the state and
+/// listener of the old one, and then withholds all further lines of the old one.
 fn withhold_lines(
     socket_path: &std::path::Path,
 ) -> std::thread::JoinHandle<std::os::unix::net::UnixStream> {
@@ -377,7 +378,8 @@
     })
 }
 
-// The command is open in the old process, and the new one accepts clients before it has read a line from the old one.
+// The command is open in the old process, and the new one accepts clients before it has read a line
+// from the old one.
 #[rstest]
 fn open_ids_are_known_before_the_first_line_of_the_old_process() {
     let gate = Gate::default();
