--- a/crates/passroad-rig/src/scale/plan.rs
+++ b/crates/passroad-rig/src/scale/plan.rs
@@ -62,7 +62,7 @@
 fn default_settle_time() -> HumanDuration {
     HumanDuration(Duration::from_secs(15))
 }
-fn default_detection_delay() -> HumanDuration {
+fn two_seconds() -> HumanDuration {
     HumanDuration(Duration::from_secs(2))
 }
 
@@ -126,7 +126,7 @@
     service: Option<Spanned<usize>>,
     #[serde(default)]
     one_way: Option<Spanned<String>>,
-    #[serde(default = "default_detection_delay")]
+    #[serde(default = "two_seconds")]
     noticed: HumanDuration,
 }
 
