--- a/crates/passroad-rig/src/fleet/mod.rs
+++ b/crates/passroad-rig/src/fleet/mod.rs
@@ -1,5 +1,5 @@
-//! Sidecars that talk: what an experiment says of it, the faults between them, the acts at the resource, and the same in
-//! virtual time.
+//! Communicating sidecars: the plan of their leases, maintenance and faults, the acts at the fenced resource, and the results;
+//! with a simulation in virtual time.
 
 pub mod histories;
 pub mod wires;
@@ -9,32 +9,32 @@
 use passroad_lease::{candidate_order, voters_for};
 use std::time::Duration;
 
-/// What an experiment says of sidecars that talk.
+/// The part of an experiment that concerns communication between sidecars.
 #[derive(Debug, Clone)]
 pub struct FleetPlan {
     pub lease: Duration,
     pub period: Duration,
     pub voters: usize,
-    /// Whether voters keep what they have said on a disk.
+    /// Whether voters persist their votes.
     pub state: bool,
     pub duties: Vec<DutyPlan>,
     pub faults: Vec<FleetFault>,
-    /// Whether the resource refuses lower epochs; without, an experiment shows what the fence is for.
+    /// Whether the resource refuses lower epochs. Experiments disable it to show what it prevents.
     pub fence: bool,
     pub work: Option<WorkPlan>,
 }
 
-/// Machines that operators ask for.
+/// Maintenance that operators request.
 #[derive(Debug, Clone)]
 pub struct WorkPlan {
-    /// How long somebody works on one.
+    /// How long the maintenance of one machine takes.
     pub lasts: Duration,
     pub at_once: usize,
-    /// When, at which sidecar, which.
+    /// Time, sidecar that receives the request, and endpoints.
     pub requests: Vec<(Duration, usize, Vec<usize>)>,
 }
 
-/// Somebody worked on a machine.
+/// A period in which a machine was under maintenance.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Worked {
     pub endpoint: usize,
@@ -47,7 +47,7 @@
     pub name: String,
     pub every: Duration,
     pub within: Duration,
-    pub work: Duration, // of an act at the resource
+    pub work: Duration, // how long the resource takes for an act
 }
 
 #[derive(Debug, Clone)]
@@ -55,20 +55,20 @@
     pub from: Duration,
     pub to: Option<Duration>,
     pub whom: Whom,
-    /// Of faults between sidecars, the other side; left out, all others.
+    /// For faults between sidecars, the other side; None for all others.
     pub others: Option<Vec<usize>>,
     pub what: What,
 }
 
-/// Whom a fault is to hit; who that is may be known only when it comes.
+/// The sidecars that a fault affects; which ones these are may be known only when it begins.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Whom {
     These(Vec<usize>),
-    /// Whose act was last accepted.
+    /// The owner whose act was accepted last.
     Owner,
-    /// The owner and others, together just short of a majority of the voters.
+    /// The owner and as many other voters as stay short of a majority.
     Minority,
-    /// A majority of the voters on the first duty.
+    /// A majority of the voters for the first duty.
     Voters,
 }
 
@@ -84,50 +84,55 @@
         spread: Duration,
     },
     Twice(f64),
-    /// Held until the fault ends, then all delivered.
+    /// Datagrams are held back until the fault ends, then all delivered.
     Keep,
     Pause,
     Kill,
     Stop,
-    /// Calls to the resource are held until the fault ends, then all delivered.
+    /// Calls to the resource are held back until the fault ends, then all delivered.
     ActsKeep,
 }
 
 impl What {
+    /// Whether the fault concerns datagrams between sidecars.
     pub fn between(self) -> bool {
         !matches!(self, What::Pause | What::Kill | What::Stop | What::ActsKeep)
     }
 }
 
-/// Starts anew after so long where a fault does not say.
+/// Restart delay of a killed or stopped sidecar, unless the fault has its own.
 pub const RESTART: Duration = Duration::from_millis(500);
 
 impl Whom {
-    /// Who that is now.
+    /// The instances that are affected now.
     pub fn find(&self, plan: &FleetPlan, instances: usize, owner: Option<usize>) -> Vec<usize> {
-        let mark = match plan.duties.first() {
+        let key = match plan.duties.first() {
             Some(duty) => duty.mark(),
             None => passroad_choice::interner::stable_hash("upkeep"),
         };
-        let voters: Vec<usize> = voters_for(mark, instances, plan.voters)
+        let voters: Vec<usize> = voters_for(key, instances, plan.voters)
             .into_iter()
             .map(usize::from)
             .collect();
-        let first = || {
-            candidate_order(mark, instances)
+        let first_candidate = || {
+            candidate_order(key, instances)
                 .first()
-                .map_or(0, |n| usize::from(*n))
+                .map_or(0, |instance| usize::from(*instance))
         };
         match self {
             Whom::These(list) => list.clone(),
-            Whom::Owner => vec![owner.unwrap_or_else(first)],
+            Whom::Owner => vec![owner.unwrap_or_else(first_candidate)],
             Whom::Minority => {
-                let owner = owner.unwrap_or_else(first);
-                let most = voters.len() / 2;
-                let mut some: Vec<usize> = voters.iter().copied().filter(|n| *n != owner).collect();
-                some.truncate(most - usize::from(voters.contains(&owner)));
-                some.push(owner);
-                some
+                let owner = owner.unwrap_or_else(first_candidate);
+                let half = voters.len() / 2;
+                let mut minority: Vec<usize> = voters
+                    .iter()
+                    .copied()
+                    .filter(|voter| *voter != owner)
+                    .collect();
+                minority.truncate(half - usize::from(voters.contains(&owner)));
+                minority.push(owner);
+                minority
             }
             Whom::Voters => voters[..voters.len() / 2 + 1].to_vec(),
         }
@@ -151,7 +156,7 @@
     }
 }
 
-/// What came to the resource.
+/// A call that the resource accepted or refused.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Act {
     pub at: Duration,
@@ -161,7 +166,7 @@
     pub accepted: bool,
 }
 
-/// One ownership, as the resource saw it.
+/// One ownership of a duty, as seen by the resource.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Reign {
     pub duty: usize,
@@ -172,62 +177,64 @@
     pub acts: usize,
 }
 
-/// What is known of a day of sidecars that talk.
+/// The results of a run of communicating sidecars.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct FleetDay {
     pub acts: Vec<Act>,
-    pub datagrams: Vec<u64>, // that each sent
-    pub longest: usize,      // bytes of a datagram
+    pub datagrams: Vec<u64>, // sent, by sidecar
+    pub longest: usize,      // bytes of the longest datagram
     pub seconds: f64,
-    /// Most that took themselves for the owner of a duty at the same time; seen in virtual time only.
+    /// Largest number of sidecars that believed to own the first duty at the same time; known in virtual time only.
     pub believers: Option<usize>,
     pub doubts: u64,
     pub refuted: u64,
     pub works: Vec<Worked>,
-    pub hits: usize, // what faults did: datagrams lost, kept, doubled or late, processes stopped
+    /// Effects of faults: datagrams lost, held back, duplicated or delayed, calls held back, processes stopped.
+    pub hits: usize,
 }
 
 impl FleetDay {
-    /// Of each duty, accepted acts in order.
+    /// The accepted acts of a duty in order.
     fn accepted(&self, duty: usize) -> impl Iterator<Item = &Act> {
         self.acts
             .iter()
-            .filter(move |a| a.accepted && a.duty == duty)
+            .filter(move |act| act.accepted && act.duty == duty)
     }
 
     fn duties(&self) -> std::ops::Range<usize> {
-        0..self.acts.iter().map(|a| a.duty + 1).max().unwrap_or(0)
+        0..self.acts.iter().map(|act| act.duty + 1).max().unwrap_or(0)
     }
 
-    /// Most epochs of a duty whose accepted acts lie between each other's: more than one, and two were obeyed at once.
+    /// Largest number of epochs of a duty whose accepted acts are interleaved; more than one means that the resource accepted two
+    /// owners at the same time.
     pub fn owners_at_once(&self) -> usize {
-        let mut most = 0;
+        let mut maximum = 0;
         for duty in self.duties() {
             let mut spans: Vec<(u64, usize, usize)> = Vec::new();
-            for (n, act) in self.accepted(duty).enumerate() {
+            for (position, act) in self.accepted(duty).enumerate() {
                 match spans.iter_mut().find(|(epoch, ..)| *epoch == act.epoch) {
-                    Some((_, _, last)) => *last = n,
-                    None => spans.push((act.epoch, n, n)),
+                    Some((_, _, last)) => *last = position,
+                    None => spans.push((act.epoch, position, position)),
                 }
             }
-            let at = |n: usize| {
+            let overlapping = |position: usize| {
                 spans
                     .iter()
-                    .filter(|(_, first, last)| (*first..=*last).contains(&n))
+                    .filter(|(_, first, last)| (*first..=*last).contains(&position))
                     .count()
             };
-            most = most.max(
+            maximum = maximum.max(
                 spans
                     .iter()
-                    .map(|(_, first, _)| at(*first))
+                    .map(|(_, first, _)| overlapping(*first))
                     .max()
                     .unwrap_or(0),
             );
         }
-        most
+        maximum
     }
 
-    /// Accepted though a higher epoch had been, or though the same was another's.
+    /// Acts that were accepted although a higher epoch, or the same epoch of another owner, had been accepted before.
     pub fn stale_acts(&self) -> usize {
         let mut stale = 0;
         for duty in self.duties() {
@@ -244,38 +251,40 @@
         stale
     }
 
+    /// Acts that were refused.
     pub fn stale_tries(&self) -> usize {
-        self.acts.iter().filter(|a| !a.accepted).count()
+        self.acts.iter().filter(|act| !act.accepted).count()
     }
 
-    /// Longest time with no accepted act of some duty, in seconds.
+    /// Longest time in a window without an accepted act of any one duty, in seconds.
     pub fn unowned(&self, window: &std::ops::Range<Duration>, duties: usize) -> f64 {
         let longest = |duty: usize| {
-            let (mut last, mut most) = (window.start, Duration::ZERO);
-            let own = self
+            let (mut last, mut longest_gap) = (window.start, Duration::ZERO);
+            let times = self
                 .accepted(duty)
-                .map(|a| a.at)
-                .filter(|at| window.contains(at));
-            for at in own.chain([window.end]) {
-                most = most.max(at.saturating_sub(last));
-                last = at;
+                .map(|act| act.at)
+                .filter(|time| window.contains(time));
+            for time in times.chain([window.end]) {
+                longest_gap = longest_gap.max(time.saturating_sub(last));
+                last = time;
             }
-            most.as_secs_f64()
+            longest_gap.as_secs_f64()
         };
         (0..duties).map(longest).fold(0.0, f64::max)
     }
 
-    /// Of the one that sent most, a second.
+    /// Datagrams per second of the sidecar that sent the most.
     pub fn peer_datagrams(&self) -> f64 {
         self.datagrams.iter().copied().max().unwrap_or(0) as f64 / self.seconds.max(1e-9)
     }
 
-    /// Who owned what, in order of the first act: duty, epoch, owner, first and last accepted act, how many.
+    /// The ownerships by order of their first accepted act.
     pub fn reigns(&self) -> Vec<Reign> {
         let mut reigns: Vec<Reign> = Vec::new();
-        for act in self.acts.iter().filter(|a| a.accepted) {
-            let same =
-                |r: &&mut Reign| (r.duty, r.epoch, r.owner) == (act.duty, act.epoch, act.owner);
+        for act in self.acts.iter().filter(|act| act.accepted) {
+            let same = |reign: &&mut Reign| {
+                (reign.duty, reign.epoch, reign.owner) == (act.duty, act.epoch, act.owner)
+            };
             match reigns.iter_mut().find(same) {
                 Some(reign) => (reign.last, reign.acts) = (act.at, reign.acts + 1),
                 None => reigns.push(Reign {
@@ -291,31 +300,36 @@
         reigns
     }
 
-    /// Most machines at work at once.
+    /// Largest number of machines under maintenance at the same time.
     pub fn at_work(&self) -> usize {
-        let at = |t: Duration| {
+        let at = |time: Duration| {
             self.works
                 .iter()
-                .filter(|w| w.from <= t && t < w.to)
+                .filter(|work| work.from <= time && time < work.to)
                 .count()
         };
-        self.works.iter().map(|w| at(w.from)).max().unwrap_or(0)
+        self.works
+            .iter()
+            .map(|work| at(work.from))
+            .max()
+            .unwrap_or(0)
     }
 
-    /// Machines on which work was done.
+    /// Number of machines that were under maintenance.
     pub fn worked(&self) -> usize {
-        let mut all: Vec<usize> = self.works.iter().map(|w| w.endpoint).collect();
-        all.sort_unstable();
-        all.dedup();
-        all.len()
+        let mut machines: Vec<usize> = self.works.iter().map(|work| work.endpoint).collect();
+        machines.sort_unstable();
+        machines.dedup();
+        machines.len()
     }
 
+    /// Number of ownerships: pairs of duty and epoch with an accepted act.
     pub fn owners(&self) -> usize {
         let mut epochs: Vec<_> = self
             .acts
             .iter()
-            .filter(|a| a.accepted)
-            .map(|a| (a.duty, a.epoch))
+            .filter(|act| act.accepted)
+            .map(|act| (act.duty, act.epoch))
             .collect();
         epochs.sort_unstable();
         epochs.dedup();
@@ -324,45 +338,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-    use rstest::rstest;
-
-    fn day(acts: &[(u64, usize, bool)]) -> FleetDay {
-        let act = |(n, &(epoch, owner, accepted)): (usize, &(u64, usize, bool))| Act {
-            at: Duration::from_millis(100 * n as u64),
-            duty: 0,
-            epoch,
-            owner,
-            accepted,
-        };
-        FleetDay {
-            acts: acts.iter().enumerate().map(act).collect(),
-            ..FleetDay::default()
-        }
-    }
-
-    #[rstest]
-    #[case::in_order(&[(5, 1, true), (5, 1, true), (7, 2, true)], (1, 0, 0))]
-    #[case::refused(&[(5, 1, true), (7, 2, true), (5, 1, false), (7, 2, true)], (1, 0, 1))]
-    #[case::obeyed(&[(5, 1, true), (7, 2, true), (5, 1, true), (7, 2, true)], (2, 1, 0))]
-    #[case::same_epoch(&[(5, 1, true), (5, 2, true)], (1, 1, 0))]
-    fn acts_are_judged_by_their_order(
-        #[case] acts: &[(u64, usize, bool)],
-        #[case] figures: (usize, usize, usize),
-    ) {
-        let day = day(acts);
-        assert_eq!(
-            (day.owners_at_once(), day.stale_acts(), day.stale_tries()),
-            figures
-        );
-    }
-
-    #[rstest]
-    fn the_longest_gap_counts_from_the_window_and_to_its_end() {
-        let day = day(&[(5, 1, true), (5, 1, true), (5, 1, false)]);
-        let window = Duration::ZERO..Duration::from_secs(1);
-        assert!((day.unowned(&window, 1) - 0.9).abs() < 1e-9);
-        assert!((day.unowned(&window, 2) - 1.0).abs() < 1e-9);
-    }
-}
+mod tests;
--- a/crates/passroad-rig/src/fleet/world.rs
+++ b/crates/passroad-rig/src/fleet/world.rs
@@ -1,5 +1,5 @@
-//! Sidecars that talk, in virtual time: the sidecar's own code for its part in the fleet, clocks that run apart, and the
-//! resource. The same from the same seed, on any machine and any number of threads.
+//! Communicating sidecars in virtual time: the sidecar's own fleet code, clocks that drift apart, the network between them and
+//! the resource that lease owners act on. The result depends on the seed only, not on the machine or the number of threads.
 
 use super::wires::Wires;
 use super::{Act, FleetDay, FleetPlan, RESTART, What};
@@ -10,201 +10,210 @@
 use std::collections::{BTreeMap, BinaryHeap};
 use std::time::Duration;
 
-/// Clocks run so much apart, fast against slow.
-const APART: f64 = 0.02;
-/// When a day begins, since 1970.
-const WALL: Duration = Duration::from_secs(1_790_000_000);
-/// Datagrams that wait unread at a process that is stopped; the system drops more.
-const MOST_UNREAD: usize = 200;
-const LAST_CALL: Duration = Duration::from_millis(40);
-const LAST_WORDS: Duration = Duration::from_millis(120);
+/// Largest difference between the rates of two clocks, as a share.
+const CLOCK_DRIFT: f64 = 0.02;
+/// The wall clock at the start of a run, since the Unix epoch.
+const WALL_CLOCK_START: Duration = Duration::from_secs(1_790_000_000);
+/// Datagrams that wait unread at a paused process; the operating system drops further ones.
+const MAX_UNREAD_DATAGRAMS: usize = 200;
+/// Time that a stopping sidecar waits for an open call before it releases its leases.
+const OPEN_CALL_WAIT: Duration = Duration::from_millis(40);
+/// Time between the release of its leases and the end of a stopping sidecar, for the datagrams to be sent.
+const RELEASE_WAIT: Duration = Duration::from_millis(120);
 
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Ev {
-    Wake {
-        node: usize,
-        turn: u64,
-    },
+enum SimulationEvent {
+    /// The timer of a node fires, unless a later one has replaced it.
+    Timer { node: usize, id: u64 },
     Datagram {
         from: usize,
         to: usize,
         bytes: Vec<u8>,
     },
-    Arrives {
-        call: usize,
-    },
-    Commits {
-        call: usize,
-    },
-    Answers {
-        call: usize,
-    },
-    GivenUp {
-        call: usize,
-    },
-    Begins(usize),
-    Ends(usize),
-    Starts(usize),
-    Leaves(usize),
-    Down(usize),
+    /// A call arrives at the resource.
+    CallArrives { call: usize },
+    /// The resource accepts or refuses the act of a call.
+    ActCommits { call: usize },
+    /// The answer of the resource arrives at the caller.
+    AnswerArrives { call: usize },
+    /// The caller's timeout expires.
+    CallTimesOut { call: usize },
+    /// A fault begins, by its index.
+    FaultBegins(usize),
+    /// A fault ends, by its index.
+    FaultEnds(usize),
+    /// A process starts.
+    ProcessStarts(usize),
+    /// A stopping sidecar releases its leases.
+    LeasesReleased(usize),
+    /// A process ends.
+    ProcessEnds(usize),
 }
 
 struct Node {
-    part: Option<FleetNode>,
-    began: Duration,
-    rate: f64,
-    turn: u64,
+    fleet_node: Option<FleetNode>, // none while the process is down
+    started_at: Duration,
+    clock_rate: f64,
+    timer_id: u64, // of the timer that is in force
     paused: u32,
-    missed: Vec<Ev>, // what comes to it while it is stopped
+    deferred: Vec<SimulationEvent>, // events for it while it is paused
     disk: BTreeMap<LeaseKey, Vote>,
-    chance: SeededRng,
-    calls: Vec<Option<usize>>,
+    rng: SeededRng,
+    calls: Vec<Option<usize>>, // open calls, by duty
 }
 
 struct Call {
     node: usize,
     duty: usize,
     epoch: Epoch,
-    dropped: bool,
-    accepted: Option<Result<(), Epoch>>,
+    aborted: bool,
+    outcome: Option<Result<(), Epoch>>, // once committed; the highest epoch where it is refused
 }
 
-struct World<'a> {
+struct Simulation<'a> {
     plan: &'a FleetPlan,
     instances: usize,
-    trip: Duration, // one way
+    one_way_delay: Duration,
     now: Duration,
-    queue: BinaryHeap<Reverse<(Duration, u64, Ev)>>,
-    count: u64,
+    queue: BinaryHeap<Reverse<(Duration, u64, SimulationEvent)>>,
+    event_count: u64, // orders events of the same time
     nodes: Vec<Node>,
     wires: Wires,
     calls: Vec<Call>,
-    acts_kept: Vec<(usize, Vec<usize>, Vec<usize>)>, // fault, whose, calls
-    hit: Vec<Vec<usize>>,                            // whom each fault has hit
+    held_calls: Vec<(usize, Vec<usize>, Vec<usize>)>, // fault, callers, calls
+    affected: Vec<Vec<usize>>,                        // by fault, the nodes that it affected
     fence: Fence,
-    day: FleetDay,
-    believes: Vec<Option<Epoch>>, // of the first duty
+    results: FleetDay,
+    believed_epochs: Vec<Option<Epoch>>, // of the first duty, by node
 }
 
-/// Plays a day.
+/// Simulates a run.
 pub fn play(
     plan: &FleetPlan,
     instances: usize,
     length: Duration,
-    trip: Duration,
+    one_way_delay: Duration,
     seed: u64,
 ) -> FleetDay {
-    let mut world = World {
+    let mut simulation = Simulation {
         plan,
         instances,
-        trip,
+        one_way_delay,
         now: Duration::ZERO,
         queue: BinaryHeap::new(),
-        count: 0,
+        event_count: 0,
         nodes: Vec::new(),
         wires: Wires::new(seed),
         calls: Vec::new(),
-        acts_kept: Vec::new(),
-        hit: vec![Vec::new(); plan.faults.len()],
+        held_calls: Vec::new(),
+        affected: vec![Vec::new(); plan.faults.len()],
         fence: Fence::default(),
-        day: FleetDay {
+        results: FleetDay {
             datagrams: vec![0; instances],
             seconds: length.as_secs_f64(),
             ..FleetDay::default()
         },
-        believes: vec![None; instances],
+        believed_epochs: vec![None; instances],
     };
-    for n in 0..instances {
-        let mut chance = SeededRng::stream(seed, "sidecar", n as u64);
-        let rate = 1.0 + APART * (chance.uniform() - 0.5);
-        world.nodes.push(Node {
-            part: None,
-            began: Duration::ZERO,
-            rate,
-            turn: 0,
+    for node in 0..instances {
+        let mut rng = SeededRng::stream(seed, "sidecar", node as u64);
+        let clock_rate = 1.0 + CLOCK_DRIFT * (rng.uniform() - 0.5);
+        simulation.nodes.push(Node {
+            fleet_node: None,
+            started_at: Duration::ZERO,
+            clock_rate,
+            timer_id: 0,
             paused: 0,
-            missed: Vec::new(),
+            deferred: Vec::new(),
             disk: BTreeMap::new(),
             calls: vec![None; plan.duties.len()],
-            chance,
+            rng,
         });
-        // They start within half a second of each other.
-        let at = Duration::from_millis(world.nodes[n].chance.below(500) as u64);
-        world.at(at, Ev::Starts(n));
+        // All start within half a second.
+        let start = Duration::from_millis(simulation.nodes[node].rng.below(500) as u64);
+        simulation.schedule(start, SimulationEvent::ProcessStarts(node));
     }
-    for (n, fault) in plan.faults.iter().enumerate() {
-        world.at(fault.from, Ev::Begins(n));
-        let ends = if fault.what == What::Kill {
+    for (index, fault) in plan.faults.iter().enumerate() {
+        simulation.schedule(fault.from, SimulationEvent::FaultBegins(index));
+        let end = if fault.what == What::Kill {
             None
         } else {
             fault.to
         };
-        ends.into_iter().for_each(|to| world.at(to, Ev::Ends(n)));
+        end.into_iter()
+            .for_each(|to| simulation.schedule(to, SimulationEvent::FaultEnds(index)));
     }
-    while let Some(Reverse((at, _, ev))) = world.queue.pop() {
-        if at > length {
+    while let Some(Reverse((time, _, event))) = simulation.queue.pop() {
+        if time > length {
             break;
         }
-        world.now = at;
-        world.happens(ev);
+        simulation.now = time;
+        simulation.handle(event);
     }
-    for node in &world.nodes {
+    for node in &simulation.nodes {
         let counts = node
-            .part
+            .fleet_node
             .as_ref()
             .map(FleetNode::counts)
             .unwrap_or_default();
-        world.day.doubts += counts.suspicions;
-        world.day.refuted += counts.refuted;
+        simulation.results.doubts += counts.suspicions;
+        simulation.results.refuted += counts.refuted;
     }
-    world.day.hits += world.wires.hits;
-    world.day
+    simulation.results.hits += simulation.wires.hits;
+    simulation.results
 }
 
-impl World<'_> {
-    fn at(&mut self, at: Duration, ev: Ev) {
-        self.count += 1;
-        self.queue.push(Reverse((at, self.count, ev)));
+impl Simulation<'_> {
+    fn schedule(&mut self, time: Duration, event: SimulationEvent) {
+        self.event_count += 1;
+        self.queue.push(Reverse((time, self.event_count, event)));
     }
 
-    fn times(&self, node: usize) -> Clocks {
-        let n = &self.nodes[node];
+    fn clocks(&self, node: usize) -> Clocks {
+        let state = &self.nodes[node];
         Clocks {
-            monotonic: self.now.saturating_sub(n.began).mul_f64(n.rate),
-            wall: WALL + self.now,
+            monotonic: self
+                .now
+                .saturating_sub(state.started_at)
+                .mul_f64(state.clock_rate),
+            wall: WALL_CLOCK_START + self.now,
         }
     }
 
-    fn happens(&mut self, ev: Ev) {
-        // Whoever is stopped finds it when it wakes.
-        let to = match &ev {
-            Ev::Wake { node, .. } | Ev::Leaves(node) | Ev::Down(node) => Some(*node),
-            Ev::Datagram { to, .. } => Some(*to),
-            Ev::Answers { call } | Ev::GivenUp { call } => Some(self.calls[*call].node),
+    fn handle(&mut self, event: SimulationEvent) {
+        // Events for a paused process are deferred until it resumes.
+        let receiver = match &event {
+            SimulationEvent::Timer { node, .. }
+            | SimulationEvent::LeasesReleased(node)
+            | SimulationEvent::ProcessEnds(node) => Some(*node),
+            SimulationEvent::Datagram { to, .. } => Some(*to),
+            SimulationEvent::AnswerArrives { call } | SimulationEvent::CallTimesOut { call } => {
+                Some(self.calls[*call].node)
+            }
             _ => None,
         };
-        if let Some(node) = to.filter(|node| self.nodes[*node].paused > 0) {
+        if let Some(node) = receiver.filter(|node| self.nodes[*node].paused > 0) {
             let unread = self.nodes[node]
-                .missed
+                .deferred
                 .iter()
-                .filter(|e| matches!(e, Ev::Datagram { .. }))
+                .filter(|event| matches!(event, SimulationEvent::Datagram { .. }))
                 .count();
-            if !matches!(ev, Ev::Datagram { .. }) || unread < MOST_UNREAD {
-                self.nodes[node].missed.push(ev);
+            if !matches!(event, SimulationEvent::Datagram { .. }) || unread < MAX_UNREAD_DATAGRAMS {
+                self.nodes[node].deferred.push(event);
             }
             return;
         }
-        match ev {
-            Ev::Wake { node, turn } => {
-                if self.nodes[node].turn == turn {
-                    self.turn(node);
+        match event {
+            SimulationEvent::Timer { node, id } => {
+                if self.nodes[node].timer_id == id {
+                    self.advance(node);
                 }
             }
-            Ev::Datagram { from, to, bytes } => {
-                let times = self.times(to);
-                if let Some(part) = &mut self.nodes[to].part {
-                    let todo = part.receive(
-                        times,
+            SimulationEvent::Datagram { from, to, bytes } => {
+                let clocks = self.clocks(to);
+                if let Some(fleet_node) = &mut self.nodes[to].fleet_node {
+                    let actions = fleet_node.receive(
+                        clocks,
                         from as u16,
                         &bytes,
                         &MachineView {
@@ -212,171 +221,183 @@
                             is_idle: &|_| false,
                         },
                     );
-                    self.carry_out(to, todo);
-                    self.turn(to);
+                    self.carry_out(to, actions);
+                    self.advance(to);
                 }
             }
-            Ev::Arrives { call } => {
+            SimulationEvent::CallArrives { call } => {
                 let node = self.calls[call].node;
                 match self
-                    .acts_kept
+                    .held_calls
                     .iter_mut()
-                    .find(|(_, whose, _)| whose.contains(&node))
+                    .find(|(_, callers, _)| callers.contains(&node))
                 {
-                    Some((_, _, kept)) => {
-                        kept.push(call);
-                        self.day.hits += 1;
+                    Some((_, _, held)) => {
+                        held.push(call);
+                        self.results.hits += 1;
                     }
                     None => {
                         let work = self.plan.duties[self.calls[call].duty].work;
-                        self.at(self.now + work, Ev::Commits { call });
+                        self.schedule(self.now + work, SimulationEvent::ActCommits { call });
                     }
                 }
             }
-            Ev::Commits { call } => self.commit(call),
-            Ev::Answers { call } => {
-                let came = match self.calls[call].accepted {
+            SimulationEvent::ActCommits { call } => self.commit(call),
+            SimulationEvent::AnswerArrives { call } => {
+                let outcome = match self.calls[call].outcome {
                     Some(Ok(())) => CallOutcome::Succeeded,
                     Some(Err(highest)) => CallOutcome::StaleEpoch(highest),
                     None => return,
                 };
-                self.ended(call, came);
+                self.call_ended(call, outcome);
             }
-            Ev::GivenUp { call } => {
-                self.ended(call, CallOutcome::Unknown("no answer in time".into()))
+            SimulationEvent::CallTimesOut { call } => {
+                self.call_ended(call, CallOutcome::Unknown("no answer in time".into()))
             }
-            Ev::Starts(node) => self.start(node),
-            Ev::Begins(n) => self.begin(n),
-            Ev::Ends(n) => self.end(n),
-            Ev::Leaves(node) => {
-                let times = self.times(node);
-                if let Some(part) = &mut self.nodes[node].part {
-                    let todo = part.release_all(times);
-                    self.carry_out(node, todo);
-                    self.turn(node);
-                    self.at(self.now + LAST_WORDS, Ev::Down(node));
+            SimulationEvent::ProcessStarts(node) => self.start_process(node),
+            SimulationEvent::FaultBegins(index) => self.begin_fault(index),
+            SimulationEvent::FaultEnds(index) => self.end_fault(index),
+            SimulationEvent::LeasesReleased(node) => {
+                let clocks = self.clocks(node);
+                if let Some(fleet_node) = &mut self.nodes[node].fleet_node {
+                    let actions = fleet_node.release_all(clocks);
+                    self.carry_out(node, actions);
+                    self.advance(node);
+                    self.schedule(self.now + RELEASE_WAIT, SimulationEvent::ProcessEnds(node));
                 }
             }
-            Ev::Down(node) => self.down(node),
+            SimulationEvent::ProcessEnds(node) => self.end_process(node),
         }
     }
 
-    fn start(&mut self, node: usize) {
-        let n = &mut self.nodes[node];
-        if n.part.is_some() {
+    fn start_process(&mut self, node: usize) {
+        let state = &mut self.nodes[node];
+        if state.fleet_node.is_some() {
             return;
         }
-        n.began = self.now;
-        let incarnation = passroad_peers::incarnation_at(WALL + self.now);
-        let seed = n.chance.next_u64();
-        let who = NodeIdentity {
+        state.started_at = self.now;
+        let incarnation = passroad_peers::incarnation_at(WALL_CLOCK_START + self.now);
+        let seed = state.rng.next_u64();
+        let identity = NodeIdentity {
             me: node as u16,
             members: self.instances,
             incarnation,
             seed,
         };
-        let votes = (self.plan.state && !n.disk.is_empty()).then(|| n.disk.clone());
+        let votes = (self.plan.state && !state.disk.is_empty()).then(|| state.disk.clone());
         let duties = self.plan.duties.iter().map(|duty| duty.orders()).collect();
         let (voters, lease, period) = (self.plan.voters, self.plan.lease, self.plan.period);
-        let times = self.times(node);
-        self.nodes[node].part = Some(FleetNode::new(
-            &who, voters, lease, period, duties, times, votes,
+        let clocks = self.clocks(node);
+        self.nodes[node].fleet_node = Some(FleetNode::new(
+            &identity, voters, lease, period, duties, clocks, votes,
         ));
-        self.turn(node);
+        self.advance(node);
     }
 
-    /// The process ends; what it had out stays out.
-    fn down(&mut self, node: usize) {
-        let n = &mut self.nodes[node];
-        if let Some(part) = n.part.take() {
-            self.day.doubts += part.counts().suspicions;
-            self.day.refuted += part.counts().refuted;
+    /// Ends a process. Its datagrams and calls that are under way still arrive.
+    fn end_process(&mut self, node: usize) {
+        let state = &mut self.nodes[node];
+        if let Some(fleet_node) = state.fleet_node.take() {
+            self.results.doubts += fleet_node.counts().suspicions;
+            self.results.refuted += fleet_node.counts().refuted;
         }
-        n.turn += 1;
-        n.missed.clear();
-        n.calls.iter_mut().for_each(|call| *call = None);
-        self.believes[node] = None;
+        state.timer_id += 1;
+        state.deferred.clear();
+        state.calls.iter_mut().for_each(|call| *call = None);
+        self.believed_epochs[node] = None;
     }
 
-    fn turn(&mut self, node: usize) {
-        let times = self.times(node);
-        let Some(part) = &mut self.nodes[node].part else {
+    /// Lets a node act on expired timers, sets its next timer and updates what it believes to own.
+    fn advance(&mut self, node: usize) {
+        let clocks = self.clocks(node);
+        let Some(fleet_node) = &mut self.nodes[node].fleet_node else {
+            return;
+        };
+        let actions = fleet_node.tick(clocks);
+        self.carry_out(node, actions);
+        let state = &mut self.nodes[node];
+        let Some(fleet_node) = &mut state.fleet_node else {
             return;
         };
-        let todo = part.tick(times);
-        self.carry_out(node, todo);
-        let n = &mut self.nodes[node];
-        let Some(part) = &mut n.part else { return };
         let (wait, owned) = (
-            part.wait(times),
-            (!self.plan.duties.is_empty()).then(|| part.owned_epoch(times, 0)),
+            fleet_node.wait(clocks),
+            (!self.plan.duties.is_empty()).then(|| fleet_node.owned_epoch(clocks, 0)),
         );
-        n.turn += 1;
-        let ev = Ev::Wake { node, turn: n.turn };
-        let at = self.now + wait.div_f64(n.rate) + Duration::from_micros(1);
-        self.at(at, ev);
-        self.believes[node] = owned.flatten();
-        if self.believes[node].is_some() {
-            self.look();
+        state.timer_id += 1;
+        let event = SimulationEvent::Timer {
+            node,
+            id: state.timer_id,
+        };
+        let time = self.now + wait.div_f64(state.clock_rate) + Duration::from_micros(1);
+        self.schedule(time, event);
+        self.believed_epochs[node] = owned.flatten();
+        if self.believed_epochs[node].is_some() {
+            self.count_believers();
         }
     }
 
-    /// How many that could act now take themselves for the owner.
-    fn look(&mut self) {
+    /// Counts the running nodes that believe to own the first duty now.
+    fn count_believers(&mut self) {
         let mut believers = 0;
         for node in 0..self.instances {
-            if self.believes[node].is_some() && self.nodes[node].paused == 0 {
-                let times = self.times(node);
-                let still = self.nodes[node]
-                    .part
+            if self.believed_epochs[node].is_some() && self.nodes[node].paused == 0 {
+                let clocks = self.clocks(node);
+                let believes = self.nodes[node]
+                    .fleet_node
                     .as_mut()
-                    .and_then(|part| part.owned_epoch(times, 0))
+                    .and_then(|fleet_node| fleet_node.owned_epoch(clocks, 0))
                     .is_some();
-                believers += usize::from(still);
+                believers += usize::from(believes);
             }
         }
-        self.day.believers = self.day.believers.max(Some(believers));
+        self.results.believers = self.results.believers.max(Some(believers));
     }
 
-    fn carry_out(&mut self, node: usize, todo: Vec<NodeAction>) {
-        for what in todo {
-            match what {
+    fn carry_out(&mut self, node: usize, actions: Vec<NodeAction>) {
+        for action in actions {
+            match action {
                 NodeAction::Send { to, bytes } => {
-                    self.day.datagrams[node] += 1;
-                    self.day.longest = self.day.longest.max(bytes.len());
+                    self.results.datagrams[node] += 1;
+                    self.results.longest = self.results.longest.max(bytes.len());
                     let to = usize::from(to);
-                    for after in self.wires.pass(node, to, &bytes) {
-                        let odd = Duration::from_micros(self.nodes[node].chance.below(200) as u64);
-                        let ev = Ev::Datagram {
+                    for delay in self.wires.pass(node, to, &bytes) {
+                        let jitter = Duration::from_micros(self.nodes[node].rng.below(200) as u64);
+                        let event = SimulationEvent::Datagram {
                             from: node,
                             to,
                             bytes: bytes.clone(),
                         };
-                        self.at(self.now + self.trip + odd + after, ev);
+                        self.schedule(self.now + self.one_way_delay + jitter + delay, event);
                     }
                 }
                 NodeAction::Persist { key, vote } => drop(self.nodes[node].disk.insert(key, vote)),
                 NodeAction::BeginCall {
-                    task: n,
+                    task: duty,
                     epoch,
-                    timeout: within,
+                    timeout,
                 } => {
                     let call = self.calls.len();
                     self.calls.push(Call {
                         node,
-                        duty: n,
+                        duty,
                         epoch,
-                        dropped: false,
-                        accepted: None,
+                        aborted: false,
+                        outcome: None,
                     });
-                    self.nodes[node].calls[n] = Some(call);
-                    self.at(self.now + self.trip, Ev::Arrives { call });
-                    let rate = self.nodes[node].rate;
-                    self.at(self.now + within.div_f64(rate), Ev::GivenUp { call });
+                    self.nodes[node].calls[duty] = Some(call);
+                    self.schedule(
+                        self.now + self.one_way_delay,
+                        SimulationEvent::CallArrives { call },
+                    );
+                    let clock_rate = self.nodes[node].clock_rate;
+                    self.schedule(
+                        self.now + timeout.div_f64(clock_rate),
+                        SimulationEvent::CallTimesOut { call },
+                    );
                 }
-                NodeAction::AbortCall { task: n } => {
-                    if let Some(call) = self.nodes[node].calls[n].take() {
-                        self.calls[call].dropped = true;
+                NodeAction::AbortCall { task: duty } => {
+                    if let Some(call) = self.nodes[node].calls[duty].take() {
+                        self.calls[call].aborted = true;
                     }
                 }
                 NodeAction::Log { .. }
@@ -393,9 +414,9 @@
         let Call {
             node, duty, epoch, ..
         } = self.calls[call];
-        let told = self.fence.admit(duty as LeaseKey, epoch, node as u16);
-        let accepted = told.is_ok() || !self.plan.fence;
-        self.day.acts.push(Act {
+        let admitted = self.fence.admit(duty as LeaseKey, epoch, node as u16);
+        let accepted = admitted.is_ok() || !self.plan.fence;
+        self.results.acts.push(Act {
             at: self.now,
             duty,
             epoch,
@@ -406,117 +427,126 @@
             .fence
             .highest(duty as LeaseKey)
             .map_or(epoch, |(highest, _)| highest);
-        self.calls[call].accepted = Some(if accepted { Ok(()) } else { Err(highest) });
-        self.at(self.now + self.trip, Ev::Answers { call });
+        self.calls[call].outcome = Some(if accepted { Ok(()) } else { Err(highest) });
+        self.schedule(
+            self.now + self.one_way_delay,
+            SimulationEvent::AnswerArrives { call },
+        );
     }
 
-    fn ended(&mut self, call: usize, came: CallOutcome) {
+    fn call_ended(&mut self, call: usize, outcome: CallOutcome) {
         let (node, duty, epoch) = (
             self.calls[call].node,
             self.calls[call].duty,
             self.calls[call].epoch,
         );
-        if self.calls[call].dropped || self.nodes[node].calls[duty] != Some(call) {
+        if self.calls[call].aborted || self.nodes[node].calls[duty] != Some(call) {
             return;
         }
         self.nodes[node].calls[duty] = None;
-        let times = self.times(node);
-        if let Some(part) = &mut self.nodes[node].part {
-            let todo = part.call_ended(times, duty, epoch, came);
-            self.carry_out(node, todo);
-            self.turn(node);
+        let clocks = self.clocks(node);
+        if let Some(fleet_node) = &mut self.nodes[node].fleet_node {
+            let actions = fleet_node.call_ended(clocks, duty, epoch, outcome);
+            self.carry_out(node, actions);
+            self.advance(node);
         }
     }
 
-    fn begin(&mut self, n: usize) {
-        let fault = &self.plan.faults[n];
+    fn begin_fault(&mut self, index: usize) {
+        let fault = &self.plan.faults[index];
         let owner = self
-            .day
+            .results
             .acts
             .iter()
             .rev()
-            .find(|a| a.accepted)
-            .map(|a| a.owner);
-        let whom = fault.whom.find(self.plan, self.instances, owner);
-        self.hit[n].clone_from(&whom);
+            .find(|act| act.accepted)
+            .map(|act| act.owner);
+        let nodes = fault.whom.find(self.plan, self.instances, owner);
+        self.affected[index].clone_from(&nodes);
         match fault.what {
             What::Pause => {
-                self.day.hits += whom.len();
-                whom.iter().for_each(|node| self.nodes[*node].paused += 1);
+                self.results.hits += nodes.len();
+                nodes.iter().for_each(|node| self.nodes[*node].paused += 1);
             }
             What::Kill => {
-                self.day.hits += whom.len();
-                let back = fault.to.unwrap_or(self.now + RESTART);
-                for node in whom {
-                    self.down(node);
-                    self.at(back, Ev::Starts(node));
+                self.results.hits += nodes.len();
+                let restart = fault.to.unwrap_or(self.now + RESTART);
+                for node in nodes {
+                    self.end_process(node);
+                    self.schedule(restart, SimulationEvent::ProcessStarts(node));
                 }
             }
             What::Stop => {
-                self.day.hits += whom.len();
-                let back = fault.to.unwrap_or(self.now + 2 * RESTART);
-                for node in whom {
-                    if let Some(part) = &mut self.nodes[node].part {
-                        part.stop();
-                        let wait = if part.any_call_open() {
-                            LAST_CALL
+                self.results.hits += nodes.len();
+                let restart = fault.to.unwrap_or(self.now + 2 * RESTART);
+                for node in nodes {
+                    if let Some(fleet_node) = &mut self.nodes[node].fleet_node {
+                        fleet_node.stop();
+                        let wait = if fleet_node.any_call_open() {
+                            OPEN_CALL_WAIT
                         } else {
                             Duration::ZERO
                         };
-                        self.at(self.now + wait, Ev::Leaves(node));
-                        self.at(
-                            back.max(self.now + LAST_CALL + 2 * LAST_WORDS),
-                            Ev::Starts(node),
+                        self.schedule(self.now + wait, SimulationEvent::LeasesReleased(node));
+                        self.schedule(
+                            restart.max(self.now + OPEN_CALL_WAIT + 2 * RELEASE_WAIT),
+                            SimulationEvent::ProcessStarts(node),
                         );
                     }
                 }
             }
-            What::ActsKeep => self.acts_kept.push((n, whom, Vec::new())),
+            What::ActsKeep => self.held_calls.push((index, nodes, Vec::new())),
             what => {
-                let side = |list: &[usize]| {
+                let membership = |list: &[usize]| {
                     (0..self.instances)
-                        .map(|n| list.contains(&n))
+                        .map(|node| list.contains(&node))
                         .collect::<Vec<_>>()
                 };
-                let from = side(&whom);
+                let from = membership(&nodes);
                 let to = match &fault.others {
-                    Some(others) => side(others),
-                    None if whom.len() == self.instances => vec![true; self.instances],
-                    None => from.iter().map(|of| !of).collect(),
+                    Some(others) => membership(others),
+                    None if nodes.len() == self.instances => vec![true; self.instances],
+                    None => from.iter().map(|member| !member).collect(),
                 };
-                self.wires.begin(n, from, to, what);
+                self.wires.begin(index, from, to, what);
             }
         }
     }
 
-    fn end(&mut self, n: usize) {
-        match self.plan.faults[n].what {
+    fn end_fault(&mut self, index: usize) {
+        match self.plan.faults[index].what {
             What::Pause => {
-                for node in std::mem::take(&mut self.hit[n]) {
+                for node in std::mem::take(&mut self.affected[index]) {
                     self.nodes[node].paused = self.nodes[node].paused.saturating_sub(1);
                     if self.nodes[node].paused > 0 {
                         continue;
                     }
-                    // It looks at its timers first, as it does not know yet that anything came.
-                    self.turn(node);
-                    for ev in std::mem::take(&mut self.nodes[node].missed) {
-                        self.happens(ev);
+                    // A resumed process handles its timers first, before it reads what has arrived.
+                    self.advance(node);
+                    for event in std::mem::take(&mut self.nodes[node].deferred) {
+                        self.handle(event);
                     }
                 }
             }
             What::ActsKeep => {
-                let kept = self.acts_kept.iter().position(|(of, ..)| *of == n);
-                for call in kept
-                    .map(|at| self.acts_kept.remove(at).2)
+                let held = self
+                    .held_calls
+                    .iter()
+                    .position(|(fault, ..)| *fault == index);
+                for call in held
+                    .map(|position| self.held_calls.remove(position).2)
                     .unwrap_or_default()
                 {
-                    self.at(self.now, Ev::Commits { call });
+                    self.schedule(self.now, SimulationEvent::ActCommits { call });
                 }
             }
             What::Kill | What::Stop => {}
             _ => {
-                for (from, to, bytes) in self.wires.end(n) {
-                    self.at(self.now + self.trip, Ev::Datagram { from, to, bytes });
+                for (from, to, bytes) in self.wires.end(index) {
+                    self.schedule(
+                        self.now + self.one_way_delay,
+                        SimulationEvent::Datagram { from, to, bytes },
+                    );
                 }
             }
         }
