--- a/crates/passroad-rig/src/ledger.rs
+++ b/crates/passroad-rig/src/ledger.rs
@@ -1,12 +1,12 @@
-//! What went over the wire, and whether the rules were kept. It knows nothing of decisions: whoever decided, the same
-//! history has the same verdict.
+//! Records what clients, sidecars and endpoints exchanged, and checks the service's rules on it. It knows nothing of the
+//! policies' decisions: the same history gives the same violations under any policy.
 
 use crate::experiment::{DeduplicationScope, Effect, Plan};
 use crate::model::{EndpointSpec, warm_up_factor};
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
 
-/// Numbers of the whole day, not of one sidecar.
+/// Unique over the whole run, not only at one sidecar.
 pub type CommandId = usize;
 pub type RelayId = usize;
 
@@ -19,7 +19,7 @@
 
 #[derive(Debug, Clone, PartialEq)]
 pub enum Entry {
-    /// A client sends a command; later tries of the same belong to one chain and say which one they follow.
+    /// A client sends a command. Retries have the id of the first command of their chain.
     CommandArrived {
         command: CommandId,
         chain: CommandId,
@@ -27,12 +27,12 @@
         instance: usize,
         time_limit: Duration,
     },
-    /// The client has its one final answer.
+    /// The client receives a final answer.
     Answered {
         command: CommandId,
         answer: Answer,
     },
-    /// The client went away without one, of its own will.
+    /// The client gives up without an answer.
     ClientLeft {
         command: CommandId,
     },
@@ -41,47 +41,47 @@
         command: CommandId,
         endpoint: usize,
     },
-    /// Nothing of this relay is out any more at its sidecar; `proven` that it has not run.
+    /// The relay has ended at its sidecar; `never_ran` if it is certain that it has not run.
     RelayEnded {
         relay: RelayId,
         never_ran: bool,
     },
-    /// The endpoint began on it.
+    /// The endpoint has started the relay's job.
     JobStarted {
         relay: RelayId,
     },
-    /// A list reached an instance: this endpoint drains, or has left.
+    /// An instance receives a list update by which this endpoint drains or has left.
     ListedAway {
         instance: usize,
         endpoint: usize,
     },
-    /// The same: it is up.
+    /// An instance receives a list update by which this endpoint is up.
     ListedUp {
         instance: usize,
         endpoint: usize,
     },
-    /// An instance has said yes to operators: this endpoint is out by hand, or back.
+    /// An instance has confirmed to operators that this endpoint is cordoned, or no longer so.
     Cordoned {
         instance: usize,
         endpoint: usize,
         cordoned: bool,
     },
-    /// A process that starts cold.
+    /// An endpoint's process starts cold.
     EndpointStarted {
         endpoint: usize,
     },
     ProbeSent {
         endpoint: usize,
     },
-    /// The sidecar's process was killed: what it held is lost through no fault of its own.
+    /// The sidecar's process is killed by a fault: the commands that it held are lost, which breaks no rule.
     SidecarKilled {
         instance: usize,
     },
-    /// A client was given an answer that no endpoint made for its command.
+    /// A client receives an answer that no endpoint made for its command.
     AnswerMixedUp {
         command: CommandId,
     },
-    /// A sidecar's process ended by itself, or not in order when it was told to.
+    /// A sidecar's process ended by itself, or with a failure when it was stopped.
     SidecarCrashed {
         instance: usize,
     },
@@ -123,7 +123,7 @@
     pub message: String,
 }
 
-/// One command, as the client and the wire saw it.
+/// A command with its answers and relays.
 #[derive(Debug, Clone, PartialEq)]
 pub struct CommandRecord {
     pub chain: CommandId,
@@ -134,7 +134,7 @@
     pub answers: Vec<(Duration, Answer)>,
     pub client_left_at: Option<Duration>,
     pub relays: Vec<RelayId>,
-    pub lost_with_sidecar: bool, // with the process that held it
+    pub lost_with_sidecar: bool, // its sidecar was killed before an answer
 }
 
 #[derive(Debug, Clone, PartialEq)]
@@ -142,37 +142,38 @@
     pub command: CommandId,
     pub endpoint: usize,
     pub sent_at: Duration,
-    pub ended: Option<(Duration, bool)>,
-    pub started_at: Option<Duration>,
+    pub ended: Option<(Duration, bool)>, // when, and whether it certainly never ran
+    pub started_at: Option<Duration>,    // of its job at the endpoint
 }
 
-/// The history of a day. Entries may come in any order of time where they come from several tasks.
+/// Entries of a run. They may be recorded out of order of time, as several tasks write them.
 #[derive(Debug, Default, Clone)]
 pub struct Ledger {
     entries: Vec<(Duration, Entry)>,
 }
 
-/// The history sorted out: by command, by relay, by endpoint.
+/// The entries of a ledger by command, relay and endpoint.
 #[derive(Debug, Default)]
 pub struct History {
     pub commands: Vec<CommandRecord>,
     pub relays: Vec<RelayRecord>,
     pub probes: Vec<(Duration, usize)>,
-    direct_violations: Vec<(Duration, String)>, // what breaks the first rule by itself
-    listed_away: HashMap<(usize, usize), Vec<(Duration, bool)>>, // by instance and endpoint: told away, or up again
-    cordoned: HashMap<(usize, usize), Vec<(Duration, bool)>>,    // the same by operators
+    direct_violations: Vec<(Duration, String)>, // of Rule::OneAnswer, by entries that break it by themselves
+    listed_away: HashMap<(usize, usize), Vec<(Duration, bool)>>, // by instance and endpoint: listed as draining or gone (true), or as up
+    cordoned: HashMap<(usize, usize), Vec<(Duration, bool)>>, // by instance and endpoint: cordoned (true) or uncordoned
     cold_starts: HashMap<usize, Vec<Duration>>,
 }
 
-/// What the verdict needs to know beside the history.
+/// What the rules depend on beside the history.
 #[derive(Debug, Clone)]
 pub struct RuleContext {
     pub classes: Vec<ClassRules>,
-    /// Seconds of a core that a request is in the mean of the load.
+    /// Mean work of a command over the load, in seconds of a core.
     pub mean_work: f64,
-    pub endpoints: Vec<(EndpointSpec, usize, usize)>, // zone and cell
+    pub endpoints: Vec<(EndpointSpec, usize, usize)>, // with zone and cell
     pub drain_grace: Duration,
-    /// How much later than its limit an answer may reach its client: what the machine adds, nothing in virtual time.
+    /// How much later than its time limit an answer may reach its client: delays of the machine on sockets, zero in
+    /// virtual time.
     pub slack: Duration,
 }
 
@@ -186,7 +187,7 @@
 
 impl RuleContext {
     pub fn from_plan(plan: &Plan, slack: Duration) -> Self {
-        let verb = |v: &crate::experiment::ClassPlan| ClassRules {
+        let class = |v: &crate::experiment::ClassPlan| ClassRules {
             effect: v.effect,
             deduplication_scope: v.deduplication_scope,
             deduplication_window: v.deduplication_window,
@@ -194,7 +195,7 @@
         };
         let shares: f64 = plan.classes.iter().map(|v| v.share).sum();
         RuleContext {
-            classes: plan.classes.iter().map(verb).collect(),
+            classes: plan.classes.iter().map(class).collect(),
             mean_work: plan
                 .classes
                 .iter()
@@ -204,7 +205,7 @@
             endpoints: plan
                 .endpoints
                 .iter()
-                .map(|e| (e.spec.clone(), e.zone, e.cell))
+                .map(|entry| (entry.spec.clone(), entry.zone, entry.cell))
                 .collect(),
             drain_grace: plan.drain_grace,
             slack,
@@ -213,8 +214,8 @@
 }
 
 impl Ledger {
-    pub fn record(&mut self, at: Duration, entry: Entry) {
-        self.entries.push((at, entry));
+    pub fn record(&mut self, time: Duration, entry: Entry) {
+        self.entries.push((time, entry));
     }
 
     pub fn len(&self) -> usize {
@@ -225,33 +226,37 @@
         self.entries.is_empty()
     }
 
-    /// Asked, answered, declined and terminated so far.
+    /// Numbers of commands that arrived, were answered, refused and failed so far.
     pub fn counts(&self) -> (usize, usize, usize, usize) {
-        let count =
-            |which: fn(&Entry) -> bool| self.entries.iter().filter(|(_, e)| which(e)).count();
+        let count = |which: fn(&Entry) -> bool| {
+            self.entries
+                .iter()
+                .filter(|(_, entry)| which(entry))
+                .count()
+        };
         (
-            count(|e| matches!(e, Entry::CommandArrived { .. })),
-            count(|e| {
+            count(|entry| matches!(entry, Entry::CommandArrived { .. })),
+            count(|entry| {
                 matches!(
-                    e,
+                    entry,
                     Entry::Answered {
                         answer: Answer::Answered,
                         ..
                     }
                 )
             }),
-            count(|e| {
+            count(|entry| {
                 matches!(
-                    e,
+                    entry,
                     Entry::Answered {
                         answer: Answer::Refused,
                         ..
                     }
                 )
             }),
-            count(|e| {
+            count(|entry| {
                 matches!(
-                    e,
+                    entry,
                     Entry::Answered {
                         answer: Answer::Failed,
                         ..
@@ -261,408 +266,442 @@
         )
     }
 
-    /// When an instance was first told that an endpoint drains or has left.
+    /// When the first instance received an update by which an endpoint drains or has left.
     pub fn first_listed_away(&self, endpoint: usize) -> Option<Duration> {
-        let told = |(at, entry): &(Duration, Entry)| match entry {
-            Entry::ListedAway { endpoint: e, .. } if *e == endpoint => Some(*at),
+        let listed_away = |(time, entry): &(Duration, Entry)| match entry {
+            Entry::ListedAway {
+                endpoint: listed, ..
+            } if *listed == endpoint => Some(*time),
             _ => None,
         };
-        self.entries.iter().filter_map(told).min()
+        self.entries.iter().filter_map(listed_away).min()
     }
 
     pub fn history(&self) -> History {
-        let mut books = History::default();
+        let mut history = History::default();
         let mut sorted: Vec<&(Duration, Entry)> = self.entries.iter().collect();
-        sorted.sort_by_key(|(at, _)| *at);
-        // Commands and relays first: what is said of them may carry the same time.
-        for (at, entry) in &sorted {
+        sorted.sort_by_key(|(time, _)| *time);
+        // Commands and relays first: other entries about them may have the same time.
+        for (time, entry) in &sorted {
             match entry {
                 Entry::CommandArrived {
-                    command: cmd,
+                    command,
                     chain,
-                    class: verb,
+                    class,
                     instance,
-                    time_limit: limit,
+                    time_limit,
                 } => {
-                    let told = CommandRecord {
+                    let record = CommandRecord {
                         chain: *chain,
-                        class: *verb,
+                        class: *class,
                         instance: *instance,
-                        arrived_at: *at,
-                        time_limit: *limit,
+                        arrived_at: *time,
+                        time_limit: *time_limit,
                         answers: Vec::new(),
                         client_left_at: None,
                         relays: Vec::new(),
                         lost_with_sidecar: false,
                     };
-                    put(&mut books.commands, *cmd, told);
+                    put(&mut history.commands, *command, record);
                 }
                 Entry::RelaySent {
                     relay,
-                    command: cmd,
+                    command,
                     endpoint,
                 } => {
-                    let sent = RelayRecord {
-                        command: *cmd,
+                    let record = RelayRecord {
+                        command: *command,
                         endpoint: *endpoint,
-                        sent_at: *at,
+                        sent_at: *time,
                         ended: None,
                         started_at: None,
                     };
-                    put(&mut books.relays, *relay, sent);
+                    put(&mut history.relays, *relay, record);
                 }
                 _ => {}
             }
         }
-        for (n, relay) in books.relays.iter().enumerate() {
-            books.commands[relay.command].relays.push(n);
+        for (n, relay) in history.relays.iter().enumerate() {
+            history.commands[relay.command].relays.push(n);
         }
-        for (at, entry) in sorted {
-            let at = *at;
+        for (time, entry) in sorted {
+            let time = *time;
             match entry {
-                Entry::Answered {
-                    command: cmd,
-                    answer,
-                } => books.commands[*cmd].answers.push((at, *answer)),
-                Entry::ClientLeft { command: cmd } => {
-                    books.commands[*cmd].client_left_at = Some(at)
+                Entry::Answered { command, answer } => {
+                    history.commands[*command].answers.push((time, *answer))
                 }
-                Entry::RelayEnded {
-                    relay,
-                    never_ran: proven,
-                } => books.relays[*relay].ended = Some((at, *proven)),
-                Entry::JobStarted { relay } => books.relays[*relay].started_at = Some(at),
+                Entry::ClientLeft { command } => {
+                    history.commands[*command].client_left_at = Some(time)
+                }
+                Entry::RelayEnded { relay, never_ran } => {
+                    history.relays[*relay].ended = Some((time, *never_ran))
+                }
+                Entry::JobStarted { relay } => history.relays[*relay].started_at = Some(time),
                 Entry::ListedAway { instance, endpoint } => {
-                    books.record_listing(*instance, *endpoint, at, true)
+                    history.record_listing(*instance, *endpoint, time, true)
                 }
                 Entry::ListedUp { instance, endpoint } => {
-                    books.record_listing(*instance, *endpoint, at, false)
+                    history.record_listing(*instance, *endpoint, time, false)
                 }
                 Entry::Cordoned {
                     instance,
                     endpoint,
-                    cordoned: out,
+                    cordoned,
                 } => {
-                    books
+                    history
                         .cordoned
                         .entry((*instance, *endpoint))
                         .or_default()
-                        .push((at, *out));
+                        .push((time, *cordoned));
                 }
                 Entry::EndpointStarted { endpoint } => {
-                    books.cold_starts.entry(*endpoint).or_default().push(at)
+                    history.cold_starts.entry(*endpoint).or_default().push(time)
                 }
-                Entry::ProbeSent { endpoint } => books.probes.push((at, *endpoint)),
+                Entry::ProbeSent { endpoint } => history.probes.push((time, *endpoint)),
                 Entry::SidecarKilled { instance } => {
-                    let mut open = books.commands.iter_mut();
-                    let open = open
+                    let mut commands = history.commands.iter_mut();
+                    let arrived = commands
                         .by_ref()
-                        .filter(|c| c.instance == *instance && c.arrived_at <= at);
-                    open.filter(|c| c.answers.is_empty())
+                        .filter(|c| c.instance == *instance && c.arrived_at <= time);
+                    arrived
+                        .filter(|c| c.answers.is_empty())
                         .for_each(|c| c.lost_with_sidecar = true);
                 }
-                Entry::AnswerMixedUp { command: cmd } => {
-                    books
-                        .direct_violations
-                        .push((at, format!("command {cmd} was given the answer to another")));
+                Entry::AnswerMixedUp { command } => {
+                    history.direct_violations.push((
+                        time,
+                        format!("command {command} was given the answer to another"),
+                    ));
                 }
                 Entry::SidecarCrashed { instance } => {
-                    books.direct_violations.push((
-                        at,
+                    history.direct_violations.push((
+                        time,
                         format!("the process of instance {instance} did not end in order"),
                     ));
                 }
                 Entry::CommandArrived { .. } | Entry::RelaySent { .. } => {}
             }
         }
-        books
+        history
     }
 }
 
-fn put<T: Clone>(all: &mut Vec<T>, at: usize, one: T) {
-    if at >= all.len() {
-        all.resize(at + 1, one.clone());
+/// Sets an element of a list that is filled in any order.
+fn put<T: Clone>(list: &mut Vec<T>, index: usize, value: T) {
+    if index >= list.len() {
+        list.resize(index + 1, value.clone());
     }
-    all[at] = one;
+    list[index] = value;
 }
 
 impl History {
-    /// Told once more is not told anew: the grace runs from the first word.
-    fn record_listing(&mut self, instance: usize, endpoint: usize, at: Duration, away: bool) {
-        let turns = self.listed_away.entry((instance, endpoint)).or_default();
-        if turns.last().is_none_or(|(_, before)| *before != away) {
-            turns.push((at, away));
+    /// Records a listed state. The drain grace runs from the first update with that state: repeats are ignored.
+    fn record_listing(&mut self, instance: usize, endpoint: usize, time: Duration, away: bool) {
+        let updates = self.listed_away.entry((instance, endpoint)).or_default();
+        if updates.last().is_none_or(|(_, before)| *before != away) {
+            updates.push((time, away));
         }
     }
 
-    /// All breaches, by rule and time.
-    pub fn check_rules(&self, facts: &RuleContext) -> Vec<Violation> {
-        let wrong = self.direct_violations.iter().cloned();
-        let mut breaches: Vec<Violation> = wrong
-            .map(|(at, what)| Violation {
+    /// All violations of the rules.
+    pub fn check_rules(&self, context: &RuleContext) -> Vec<Violation> {
+        let direct = self.direct_violations.iter().cloned();
+        let mut violations: Vec<Violation> = direct
+            .map(|(time, message)| Violation {
                 rule: Rule::OneAnswer,
-                time: at,
-                message: what,
+                time,
+                message,
             })
             .collect();
-        for (n, c) in self.commands.iter().enumerate() {
-            self.check_one_answer(n, c, facts, &mut breaches);
-            self.check_effects(n, c, facts, &mut breaches);
-            self.check_prompt_refusal(n, c, &mut breaches);
+        for (id, command) in self.commands.iter().enumerate() {
+            self.check_one_answer(id, command, context, &mut violations);
+            self.check_effects(id, command, context, &mut violations);
+            self.check_prompt_refusal(id, command, &mut violations);
         }
-        self.check_drained(facts, &mut breaches);
-        for endpoint in 0..facts.endpoints.len() {
-            let (most, at) = self.cold_overload(endpoint, facts);
-            if most > facts.endpoints[endpoint].0.overload_multiple {
-                let what =
-                    format!("endpoint {endpoint} was offered {most:.2} times what it could do");
-                breaches.push(Violation {
+        self.check_drained(context, &mut violations);
+        for endpoint in 0..context.endpoints.len() {
+            let (highest, time) = self.cold_overload(endpoint, context);
+            if highest > context.endpoints[endpoint].0.overload_multiple {
+                let message =
+                    format!("endpoint {endpoint} was offered {highest:.2} times its capacity");
+                violations.push(Violation {
                     rule: Rule::ColdNotOverloaded,
-                    time: at,
-                    message: what,
+                    time,
+                    message,
                 });
             }
         }
-        breaches
+        violations
     }
 
+    /// Each command gets one answer within its time limit, and no relay is sent after its end.
     fn check_one_answer(
         &self,
-        n: CommandId,
-        c: &CommandRecord,
-        facts: &RuleContext,
-        out: &mut Vec<Violation>,
+        id: CommandId,
+        command: &CommandRecord,
+        context: &RuleContext,
+        violations: &mut Vec<Violation>,
     ) {
-        let mut breach = |at, what: String| {
-            out.push(Violation {
+        let mut report = |time, message: String| {
+            violations.push(Violation {
                 rule: Rule::OneAnswer,
-                time: at,
-                message: what,
+                time,
+                message,
             })
         };
-        let end = c.arrived_at + c.time_limit + facts.slack;
-        match c.answers[..] {
-            [] if c.client_left_at.is_some() || c.lost_with_sidecar => {}
-            [] => breach(end, format!("command {n} was never answered")),
-            [(at, _)] if at > end => {
-                breach(at, format!("command {n} was answered {:?} late", at - end))
-            }
+        let end = command.arrived_at + command.time_limit + context.slack;
+        match command.answers[..] {
+            [] if command.client_left_at.is_some() || command.lost_with_sidecar => {}
+            [] => report(end, format!("command {id} was never answered")),
+            [(time, _)] if time > end => report(
+                time,
+                format!("command {id} was answered {:?} late", time - end),
+            ),
             [_] => {}
-            [_, (at, _), ..] => breach(at, format!("command {n} has {} answers", c.answers.len())),
+            [_, (time, _), ..] => report(
+                time,
+                format!("command {id} has {} answers", command.answers.len()),
+            ),
         }
-        // The end for the sidecar: its answer, its client's leaving, or its client's limit.
-        let over = c
+        // The command ends for its sidecar with the answer, the client giving up, or the time limit.
+        let end_for_sidecar = command
             .answers
             .first()
-            .map(|(at, _)| *at)
+            .map(|(time, _)| *time)
             .into_iter()
-            .chain(c.client_left_at)
+            .chain(command.client_left_at)
             .min();
-        let over = over.map_or(end, |at| (at + facts.slack).min(end));
-        if let Some(r) = c
+        let end_for_sidecar = end_for_sidecar.map_or(end, |time| (time + context.slack).min(end));
+        if let Some(relay) = command
             .relays
             .iter()
-            .map(|r| &self.relays[*r])
-            .find(|r| r.sent_at > over)
+            .map(|relay| &self.relays[*relay])
+            .find(|relay| relay.sent_at > end_for_sidecar)
         {
-            breach(
-                r.sent_at,
-                format!("command {n} was sent {:?} after its end", r.sent_at - over),
+            report(
+                relay.sent_at,
+                format!(
+                    "command {id} was sent {:?} after its end",
+                    relay.sent_at - end_for_sidecar
+                ),
             );
         }
     }
 
+    /// The effect of a command takes place at most once, and not at all if it was refused.
     fn check_effects(
         &self,
-        n: CommandId,
-        c: &CommandRecord,
-        facts: &RuleContext,
-        out: &mut Vec<Violation>,
+        id: CommandId,
+        command: &CommandRecord,
+        context: &RuleContext,
+        violations: &mut Vec<Violation>,
     ) {
-        let verb = &facts.classes[c.class];
-        if verb.effect == Effect::Safe {
+        let class = &context.classes[command.class];
+        if class.effect == Effect::Safe {
             return;
         }
-        let mut breach = |at, what: String| {
-            out.push(Violation {
+        let mut report = |time, message: String| {
+            violations.push(Violation {
                 rule: Rule::NoDuplicateEffect,
-                time: at,
-                message: what,
+                time,
+                message,
             })
         };
-        let relays: Vec<&RelayRecord> = c.relays.iter().map(|r| &self.relays[*r]).collect();
-        let same = |a: &RelayRecord, b: &RelayRecord| {
-            let ((_, zone, cell), (_, zone_b, cell_b)) =
-                (&facts.endpoints[a.endpoint], &facts.endpoints[b.endpoint]);
-            match verb.deduplication_scope {
+        let relays: Vec<&RelayRecord> = command
+            .relays
+            .iter()
+            .map(|relay| &self.relays[*relay])
+            .collect();
+        let same_scope = |a: &RelayRecord, b: &RelayRecord| {
+            let ((_, zone, cell), (_, zone_b, cell_b)) = (
+                &context.endpoints[a.endpoint],
+                &context.endpoints[b.endpoint],
+            );
+            match class.deduplication_scope {
                 DeduplicationScope::All => true,
                 DeduplicationScope::Zone => zone == zone_b,
                 DeduplicationScope::Cell => zone == zone_b && cell == cell_b,
             }
         };
-        // Sent anew although an earlier relay may have run, and nobody drops the repeat.
-        for (k, later) in relays.iter().enumerate() {
-            let doubtful = |r: &&&RelayRecord| {
-                !r.ended
-                    .is_some_and(|(at, proven)| proven && at <= later.sent_at)
+        // A relay that was sent although an earlier one may have run, where no key deduplicates them.
+        for (position, later) in relays.iter().enumerate() {
+            let may_have_run = |relay: &&&RelayRecord| {
+                !relay
+                    .ended
+                    .is_some_and(|(time, never_ran)| never_ran && time <= later.sent_at)
             };
-            for earlier in relays[..k].iter().filter(doubtful) {
-                let dropped = verb.effect == Effect::Keyed
-                    && same(earlier, later)
-                    && later.sent_at - earlier.sent_at <= verb.deduplication_window;
-                if !dropped {
+            for earlier in relays[..position].iter().filter(may_have_run) {
+                let deduplicated = class.effect == Effect::Keyed
+                    && same_scope(earlier, later)
+                    && later.sent_at - earlier.sent_at <= class.deduplication_window;
+                if !deduplicated {
                     let (a, b) = (earlier.endpoint, later.endpoint);
-                    breach(
+                    report(
                         later.sent_at,
-                        format!("command {n} went to {b} while it may have run at {a}"),
+                        format!("command {id} went to {b} while it may have run at {a}"),
                     );
                 }
             }
         }
-        // Effects that took place: a repeat that its group drops is none.
+        // Effects that took place. A repeat that is deduplicated by its key has none.
         let mut effects: Vec<&RelayRecord> = Vec::new();
-        for r in relays.iter().filter(|r| r.started_at.is_some()) {
-            let dropped = |e: &&RelayRecord| {
-                verb.effect == Effect::Keyed
-                    && same(e, r)
-                    && r.started_at
+        for relay in relays.iter().filter(|relay| relay.started_at.is_some()) {
+            let deduplicated = |earlier: &&RelayRecord| {
+                class.effect == Effect::Keyed
+                    && same_scope(earlier, relay)
+                    && relay
+                        .started_at
                         .unwrap_or_default()
-                        .abs_diff(e.started_at.unwrap_or_default())
-                        <= verb.deduplication_window
+                        .abs_diff(earlier.started_at.unwrap_or_default())
+                        <= class.deduplication_window
             };
-            if !effects.iter().any(dropped) {
-                effects.push(r);
+            if !effects.iter().any(deduplicated) {
+                effects.push(relay);
             }
         }
         if effects.len() > 1 {
-            breach(
+            report(
                 effects[1].started_at.unwrap_or_default(),
-                format!("command {n} had {} effects", effects.len()),
+                format!("command {id} had {} effects", effects.len()),
             );
         }
-        let declined = c.answers.iter().find(|(_, a)| *a == Answer::Refused);
-        let any =
-            verb.effect == Effect::Keyed && verb.deduplication_scope == DeduplicationScope::All;
-        if let (Some((at, _)), false, false) = (declined, effects.is_empty(), any) {
-            breach(*at, format!("command {n} was declined and ran"));
+        let refusal = command.answers.iter().find(|(_, a)| *a == Answer::Refused);
+        let deduplicated_everywhere =
+            class.effect == Effect::Keyed && class.deduplication_scope == DeduplicationScope::All;
+        if let (Some((time, _)), false, false) =
+            (refusal, effects.is_empty(), deduplicated_everywhere)
+        {
+            report(*time, format!("command {id} was declined and ran"));
         }
     }
 
-    /// Given up more than half of its time after it came, with nothing out for the last quarter of it.
-    fn check_prompt_refusal(&self, n: CommandId, c: &CommandRecord, out: &mut Vec<Violation>) {
-        let Some((at, answer)) = c.answers.first().copied() else {
+    /// A command must not be given up after more than half of its time limit if it had no relay out for the
+    /// last quarter of that limit.
+    fn check_prompt_refusal(
+        &self,
+        id: CommandId,
+        command: &CommandRecord,
+        violations: &mut Vec<Violation>,
+    ) {
+        let Some((time, answer)) = command.answers.first().copied() else {
             return;
         };
-        if answer == Answer::Answered || at - c.arrived_at <= c.time_limit / 2 {
+        if answer == Answer::Answered || time - command.arrived_at <= command.time_limit / 2 {
             return;
         }
-        let ends = c
-            .relays
-            .iter()
-            .map(|r| self.relays[*r].ended.map_or(at, |(end, _)| end.min(at)));
-        let busy = ends.max().unwrap_or(c.arrived_at);
-        if at - busy > c.time_limit / 4 {
-            let what = format!(
-                "command {n} was kept for {:?} with nothing out, then given up",
-                at - busy
+        let relay_ends = command.relays.iter().map(|relay| {
+            self.relays[*relay]
+                .ended
+                .map_or(time, |(end, _)| end.min(time))
+        });
+        let last_relay_end = relay_ends.max().unwrap_or(command.arrived_at);
+        if time - last_relay_end > command.time_limit / 4 {
+            let message = format!(
+                "command {id} was kept for {:?} with no relay out, then given up",
+                time - last_relay_end
             );
-            out.push(Violation {
+            violations.push(Violation {
                 rule: Rule::AnsweredAtOnce,
-                time: at,
-                message: what,
+                time,
+                message,
             });
         }
     }
 
-    fn check_drained(&self, facts: &RuleContext, out: &mut Vec<Violation>) {
-        for r in &self.relays {
-            let instance = self.commands[r.command].instance;
-            // The yes is said once it is in effect: there is no grace but for what is on its way.
-            let bans = self
+    /// No relay is sent to an endpoint that its instance has cordoned, or that was listed as draining or gone longer than
+    /// the grace ago.
+    fn check_drained(&self, context: &RuleContext, violations: &mut Vec<Violation>) {
+        for relay in &self.relays {
+            let instance = self.commands[relay.command].instance;
+            // Sidecars confirm a cordon once it is in force, so no grace applies but the slack.
+            let cordons = self
                 .cordoned
-                .get(&(instance, r.endpoint))
+                .get(&(instance, relay.endpoint))
                 .into_iter()
                 .flatten();
-            if let Some((told, true)) = bans.rev().find(|(told, _)| *told < r.sent_at)
-                && r.sent_at > *told + facts.slack
+            if let Some((cordoned_at, true)) = cordons.rev().find(|(time, _)| *time < relay.sent_at)
+                && relay.sent_at > *cordoned_at + context.slack
             {
-                let ago = r.sent_at - *told;
-                let what = format!(
-                    "endpoint {} was sent to {ago:?} after instance {instance} took it out",
-                    r.endpoint
+                let delay = relay.sent_at - *cordoned_at;
+                let message = format!(
+                    "endpoint {} was sent to {delay:?} after instance {instance} cordoned it",
+                    relay.endpoint
                 );
-                out.push(Violation {
+                violations.push(Violation {
                     rule: Rule::NothingToDrained,
-                    time: r.sent_at,
-                    message: what,
+                    time: relay.sent_at,
+                    message,
                 });
             }
-            let Some(turns) = self.listed_away.get(&(instance, r.endpoint)) else {
+            let Some(updates) = self.listed_away.get(&(instance, relay.endpoint)) else {
                 continue;
             };
-            if let Some((told, true)) = turns.iter().rev().find(|(told, _)| *told <= r.sent_at)
-                && r.sent_at > *told + facts.drain_grace
+            if let Some((listed_at, true)) = updates
+                .iter()
+                .rev()
+                .find(|(time, _)| *time <= relay.sent_at)
+                && relay.sent_at > *listed_at + context.drain_grace
             {
-                let what = format!(
-                    "endpoint {} was sent to {:?} after instance {instance} was told",
-                    r.endpoint,
-                    r.sent_at - *told
+                let message = format!(
+                    "endpoint {} was sent to {:?} after instance {instance} was notified of its drain",
+                    relay.endpoint,
+                    relay.sent_at - *listed_at
                 );
-                out.push(Violation {
+                violations.push(Violation {
                     rule: Rule::NothingToDrained,
-                    time: r.sent_at,
-                    message: what,
+                    time: relay.sent_at,
+                    message,
                 });
             }
         }
     }
 
-    /// The most that a cold endpoint was offered over its `tip_after`, in multiples of what it could do, and when.
-    pub fn cold_overload(&self, endpoint: usize, facts: &RuleContext) -> (f64, Duration) {
-        let make = &facts.endpoints[endpoint].0;
+    /// The most work that a cold endpoint was offered over its `overload_window`, in multiples of its capacity, and when.
+    pub fn cold_overload(&self, endpoint: usize, context: &RuleContext) -> (f64, Duration) {
+        let spec = &context.endpoints[endpoint].0;
         let Some(starts) = self.cold_starts.get(&endpoint) else {
             return (0.0, Duration::ZERO);
         };
         let mut sends: Vec<(Duration, f64)> = self
             .relays
             .iter()
-            .filter(|r| r.endpoint == endpoint)
-            .map(|r| {
+            .filter(|relay| relay.endpoint == endpoint)
+            .map(|relay| {
                 (
-                    r.sent_at,
-                    facts.classes[self.commands[r.command].class].mean_work,
+                    relay.sent_at,
+                    context.classes[self.commands[relay.command].class].mean_work,
                 )
             })
             .collect();
-        sends.sort_by_key(|(at, _)| *at);
-        let mut most = (0.0, Duration::ZERO);
+        sends.sort_by_key(|(time, _)| *time);
+        let mut highest = (0.0, Duration::ZERO);
         for start in starts {
             let mut window: VecDeque<(Duration, f64)> = VecDeque::new();
             let mut sum = 0.0;
-            let cold = |at: Duration| at >= *start && at < *start + make.warm_up_time;
-            for (at, work) in sends.iter().copied().filter(|(at, _)| cold(*at)) {
-                window.push_back((at, work));
+            let cold = |time: Duration| time >= *start && time < *start + spec.warm_up_time;
+            for (time, work) in sends.iter().copied().filter(|(time, _)| cold(*time)) {
+                window.push_back((time, work));
                 sum += work;
                 while window
                     .front()
-                    .is_some_and(|(old, _)| *old + make.overload_window < at)
+                    .is_some_and(|(old, _)| *old + spec.overload_window < time)
                 {
                     sum -= window.pop_front().map_or(0.0, |(_, work)| work);
                 }
-                if at < *start + make.overload_window {
+                if time < *start + spec.overload_window {
                     continue;
                 }
-                // What it could do over the window: the ramp is straight.
-                let middle = at - make.overload_window / 2;
-                let can =
-                    make.cores as f64 * make.speed * warm_up_factor(make, Some(*start), middle);
-                let push = sum / (can * make.overload_window.as_secs_f64()).max(1e-9);
-                if push > most.0 {
-                    most = (push, at);
+                // Its mean capacity over the window: the warm-up is linear, so that is the one in the middle.
+                let middle = time - spec.overload_window / 2;
+                let capacity =
+                    spec.cores as f64 * spec.speed * warm_up_factor(spec, Some(*start), middle);
+                let load = sum / (capacity * spec.overload_window.as_secs_f64()).max(1e-9);
+                if load > highest.0 {
+                    highest = (load, time);
                 }
             }
         }
-        most
+        highest
     }
 
     /// When an endpoint started cold.
@@ -670,53 +709,55 @@
         self.cold_starts.get(&endpoint).map_or(&[], Vec::as_slice)
     }
 
-    /// The most requests that a cold endpoint got in any window of `tip_after`, against what doesn't push it over: the
-    /// N that its settings allow there, and 2 x root of N + 2 for chance; 1 is the bound. Requests count by their
-    /// class's work against the mean of the load.
-    pub fn cold_start_load(&self, endpoint: usize, facts: &RuleContext) -> (f64, Duration) {
-        let make = &facts.endpoints[endpoint].0;
-        let mut most = (0.0, Duration::ZERO);
+    /// The most commands that a cold endpoint got in any window of `overload_window`, as a share of the bound: the number N
+    /// that its settings allow there, plus 2 x sqrt(N) + 2 for chance. Commands are weighted by the mean work of their
+    /// class over that of the load.
+    pub fn cold_start_load(&self, endpoint: usize, context: &RuleContext) -> (f64, Duration) {
+        let spec = &context.endpoints[endpoint].0;
+        let mut highest = (0.0, Duration::ZERO);
         let starts = self.cold_starts_of(endpoint);
-        for (n, start) in starts.iter().copied().enumerate() {
+        for (index, start) in starts.iter().copied().enumerate() {
             let end = starts
-                .get(n + 1)
+                .get(index + 1)
                 .map_or(Duration::MAX, |next| *next)
-                .min(start + make.warm_up_time);
-            let sent =
-                |r: &&RelayRecord| r.endpoint == endpoint && r.sent_at >= start && r.sent_at < end;
+                .min(start + spec.warm_up_time);
+            let sent = |relay: &&RelayRecord| {
+                relay.endpoint == endpoint && relay.sent_at >= start && relay.sent_at < end
+            };
             let mut sends: Vec<(Duration, f64)> = self
                 .relays
                 .iter()
                 .filter(sent)
-                .map(|r| {
+                .map(|relay| {
                     (
-                        r.sent_at,
-                        facts.classes[self.commands[r.command].class].mean_work
-                            / facts.mean_work.max(1e-9),
+                        relay.sent_at,
+                        context.classes[self.commands[relay.command].class].mean_work
+                            / context.mean_work.max(1e-9),
                     )
                 })
                 .collect();
-            sends.sort_by_key(|(at, _)| *at);
+            sends.sort_by_key(|(time, _)| *time);
             let (mut first, mut count) = (0, 0.0);
-            for (at, work) in sends.iter().copied() {
+            for (time, work) in sends.iter().copied() {
                 count += work;
-                while sends[first].0 + make.overload_window <= at {
+                while sends[first].0 + spec.overload_window <= time {
                     count -= sends[first].1;
                     first += 1;
                 }
-                // The ramp is straight: over the window it is in the mean as in the middle.
-                let middle = at.saturating_sub(make.overload_window / 2).max(start);
-                let can =
-                    make.cores as f64 * make.speed * warm_up_factor(make, Some(start), middle);
-                let n = make.overload_multiple * can * make.overload_window.as_secs_f64()
-                    / facts.mean_work.max(1e-9);
-                let share = count / (n + 2.0 * n.sqrt() + 2.0);
-                if share > most.0 {
-                    most = (share, at);
+                // The warm-up is linear: the mean over the window is the value in its middle.
+                let middle = time.saturating_sub(spec.overload_window / 2).max(start);
+                let capacity =
+                    spec.cores as f64 * spec.speed * warm_up_factor(spec, Some(start), middle);
+                let allowed =
+                    spec.overload_multiple * capacity * spec.overload_window.as_secs_f64()
+                        / context.mean_work.max(1e-9);
+                let share = count / (allowed + 2.0 * allowed.sqrt() + 2.0);
+                if share > highest.0 {
+                    highest = (share, time);
                 }
             }
         }
-        most
+        highest
     }
 }
 
