--- a/crates/passroad-rig/src/baseline.rs
+++ b/crates/passroad-rig/src/baseline.rs
@@ -1,5 +1,5 @@
-//! Whoever decides in a day: the module, and what it is held against. The baselines are plain on purpose: one relay
-//! at a time, another where the rules allow it, no limits, no probes, no waiting.
+//! The policies that can decide in a run: passroad's balancer and baselines to compare it with. The baselines are simple
+//! on purpose: one relay at a time, another one where the rules allow it, no limits, no probes, no queueing.
 
 use crate::experiment::{ClassPlan, Effect, Plan};
 use crate::rng::SeededRng;
@@ -11,20 +11,21 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// The true state of a day, for whoever is allowed to see it.
+/// The true state of the endpoints, for policies that may see it.
 pub trait FleetView {
-    /// Seconds that a command would wait at an endpoint if it were sent now, and until it would be answered; none if it
-    /// would not.
+    /// Seconds that a command would wait at an endpoint if it were sent now, and seconds until it would be answered; none
+    /// if it would not be answered.
     fn estimate_times(
         &self,
         instance: usize,
         endpoint: usize,
-        cmd: CommandIndex,
+        command: CommandIndex,
     ) -> Option<(f64, f64)>;
 }
 
+/// What decides at one instance: it receives events and returns actions.
 pub trait Policy {
-    fn decide(&mut self, now: Duration, event: Event, sight: &dyn FleetView) -> Vec<Action>;
+    fn decide(&mut self, now: Duration, event: Event, view: &dyn FleetView) -> Vec<Action>;
 }
 
 impl Policy for RoutedBalancer {
@@ -33,312 +34,332 @@
     }
 }
 
-/// A policy by its name, for one instance. `seed` is the instance's own.
-pub fn policy(
+/// Creates a policy by its name for one instance. `seed` is the instance's own.
+pub fn create_policy(
     name: &str,
     plan: &Plan,
     instance: usize,
     seed: u64,
 ) -> Result<Box<dyn Policy>, String> {
-    let how = match name {
+    let strategy = match name {
         "passroad" | "passroad-routes" => {
             let settings = plan.settings(plan.zone_of(instance));
-            let mut orders = passroad_orders::config_from_value(seed, &settings)?;
-            // As the sidecar does it: what it counts on is what it keeps.
-            orders.idle_close = orders.idle_close.mul_f64(IDLE_SHARE);
+            let mut config = passroad_orders::config_from_value(seed, &settings)?;
+            // As in the sidecar, the balancer counts on connections for as long as the sidecar keeps them.
+            config.idle_close = config.idle_close.mul_f64(IDLE_SHARE);
             let routes = match (name, &plan.routes) {
                 ("passroad-routes", Some(text)) => Some(
-                    passroad_routes::parse_routes(text, &orders)
-                        .map_err(|wrong| format!("routes: {wrong}"))?,
+                    passroad_routes::parse_routes(text, &config)
+                        .map_err(|error| format!("routes: {error}"))?,
                 ),
                 ("passroad-routes", None) => {
                     return Err("passroad-routes: the experiment has no routes".into());
                 }
                 _ => None,
             };
-            let mut balancer = RoutedBalancer::new(orders, None, routes);
+            let mut balancer = RoutedBalancer::new(config, None, routes);
             for (n, endpoint) in plan.endpoints.iter().enumerate() {
                 balancer.register_endpoint(n, &format!("e{n}"), &plan.kinds[endpoint.kind]);
             }
             return Ok(Box::new(balancer));
         }
-        "random" => How::Random,
-        "round-robin" => How::Turns,
-        "least-of-two" => How::LeastOfTwo,
-        "full-sight" => How::FullSight,
+        "random" => Strategy::Random,
+        "round-robin" => Strategy::RoundRobin,
+        "least-of-two" => Strategy::LeastOfTwo,
+        "full-sight" => Strategy::FullSight,
         other => return Err(format!("no policy '{other}'")),
     };
-    Ok(Box::new(Plain {
-        how,
+    Ok(Box::new(Baseline {
+        strategy,
         instance,
-        effects: plan.classes.iter().map(|v| v.effect).collect(),
-        patience: {
-            let best = plan
+        effects: plan.classes.iter().map(|class| class.effect).collect(),
+        max_wait: {
+            let best_value = plan
                 .classes
                 .iter()
-                .map(|v| v.utility / v.mean_work)
+                .map(|class| class.utility / class.mean_work)
                 .fold(1e-9, f64::max);
-            let mean =
-                plan.classes.iter().map(|v| v.mean_work).sum::<f64>() / plan.classes.len() as f64;
-            let room = plan
-                .endpoints
+            let mean_work = plan
+                .classes
                 .iter()
-                .map(|e| e.spec.queue_limit as f64 / e.spec.cores as f64 / e.spec.speed);
-            let room = room.fold(f64::INFINITY, f64::min) * mean;
-            let patience = |v: &ClassPlan| match v.utility / v.mean_work / best {
-                worth if worth > 0.999 => v.deadline_target.as_secs_f64(),
-                worth => room.min(v.deadline_target.as_secs_f64()) * (0.1 + 0.6 * worth),
+                .map(|class| class.mean_work)
+                .sum::<f64>()
+                / plan.classes.len() as f64;
+            let shortest_queue_time = plan.endpoints.iter().map(|endpoint| {
+                endpoint.spec.queue_limit as f64 / endpoint.spec.cores as f64 / endpoint.spec.speed
+            });
+            let shortest_queue_time = shortest_queue_time.fold(f64::INFINITY, f64::min) * mean_work;
+            let max_wait = |class: &ClassPlan| match class.utility / class.mean_work / best_value {
+                relative_value if relative_value > 0.999 => class.deadline_target.as_secs_f64(),
+                relative_value => {
+                    shortest_queue_time.min(class.deadline_target.as_secs_f64())
+                        * (0.1 + 0.6 * relative_value)
+                }
             };
-            plan.classes.iter().map(patience).collect()
+            plan.classes.iter().map(max_wait).collect()
         },
-        most: plan.max_relays,
-        chance: SeededRng::stream(seed, "baseline", 0),
-        listed: BTreeMap::new(),
-        out: BTreeMap::new(),
-        turn: 0,
+        max_relays: plan.max_relays,
+        rng: SeededRng::stream(seed, "baseline", 0),
+        is_up: BTreeMap::new(),
+        own_outstanding: BTreeMap::new(),
+        next_turn: 0,
         commands: BTreeMap::new(),
-        asked: false,
+        subscribed: false,
     }))
 }
 
-/// Of an endpoint's own time, how long the sidecar keeps an idle connection.
+/// How long the sidecar keeps an idle connection, as a share of the time after which endpoints close it.
 pub const IDLE_SHARE: f64 = 0.45;
 
 #[derive(Clone, Copy, PartialEq)]
-enum How {
+enum Strategy {
     Random,
-    Turns,
+    RoundRobin,
     LeastOfTwo,
-    /// Sees the true state of all endpoints and what every command costs: the upper mark.
+    /// Knows the true state of all endpoints and the work of every command: an upper bound.
     FullSight,
 }
 
-struct Held {
-    verb: usize,
-    leave: Duration,
+struct PendingCommand {
+    class: usize,
+    deadline: Duration,
     relays: Vec<(usize, Option<Outcome>)>,
-    over: bool,
+    finished: bool,
 }
 
-struct Plain {
-    how: How,
+struct Baseline {
+    strategy: Strategy,
     instance: usize,
     effects: Vec<Effect>,
-    patience: Vec<f64>, // seconds, by verb; for full sight
-    most: usize,
-    chance: SeededRng,
-    listed: BTreeMap<usize, bool>, // those that are up
-    out: BTreeMap<usize, usize>,   // own relays out
-    turn: usize,
-    commands: BTreeMap<CommandIndex, Held>,
-    asked: bool,
+    max_wait: Vec<f64>, // seconds that a command may wait at an endpoint, by class; for FullSight
+    max_relays: usize,
+    rng: SeededRng,
+    is_up: BTreeMap<usize, bool>, // listed endpoints; false for those that drain or have left
+    own_outstanding: BTreeMap<usize, usize>, // open relays of this instance, by endpoint
+    next_turn: usize,
+    commands: BTreeMap<CommandIndex, PendingCommand>,
+    subscribed: bool,
 }
 
-impl Plain {
-    fn read_list(
+impl Baseline {
+    fn apply_list_update(
         &mut self,
         kind: ListUpdateKind,
         entries: Vec<ListedEndpoint>,
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) {
         match kind {
             ListUpdateKind::Failed => {
-                out.push(Action::SetTimer {
+                actions.push(Action::SetTimer {
                     after: Duration::from_secs(1),
                     token: 1,
                 });
                 return;
             }
             ListUpdateKind::Delta => {}
-            ListUpdateKind::Full | ListUpdateKind::Cached => self.listed.clear(),
+            ListUpdateKind::Full | ListUpdateKind::Cached => self.is_up.clear(),
         }
         for entry in entries {
-            self.listed
+            self.is_up
                 .insert(entry.endpoint, entry.state == EndpointState::Running);
         }
-        if !std::mem::replace(&mut self.asked, true) {
-            out.push(Action::Subscribe { active: true });
+        if !std::mem::replace(&mut self.subscribed, true) {
+            actions.push(Action::Subscribe { active: true });
         }
     }
 
-    fn pick(&mut self, cmd: CommandIndex, sight: &dyn FleetView) -> Option<usize> {
+    fn pick_endpoint(&mut self, command: CommandIndex, view: &dyn FleetView) -> Option<usize> {
         let tried: Vec<usize> = self
             .commands
-            .get(&cmd)?
+            .get(&command)?
             .relays
             .iter()
-            .map(|(e, _)| *e)
+            .map(|(endpoint, _)| *endpoint)
             .collect();
-        let up = |e: &usize| self.listed[e];
-        let mut may: Vec<usize> = self
-            .listed
+        let up = |endpoint: &usize| self.is_up[endpoint];
+        let mut candidates: Vec<usize> = self
+            .is_up
             .keys()
             .copied()
             .filter(up)
-            .filter(|e| !tried.contains(e))
+            .filter(|endpoint| !tried.contains(endpoint))
             .collect();
-        if may.is_empty() {
-            may = self.listed.keys().copied().filter(up).collect();
+        if candidates.is_empty() {
+            candidates = self.is_up.keys().copied().filter(up).collect();
         }
-        if may.is_empty() {
+        if candidates.is_empty() {
             return None;
         }
-        match self.how {
-            How::Random => Some(may[self.chance.below(may.len())]),
-            How::Turns => {
-                self.turn += 1;
-                Some(may[self.turn % may.len()])
+        match self.strategy {
+            Strategy::Random => Some(candidates[self.rng.below(candidates.len())]),
+            Strategy::RoundRobin => {
+                self.next_turn += 1;
+                Some(candidates[self.next_turn % candidates.len()])
             }
-            How::LeastOfTwo => {
+            Strategy::LeastOfTwo => {
                 let pair = [
-                    may[self.chance.below(may.len())],
-                    may[self.chance.below(may.len())],
+                    candidates[self.rng.below(candidates.len())],
+                    candidates[self.rng.below(candidates.len())],
                 ];
-                pair.into_iter()
-                    .min_by_key(|e| self.out.get(e).copied().unwrap_or_default())
+                pair.into_iter().min_by_key(|endpoint| {
+                    self.own_outstanding
+                        .get(endpoint)
+                        .copied()
+                        .unwrap_or_default()
+                })
             }
-            How::FullSight => {
-                let times = may
-                    .iter()
-                    .filter_map(|e| Some((sight.estimate_times(self.instance, *e, cmd)?, *e)));
-                let best = times.min_by(|a, b| a.0.1.total_cmp(&b.0.1));
-                // What would wait too long is not sent, and the less a verb is worth the sooner that is too long.
-                let patience = self.patience[self.commands.get(&cmd)?.verb];
-                best.filter(|((wait, _), _)| *wait < patience)
-                    .map(|(_, e)| e)
+            Strategy::FullSight => {
+                let times = candidates.iter().filter_map(|endpoint| {
+                    Some((
+                        view.estimate_times(self.instance, *endpoint, command)?,
+                        *endpoint,
+                    ))
+                });
+                let fastest = times.min_by(|a, b| a.0.1.total_cmp(&b.0.1));
+                // A command that would wait too long is refused; classes of less utility per work may wait for less.
+                let max_wait = self.max_wait[self.commands.get(&command)?.class];
+                fastest
+                    .filter(|((wait, _), _)| *wait < max_wait)
+                    .map(|(_, endpoint)| endpoint)
             }
         }
     }
 
-    fn send(
+    fn send_relay(
         &mut self,
         now: Duration,
-        cmd: CommandIndex,
-        sight: &dyn FleetView,
-        out: &mut Vec<Action>,
+        command: CommandIndex,
+        view: &dyn FleetView,
+        actions: &mut Vec<Action>,
     ) {
-        let endpoint = self.pick(cmd, sight);
-        let Some(held) = self.commands.get_mut(&cmd) else {
+        let endpoint = self.pick_endpoint(command, view);
+        let Some(pending) = self.commands.get_mut(&command) else {
             return;
         };
         match endpoint {
-            Some(endpoint) if now < held.leave => {
-                held.relays.push((endpoint, None));
-                *self.out.entry(endpoint).or_default() += 1;
-                let within = held.leave - now;
-                out.push(Action::Relay {
-                    command: cmd,
+            Some(endpoint) if now < pending.deadline => {
+                pending.relays.push((endpoint, None));
+                *self.own_outstanding.entry(endpoint).or_default() += 1;
+                let timeout = pending.deadline - now;
+                actions.push(Action::Relay {
+                    command,
                     endpoint,
-                    timeout: within,
-                    send_by: within,
+                    timeout,
+                    send_by: timeout,
                 });
             }
             _ => {
-                held.over = true;
-                let never = held
+                pending.finished = true;
+                let never_ran = pending
                     .relays
                     .iter()
-                    .all(|(_, o)| o.is_some_and(Outcome::never_ran));
-                let harmless = never || self.effects[held.verb] == Effect::Safe;
-                out.push(match harmless {
+                    .all(|(_, outcome)| outcome.is_some_and(Outcome::never_ran));
+                let may_refuse = never_ran || self.effects[pending.class] == Effect::Safe;
+                actions.push(match may_refuse {
                     true => Action::Refuse {
-                        command: cmd,
+                        command,
                         retry_after: None,
                     },
-                    false => Action::Fail { command: cmd },
+                    false => Action::Fail { command },
                 });
             }
         }
-        self.tidy(cmd, out);
+        self.release_if_done(command, actions);
     }
 
-    fn tidy(&mut self, cmd: CommandIndex, out: &mut Vec<Action>) {
-        let done = |held: &Held| held.over && held.relays.iter().all(|(_, o)| o.is_some());
-        if self.commands.get(&cmd).is_some_and(done) {
-            self.commands.remove(&cmd);
-            out.push(Action::ReleaseCommand { command: cmd });
+    fn release_if_done(&mut self, command: CommandIndex, actions: &mut Vec<Action>) {
+        let done = |pending: &PendingCommand| {
+            pending.finished && pending.relays.iter().all(|(_, outcome)| outcome.is_some())
+        };
+        if self.commands.get(&command).is_some_and(done) {
+            self.commands.remove(&command);
+            actions.push(Action::ReleaseCommand { command });
         }
     }
 }
 
-impl Policy for Plain {
-    fn decide(&mut self, now: Duration, event: Event, sight: &dyn FleetView) -> Vec<Action> {
-        let mut out = Vec::new();
+impl Policy for Baseline {
+    fn decide(&mut self, now: Duration, event: Event, view: &dyn FleetView) -> Vec<Action> {
+        let mut actions = Vec::new();
         match event {
-            Event::ListUpdated { kind, entries } => self.read_list(kind, entries, &mut out),
-            Event::TimerFired { .. } => out.push(Action::Subscribe { active: true }),
+            Event::ListUpdated { kind, entries } => {
+                self.apply_list_update(kind, entries, &mut actions)
+            }
+            Event::TimerFired { .. } => actions.push(Action::Subscribe { active: true }),
             Event::CommandArrived(CommandArrival {
-                command: cmd,
-                class: verb,
+                command,
+                class,
                 budget,
                 ..
             }) => {
-                let held = Held {
-                    verb,
-                    leave: now + budget,
+                let pending = PendingCommand {
+                    class,
+                    deadline: now + budget,
                     relays: Vec::new(),
-                    over: false,
+                    finished: false,
                 };
-                self.commands.insert(cmd, held);
-                self.send(now, cmd, sight, &mut out);
+                self.commands.insert(command, pending);
+                self.send_relay(now, command, view, &mut actions);
             }
             Event::RelayFinished {
-                command: cmd,
+                command,
                 relay,
                 outcome,
                 concluded,
                 ..
             } => {
-                let Some(held) = self.commands.get_mut(&cmd) else {
-                    return out;
+                let Some(pending) = self.commands.get_mut(&command) else {
+                    return actions;
                 };
-                let Some((endpoint, end)) = held.relays.get_mut(relay).filter(|(_, o)| o.is_none())
+                let Some((endpoint, end)) = pending
+                    .relays
+                    .get_mut(relay)
+                    .filter(|(_, outcome)| outcome.is_none())
                 else {
-                    return out;
+                    return actions;
                 };
                 *end = Some(outcome);
-                self.out
+                self.own_outstanding
                     .entry(*endpoint)
                     .and_modify(|n| *n = n.saturating_sub(1));
-                held.over |= concluded;
-                let ran = held
+                pending.finished |= concluded;
+                let may_have_run = pending
                     .relays
                     .iter()
-                    .any(|(_, o)| !o.is_some_and(Outcome::never_ran));
-                let again = !held.over && (!ran || self.effects[held.verb] == Effect::Safe);
-                if again && held.relays.len() < self.most {
-                    self.send(now, cmd, sight, &mut out);
-                } else if !held.over {
-                    held.over = true;
-                    out.push(if again {
+                    .any(|(_, outcome)| !outcome.is_some_and(Outcome::never_ran));
+                let may_repeat = !pending.finished
+                    && (!may_have_run || self.effects[pending.class] == Effect::Safe);
+                if may_repeat && pending.relays.len() < self.max_relays {
+                    self.send_relay(now, command, view, &mut actions);
+                } else if !pending.finished {
+                    pending.finished = true;
+                    actions.push(if may_repeat {
                         Action::Refuse {
-                            command: cmd,
+                            command,
                             retry_after: None,
                         }
                     } else {
-                        Action::Fail { command: cmd }
+                        Action::Fail { command }
                     });
                 }
-                self.tidy(cmd, &mut out);
+                self.release_if_done(command, &mut actions);
             }
-            Event::CommandAbandoned { command: cmd } => {
-                let Some(held) = self.commands.get_mut(&cmd) else {
-                    return out;
+            Event::CommandAbandoned { command } => {
+                let Some(pending) = self.commands.get_mut(&command) else {
+                    return actions;
                 };
-                held.over = true;
-                let open = held
+                pending.finished = true;
+                let open_relays = pending
                     .relays
                     .iter()
                     .enumerate()
-                    .filter(|(_, (_, o))| o.is_none());
-                out.extend(open.map(|(relay, _)| Action::CancelRelay {
-                    command: cmd,
-                    relay,
-                }));
-                self.tidy(cmd, &mut out);
+                    .filter(|(_, (_, outcome))| outcome.is_none());
+                actions
+                    .extend(open_relays.map(|(relay, _)| Action::CancelRelay { command, relay }));
+                self.release_if_done(command, &mut actions);
             }
             _ => {}
         }
-        out
+        actions
     }
 }
--- a/crates/passroad-rig/src/distribution.rs
+++ b/crates/passroad-rig/src/distribution.rs
@@ -1,4 +1,4 @@
-//! How evenly the relays of a run lie over its endpoints, and how many connections that took.
+//! How evenly the relays of a run are distributed over the endpoints, and how many connections that took.
 
 use crate::experiment::Plan;
 use crate::run::Run;
@@ -6,21 +6,22 @@
 use std::ops::Range;
 use std::time::Duration;
 
-/// Sidecars that choose the same endpoint within this are counted together.
-const TOGETHER: Duration = Duration::from_millis(50);
+/// Choices of the same endpoint within this time count as synchronized.
+const SYNCHRONIZED_WITHIN: Duration = Duration::from_millis(50);
 
-/// Relays that went out within a window, by endpoint.
+/// Relays sent within a window, by endpoint.
 fn relay_counts(run: &Run, plan: &Plan, window: &Range<Duration>) -> Vec<f64> {
     let mut counts = vec![0.0; plan.endpoints.len()];
     run.history
         .relays
         .iter()
-        .filter(|r| window.contains(&r.sent_at))
-        .for_each(|r| counts[r.endpoint] += 1.0);
+        .filter(|relay| window.contains(&relay.sent_at))
+        .for_each(|relay| counts[relay.endpoint] += 1.0);
     counts
 }
 
-/// Of each endpoint, its relays over its fair share by cores and speed. What is down or cold meanwhile still counts whole.
+/// The relays of each endpoint over its fair share by cores and speed. Endpoints that are down or cold for a while count
+/// with their full size.
 pub fn relative_loads(run: &Run, plan: &Plan, window: &Range<Duration>) -> Vec<f64> {
     let counts = relay_counts(run, plan, window);
     let size = |n: usize| plan.endpoints[n].spec.cores as f64 * plan.endpoints[n].spec.speed;
@@ -35,104 +36,113 @@
         .collect()
 }
 
-/// Variance over mean of the relays of an endpoint within a time of this length: 1 where each choice is random.
-pub fn dispersion(run: &Run, plan: &Plan, window: &Range<Duration>, step: Duration) -> f64 {
-    let steps = ((window.end - window.start).as_secs_f64() / step.as_secs_f64())
+/// Variance over mean of the relays of an endpoint within a time of this length. It is 1 where each choice is random.
+pub fn dispersion(run: &Run, plan: &Plan, window: &Range<Duration>, interval: Duration) -> f64 {
+    let intervals = ((window.end - window.start).as_secs_f64() / interval.as_secs_f64())
         .floor()
         .max(1.0) as usize;
-    let mut cells = vec![0.0f64; steps * plan.endpoints.len()];
-    for r in run
+    let mut counts = vec![0.0f64; intervals * plan.endpoints.len()];
+    for relay in run
         .history
         .relays
         .iter()
-        .filter(|r| window.contains(&r.sent_at))
+        .filter(|relay| window.contains(&relay.sent_at))
     {
-        let at = ((r.sent_at - window.start).as_secs_f64() / step.as_secs_f64()) as usize;
-        if at < steps {
-            cells[at * plan.endpoints.len() + r.endpoint] += 1.0;
+        let time = ((relay.sent_at - window.start).as_secs_f64() / interval.as_secs_f64()) as usize;
+        if time < intervals {
+            counts[time * plan.endpoints.len() + relay.endpoint] += 1.0;
         }
     }
-    let mean = cells.iter().sum::<f64>() / cells.len() as f64;
-    cells
+    let mean = counts.iter().sum::<f64>() / counts.len() as f64;
+    counts
         .iter()
         .map(|cell| (cell - mean) * (cell - mean))
         .sum::<f64>()
-        / cells.len() as f64
+        / counts.len() as f64
         / mean.max(1e-9)
 }
 
-/// Share of endpoint-time with nothing held while another endpoint holds more than it has cores for.
+/// Share of endpoint time without an outstanding command while another endpoint has more of them than cores.
 pub fn idle_share(run: &Run, plan: &Plan, window: &Range<Duration>) -> f64 {
-    let looks: Vec<_> = run
+    let samples: Vec<_> = run
         .samples
         .iter()
-        .filter(|look| window.contains(&look.time))
+        .filter(|sample| window.contains(&sample.time))
         .collect();
-    let queues = |held: &[usize]| (0..held.len()).any(|n| held[n] > plan.endpoints[n].spec.cores);
-    let idle: usize = looks
+    let has_queue = |outstanding: &[usize]| {
+        (0..outstanding.len()).any(|n| outstanding[n] > plan.endpoints[n].spec.cores)
+    };
+    let idle: usize = samples
         .iter()
-        .filter(|look| queues(&look.outstanding))
-        .map(|look| look.outstanding.iter().filter(|held| **held == 0).count())
+        .filter(|sample| has_queue(&sample.outstanding))
+        .map(|sample| {
+            sample
+                .outstanding
+                .iter()
+                .filter(|outstanding| **outstanding == 0)
+                .count()
+        })
         .sum();
-    idle as f64 / (looks.len() * plan.endpoints.len()).max(1) as f64
+    idle as f64 / (samples.len() * plan.endpoints.len()).max(1) as f64
 }
 
-/// How many sidecars used each endpoint within a window.
+/// Number of sidecars that sent to each endpoint within a window.
 pub fn sidecars_per_endpoint(run: &Run, plan: &Plan, window: &Range<Duration>) -> Vec<usize> {
-    let mut users = vec![BTreeSet::new(); plan.endpoints.len()];
-    for r in run
+    let mut sidecars = vec![BTreeSet::new(); plan.endpoints.len()];
+    for relay in run
         .history
         .relays
         .iter()
-        .filter(|r| window.contains(&r.sent_at))
+        .filter(|relay| window.contains(&relay.sent_at))
     {
-        users[r.endpoint].insert(run.history.commands[r.command].instance);
+        sidecars[relay.endpoint].insert(run.history.commands[relay.command].instance);
     }
-    users.iter().map(BTreeSet::len).collect()
+    sidecars.iter().map(BTreeSet::len).collect()
 }
 
-/// How often a tenth of all sidecars chose the same endpoint within 50 ms, a second.
+/// How often per second a tenth of all sidecars, and at least two, chose the same endpoint within 50 ms.
 pub fn synchronized_choices(run: &Run, plan: &Plan, window: &Range<Duration>) -> f64 {
     let mut by_endpoint = vec![Vec::new(); plan.endpoints.len()];
-    for r in run
+    for relay in run
         .history
         .relays
         .iter()
-        .filter(|r| window.contains(&r.sent_at))
+        .filter(|relay| window.contains(&relay.sent_at))
     {
-        by_endpoint[r.endpoint].push((r.sent_at, run.history.commands[r.command].instance));
+        by_endpoint[relay.endpoint]
+            .push((relay.sent_at, run.history.commands[relay.command].instance));
     }
     let tenth = plan.instances.div_ceil(10).max(2);
-    let mut times = 0;
+    let mut crowds = 0;
     for mut relays in by_endpoint {
         relays.sort_unstable();
-        let mut from = 0;
-        while from < relays.len() {
-            let end = relays[from..]
+        let mut first = 0;
+        while first < relays.len() {
+            let end = relays[first..]
                 .iter()
-                .take_while(|(at, _)| *at < relays[from].0 + TOGETHER)
+                .take_while(|(time, _)| *time < relays[first].0 + SYNCHRONIZED_WITHIN)
                 .count();
-            let users: BTreeSet<usize> = relays[from..from + end]
+            let sidecars: BTreeSet<usize> = relays[first..first + end]
                 .iter()
                 .map(|(_, instance)| *instance)
                 .collect();
-            // One crowd counts once.
-            let crowd = users.len() >= tenth;
-            times += usize::from(crowd);
-            from += if crowd { end } else { 1 };
+            // Each crowd is counted once.
+            let crowd = sidecars.len() >= tenth;
+            crowds += usize::from(crowd);
+            first += if crowd { end } else { 1 };
         }
     }
-    times as f64 / (window.end - window.start).as_secs_f64().max(1e-9)
+    crowds as f64 / (window.end - window.start).as_secs_f64().max(1e-9)
 }
 
-/// Most open connections at one endpoint.
+/// Most open connections at one endpoint in any sample.
 pub fn most_connections(run: &Run, window: &Range<Duration>) -> usize {
-    let looks = run
+    let samples = run
         .samples
         .iter()
-        .filter(|look| window.contains(&look.time));
-    looks
-        .flat_map(|look| look.connections.iter().copied())
+        .filter(|sample| window.contains(&sample.time));
+    samples
+        .flat_map(|sample| sample.connections.iter().copied())
         .max()
         .unwrap_or(0)
 }
--- a/crates/passroad-rig/src/html.rs
+++ b/crates/passroad-rig/src/html.rs
@@ -1,15 +1,15 @@
-//! The report as one page that needs nothing else: tables, and plots in SVG.
+//! The report as one HTML page without external resources: tables, and plots in SVG.
 
 use crate::experiment::{Plan, ScheduledChange};
-use crate::report::{Second, rows, seconds};
+use crate::report::{SecondCounts, counts_by_second, policy_rows};
 use crate::run::{Run, Tally, check_expectations};
 use std::fmt::Write;
 use std::time::Duration;
 
-const WIDE: f64 = 860.0;
-const HIGH: f64 = 220.0;
-const LEFT: f64 = 56.0;
-const BELOW: f64 = 24.0;
+const WIDTH: f64 = 860.0;
+const HEIGHT: f64 = 220.0;
+const LEFT_MARGIN: f64 = 56.0;
+const BOTTOM_MARGIN: f64 = 24.0;
 const COLOURS: [&str; 10] = [
     "#1b6ca8", "#d1495b", "#edae49", "#66a182", "#8d5a97", "#4f5d75", "#c06c2b", "#2e933c",
     "#9a031e", "#5f0f40",
@@ -27,25 +27,25 @@
         .replace('"', "&quot;")
 }
 
-/// One line of a plot.
+/// A line of a plot.
 struct Line {
     name: String,
     points: Vec<(f64, f64)>,
 }
 
-/// A plot over seconds, or over whatever the x axis says.
+/// A plot over time or over another quantity, which the label of the x axis says.
 struct Plot<'a> {
     title: String,
     unit: &'a str,
     x: &'a str,
-    marks: &'a [(f64, f64)], // from, to
+    fault_spans: &'a [(f64, f64)], // spans of time in which a fault was in force: from, to
     lines: Vec<Line>,
     stacked: bool,
 }
 
 impl Plot<'_> {
     fn draw(&self, out: &mut String) {
-        let all = || self.lines.iter().flat_map(|l| &l.points);
+        let all = || self.lines.iter().flat_map(|line| &line.points);
         let end = all().map(|p| p.0).fold(1e-9, f64::max);
         let top = match self.stacked {
             false => all().map(|p| p.1).fold(0.0, f64::max),
@@ -53,51 +53,51 @@
                 let most = self
                     .lines
                     .iter()
-                    .map(|l| l.points.len())
+                    .map(|line| line.points.len())
                     .max()
                     .unwrap_or_default();
                 let sum = |n: usize| {
                     self.lines
                         .iter()
-                        .filter_map(|l| l.points.get(n))
+                        .filter_map(|line| line.points.get(n))
                         .map(|p| p.1)
                         .sum::<f64>()
                 };
                 (0..most).map(sum).fold(0.0, f64::max)
             }
         };
-        let top = round_up(top);
-        let x = |at: f64| LEFT + at / end * (WIDE - LEFT - 8.0);
-        let y = |value: f64| 8.0 + (1.0 - value / top) * (HIGH - BELOW - 8.0);
+        let top = round_axis_end(top);
+        let x = |at: f64| LEFT_MARGIN + at / end * (WIDTH - LEFT_MARGIN - 8.0);
+        let y = |value: f64| 8.0 + (1.0 - value / top) * (HEIGHT - BOTTOM_MARGIN - 8.0);
         let _ = write!(
             out,
-            "<h2>{}</h2><svg width=\"{WIDE}\" height=\"{HIGH}\" role=\"img\">",
+            "<h2>{}</h2><svg width=\"{WIDTH}\" height=\"{HEIGHT}\" role=\"img\">",
             escape(&self.title)
         );
-        for (from, to) in self.marks {
-            let (a, b) = (x(from.min(end)), x(to.min(end)));
-            let (wide, high) = ((b - a).max(1.0), HIGH - BELOW - 8.0);
+        for (from, to) in self.fault_spans {
+            let (left, right) = (x(from.min(end)), x(to.min(end)));
+            let (width, height) = ((right - left).max(1.0), HEIGHT - BOTTOM_MARGIN - 8.0);
             let _ = write!(
                 out,
-                "<rect x=\"{a:.1}\" y=\"8\" width=\"{wide:.1}\" height=\"{high}\" fill=\"#000\" opacity=\".06\"/>"
+                "<rect x=\"{left:.1}\" y=\"8\" width=\"{width:.1}\" height=\"{height}\" fill=\"#000\" opacity=\".06\"/>"
             );
         }
         for n in 0..=4 {
             let value = top * f64::from(n) / 4.0;
-            let (at, right) = (y(value), WIDE - 8.0);
-            let label = figure(value);
+            let (at, right) = (y(value), WIDTH - 8.0);
+            let label = axis_label(value);
             let _ = write!(
                 out,
-                "<line x1=\"{LEFT}\" x2=\"{right}\" y1=\"{at:.1}\" y2=\"{at:.1}\" stroke=\"#e2e2e2\"/>\
+                "<line x1=\"{LEFT_MARGIN}\" x2=\"{right}\" y1=\"{at:.1}\" y2=\"{at:.1}\" stroke=\"#e2e2e2\"/>\
                  <text x=\"{}\" y=\"{:.1}\" text-anchor=\"end\">{label}</text>",
-                LEFT - 6.0,
+                LEFT_MARGIN - 6.0,
                 at + 4.0
             );
         }
         for n in 0..=8 {
             let value = end * f64::from(n) / 8.0;
-            let (at, low) = (x(value), HIGH - 6.0);
-            let label = figure(value);
+            let (at, low) = (x(value), HEIGHT - 6.0);
+            let label = axis_label(value);
             let _ = write!(
                 out,
                 "<text x=\"{at:.1}\" y=\"{low}\" text-anchor=\"middle\">{label}</text>"
@@ -108,13 +108,13 @@
             let colour = COLOURS[n % COLOURS.len()];
             if self.stacked {
                 base.resize(base.len().max(line.points.len()), 0.0);
-                let over: Vec<f64> = line
+                let tops: Vec<f64> = line
                     .points
                     .iter()
                     .zip(&base)
-                    .map(|(p, b)| p.1 + b)
+                    .map(|(p, base_value)| p.1 + base_value)
                     .collect();
-                let up = line.points.iter().zip(&over).map(|(p, v)| (x(p.0), y(*v)));
+                let up = line.points.iter().zip(&tops).map(|(p, v)| (x(p.0), y(*v)));
                 let down = line
                     .points
                     .iter()
@@ -123,14 +123,14 @@
                     .map(|(p, v)| (x(p.0), y(*v)));
                 let path: Vec<String> = up
                     .chain(down)
-                    .map(|(a, b)| format!("{a:.1},{b:.1}"))
+                    .map(|(x, y)| format!("{x:.1},{y:.1}"))
                     .collect();
                 let path = path.join(" ");
                 let _ = write!(
                     out,
                     "<polygon points=\"{path}\" fill=\"{colour}\" opacity=\".8\"/>"
                 );
-                base[..over.len()].copy_from_slice(&over);
+                base[..tops.len()].copy_from_slice(&tops);
             } else {
                 let path: Vec<String> = line
                     .points
@@ -145,7 +145,7 @@
             }
         }
         let _ = write!(out, "</svg><div class=\"key\">");
-        // Of dozens of endpoints the colours would tell nothing.
+        // With more lines than colours a legend would be ambiguous.
         if self.lines.len() <= COLOURS.len() {
             for (n, line) in self.lines.iter().enumerate() {
                 let (colour, name) = (COLOURS[n % COLOURS.len()], escape(&line.name));
@@ -160,8 +160,8 @@
     }
 }
 
-/// The next figure that reads well: 1, 2 or 5 with noughts.
-fn round_up(top: f64) -> f64 {
+/// The next round number for the end of an axis: 1, 2 or 5 times a power of ten.
+fn round_axis_end(top: f64) -> f64 {
     if top <= 0.0 {
         return 1.0;
     }
@@ -173,7 +173,7 @@
         .unwrap_or(top)
 }
 
-fn figure(value: f64) -> String {
+fn axis_label(value: f64) -> String {
     match value {
         0.0 => "0".into(),
         v if v >= 100.0 => format!("{v:.0}"),
@@ -182,12 +182,13 @@
     }
 }
 
-/// When something was wrong: from each change that begins a trouble to the next of the same kind that ends it.
-fn marks(plan: &Plan) -> Vec<(f64, f64)> {
+/// Spans of time in which at least one fault was in force: from a change that begins a fault while there is none, to the
+/// change that ends the last one.
+fn fault_spans(plan: &Plan) -> Vec<(f64, f64)> {
     let begins = |c: &ScheduledChange| match c {
-        ScheduledChange::EndpointFault(_, turn) => {
+        ScheduledChange::EndpointFault(_, change) => {
             use crate::model::FaultChange;
-            match turn {
+            match change {
                 FaultChange::Stalled(on)
                 | FaultChange::ReportsIdle(on)
                 | FaultChange::ClassHangs(_, on) => *on,
@@ -205,7 +206,7 @@
         ScheduledChange::Start(_) | ScheduledChange::Leave(_) => false,
         _ => true,
     };
-    let (mut open, mut from, mut marks) = (0usize, 0.0, Vec::new());
+    let (mut open, mut from, mut spans) = (0usize, 0.0, Vec::new());
     for (at, change) in &plan.changes {
         let at = at.as_secs_f64();
         if begins(change) {
@@ -216,18 +217,18 @@
         } else {
             open = open.saturating_sub(1);
             if open == 0 {
-                marks.push((from, at));
+                spans.push((from, at));
             }
         }
     }
     if open > 0 {
-        marks.push((from, plan.length.as_secs_f64()));
+        spans.push((from, plan.length.as_secs_f64()));
     }
-    marks
+    spans
 }
 
 fn table(plan: &Plan, runs: &[Run], out: &mut String) {
-    let rows = rows(plan, runs);
+    let rows = policy_rows(plan, runs);
     let _ = write!(out, "<table><tr><th>policy</th>");
     for (name, _) in rows.first().map(|r| &r.figures[..]).unwrap_or_default() {
         let _ = write!(out, "<th>{name}</th>");
@@ -239,17 +240,17 @@
             let digits = if name.ends_with("ms") { 1 } else { 3 };
             let _ = write!(out, "<td>{value:.digits$}</td>");
         }
-        let broken: Vec<_> = row
-            .broken
+        let violations: Vec<_> = row
+            .violations
             .iter()
             .map(|(rule, n)| format!("{} {n}", rule.name()))
             .collect();
-        let word = if broken.is_empty() {
+        let names = if violations.is_empty() {
             "none".into()
         } else {
-            escape(&broken.join(", "))
+            escape(&violations.join(", "))
         };
-        let _ = write!(out, "<td>{word}</td></tr>");
+        let _ = write!(out, "<td>{names}</td></tr>");
     }
     let _ = write!(out, "</table>");
 }
@@ -258,7 +259,7 @@
 pub fn page(plan: &Plan, runs: &[Run], simulated: bool) -> String {
     let mut out = String::new();
     let about = escape(&plan.about);
-    let word = if simulated {
+    let mode = if simulated {
         "Simulated: models of servers, no machine was measured"
     } else {
         "On loopback sockets"
@@ -266,7 +267,7 @@
     let _ = write!(
         out,
         "<!doctype html><html lang=\"en\"><meta charset=\"utf-8\"><title>{about}</title><style>{STYLE}</style>\
-         <h1>{about}</h1><p>{word}. {} instances, {} endpoints in {} zones, {:.0} commands a second, {:.0} s, \
+         <h1>{about}</h1><p>{mode}. {} instances, {} endpoints in {} zones, {:.0} commands a second, {:.0} s, \
          seeds {:?}.</p>",
         plan.instances,
         plan.endpoints.len(),
@@ -276,20 +277,20 @@
         plan.seeds
     );
     table(plan, runs, &mut out);
-    let holds = check_expectations(plan, runs);
-    if !holds.is_empty() {
+    let results = check_expectations(plan, runs);
+    if !results.is_empty() {
         let _ = write!(out, "<h2>What must hold</h2><ul>");
-        for h in &holds {
-            let (class, word) = if h.met {
+        for result in &results {
+            let (class, verdict) = if result.met {
                 ("good", "holds")
             } else {
                 ("bad", "does not hold")
             };
-            let (text, bound) = (escape(&h.label), escape(&h.bound));
+            let (text, bound) = (escape(&result.label), escape(&result.bound));
             let _ = write!(
                 out,
-                "<li class=\"{class}\">{word}: {text} is {:.4}, {bound}</li>",
-                h.figure
+                "<li class=\"{class}\">{verdict}: {text} is {:.4}, {bound}</li>",
+                result.figure
             );
         }
         let _ = write!(out, "</ul>");
@@ -300,8 +301,12 @@
         .filter(|r| !r.violations.is_empty() && r.policy == "passroad")
     {
         let _ = write!(out, "<h2>Broken by passroad, seed {}</h2><ul>", run.seed);
-        for b in run.violations.iter().take(50) {
-            let (at, rule, what) = (b.time.as_secs_f64(), b.rule.name(), escape(&b.message));
+        for violation in run.violations.iter().take(50) {
+            let (at, rule, what) = (
+                violation.time.as_secs_f64(),
+                violation.rule.name(),
+                escape(&violation.message),
+            );
             let _ = write!(out, "<li>{at:.3} s: {rule}: {what}</li>");
         }
         let _ = write!(out, "</ul>");
@@ -314,23 +319,23 @@
         return;
     };
     let first: Vec<&Run> = runs.iter().filter(|r| r.seed == seed).collect();
-    let marks = marks(plan);
+    let spans = fault_spans(plan);
     let plot = |title: &str, unit, lines, stacked| Plot {
         title: title.into(),
         unit,
         x: "seconds",
-        marks: &marks,
+        fault_spans: &spans,
         lines,
         stacked,
     };
-    let by_second = |run: &Run, of: &dyn Fn(&Second) -> f64| -> Vec<(f64, f64)> {
-        seconds(run, plan)
+    let by_second = |run: &Run, of: &dyn Fn(&SecondCounts) -> f64| -> Vec<(f64, f64)> {
+        counts_by_second(run, plan)
             .iter()
             .enumerate()
             .map(|(n, s)| (n as f64, of(s)))
             .collect()
     };
-    let each = |of: &dyn Fn(&Second) -> f64| -> Vec<Line> {
+    let each = |of: &dyn Fn(&SecondCounts) -> f64| -> Vec<Line> {
         first
             .iter()
             .map(|r| Line {
@@ -339,7 +344,7 @@
             })
             .collect()
     };
-    let share = |s: &Second, n: usize| n as f64 / s.asked.max(1) as f64;
+    let share = |s: &SecondCounts, n: usize| n as f64 / s.arrived.max(1) as f64;
     plot(
         "Answered within the goal",
         "share of commands",
@@ -370,84 +375,84 @@
         title,
         unit: "milliseconds",
         x: "percent of the answers",
-        marks: &[],
+        fault_spans: &[],
         lines,
         stacked: false,
     }
     .draw(out);
-    let Some(own) = first
+    let Some(main_run) = first
         .iter()
         .find(|r| r.policy == "passroad")
         .or(first.first())
     else {
         return;
     };
-    type Of = fn(&Second) -> f64;
-    let kinds: [(&str, Of); 5] = [
+    type CountOf = fn(&SecondCounts) -> f64;
+    let kinds: [(&str, CountOf); 5] = [
         ("served", |s| s.served as f64),
         ("late", |s| s.late as f64),
-        ("declined", |s| s.declined as f64),
-        ("terminated", |s| s.terminated as f64),
+        ("declined", |s| s.refused as f64),
+        ("terminated", |s| s.failed as f64),
         ("no answer", |s| s.unanswered as f64),
     ];
     let lines = kinds
         .iter()
         .map(|(name, of)| Line {
             name: (*name).into(),
-            points: by_second(own, of),
+            points: by_second(main_run, of),
         })
         .collect();
     plot(
-        &format!("Answers of {}", own.policy),
+        &format!("Answers of {}", main_run.policy),
         "commands a second",
         lines,
         true,
     )
     .draw(out);
-    let looks = |of: &dyn Fn(&crate::virtual_time::FleetSample, usize) -> f64| -> Vec<Line> {
-        let line = |e: usize| {
-            let points = own
+    let sample_lines = |of: &dyn Fn(&crate::virtual_time::FleetSample, usize) -> f64| -> Vec<Line> {
+        let line = |endpoint: usize| {
+            let points = main_run
                 .samples
                 .iter()
-                .map(|look| (look.time.as_secs_f64(), of(look, e)))
+                .map(|sample| (sample.time.as_secs_f64(), of(sample, endpoint)))
                 .collect();
             Line {
-                name: format!("{e} ({})", plan.zones[plan.endpoints[e].zone]),
+                name: format!("{endpoint} ({})", plan.zones[plan.endpoints[endpoint].zone]),
                 points,
             }
         };
         (0..plan.endpoints.len().min(60)).map(line).collect()
     };
-    let check_expectations = looks(&|look, e| look.outstanding[e] as f64);
+    let outstanding_lines = sample_lines(&|sample, endpoint| sample.outstanding[endpoint] as f64);
     plot(
-        &format!("Held by each endpoint, {}", own.policy),
+        &format!("Held by each endpoint, {}", main_run.policy),
         "commands",
-        check_expectations,
+        outstanding_lines,
         false,
     )
     .draw(out);
-    let links = looks(&|look, e| look.connections[e] as f64);
+    let connection_lines = sample_lines(&|sample, endpoint| sample.connections[endpoint] as f64);
     plot(
-        &format!("Connections to each endpoint, {}", own.policy),
+        &format!("Connections to each endpoint, {}", main_run.policy),
         "open",
-        links,
+        connection_lines,
         false,
     )
     .draw(out);
-    let zones = zones(plan, own);
-    if zones.len() > 1 {
+    let lines_by_zone = zone_lines(plan, main_run);
+    if lines_by_zone.len() > 1 {
         plot(
-            &format!("Relays to each zone, {}", own.policy),
+            &format!("Relays to each zone, {}", main_run.policy),
             "a second",
-            zones,
+            lines_by_zone,
             true,
         )
         .draw(out);
     }
 }
 
-/// Relays a second, by the zone that they went to.
-fn zones(plan: &Plan, run: &Run) -> Vec<Line> {
+/// Relays per second by the zone that they were sent to.
+fn zone_lines(plan: &Plan, run: &Run) -> Vec<Line> {
     let length = plan.length.as_secs_f64().ceil() as usize;
     let mut counts = vec![vec![0u32; length]; plan.zones.len()];
     for sent in run
--- a/crates/passroad-rig/src/load.rs
+++ b/crates/passroad-rig/src/load.rs
@@ -1,21 +1,21 @@
-//! Who asks for what and when. The load is open: it comes as it comes, however it is answered, and is the same for
-//! whoever decides; only a client's later tries depend on the answers.
+//! The load of a run: which client sends which command when. The load is open: first tries come at their times, however
+//! earlier ones were answered, and are the same under any policy. Only retries depend on the answers.
 
 use crate::experiment::Plan;
 use crate::rng::SeededRng;
 use std::time::Duration;
 
-/// One try of a client.
+/// One try of a client to get a command done.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ClientRequest {
     pub instance: usize,
     pub class: usize,
     pub tenant: Option<usize>,
-    pub work: f64, // seconds of a core at speed one
+    pub work: f64, // seconds of a core at speed 1
     pub is_retry: bool,
     pub try_number: u32,
-    pub chain: Option<usize>, // the command that this one follows; none for a first try
-    pub serial: u64,          // of the chain, the same for whoever decides
+    pub chain: Option<usize>, // the first command of its chain of tries; none for a first try before it is recorded
+    pub serial: u64,          // of the chain of tries; the same under any policy
 }
 
 impl ClientRequest {
@@ -24,7 +24,7 @@
     }
 }
 
-/// First tries in order of time.
+/// Generates first tries in order of time, and retries.
 pub struct RequestGenerator {
     seed: u64,
     rng: SeededRng,
@@ -38,22 +38,22 @@
 
 impl RequestGenerator {
     pub fn new(plan: &Plan, seed: u64) -> Self {
-        let mut uneven = SeededRng::stream(seed, "shares", 0);
+        let mut skew_rng = SeededRng::stream(seed, "shares", 0);
         RequestGenerator {
             seed,
             rng: SeededRng::stream(seed, "load", 0),
             time: 0.0,
             serial: 0,
             instance_shares: (0..plan.instances)
-                .map(|_| uneven.lognormal(plan.instance_skew))
+                .map(|_| skew_rng.lognormal(plan.instance_skew))
                 .collect(),
-            class_shares: plan.classes.iter().map(|v| v.share).collect(),
+            class_shares: plan.classes.iter().map(|class| class.share).collect(),
             tenant_shares: plan.tenants.iter().map(|(_, _, share)| *share).collect(),
             plan: plan.clone(),
         }
     }
 
-    /// The next first try and its time; none once the day is over.
+    /// The next first try and its time; none after the end of the run.
     pub fn next_request(&mut self) -> Option<(Duration, ClientRequest)> {
         let rate = self.plan.per_second
             * self
@@ -61,51 +61,51 @@
                 .load_factor(Duration::from_secs_f64(self.time))
                 .max(1e-6);
         self.time += self.rng.exponential() / rate;
-        let at = Duration::from_secs_f64(self.time);
-        if at >= self.plan.length {
+        let time = Duration::from_secs_f64(self.time);
+        if time >= self.plan.length {
             return None;
         }
         let instance = self.rng.weighted_index(&self.instance_shares);
-        let verb = self.rng.weighted_index(&self.class_shares);
-        let company =
+        let class = self.rng.weighted_index(&self.class_shares);
+        let tenant =
             (!self.tenant_shares.is_empty()).then(|| self.rng.weighted_index(&self.tenant_shares));
-        let v = &self.plan.classes[verb];
-        let work = v.mean_work * self.rng.lognormal(v.work_sigma);
+        let class_plan = &self.plan.classes[class];
+        let work = class_plan.mean_work * self.rng.lognormal(class_plan.work_sigma);
         self.serial += 1;
-        let ask = ClientRequest {
+        let request = ClientRequest {
             instance,
-            class: verb,
-            tenant: company,
+            class,
+            tenant,
             work,
             is_retry: false,
             try_number: 1,
             chain: None,
             serial: self.serial,
         };
-        Some((at, ask))
+        Some((time, request))
     }
 
-    /// Whether a client that was declined tries again, after what time and with what.
+    /// The retry of a refused command and the delay until it; none if the client doesn't try again.
     pub fn retry(
         &self,
-        ask: &ClientRequest,
-        not_before: Option<Duration>,
+        request: &ClientRequest,
+        retry_after: Option<Duration>,
     ) -> Option<(Duration, ClientRequest)> {
-        let key = ask.serial * 64 + u64::from(ask.try_number);
-        let mut chance = SeededRng::stream(self.seed, "again", key);
-        if ask.try_number >= self.plan.max_tries || chance.uniform() >= self.plan.retry_share {
+        let stream_number = request.serial * 64 + u64::from(request.try_number);
+        let mut rng = SeededRng::stream(self.seed, "again", stream_number);
+        if request.try_number >= self.plan.max_tries || rng.uniform() >= self.plan.retry_share {
             return None;
         }
-        let after = not_before
+        let delay = retry_after
             .unwrap_or_default()
             .max(self.plan.retry_pause)
-            .mul_f64(0.75 + 0.5 * chance.uniform());
+            .mul_f64(0.75 + 0.5 * rng.uniform());
         Some((
-            after,
+            delay,
             ClientRequest {
                 is_retry: true,
-                try_number: ask.try_number + 1,
-                ..ask.clone()
+                try_number: request.try_number + 1,
+                ..request.clone()
             },
         ))
     }
--- a/crates/passroad-rig/src/report.rs
+++ b/crates/passroad-rig/src/report.rs
@@ -1,4 +1,4 @@
-//! What came of an experiment, as text and as JSON.
+//! Reports of an experiment, as text and as JSON.
 
 use crate::distribution;
 use crate::experiment::Plan;
@@ -8,54 +8,56 @@
 use std::fmt::Write;
 use std::time::Duration;
 
-/// Sidecars from which on it is told how evenly they load.
-const SEVERAL: usize = 50;
-/// Ownerships that are told one by one.
-const MOST_REIGNS: usize = 12;
+/// Number of instances from which on the text has a line on how evenly they load the endpoints.
+const MIN_INSTANCES_FOR_SPREAD: usize = 50;
+/// Ownerships that the text lists for each run.
+const MAX_LISTED_OWNERSHIPS: usize = 12;
 
-/// Counts of one second of a day.
+/// Counts of the commands that arrived in one second of a run.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Second {
-    pub asked: usize,
+pub struct SecondCounts {
+    pub arrived: usize,
     pub served: usize,
     pub late: usize,
-    pub declined: usize,
-    pub terminated: usize,
+    pub refused: usize,
+    pub failed: usize,
     pub unanswered: usize,
     pub relays: usize,
 }
 
-pub fn seconds(run: &Run, plan: &Plan) -> Vec<Second> {
-    let mut all = vec![Second::default(); plan.length.as_secs_f64().ceil() as usize];
-    for c in &run.history.commands {
-        let Some(second) = all.get_mut(c.arrived_at.as_secs() as usize) else {
+/// Counts by the second in which the commands arrived.
+pub fn counts_by_second(run: &Run, plan: &Plan) -> Vec<SecondCounts> {
+    let mut all = vec![SecondCounts::default(); plan.length.as_secs_f64().ceil() as usize];
+    for command in &run.history.commands {
+        let Some(second) = all.get_mut(command.arrived_at.as_secs() as usize) else {
             continue;
         };
-        second.asked += 1;
-        second.relays += c.relays.len();
-        match c.answers.first() {
+        second.arrived += 1;
+        second.relays += command.relays.len();
+        match command.answers.first() {
             Some((at, Answer::Answered))
-                if at.saturating_sub(c.arrived_at) <= plan.classes[c.class].deadline_target =>
+                if at.saturating_sub(command.arrived_at)
+                    <= plan.classes[command.class].deadline_target =>
             {
                 second.served += 1;
             }
             Some((_, Answer::Answered)) => second.late += 1,
-            Some((_, Answer::Refused)) => second.declined += 1,
-            Some((_, Answer::Failed)) => second.terminated += 1,
+            Some((_, Answer::Refused)) => second.refused += 1,
+            Some((_, Answer::Failed)) => second.failed += 1,
             None => second.unanswered += 1,
         }
     }
     all
 }
 
-/// Means over the seeds of one policy.
-pub struct Row {
+/// Figures of one policy: means over the seeds.
+pub struct PolicyRow {
     pub policy: String,
     pub figures: Vec<(&'static str, f64)>,
-    pub broken: Vec<(Rule, usize)>,
+    pub violations: Vec<(Rule, usize)>,
 }
 
-pub fn rows(plan: &Plan, runs: &[Run]) -> Vec<Row> {
+pub fn policy_rows(plan: &Plan, runs: &[Run]) -> Vec<PolicyRow> {
     let mut rows = Vec::new();
     let mut policies: Vec<&String> = Vec::new();
     runs.iter().for_each(|r| {
@@ -64,71 +66,83 @@
         }
     });
     for policy in policies {
-        let own: Vec<&Run> = runs.iter().filter(|r| r.policy == *policy).collect();
-        let days: Vec<_> = own.iter().map(|run| day(plan, run)).collect();
-        let n = days.len().max(1) as f64;
-        // Means over the seeds, of pushes the worst.
-        let figure = |k: usize, name: &'static str| match name {
-            "push" | "ramp" => (name, days.iter().map(|d| d[k].1).fold(0.0, f64::max)),
-            _ => (name, days.iter().map(|d| d[k].1).sum::<f64>() / n),
+        let own_runs: Vec<&Run> = runs.iter().filter(|r| r.policy == *policy).collect();
+        let figures_by_run: Vec<_> = own_runs.iter().map(|run| run_figures(plan, run)).collect();
+        let n = figures_by_run.len().max(1) as f64;
+        // Means over the seeds, but the worst seed for load on cold endpoints.
+        let figure = |index: usize, name: &'static str| match name {
+            "push" | "ramp" => (
+                name,
+                figures_by_run
+                    .iter()
+                    .map(|d| d[index].1)
+                    .fold(0.0, f64::max),
+            ),
+            _ => (
+                name,
+                figures_by_run.iter().map(|d| d[index].1).sum::<f64>() / n,
+            ),
         };
-        let names = days
+        let names = figures_by_run
             .first()
             .map(|d| d.iter().map(|(name, _)| *name).collect::<Vec<_>>());
         let figures = names
             .unwrap_or_default()
             .into_iter()
             .enumerate()
-            .map(|(k, name)| figure(k, name))
+            .map(|(index, name)| figure(index, name))
             .collect();
-        let broken = Rule::ALL
-            .iter()
-            .map(|rule| (*rule, own.iter().map(|r| r.violation_count(*rule)).sum()));
-        rows.push(Row {
+        let violations = Rule::ALL.iter().map(|rule| {
+            (
+                *rule,
+                own_runs.iter().map(|r| r.violation_count(*rule)).sum(),
+            )
+        });
+        rows.push(PolicyRow {
             policy: policy.clone(),
             figures,
-            broken: broken.filter(|(_, n)| *n > 0).collect(),
+            violations: violations.filter(|(_, n)| *n > 0).collect(),
         });
     }
     rows
 }
 
-/// The figures of one day.
-fn day(plan: &Plan, run: &Run) -> Vec<(&'static str, f64)> {
-    let t = Tally::of_class(run, plan, &(plan.settle..plan.length), None);
+/// The figures of one run.
+fn run_figures(plan: &Plan, run: &Run) -> Vec<(&'static str, f64)> {
+    let tally = Tally::of_class(run, plan, &(plan.settle..plan.length), None);
     let probes = run.history.probes.len() as f64 / run.history.commands.len().max(1) as f64;
     vec![
-        ("worth", t.utility / t.utility_offered.max(1e-9)),
-        ("served", t.share(t.served)),
-        ("late", t.share(t.late)),
-        ("declined", t.share(t.refused)),
-        ("terminated", t.share(t.failed)),
-        ("lost", t.share(t.unanswered)),
-        ("p50 ms", t.percentile_ms(50.0)),
-        ("p99 ms", t.percentile_ms(99.0)),
-        ("relays", t.share(t.relays)),
+        ("worth", tally.utility / tally.utility_offered.max(1e-9)),
+        ("served", tally.share(tally.served)),
+        ("late", tally.share(tally.late)),
+        ("declined", tally.share(tally.refused)),
+        ("terminated", tally.share(tally.failed)),
+        ("lost", tally.share(tally.unanswered)),
+        ("p50 ms", tally.percentile_ms(50.0)),
+        ("p99 ms", tally.percentile_ms(99.0)),
+        ("relays", tally.share(tally.relays)),
         ("probes", probes),
         ("push", run.worst_cold_overload()),
         ("ramp", run.worst_cold_start_load()),
     ]
 }
 
-/// A table, what must hold, and the first of the breaches.
+/// The report as text: a table by policy, the expectations, and the first violations of each run.
 pub fn text(plan: &Plan, runs: &[Run], simulated: bool) -> String {
     let mut out = String::new();
-    let word = if simulated { "simulated" } else { "on sockets" };
+    let mode = if simulated { "simulated" } else { "on sockets" };
     let rate = plan.per_second;
     let _ = writeln!(out, "{}", plan.about);
     let _ = writeln!(
         out,
-        "{word}: {} instances, {} endpoints in {} zones, {rate:.0} commands a second, {:.0} s, seeds {:?}",
+        "{mode}: {} instances, {} endpoints in {} zones, {rate:.0} commands a second, {:.0} s, seeds {:?}",
         plan.instances,
         plan.endpoints.len(),
         plan.zones.len(),
         plan.length.as_secs_f64(),
         plan.seeds
     );
-    let rows = rows(plan, runs);
+    let rows = policy_rows(plan, runs);
     let _ = write!(out, "\n{:<14}", "");
     for (name, _) in rows.first().map(|r| &r.figures[..]).unwrap_or_default() {
         let _ = write!(out, "{name:>11}");
@@ -140,33 +154,33 @@
             let digits = if name.ends_with("ms") { 1 } else { 3 };
             let _ = write!(out, "{figure:>11.digits$}");
         }
-        let broken: Vec<_> = row
-            .broken
+        let violations: Vec<_> = row
+            .violations
             .iter()
             .map(|(rule, n)| format!("{} {n}", rule.name()))
             .collect();
         let _ = writeln!(
             out,
             "   {}",
-            if broken.is_empty() {
+            if violations.is_empty() {
                 "none".into()
             } else {
-                broken.join(", ")
+                violations.join(", ")
             }
         );
     }
-    if plan.instances >= SEVERAL {
+    if plan.instances >= MIN_INSTANCES_FOR_SPREAD {
         rows.iter()
             .for_each(|row| out.push_str(&spread_line(plan, runs, &row.policy)));
     }
     for run in runs.iter().filter(|r| r.policy.starts_with("passroad")) {
-        for breach in run.violations.iter().take(5) {
-            let (seed, at) = (run.seed, breach.time.as_secs_f64());
+        for violation in run.violations.iter().take(5) {
+            let (seed, at) = (run.seed, violation.time.as_secs_f64());
             let _ = writeln!(
                 out,
                 "broken, seed {seed}, {at:.3} s: {}: {}",
-                breach.rule.name(),
-                breach.message
+                violation.rule.name(),
+                violation.message
             );
         }
         if let Some(fleet) = &run.fleet {
@@ -190,17 +204,17 @@
                 fleet.hits
             );
         }
-        for reign in run
+        for ownership in run
             .fleet
             .iter()
             .flat_map(|fleet| fleet.reigns())
-            .take(MOST_REIGNS)
+            .take(MAX_LISTED_OWNERSHIPS)
         {
-            let (first, last) = (reign.first.as_secs_f64(), reign.last.as_secs_f64());
+            let (first, last) = (ownership.first.as_secs_f64(), ownership.last.as_secs_f64());
             let _ = writeln!(
                 out,
                 "  duty {}: sidecar {} by epoch {}, {first:.3} to {last:.3} s, {} acts",
-                reign.duty, reign.owner, reign.epoch, reign.acts
+                ownership.duty, ownership.owner, ownership.epoch, ownership.acts
             );
         }
         for work in run.fleet.iter().flat_map(|fleet| &fleet.works) {
@@ -215,22 +229,22 @@
             let _ = writeln!(out, "{remark}");
         }
     }
-    let holds = check_expectations(plan, runs);
-    if !holds.is_empty() {
+    let results = check_expectations(plan, runs);
+    if !results.is_empty() {
         let _ = writeln!(out, "\nwhat must hold");
     }
     for ExpectationResult {
-        label: text,
+        label,
         line,
         figure,
         bound,
-        met: good,
-    } in &holds
+        met,
+    } in &results
     {
-        let word = if *good { "holds" } else { "DOES NOT HOLD" };
+        let verdict = if *met { "holds" } else { "DOES NOT HOLD" };
         let _ = writeln!(
             out,
-            "  {word}: {text} is {figure:.4}, {bound} (line {line})"
+            "  {verdict}: {label} is {figure:.4}, {bound} (line {line})"
         );
     }
     out
@@ -238,21 +252,21 @@
 
 /// How evenly the endpoints were loaded: means over the seeds.
 fn spread_line(plan: &Plan, runs: &[Run], policy: &str) -> String {
-    let own: Vec<&Run> = runs.iter().filter(|r| r.policy == policy).collect();
+    let own_runs: Vec<&Run> = runs.iter().filter(|r| r.policy == policy).collect();
     let window = plan.settle..plan.length;
-    let mean = |of: &dyn Fn(&Run) -> f64| {
-        own.iter().map(|run| of(run)).sum::<f64>() / own.len().max(1) as f64
+    let mean = |figure_of: &dyn Fn(&Run) -> f64| {
+        own_runs.iter().map(|run| figure_of(run)).sum::<f64>() / own_runs.len().max(1) as f64
     };
     let shares = |run: &Run| distribution::relative_loads(run, plan, &window);
     let holders = |run: &Run| distribution::sidecars_per_endpoint(run, plan, &window);
-    let (second, fast) = (Duration::from_secs(1), Duration::from_millis(100));
+    let (second, tenth_second) = (Duration::from_secs(1), Duration::from_millis(100));
     format!(
         "{policy:<14} busiest {:.2}, idlest {:.2} of the fair share; dispersion {:.2} in 1 s, {:.2} in 100 ms; idle beside a queue \
          {:.3}; {:.0} to {:.0} sidecars an endpoint, {:.0} connections opened, {:.0} at one; {:.2} crowds a second\n",
         mean(&|run| shares(run).into_iter().fold(0.0, f64::max)),
         mean(&|run| shares(run).into_iter().fold(f64::MAX, f64::min)),
         mean(&|run| distribution::dispersion(run, plan, &window, second)),
-        mean(&|run| distribution::dispersion(run, plan, &window, fast)),
+        mean(&|run| distribution::dispersion(run, plan, &window, tenth_second)),
         mean(&|run| distribution::idle_share(run, plan, &window)),
         mean(&|run| holders(run).into_iter().min().unwrap_or(0) as f64),
         mean(&|run| holders(run).into_iter().max().unwrap_or(0) as f64),
@@ -262,17 +276,17 @@
     )
 }
 
-/// The same and the series, for other programs.
+/// The report as JSON, with series by second.
 pub fn json(plan: &Plan, runs: &[Run], simulated: bool) -> Value {
-    let days: Vec<Value> = runs
+    let entries: Vec<Value> = runs
         .iter()
         .map(|run| {
-            let series: Vec<Value> = seconds(run, plan)
+            let series: Vec<Value> = counts_by_second(run, plan)
                 .iter()
                 .map(|s| {
                     json!({
-                        "asked": s.asked, "served": s.served, "late": s.late, "declined": s.declined,
-                        "terminated": s.terminated, "unanswered": s.unanswered, "relays": s.relays,
+                        "asked": s.arrived, "served": s.served, "late": s.late, "declined": s.refused,
+                        "terminated": s.failed, "unanswered": s.unanswered, "relays": s.relays,
                     })
                 })
                 .collect();
@@ -280,10 +294,10 @@
                 .violations
                 .iter()
                 .take(100)
-                .map(|b| json!({ "rule": b.rule.name(), "at_s": b.time.as_secs_f64(), "what": b.message }))
+                .map(|violation| json!({ "rule": violation.rule.name(), "at_s": violation.time.as_secs_f64(), "what": violation.message }))
                 .collect();
             let figures: serde_json::Map<String, Value> =
-                day(plan, run).into_iter().map(|(name, f)| (name.replace(' ', "_"), json!(f))).collect();
+                run_figures(plan, run).into_iter().map(|(name, f)| (name.replace(' ', "_"), json!(f))).collect();
             json!({
                 "policy": run.policy, "seed": run.seed, "figures": figures, "seconds": series, "breaches": breaches,
                 "connections": run.connections, "remarks": run.remarks,
@@ -296,7 +310,7 @@
             })
         })
         .collect();
-    let rows: Vec<Value> = rows(plan, runs)
+    let rows: Vec<Value> = policy_rows(plan, runs)
         .iter()
         .map(|row| {
             let figures: serde_json::Map<String, Value> = row
@@ -304,21 +318,21 @@
                 .iter()
                 .map(|(name, f)| (name.replace(' ', "_"), json!(f)))
                 .collect();
-            let broken: serde_json::Map<String, Value> = row
-                .broken
+            let violations: serde_json::Map<String, Value> = row
+                .violations
                 .iter()
                 .map(|(rule, n)| (rule.name().into(), json!(n)))
                 .collect();
-            json!({ "policy": row.policy, "figures": figures, "broken": broken })
+            json!({ "policy": row.policy, "figures": figures, "broken": violations })
         })
         .collect();
-    let holds: Vec<Value> = check_expectations(plan, runs)
+    let results: Vec<Value> = check_expectations(plan, runs)
         .iter()
-        .map(|h| json!({ "text": h.label, "line": h.line, "figure": h.figure, "bound": h.bound, "holds": h.met }))
+        .map(|result| json!({ "text": result.label, "line": result.line, "figure": result.figure, "bound": result.bound, "holds": result.met }))
         .collect();
     json!({
         "about": plan.about, "simulated": simulated, "instances": plan.instances,
         "endpoints": plan.endpoints.len(), "zones": plan.zones, "per_second": plan.per_second,
-        "length_s": plan.length.as_secs_f64(), "policies": rows, "holds": holds, "days": days,
+        "length_s": plan.length.as_secs_f64(), "policies": rows, "holds": results, "days": entries,
     })
 }
--- a/crates/passroad-rig/src/rng.rs
+++ b/crates/passroad-rig/src/rng.rs
@@ -1,9 +1,10 @@
-//! Draws that are the same on every machine: a portable generator, and logarithms of a library of its own, as the
-//! system's differ in the last bit.
+//! Random draws that are the same on every machine: a portable generator, and logarithms from libm, as those of the
+//! system's math library differ in the last bit.
 
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
+/// A generator whose draws depend only on its seed.
 #[derive(Debug, Clone)]
 pub struct SeededRng(Pcg64Mcg);
 
@@ -12,18 +13,18 @@
         SeededRng(Pcg64Mcg::seed_from_u64(seed))
     }
 
-    /// Another stream for each name and number under the same seed; draws on one don't move the others.
-    pub fn stream(seed: u64, name: &str, n: u64) -> Self {
+    /// An independent stream for each name and number under the same seed: draws on one don't change the others.
+    pub fn stream(seed: u64, name: &str, number: u64) -> Self {
         let mix =
             |hash: u64, byte: u8| (hash ^ u64::from(byte)).wrapping_mul(0x0000_0100_0000_01b3); // FNV-1a
         let hash = name
             .bytes()
-            .chain(n.to_le_bytes())
+            .chain(number.to_le_bytes())
             .fold(0xcbf2_9ce4_8422_2325 ^ seed, mix);
         SeededRng::new(hash)
     }
 
-    /// From 0 up to 1.
+    /// Uniform from 0 up to 1, exclusive.
     pub fn uniform(&mut self) -> f64 {
         (self.0.next_u64() >> 11) as f64 / (1u64 << 53) as f64
     }
@@ -32,29 +33,31 @@
         self.0.next_u64()
     }
 
-    /// From 0 up to `n`; 0 for 0.
-    pub fn below(&mut self, n: usize) -> usize {
-        ((self.uniform() * n as f64) as usize).min(n.saturating_sub(1))
+    /// Uniform from 0 up to `bound`, exclusive; 0 for 0.
+    pub fn below(&mut self, bound: usize) -> usize {
+        ((self.uniform() * bound as f64) as usize).min(bound.saturating_sub(1))
     }
 
-    /// Exponential, of mean 1.
+    /// Exponential with mean 1.
     pub fn exponential(&mut self) -> f64 {
         -libm::log(1.0 - self.uniform())
     }
 
-    /// Lognormal, of mean 1; `spread` is the deviation of its logarithm.
-    pub fn lognormal(&mut self, spread: f64) -> f64 {
-        let (a, b) = (1.0 - self.uniform(), self.uniform());
-        let normal = libm::sqrt(-2.0 * libm::log(a)) * libm::cos(std::f64::consts::TAU * b);
-        libm::exp(spread * normal - spread * spread / 2.0)
+    /// Lognormal with mean 1; `sigma` is the standard deviation of its logarithm.
+    pub fn lognormal(&mut self, sigma: f64) -> f64 {
+        // Box-Muller transform.
+        let (first, second) = (1.0 - self.uniform(), self.uniform());
+        let normal =
+            libm::sqrt(-2.0 * libm::log(first)) * libm::cos(std::f64::consts::TAU * second);
+        libm::exp(sigma * normal - sigma * sigma / 2.0)
     }
 
-    /// A place among weights; the last for weights that are all nothing.
+    /// An index drawn by weights; the last one if all weights are 0.
     pub fn weighted_index(&mut self, weights: &[f64]) -> usize {
-        let mut left = self.uniform() * weights.iter().sum::<f64>();
-        let hit = |w: &f64| {
-            left -= w;
-            left < 0.0
+        let mut remaining = self.uniform() * weights.iter().sum::<f64>();
+        let hit = |weight: &f64| {
+            remaining -= weight;
+            remaining < 0.0
         };
         weights
             .iter()
--- a/crates/passroad-rig/src/run.rs
+++ b/crates/passroad-rig/src/run.rs
@@ -1,4 +1,4 @@
-//! Plays what an experiment asks for and measures what came of it.
+//! Runs an experiment, simulated or on sockets, and computes the figures by which its expectations are checked.
 
 use crate::distribution;
 use crate::experiment::{Expectation, Metric, Plan};
@@ -14,7 +14,7 @@
 use std::sync::atomic::{AtomicUsize, Ordering::Relaxed};
 use std::time::Duration;
 
-/// One day of one policy.
+/// One run of one policy with one seed.
 pub struct Run {
     pub policy: String,
     pub seed: u64,
@@ -24,11 +24,11 @@
     pub samples: Vec<FleetSample>,
     pub log_lines: Vec<(Duration, usize, String)>,
     pub connections: usize,
-    /// What can't be read off the wire: of processes, on sockets only.
+    /// Findings about the processes that the ledger doesn't have; on sockets only.
     pub remarks: Vec<String>,
-    /// Played in virtual time.
+    /// Whether the run was in virtual time.
     pub simulated: bool,
-    /// Of sidecars that talk.
+    /// What happened between the sidecars, where the experiment has peers.
     pub fleet: Option<FleetDay>,
 }
 
@@ -37,11 +37,11 @@
         plan: &Plan,
         policy: &str,
         seed: u64,
-        played: Recording,
+        recording: Recording,
         slack: Duration,
     ) -> Run {
         let facts = RuleContext::from_plan(plan, slack);
-        let books = played.ledger.history();
+        let books = recording.ledger.history();
         let breaches = books.check_rules(&facts);
         Run {
             policy: policy.into(),
@@ -49,9 +49,9 @@
             history: books,
             rule_context: facts,
             violations: breaches,
-            samples: played.samples,
-            log_lines: played.log_lines,
-            connections: played.connections,
+            samples: recording.samples,
+            log_lines: recording.log_lines,
+            connections: recording.connections,
             remarks: Vec::new(),
             simulated: true,
             fleet: None,
@@ -62,14 +62,14 @@
         self.violations.iter().filter(|b| b.rule == rule).count()
     }
 
-    /// The most that any cold endpoint was offered, in multiples of what it could do.
+    /// The most work that any cold endpoint was offered, in multiples of its capacity.
     pub fn worst_cold_overload(&self) -> f64 {
         (0..self.rule_context.endpoints.len())
             .map(|e| self.history.cold_overload(e, &self.rule_context).0)
             .fold(0.0, f64::max)
     }
 
-    /// The most requests that any cold endpoint got over `tip_after`, against what doesn't push it over; 1 is the bound.
+    /// The most commands that any cold endpoint got over its `overload_window`, as a share of the bound.
     pub fn worst_cold_start_load(&self) -> f64 {
         (0..self.rule_context.endpoints.len())
             .map(|e| self.history.cold_start_load(e, &self.rule_context).0)
@@ -77,27 +77,27 @@
     }
 }
 
-/// All days of an experiment in virtual time, by policy and seed, on as many threads as asked for.
+/// Simulates all runs of an experiment, by policy and seed, on a number of threads. The result is the same for any number.
 pub fn simulate_all(plan: &Plan, threads: usize) -> Result<Vec<Run>, String> {
-    let days: Vec<(&String, u64)> = plan
+    let runs_to_simulate: Vec<(&String, u64)> = plan
         .policies
         .iter()
         .flat_map(|p| plan.seeds.iter().map(move |s| (p, *s)))
         .collect();
     let (next, done) = (AtomicUsize::new(0), Mutex::new(BTreeMap::new()));
     std::thread::scope(|scope| {
-        for _ in 0..threads.clamp(1, days.len().max(1)) {
+        for _ in 0..threads.clamp(1, runs_to_simulate.len().max(1)) {
             scope.spawn(|| {
                 while let Some((n, (policy, seed))) = {
                     let n = next.fetch_add(1, Relaxed);
-                    days.get(n).map(|day| (n, *day))
+                    runs_to_simulate.get(n).map(|run| (n, *run))
                 } {
                     let run = virtual_time::simulate(plan, seed, policy)
-                        .map(|played| {
-                            Run::from_recording(plan, policy, seed, played, Duration::ZERO)
+                        .map(|recording| {
+                            Run::from_recording(plan, policy, seed, recording, Duration::ZERO)
                         })
                         .map(|run| Run {
-                            fleet: fleet_of(plan, policy, seed),
+                            fleet: simulate_fleet(plan, policy, seed),
                             ..run
                         });
                     done.lock()
@@ -113,8 +113,9 @@
         .collect()
 }
 
-/// Sidecars that talk, beside the commands: neither has to do with the other.
-fn fleet_of(plan: &Plan, policy: &str, seed: u64) -> Option<FleetDay> {
+/// Simulates the sidecars' traffic among each other. It is a simulation of its own, as it and the commands don't affect
+/// each other.
+fn simulate_fleet(plan: &Plan, policy: &str, seed: u64) -> Option<FleetDay> {
     let fleet = plan
         .fleet
         .as_ref()
@@ -128,41 +129,41 @@
     ))
 }
 
-/// All seeds of an experiment on sockets, one after the other; there only passroad decides, with routes and without.
+/// Runs all seeds of an experiment on sockets, one after the other. Only passroad's policies run there.
 pub fn run_on_sockets(
     plan: &Plan,
     program: &Program,
-    keep: Option<&Path>,
-    shows: bool,
+    log_folder: Option<&Path>,
+    show_progress: bool,
 ) -> Result<Vec<Run>, String> {
     let mut runs = Vec::new();
     for policy in plan.policies.iter().filter(|p| p.starts_with("passroad")) {
         for seed in &plan.seeds {
             let routes = plan.routes.as_ref().filter(|_| policy == "passroad-routes");
-            let (played, remarks, fleet) =
-                sockets::play(plan, *seed, program, routes, keep, shows)?;
+            let (recording, remarks, fleet) =
+                sockets::play(plan, *seed, program, routes, log_folder, show_progress)?;
             runs.push(Run {
                 remarks,
                 fleet,
                 simulated: false,
-                ..Run::from_recording(plan, policy, *seed, played, sockets::SLACK)
+                ..Run::from_recording(plan, policy, *seed, recording, sockets::SLACK)
             });
         }
     }
     Ok(runs)
 }
 
-/// What became of the commands that came within a window.
+/// Counts of the outcomes of commands that arrived within a window.
 #[derive(Debug, Clone, Default)]
 pub struct Tally {
     pub commands: usize,
-    pub served: usize, // within their goal
+    pub served: usize, // within their deadline target
     pub late: usize,
     pub refused: usize,
     pub failed: usize,
     pub unanswered: usize,
     pub relays: usize,
-    pub utility: f64, // of chains: what was answered within the goal of its first try
+    pub utility: f64, // of chains with a try that was answered within its deadline target
     pub utility_offered: f64,
     pub response_times: Option<Histogram<u64>>, // microseconds to an answer
 }
@@ -172,66 +173,71 @@
         run: &Run,
         plan: &Plan,
         window: &Range<Duration>,
-        verb: Option<usize>,
+        class: Option<usize>,
     ) -> Tally {
-        Tally::of_matching(run, plan, window, |c| verb.is_none_or(|v| c.class == v))
+        Tally::of_matching(run, plan, window, |command| {
+            class.is_none_or(|class| command.class == class)
+        })
     }
 
-    /// Of commands that came within a window and are asked about.
+    /// Counts commands that arrived within a window and match a filter.
     pub fn of_matching(
         run: &Run,
         plan: &Plan,
         window: &Range<Duration>,
-        asked: impl Fn(&CommandRecord) -> bool,
+        matches_filter: impl Fn(&CommandRecord) -> bool,
     ) -> Tally {
         let mut tally = Tally::default();
-        let mut times = Histogram::new_with_bounds(1, 3_600_000_000, 3).ok();
-        let within = |c: &&CommandRecord| window.contains(&c.arrived_at) && asked(c);
-        for c in run.history.commands.iter().filter(within) {
+        let mut response_times = Histogram::new_with_bounds(1, 3_600_000_000, 3).ok();
+        let within = |command: &&CommandRecord| {
+            window.contains(&command.arrived_at) && matches_filter(command)
+        };
+        for command in run.history.commands.iter().filter(within) {
             tally.commands += 1;
-            tally.relays += c.relays.len();
-            let spent = c
+            tally.relays += command.relays.len();
+            let elapsed = command
                 .answers
                 .first()
-                .map(|(at, _)| at.saturating_sub(c.arrived_at));
-            match c.answers.first().map(|(_, answer)| *answer) {
+                .map(|(at, _)| at.saturating_sub(command.arrived_at));
+            match command.answers.first().map(|(_, answer)| *answer) {
                 Some(Answer::Answered) => {
-                    let spent = spent.unwrap_or_default();
-                    let good = spent <= plan.classes[c.class].deadline_target;
-                    tally.served += usize::from(good);
-                    tally.late += usize::from(!good);
-                    times
+                    let elapsed = elapsed.unwrap_or_default();
+                    let in_time = elapsed <= plan.classes[command.class].deadline_target;
+                    tally.served += usize::from(in_time);
+                    tally.late += usize::from(!in_time);
+                    response_times
                         .iter_mut()
-                        .for_each(|t| t.saturating_record(spent.as_micros() as u64));
+                        .for_each(|t| t.saturating_record(elapsed.as_micros() as u64));
                 }
                 Some(Answer::Refused) => tally.refused += 1,
                 Some(Answer::Failed) => tally.failed += 1,
                 None => tally.unanswered += 1,
             }
         }
-        // A chain is worth its utility once, if any of its tries was answered in that try's goal.
+        // A chain of tries counts its utility once, if any of them was answered within the deadline target.
         let mut chains: BTreeMap<usize, bool> = BTreeMap::new();
-        for c in &run.history.commands {
+        for command in &run.history.commands {
             let Some(first) = run
                 .history
                 .commands
-                .get(c.chain)
+                .get(command.chain)
                 .filter(|first| within(first))
             else {
                 continue;
             };
-            let good = c.answers.first().is_some_and(|(at, answer)| {
+            let met = command.answers.first().is_some_and(|(at, answer)| {
                 *answer == Answer::Answered
-                    && at.saturating_sub(c.arrived_at) <= plan.classes[first.class].deadline_target
+                    && at.saturating_sub(command.arrived_at)
+                        <= plan.classes[first.class].deadline_target
             });
-            *chains.entry(c.chain).or_default() |= good;
+            *chains.entry(command.chain).or_default() |= met;
         }
-        for (chain, good) in chains {
+        for (chain, met) in chains {
             let utility = plan.classes[run.history.commands[chain].class].utility;
             tally.utility_offered += utility;
-            tally.utility += if good { utility } else { 0.0 };
+            tally.utility += if met { utility } else { 0.0 };
         }
-        tally.response_times = times;
+        tally.response_times = response_times;
         tally
     }
 
@@ -239,7 +245,7 @@
         count as f64 / self.commands.max(1) as f64
     }
 
-    /// Milliseconds within which so many of a hundred answers came.
+    /// Milliseconds within which this percentage of the answers came.
     pub fn percentile_ms(&self, percentile: f64) -> f64 {
         self.response_times.as_ref().map_or(0.0, |t| {
             t.value_at_quantile(percentile / 100.0) as f64 / 1e3
@@ -247,17 +253,17 @@
     }
 }
 
-/// A figure of a run.
-pub fn measure(run: &Run, plan: &Plan, hold: &Expectation) -> f64 {
-    let asked = |c: &CommandRecord| {
-        hold.class.is_none_or(|v| c.class == v)
-            && hold
+/// A metric of a run, as an expectation asks for it.
+pub fn measure(run: &Run, plan: &Plan, expectation: &Expectation) -> f64 {
+    let matches_filter = |command: &CommandRecord| {
+        expectation.class.is_none_or(|class| command.class == class)
+            && expectation
                 .client_zone
-                .is_none_or(|zone| plan.zone_of(c.instance) == zone)
+                .is_none_or(|zone| plan.zone_of(command.instance) == zone)
     };
-    let tally = || Tally::of_matching(run, plan, &hold.window, asked);
+    let tally = || Tally::of_matching(run, plan, &expectation.window, matches_filter);
     let fleet = |of: fn(&FleetDay) -> f64| run.fleet.as_ref().map_or(f64::NAN, of);
-    match hold.metric {
+    match expectation.metric {
         Metric::Served => {
             let tally = tally();
             tally.share(tally.served)
@@ -289,79 +295,85 @@
                 .history
                 .probes
                 .iter()
-                .filter(|(at, _)| hold.window.contains(at))
+                .filter(|(at, _)| expectation.window.contains(at))
                 .count();
             probes as f64 / tally().commands.max(1) as f64
         }
         Metric::Broken => run.violations.len() as f64,
         Metric::Push => run.worst_cold_overload(),
         Metric::Ramp => run.worst_cold_start_load(),
-        Metric::Share => share_of(run, plan, &hold.window, hold.zone),
+        Metric::Share => zone_share(run, plan, &expectation.window, expectation.zone),
         Metric::Recovers => {
             let quarter = Duration::from_millis(250);
             let served = |from: Duration| {
-                let tally = Tally::of_matching(run, plan, &(from..from + 4 * quarter), asked);
+                let tally =
+                    Tally::of_matching(run, plan, &(from..from + 4 * quarter), matches_filter);
                 tally.share(tally.served)
             };
-            let first = plan.changes.first().map_or(plan.length, |(at, _)| *at);
-            let before = Tally::of_matching(run, plan, &(plan.settle..first), asked);
-            let enough = 0.95 * before.share(before.served);
-            let (mut at, mut since) = (hold.window.start, hold.window.start);
-            while at + 4 * quarter <= hold.window.end {
-                if served(at) < enough {
-                    since = at + quarter;
+            let first_fault = plan.changes.first().map_or(plan.length, |(at, _)| *at);
+            let before = Tally::of_matching(run, plan, &(plan.settle..first_fault), matches_filter);
+            let recovered_share = 0.95 * before.share(before.served);
+            let (mut time, mut recovered_at) = (expectation.window.start, expectation.window.start);
+            while time + 4 * quarter <= expectation.window.end {
+                if served(time) < recovered_share {
+                    recovered_at = time + quarter;
                 }
-                at += quarter;
+                time += quarter;
             }
-            (since - hold.window.start).as_secs_f64()
+            (recovered_at - expectation.window.start).as_secs_f64()
         }
         Metric::Returns => {
-            let first = plan.changes.first().map_or(plan.length, |(at, _)| *at);
-            let before = share_of(run, plan, &(plan.settle..first), hold.zone);
+            let first_fault = plan.changes.first().map_or(plan.length, |(at, _)| *at);
+            let before = zone_share(run, plan, &(plan.settle..first_fault), expectation.zone);
             let half = Duration::from_millis(500);
-            let mut at = hold.window.start;
-            while at + 2 * half <= hold.window.end
-                && share_of(run, plan, &(at..at + 2 * half), hold.zone) < 0.9 * before
+            let mut time = expectation.window.start;
+            while time + 2 * half <= expectation.window.end
+                && zone_share(run, plan, &(time..time + 2 * half), expectation.zone) < 0.9 * before
             {
-                at += half;
+                time += half;
             }
-            (at - hold.window.start).as_secs_f64()
+            (time - expectation.window.start).as_secs_f64()
         }
         Metric::Swing => {
             let second = Duration::from_secs(1);
             let mut shares = Vec::new();
-            let mut at = hold.window.start;
-            while at + second <= hold.window.end {
-                shares.push(share_of(run, plan, &(at..at + second), hold.zone));
-                at += second;
+            let mut time = expectation.window.start;
+            while time + second <= expectation.window.end {
+                shares.push(zone_share(
+                    run,
+                    plan,
+                    &(time..time + second),
+                    expectation.zone,
+                ));
+                time += second;
             }
             let steps = shares.windows(2).map(|pair| (pair[1] - pair[0]).abs());
             steps.sum::<f64>() / shares.len().saturating_sub(1).max(1) as f64
         }
-        Metric::Busiest => distribution::relative_loads(run, plan, &hold.window)
+        Metric::Busiest => distribution::relative_loads(run, plan, &expectation.window)
             .into_iter()
             .fold(0.0, f64::max),
-        Metric::Idlest => distribution::relative_loads(run, plan, &hold.window)
+        Metric::Idlest => distribution::relative_loads(run, plan, &expectation.window)
             .into_iter()
             .fold(f64::MAX, f64::min),
         Metric::Herding => {
-            distribution::dispersion(run, plan, &hold.window, Duration::from_secs(1))
+            distribution::dispersion(run, plan, &expectation.window, Duration::from_secs(1))
         }
         Metric::HerdingFast => {
-            distribution::dispersion(run, plan, &hold.window, Duration::from_millis(100))
+            distribution::dispersion(run, plan, &expectation.window, Duration::from_millis(100))
         }
-        Metric::Idle => distribution::idle_share(run, plan, &hold.window),
-        Metric::HoldersMost => distribution::sidecars_per_endpoint(run, plan, &hold.window)
+        Metric::Idle => distribution::idle_share(run, plan, &expectation.window),
+        Metric::HoldersMost => distribution::sidecars_per_endpoint(run, plan, &expectation.window)
             .into_iter()
             .max()
             .unwrap_or(0) as f64,
-        Metric::HoldersLeast => distribution::sidecars_per_endpoint(run, plan, &hold.window)
+        Metric::HoldersLeast => distribution::sidecars_per_endpoint(run, plan, &expectation.window)
             .into_iter()
             .min()
             .unwrap_or(0) as f64,
-        Metric::LinksMost => distribution::most_connections(run, &hold.window) as f64,
+        Metric::LinksMost => distribution::most_connections(run, &expectation.window) as f64,
         Metric::Connections => run.connections as f64,
-        Metric::Together => distribution::synchronized_choices(run, plan, &hold.window),
+        Metric::Together => distribution::synchronized_choices(run, plan, &expectation.window),
         Metric::OwnersAtOnce => fleet(|f| f.owners_at_once() as f64),
         Metric::Believers => fleet(|f| f.believers.map_or(f64::NAN, |n| n as f64)),
         Metric::StaleActs => fleet(|f| f.stale_acts() as f64),
@@ -370,10 +382,10 @@
             let duties = plan.fleet.as_ref().map_or(0, |plan| plan.duties.len());
             run.fleet
                 .as_ref()
-                .map_or(f64::NAN, |f| f.unowned(&hold.window, duties))
+                .map_or(f64::NAN, |f| f.unowned(&expectation.window, duties))
         }
         Metric::Acts => {
-            let within = |a: &&Act| a.accepted && hold.window.contains(&a.at);
+            let within = |a: &&Act| a.accepted && expectation.window.contains(&a.at);
             run.fleet
                 .as_ref()
                 .map_or(f64::NAN, |f| f.acts.iter().filter(within).count() as f64)
@@ -384,46 +396,47 @@
         Metric::Hits => fleet(|f| f.hits as f64),
         Metric::Worked => fleet(|f| f.worked() as f64),
         Metric::AtWork => fleet(|f| f.at_work() as f64),
-        Metric::WorkBroken => work_broken(run) as f64,
+        Metric::WorkBroken => relays_during_work(run) as f64,
         Metric::WorkTime => {
             let requests = plan
                 .fleet
                 .iter()
                 .flat_map(|f| f.work.iter())
                 .flat_map(|work| &work.requests);
-            let last = |es: &[usize]| {
+            let last_end = |endpoints: &[usize]| {
                 let own = run
                     .fleet
                     .iter()
                     .flat_map(|f| &f.works)
-                    .filter(|w| es.contains(&w.endpoint));
+                    .filter(|w| endpoints.contains(&w.endpoint));
                 own.map(|w| w.to).max().unwrap_or(Duration::MAX)
             };
-            let times = requests.map(|(at, _, es)| last(es).saturating_sub(*at).as_secs_f64());
-            times.fold(0.0, f64::max)
+            let durations = requests
+                .map(|(at, _, endpoints)| last_end(endpoints).saturating_sub(*at).as_secs_f64());
+            durations.fold(0.0, f64::max)
         }
         Metric::Load => {
-            let there = |e: &usize| Some(plan.endpoints[*e].zone) == hold.zone;
-            let own: Vec<usize> = (0..plan.endpoints.len()).filter(there).collect();
+            let in_zone = |e: &usize| Some(plan.endpoints[*e].zone) == expectation.zone;
+            let own: Vec<usize> = (0..plan.endpoints.len()).filter(in_zone).collect();
             let cores: usize = own.iter().map(|e| plan.endpoints[*e].spec.cores).sum();
-            let looks: Vec<_> = run
+            let samples: Vec<_> = run
                 .samples
                 .iter()
-                .filter(|l| hold.window.contains(&l.time))
+                .filter(|sample| expectation.window.contains(&sample.time))
                 .collect();
-            let check_expectations: usize = looks
+            let outstanding: usize = samples
                 .iter()
-                .map(|l| own.iter().map(|e| l.outstanding[*e]).sum::<usize>())
+                .map(|sample| own.iter().map(|e| sample.outstanding[*e]).sum::<usize>())
                 .sum();
-            check_expectations as f64 / looks.len().max(1) as f64 / cores.max(1) as f64
+            outstanding as f64 / samples.len().max(1) as f64 / cores.max(1) as f64
         }
     }
 }
 
-/// Relays that came to a machine while somebody worked on it, or were on it when that began.
-fn work_broken(run: &Run) -> usize {
+/// Relays that were sent to an endpoint during maintenance on it, or were on it when that began.
+fn relays_during_work(run: &Run) -> usize {
     let works = run.fleet.iter().flat_map(|fleet| &fleet.works);
-    let broken = |work: &crate::fleet::Worked| {
+    let disturbed = |work: &crate::fleet::Worked| {
         let on = run
             .history
             .relays
@@ -432,12 +445,12 @@
         on.filter(|r| r.sent_at < work.to && r.ended.is_none_or(|(at, _)| at > work.from))
             .count()
     };
-    works.map(broken).sum()
+    works.map(disturbed).sum()
 }
 
-/// Of the relays within a window, the share that went to a zone.
-fn share_of(run: &Run, plan: &Plan, window: &Range<Duration>, zone: Option<usize>) -> f64 {
-    let (mut there, mut all) = (0u32, 0u32);
+/// Share of the relays within a window that went to a zone.
+fn zone_share(run: &Run, plan: &Plan, window: &Range<Duration>, zone: Option<usize>) -> f64 {
+    let (mut in_zone, mut all) = (0u32, 0u32);
     for r in run
         .history
         .relays
@@ -445,13 +458,13 @@
         .filter(|r| window.contains(&r.sent_at))
     {
         all += 1;
-        there += u32::from(Some(plan.endpoints[r.endpoint].zone) == zone);
+        in_zone += u32::from(Some(plan.endpoints[r.endpoint].zone) == zone);
     }
-    f64::from(there) / f64::from(all.max(1))
+    f64::from(in_zone) / f64::from(all.max(1))
 }
 
-/// Whether what must hold does, and by which figure: the mean over the seeds, but the worst one of broken rules and
-/// of pushes.
+/// Whether an expectation is met, and by which figure: the mean over the seeds, but the worst seed for metrics that must
+/// hold in each run.
 pub struct ExpectationResult {
     pub label: String,
     pub line: usize,
@@ -461,13 +474,13 @@
 }
 
 pub fn check_expectations(plan: &Plan, runs: &[Run]) -> Vec<ExpectationResult> {
-    let figure = |hold: &Expectation, policy: &str| {
+    let figure = |expectation: &Expectation, policy: &str| {
         let all: Vec<f64> = runs
             .iter()
             .filter(|r| r.policy == policy)
-            .map(|run| measure(run, plan, hold))
+            .map(|run| measure(run, plan, expectation))
             .collect();
-        match hold.metric {
+        match expectation.metric {
             Metric::Broken
             | Metric::Push
             | Metric::Ramp
@@ -483,33 +496,41 @@
             _ => all.iter().sum::<f64>() / all.len().max(1) as f64,
         }
     };
-    let one = |hold: &Expectation| {
-        let other = hold
+    let check = |expectation: &Expectation| {
+        let other = expectation
             .compared_policy
             .as_ref()
-            .map_or(0.0, |other| figure(hold, other));
-        let figure = figure(hold, &hold.policy) - other;
-        let good = hold.at_least.is_none_or(|least| figure >= least)
-            && hold.at_most.is_none_or(|m| figure <= m);
-        let bounds = [("at least", hold.at_least), ("at most", hold.at_most)];
+            .map_or(0.0, |other| figure(expectation, other));
+        let figure = figure(expectation, &expectation.policy) - other;
+        let met = expectation.at_least.is_none_or(|least| figure >= least)
+            && expectation.at_most.is_none_or(|m| figure <= m);
+        let bounds = [
+            ("at least", expectation.at_least),
+            ("at most", expectation.at_most),
+        ];
         let bound: Vec<_> = bounds
             .iter()
             .filter_map(|(word, b)| Some(format!("{word} {}", (*b)?)))
             .collect();
         ExpectationResult {
-            label: hold.label.clone(),
-            line: hold.line,
+            label: expectation.label.clone(),
+            line: expectation.line,
             figure,
             bound: bound.join(", "),
-            met: good,
+            met,
         }
     };
-    // Of what was not played there is nothing to say.
-    let played = |name: &String| runs.iter().any(|r| r.policy == *name);
-    let seen = |h: &&Expectation| !h.simulated_only || runs.iter().all(|run| run.simulated);
-    let known =
-        |h: &&Expectation| played(&h.policy) && h.compared_policy.iter().all(played) && seen(h);
-    plan.expectations.iter().filter(known).map(one).collect()
+    // Expectations on policies that were not run are left out.
+    let was_run = |name: &String| runs.iter().any(|r| r.policy == *name);
+    let applies = |h: &&Expectation| !h.simulated_only || runs.iter().all(|run| run.simulated);
+    let can_be_checked = |h: &&Expectation| {
+        was_run(&h.policy) && h.compared_policy.iter().all(was_run) && applies(h)
+    };
+    plan.expectations
+        .iter()
+        .filter(can_be_checked)
+        .map(check)
+        .collect()
 }
 
 #[cfg(test)]
--- a/crates/passroad-rig/src/virtual_time.rs
+++ b/crates/passroad-rig/src/virtual_time.rs
@@ -239,7 +239,7 @@
         instance as u64 | u64::from(generation) << 32,
     )
     .next_u64();
-    baseline::policy(policy, plan, instance, own_seed)
+    baseline::create_policy(policy, plan, instance, own_seed)
 }
 
 /// Simulates a run to its end.
--- a/crates/passroad-rig/tests/ramp.rs
+++ b/crates/passroad-rig/tests/ramp.rs
@@ -1,4 +1,4 @@
-//! `ramp`: what a cold endpoint gets from all sidecars together, in each window of its settings.
+//! The `ramp` metric: the commands that a cold endpoint gets from all sidecars together, in each window of its settings.
 
 use passroad_rig::experiment::{Plan, parse};
 use passroad_rig::ledger::{Answer, CommandRecord, Entry, Ledger, RelayRecord, RuleContext};
@@ -9,7 +9,8 @@
 
 const MS: Duration = Duration::from_millis(1);
 
-/// Half of a core at the start, 2 s for it, twice of that allowed: 50 ms of work are N = 40 in the first window.
+/// Capacity of half a core at the start, a window of 2 s, twice the capacity allowed: at 50 ms of work N = 40 in the first
+/// window.
 fn plan() -> Plan {
     let text = r#"
         about = "one that starts cold"
@@ -40,26 +41,26 @@
         [load]
         per_second = 10
     "#;
-    parse(text).unwrap_or_else(|wrong| panic!("{wrong:?}"))
+    parse(text).unwrap_or_else(|error| panic!("{error:?}"))
 }
 
-/// The bound of `plan`: 40 + 2 x root of 40 + 2.
+/// The bound of `plan`: 40 + 2 x sqrt(40) + 2.
 const BOUND: f64 = 40.0 + 2.0 * 6.324_555 + 2.0;
 
-/// Sends at these times (ms) of these classes, each by another sidecar, to an endpoint that started at 1 s.
-fn ramp(sends: impl IntoIterator<Item = (u32, usize)>, starts: &[u32]) -> f64 {
+/// Load by relays at these times (ms) of these classes, each from another sidecar, on an endpoint with these starts (ms).
+fn cold_start_load(relays: impl IntoIterator<Item = (u32, usize)>, starts: &[u32]) -> f64 {
     let mut ledger = Ledger::default();
     starts
         .iter()
         .for_each(|ms| ledger.record(*ms * MS, Entry::EndpointStarted { endpoint: 0 }));
-    for (n, (ms, verb)) in sends.into_iter().enumerate() {
+    for (n, (ms, class)) in relays.into_iter().enumerate() {
         let limit = 1000 * MS;
         ledger.record(
             ms * MS,
             Entry::CommandArrived {
                 command: n,
                 chain: n,
-                class: verb,
+                class,
                 instance: n,
                 time_limit: limit,
             },
@@ -73,40 +74,43 @@
             },
         );
     }
-    let books = ledger.history();
+    let history = ledger.history();
     assert_eq!(
-        books
+        history
             .cold_start_load(1, &RuleContext::from_plan(&plan(), Duration::ZERO))
             .0,
         0.0
     );
-    books
+    history
         .cold_start_load(0, &RuleContext::from_plan(&plan(), Duration::ZERO))
         .0
 }
 
-fn each(n: u32, from: u32, gap: u32, verb: usize) -> impl Iterator<Item = (u32, usize)> {
-    (0..n).map(move |k| (from + k * gap, verb))
+fn sends(n: u32, from: u32, gap: u32, class: usize) -> impl Iterator<Item = (u32, usize)> {
+    (0..n).map(move |index| (from + index * gap, class))
 }
 
 #[rstest]
-#[case::a_burst_at_the_start(ramp(each(20, 1000, 1, 0).chain(each(20, 1100, 1, 1)), &[1000]), 40.0)]
-#[case::a_burst_later(ramp(each(40, 9000, 1, 1), &[1000]), 60.0)]
-#[case::over_the_window(ramp(each(40, 1000, 50, 1), &[1000]), 60.0)]
-#[case::over_two_windows(ramp(each(40, 1000, 100, 1), &[1000]), 30.0)]
-#[case::only_the_worst_window(ramp(each(9, 1000, 1, 1).chain(each(12, 8000, 1, 1)), &[1000]), 18.0)]
-#[case::of_the_second_start(ramp(each(40, 1000, 1, 0).chain(each(40, 2500, 1, 1)), &[1000, 2400]), 60.0)]
-#[case::what_came_before_the_start(ramp(each(99, 0, 10, 1).chain(each(2, 2000, 1, 1)), &[1000]), 3.0)]
-#[case::never_cold(ramp(each(99, 0, 10, 1), &[]), 0.0)]
-fn requests_of_mean_work_in_a_window_against_n_and_chance(#[case] ramp: f64, #[case] count: f64) {
+#[case::a_burst_at_the_start(cold_start_load(sends(20, 1000, 1, 0).chain(sends(20, 1100, 1, 1)), &[1000]), 40.0)]
+#[case::a_burst_later(cold_start_load(sends(40, 9000, 1, 1), &[1000]), 60.0)]
+#[case::over_the_window(cold_start_load(sends(40, 1000, 50, 1), &[1000]), 60.0)]
+#[case::over_two_windows(cold_start_load(sends(40, 1000, 100, 1), &[1000]), 30.0)]
+#[case::only_the_worst_window(cold_start_load(sends(9, 1000, 1, 1).chain(sends(12, 8000, 1, 1)), &[1000]), 18.0)]
+#[case::of_the_second_start(cold_start_load(sends(40, 1000, 1, 0).chain(sends(40, 2500, 1, 1)), &[1000, 2400]), 60.0)]
+#[case::what_came_before_the_start(cold_start_load(sends(99, 0, 10, 1).chain(sends(2, 2000, 1, 1)), &[1000]), 3.0)]
+#[case::never_cold(cold_start_load(sends(99, 0, 10, 1), &[]), 0.0)]
+fn cold_start_load_is_the_commands_in_a_window_over_the_bound(
+    #[case] figure: f64,
+    #[case] count: f64,
+) {
     assert!(
-        (ramp * BOUND - count).abs() < 0.01,
-        "{ramp} x {BOUND} is not {count}"
+        (figure * BOUND - count).abs() < 0.01,
+        "{figure} x {BOUND} is not {count}"
     );
 }
 
-/// Six sidecars, four endpoints of which one dies and is back cold, and what else goes wrong.
-fn day(more: &str) -> Plan {
+/// Six sidecars and four endpoints, of which one crashes and returns cold, with further faults in TOML.
+fn plan_with(extra_toml: &str) -> Plan {
     let text = r#"
         about = "one returns cold"
         length = "16s"
@@ -134,60 +138,64 @@
         for = "3s"
         endpoints = [0]
     "#;
-    parse(&format!("{text}{more}")).unwrap_or_else(|wrong| panic!("{wrong:?}"))
+    parse(&format!("{text}{extra_toml}")).unwrap_or_else(|error| panic!("{error:?}"))
 }
 
-// What drains is sent to until it is told, which six sidecars are over six seconds.
+// Sidecars send to a draining endpoint until their list says so: with a stagger of 6 s, one of six each second.
 #[rstest]
-fn news_by_turns_come_to_one_sidecar_after_the_other() {
+fn staggered_discovery_reaches_one_sidecar_after_the_other() {
     let drain = "[[fault]]\nkind = \"drain\"\nat = \"8s\"\nfor = \"8s\"\nendpoints = [2]\n";
     let late = "[[fault]]\nkind = \"discovery-late\"\nat = \"0s\"\nfor = \"16s\"\nby = \"0s\"\nspread = \"6s\"\n";
-    let last = |more: &str| {
-        let books = simulate(&day(more), 3, "random")
+    let last = |extra_toml: &str| {
+        let history = simulate(&plan_with(extra_toml), 3, "random")
             .expect("a day")
             .ledger
             .history();
-        let of =
-            |r: &&RelayRecord, n: usize| r.endpoint == 2 && books.commands[r.command].instance == n;
+        let belongs = |relay: &&RelayRecord, n: usize| {
+            relay.endpoint == 2 && history.commands[relay.command].instance == n
+        };
         let last = |n: usize| {
-            books
+            history
                 .relays
                 .iter()
-                .filter(|r| of(r, n))
-                .map(|r| r.sent_at)
+                .filter(|relay| belongs(relay, n))
+                .map(|relay| relay.sent_at)
                 .max()
         };
         (0..6)
             .map(|n| last(n).unwrap_or_default())
             .collect::<Vec<_>>()
     };
-    let (all, turns) = (last(drain), last(&format!("{drain}{late}")));
+    let (all, staggered) = (last(drain), last(&format!("{drain}{late}")));
     assert!(all.iter().all(|at| *at < 8050 * MS), "{all:?}");
-    for (n, at) in turns.iter().enumerate() {
-        let told = 8000 * MS + n as u32 * 1000 * MS;
-        assert!((told - 900 * MS..told + 50 * MS).contains(at), "{turns:?}");
+    for (n, at) in staggered.iter().enumerate() {
+        let listed_at = 8000 * MS + n as u32 * 1000 * MS;
+        assert!(
+            (listed_at - 900 * MS..listed_at + 50 * MS).contains(at),
+            "{staggered:?}"
+        );
     }
 }
 
 #[rstest]
-fn a_sidecar_killed_in_virtual_time_loses_what_it_held_and_goes_on() {
+fn a_sidecar_killed_in_virtual_time_loses_its_commands_and_goes_on() {
     let kill = "[[fault]]\nkind = \"sidecar-kill\"\nat = \"7s\"\ninstances = [0, 1, 2]\n";
-    let plan = day(kill);
+    let plan = plan_with(kill);
     let run = &simulate_all(&plan, 1).expect("a day")[0];
-    let lost = |c: &&CommandRecord| c.lost_with_sidecar;
+    let lost = |command: &&CommandRecord| command.lost_with_sidecar;
     let lost: Vec<&CommandRecord> = run.history.commands.iter().filter(lost).collect();
     assert!(
         !lost.is_empty()
             && lost
                 .iter()
-                .all(|c| c.instance < 3 && c.arrived_at <= 7000 * MS),
+                .all(|command| command.instance < 3 && command.arrived_at <= 7000 * MS),
         "{lost:?}"
     );
     assert!(
-        lost.iter().all(|c| c
+        lost.iter().all(|command| command
             .relays
             .iter()
-            .all(|r| run.history.relays[*r].ended.is_some())),
+            .all(|relay| run.history.relays[*relay].ended.is_some())),
         "{lost:?}"
     );
     let after = |n: usize| {
@@ -195,8 +203,8 @@
             .history
             .commands
             .iter()
-            .filter(|c| c.instance == n && c.arrived_at > 7000 * MS);
-        own.filter(|c| matches!(c.answers[..], [(_, Answer::Answered)]))
+            .filter(|command| command.instance == n && command.arrived_at > 7000 * MS);
+        own.filter(|command| matches!(command.answers[..], [(_, Answer::Answered)]))
             .count()
     };
     assert!(
@@ -205,30 +213,31 @@
         (0..6).map(after).collect::<Vec<_>>()
     );
     assert!(run.violations.is_empty(), "{:?}", run.violations);
-    // The same day twice.
+    // A second run gives the same history.
     assert_eq!(
         simulate_all(&plan, 1).expect("a day")[0].history.commands,
         run.history.commands
     );
 }
 
-// What would have pushed it over is seen whole, at its first start.
+// Where an overloaded endpoint doesn't crash, the whole load is measured at its first start.
 #[rstest]
-fn an_endpoint_that_does_not_tip_shows_the_whole_of_what_comes() {
-    let ramp = |tips: bool| {
-        let mut plan = day("");
+fn an_endpoint_that_does_not_crash_shows_all_the_load_it_is_offered() {
+    let cold_start_load = |crashes: bool| {
+        let mut plan = plan_with("");
         plan.per_second *= 2.2;
         plan.endpoints
             .iter_mut()
-            .for_each(|e| e.spec.crashes_on_overload = tips);
-        let played = simulate(&plan, 3, "random").expect("a day");
-        let starts = played.ledger.history().cold_starts_of(0).len();
-        let run = Run::from_recording(&plan, "random", 3, played, Duration::ZERO);
+            .for_each(|e| e.spec.crashes_on_overload = crashes);
+        let recording = simulate(&plan, 3, "random").expect("a day");
+        let starts = recording.ledger.history().cold_starts_of(0).len();
+        let run = Run::from_recording(&plan, "random", 3, recording, Duration::ZERO);
         (starts, run.worst_cold_start_load())
     };
-    let ((often, _), (once, whole)) = (ramp(true), ramp(false));
+    let ((starts_with_crashes, _), (starts_without, load_without)) =
+        (cold_start_load(true), cold_start_load(false));
     assert!(
-        often > 1 && once == 1 && whole > 1.0,
-        "{often} {once} {whole}"
+        starts_with_crashes > 1 && starts_without == 1 && load_without > 1.0,
+        "{starts_with_crashes} {starts_without} {load_without}"
     );
 }
