--- a/crates/passroad-rig/src/ledger.rs
+++ b/crates/passroad-rig/src/ledger.rs
@@ -116,6 +116,8 @@
     }
 }
 
+/// A violation of a rule. JSON reports contain the text of `message`: it stays the same, so that reports of two versions
+/// can be compared.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Violation {
     pub rule: Rule,
@@ -423,7 +425,7 @@
             let (highest, time) = self.cold_overload(endpoint, context);
             if highest > context.endpoints[endpoint].0.overload_multiple {
                 let message =
-                    format!("endpoint {endpoint} was offered {highest:.2} times its capacity");
+                    format!("endpoint {endpoint} was offered {highest:.2} times what it could do");
                 violations.push(Violation {
                     rule: Rule::ColdNotOverloaded,
                     time,
@@ -597,7 +599,7 @@
         let last_relay_end = relay_ends.max().unwrap_or(command.arrived_at);
         if time - last_relay_end > command.time_limit / 4 {
             let message = format!(
-                "command {id} was kept for {:?} with no relay out, then given up",
+                "command {id} was kept for {:?} with nothing out, then given up",
                 time - last_relay_end
             );
             violations.push(Violation {
@@ -624,7 +626,7 @@
             {
                 let delay = relay.sent_at - *cordoned_at;
                 let message = format!(
-                    "endpoint {} was sent to {delay:?} after instance {instance} cordoned it",
+                    "endpoint {} was sent to {delay:?} after instance {instance} took it out",
                     relay.endpoint
                 );
                 violations.push(Violation {
@@ -643,7 +645,7 @@
                 && relay.sent_at > *listed_at + context.drain_grace
             {
                 let message = format!(
-                    "endpoint {} was sent to {:?} after instance {instance} was notified of its drain",
+                    "endpoint {} was sent to {:?} after instance {instance} was told",
                     relay.endpoint,
                     relay.sent_at - *listed_at
                 );
