--- a/crates/passroad-rig/src/experiment.rs
+++ b/crates/passroad-rig/src/experiment.rs
@@ -1,5 +1,5 @@
-//! An experiment as its file tells it, checked, and turned into the plan of a day. Nothing is guessed: an unknown key,
-//! an unknown name or a value without its unit is an error that names line and key.
+//! Reads an experiment file, checks it and turns it into the plan of its runs. Nothing is guessed: an unknown key, an
+//! unknown name or a value without a unit is an error that names the line and the key.
 
 use crate::fleet::{DutyPlan, FleetFault, FleetPlan, What, Whom, WorkPlan};
 use crate::model::{EndpointSpec, FaultChange};
@@ -13,49 +13,55 @@
 
 #[derive(Deserialize, Debug)]
 #[serde(deny_unknown_fields)]
-struct Text {
+struct ExperimentFile {
     about: String,
-    #[serde(default = "one_seed")]
+    #[serde(default = "default_seeds")]
     seeds: Vec<u64>,
     length: HumanDuration,
     #[serde(default)]
     settle: HumanDuration,
-    #[serde(default = "five")]
+    #[serde(default = "default_five")]
     instances: usize,
     #[serde(default)]
-    sockets: Option<SocketMode>,
+    #[serde(rename = "sockets")]
+    socket_mode: Option<SocketMode>,
     #[serde(default)]
     routes: Option<Spanned<String>>,
-    fleet: Fleet,
-    verb: Vec<Spanned<Verb>>,
+    fleet: FleetSection,
+    #[serde(rename = "verb")]
+    classes: Vec<Spanned<ClassSection>>,
     #[serde(default)]
-    company: Vec<Company>,
-    load: Load,
+    #[serde(rename = "company")]
+    tenants: Vec<TenantSection>,
+    load: LoadSection,
     #[serde(default)]
-    network: Network,
+    network: NetworkSection,
     #[serde(default)]
-    allowed: Allowed,
+    allowed: AllowedSection,
     #[serde(default)]
-    goal: Goal,
+    #[serde(rename = "goal")]
+    objective: ObjectiveSection,
     #[serde(default)]
-    peers: Option<Spanned<Peers>>,
+    peers: Option<Spanned<PeersSection>>,
     #[serde(default)]
-    fault: Vec<Spanned<Fault>>,
+    #[serde(rename = "fault")]
+    faults: Vec<Spanned<FaultSection>>,
     #[serde(default)]
-    hold: Vec<Spanned<Hold>>,
+    #[serde(rename = "hold")]
+    expectations: Vec<Spanned<ExpectationSection>>,
     #[serde(default)]
     policies: Vec<Spanned<String>>,
 }
 
-fn one_seed() -> Vec<u64> {
+fn default_seeds() -> Vec<u64> {
     vec![1]
 }
 
-fn five() -> usize {
+fn default_five() -> usize {
     5
 }
 
-/// Where a day can be played.
+/// Whether an experiment runs on sockets or in virtual time.
 #[derive(Deserialize, Debug, Clone, Copy, PartialEq, Eq)]
 #[serde(rename_all = "lowercase")]
 pub enum SocketMode {
@@ -69,111 +75,132 @@
 
 #[derive(Deserialize, Debug)]
 #[serde(deny_unknown_fields)]
-struct Fleet {
+struct FleetSection {
     #[serde(default)]
-    noticed: Option<HumanDuration>,
+    #[serde(rename = "noticed")]
+    crash_listed_after: Option<HumanDuration>,
     #[serde(default)]
-    restart: Option<HumanDuration>,
-    kind: BTreeMap<String, Kind>,
-    group: Vec<Spanned<Group>>,
+    #[serde(rename = "restart")]
+    restart_after: Option<HumanDuration>,
+    #[serde(rename = "kind")]
+    kinds: BTreeMap<String, KindSection>,
+    #[serde(rename = "group")]
+    groups: Vec<Spanned<GroupSection>>,
 }
 
 #[derive(Deserialize, Debug)]
 #[serde(deny_unknown_fields)]
-struct Kind {
+struct KindSection {
     cores: usize,
-    #[serde(default = "unit")]
+    #[serde(default = "default_one")]
     speed: f64,
-    #[serde(default = "sixteen")]
-    queue: usize,
+    #[serde(default = "default_queue_limit")]
+    #[serde(rename = "queue")]
+    queue_limit: usize,
     #[serde(default)]
-    drag_from: usize,
-    #[serde(default = "drag")]
-    drag: Ratio,
-    #[serde(default = "cold_from")]
-    cold_from: Ratio,
+    #[serde(rename = "drag_from")]
+    slowdown_queue_length: usize,
+    #[serde(default = "default_slowdown_speed")]
+    #[serde(rename = "drag")]
+    slowdown_speed: Ratio,
+    #[serde(default = "default_cold_capacity")]
+    #[serde(rename = "cold_from")]
+    cold_capacity: Ratio,
     #[serde(default)]
-    warm_within: HumanDuration,
-    #[serde(default = "tip_multiple")]
-    tip_multiple: f64,
-    #[serde(default = "tip_after")]
-    tip_after: HumanDuration,
-    #[serde(default = "yes")]
-    tips: bool,
-    #[serde(default = "yes")]
-    drops_recalled: bool,
-    #[serde(default = "most_links")]
-    most_links: usize,
+    #[serde(rename = "warm_within")]
+    warm_up_time: HumanDuration,
+    #[serde(default = "default_overload_multiple")]
+    #[serde(rename = "tip_multiple")]
+    overload_multiple: f64,
+    #[serde(default = "default_overload_window")]
+    #[serde(rename = "tip_after")]
+    overload_window: HumanDuration,
+    #[serde(default = "default_true")]
+    #[serde(rename = "tips")]
+    crashes_on_overload: bool,
+    #[serde(default = "default_true")]
+    #[serde(rename = "drops_recalled")]
+    stops_cancelled: bool,
+    #[serde(default = "default_max_connections")]
+    #[serde(rename = "most_links")]
+    max_connections: usize,
     #[serde(default)]
-    link_work: HumanDuration,
+    #[serde(rename = "link_work")]
+    connection_work: HumanDuration,
     #[serde(default)]
     report_age: HumanDuration,
 }
 
-fn unit() -> f64 {
+fn default_one() -> f64 {
     1.0
 }
-fn sixteen() -> usize {
+fn default_queue_limit() -> usize {
     16
 }
-fn drag() -> Ratio {
+fn default_slowdown_speed() -> Ratio {
     Ratio(0.7)
 }
-fn cold_from() -> Ratio {
+fn default_cold_capacity() -> Ratio {
     Ratio(0.13)
 }
-fn tip_multiple() -> f64 {
+fn default_overload_multiple() -> f64 {
     2.5
 }
-fn tip_after() -> HumanDuration {
+fn default_overload_window() -> HumanDuration {
     HumanDuration(Duration::from_secs(2))
 }
-fn yes() -> bool {
+fn default_true() -> bool {
     true
 }
-fn most_links() -> usize {
+fn default_max_connections() -> usize {
     120
 }
 
 #[derive(Deserialize, Debug)]
 #[serde(deny_unknown_fields)]
-struct Group {
+struct GroupSection {
     kind: String,
-    #[serde(default = "zone_a")]
+    #[serde(default = "default_zone")]
     zone: String,
     count: usize,
-    #[serde(default = "one")]
+    #[serde(default = "default_count")]
     cells: usize,
-    #[serde(default = "unit")]
+    #[serde(default = "default_one")]
     weight: f64,
 }
 
-fn zone_a() -> String {
+fn default_zone() -> String {
     "a".into()
 }
-fn one() -> usize {
+fn default_count() -> usize {
     1
 }
 
 #[derive(Deserialize, Debug)]
 #[serde(deny_unknown_fields)]
-struct Verb {
+struct ClassSection {
     name: String,
     effect: Effect,
     #[serde(default)]
-    group: DeduplicationScope,
+    #[serde(rename = "group")]
+    deduplication_scope: DeduplicationScope,
     #[serde(default)]
-    window: HumanDuration,
-    work: HumanDuration,
+    #[serde(rename = "window")]
+    deduplication_window: HumanDuration,
+    #[serde(rename = "work")]
+    mean_work: HumanDuration,
     #[serde(default)]
-    spread: f64,
-    goal: HumanDuration,
-    limit: HumanDuration,
-    #[serde(default = "unit")]
+    #[serde(rename = "spread")]
+    work_sigma: f64,
+    #[serde(rename = "goal")]
+    deadline_target: HumanDuration,
+    #[serde(rename = "limit")]
+    time_limit: HumanDuration,
+    #[serde(default = "default_one")]
     utility: f64,
     #[serde(default)]
     late_utility: f64,
-    #[serde(default = "unit")]
+    #[serde(default = "default_one")]
     share: f64,
 }
 
@@ -199,38 +226,45 @@
 
 #[derive(Deserialize, Debug)]
 #[serde(deny_unknown_fields)]
-struct Company {
+struct TenantSection {
     name: String,
-    portion: f64,
+    #[serde(rename = "portion")]
+    tenant_share: f64,
     #[serde(default)]
-    share: Option<f64>,
+    #[serde(rename = "share")]
+    load_share: Option<f64>,
 }
 
 #[derive(Deserialize, Debug)]
 #[serde(deny_unknown_fields)]
-struct Load {
+struct LoadSection {
     #[serde(default)]
     of_capacity: Option<f64>,
     #[serde(default)]
     per_second: Option<f64>,
     #[serde(default)]
-    uneven: f64,
+    #[serde(rename = "uneven")]
+    instance_skew: f64,
     #[serde(default)]
     steps: Vec<LoadStep>,
     #[serde(default)]
-    retries: Ratio,
+    #[serde(rename = "retries")]
+    retry_share: Ratio,
     #[serde(default)]
-    marked: bool,
-    #[serde(default = "three")]
-    tries: u32,
-    #[serde(default = "pause")]
-    pause: HumanDuration,
+    #[serde(rename = "marked")]
+    retries_marked: bool,
+    #[serde(default = "default_max_tries")]
+    #[serde(rename = "tries")]
+    max_tries: u32,
+    #[serde(default = "default_retry_pause")]
+    #[serde(rename = "pause")]
+    retry_pause: HumanDuration,
 }
 
-fn three() -> u32 {
+fn default_max_tries() -> u32 {
     3
 }
-fn pause() -> HumanDuration {
+fn default_retry_pause() -> HumanDuration {
     HumanDuration(Duration::from_millis(200))
 }
 
@@ -243,51 +277,59 @@
 
 #[derive(Deserialize, Debug)]
 #[serde(deny_unknown_fields, default)]
-struct Network {
+struct NetworkSection {
     round_trip: HumanDuration,
-    cross_zone: HumanDuration,
+    #[serde(rename = "cross_zone")]
+    cross_zone_extra: HumanDuration,
 }
 
-impl Default for Network {
+impl Default for NetworkSection {
     fn default() -> Self {
-        Network {
+        NetworkSection {
             round_trip: HumanDuration(Duration::from_millis(1)),
-            cross_zone: HumanDuration(Duration::ZERO),
+            cross_zone_extra: HumanDuration(Duration::ZERO),
         }
     }
 }
 
 #[derive(Deserialize, Debug)]
 #[serde(deny_unknown_fields, default)]
-struct Allowed {
-    relays: usize,
+struct AllowedSection {
+    #[serde(rename = "relays")]
+    max_relays: usize,
     probes: bool,
-    reports: ReportMode,
-    second_copies: bool,
-    recall: bool,
+    #[serde(rename = "reports")]
+    report_mode: ReportMode,
+    #[serde(rename = "second_copies")]
+    hedging: bool,
+    #[serde(rename = "recall")]
+    cancellation: bool,
     retry_after: HumanDuration,
-    connect: HumanDuration,
+    #[serde(rename = "connect")]
+    connect_timeout: HumanDuration,
     idle_close: HumanDuration,
-    ask_every: HumanDuration,
-    grace: HumanDuration,
+    #[serde(rename = "ask_every")]
+    list_poll_interval: HumanDuration,
+    #[serde(rename = "grace")]
+    drain_grace: HumanDuration,
     probe_price: f64,
     cross_zone_price: f64,
     handshake_price: f64,
 }
 
-impl Default for Allowed {
+impl Default for AllowedSection {
     fn default() -> Self {
-        Allowed {
-            relays: 4,
+        AllowedSection {
+            max_relays: 4,
             probes: true,
-            reports: ReportMode::Piggyback,
-            second_copies: true,
-            recall: true,
+            report_mode: ReportMode::Piggyback,
+            hedging: true,
+            cancellation: true,
             retry_after: HumanDuration(Duration::from_millis(1500)),
-            connect: HumanDuration(Duration::from_millis(250)),
+            connect_timeout: HumanDuration(Duration::from_millis(250)),
             idle_close: HumanDuration(Duration::from_secs(30)),
-            ask_every: HumanDuration(Duration::from_secs(10)),
-            grace: HumanDuration(Duration::from_millis(500)),
+            list_poll_interval: HumanDuration(Duration::from_secs(10)),
+            drain_grace: HumanDuration(Duration::from_millis(500)),
             probe_price: 0.002,
             cross_zone_price: 0.005,
             handshake_price: 0.0,
@@ -305,64 +347,70 @@
 
 #[derive(Deserialize, Debug)]
 #[serde(deny_unknown_fields, default)]
-struct Goal {
-    whole: f64,
-    worst_verb: f64,
+struct ObjectiveSection {
+    #[serde(rename = "whole")]
+    total: f64,
+    #[serde(rename = "worst_verb")]
+    worst_class: f64,
 }
 
-impl Default for Goal {
+impl Default for ObjectiveSection {
     fn default() -> Self {
-        Goal {
-            whole: 1.0,
-            worst_verb: 0.0,
+        ObjectiveSection {
+            total: 1.0,
+            worst_class: 0.0,
         }
     }
 }
 
-/// Sidecars that talk, and what one of them is to do at a time.
+/// Sidecars that exchange messages, and the leased roles that one of them is to have at a time.
 #[derive(Deserialize, Debug)]
 #[serde(deny_unknown_fields)]
-struct Peers {
+struct PeersSection {
     lease: HumanDuration,
-    #[serde(default = "period")]
+    #[serde(default = "default_period")]
     period: HumanDuration,
-    #[serde(default = "five")]
+    #[serde(default = "default_five")]
     voters: usize,
     #[serde(default)]
     state: bool,
-    #[serde(default = "yes")]
+    #[serde(default = "default_true")]
     fence: bool,
     #[serde(default)]
-    duty: Vec<PeerDuty>,
+    #[serde(rename = "duty")]
+    leased_roles: Vec<LeasedRole>,
     #[serde(default)]
-    work: Option<Work>,
+    #[serde(rename = "work")]
+    maintenance: Option<MaintenanceSection>,
 }
 
-/// Machines that are to go out for work, and how long a person works on one.
+/// Requests for maintenance of endpoints, and how long the work on one takes.
 #[derive(Deserialize, Debug)]
 #[serde(deny_unknown_fields)]
-struct Work {
-    lasts: HumanDuration,
-    #[serde(default = "one")]
+struct MaintenanceSection {
+    #[serde(rename = "lasts")]
+    duration: HumanDuration,
+    #[serde(default = "default_count")]
     at_once: usize,
-    request: Vec<WorkRequest>,
+    #[serde(rename = "request")]
+    requests: Vec<MaintenanceRequest>,
 }
 
 #[derive(Deserialize, Debug)]
 #[serde(deny_unknown_fields)]
-struct WorkRequest {
+struct MaintenanceRequest {
     at: HumanDuration,
     instance: usize,
     endpoints: Vec<usize>,
 }
 
-fn period() -> HumanDuration {
+fn default_period() -> HumanDuration {
     HumanDuration(Duration::from_secs(1))
 }
 
 #[derive(Deserialize, Debug)]
 #[serde(deny_unknown_fields)]
-struct PeerDuty {
+struct LeasedRole {
     name: String,
     every: HumanDuration,
     within: HumanDuration,
@@ -370,7 +418,7 @@
     work: HumanDuration,
 }
 
-/// Whom a fault is to hit, where that is known only when it comes.
+/// Sidecars that a fault hits, where they are known only when it begins.
 #[derive(Deserialize, Debug, Clone, Copy, PartialEq, Eq)]
 #[serde(rename_all = "lowercase")]
 enum FaultTarget {
@@ -388,11 +436,11 @@
 
 #[derive(Deserialize, Debug, Clone)]
 #[serde(deny_unknown_fields)]
-struct Fault {
+struct FaultSection {
     kind: FaultKind,
     at: HumanDuration,
     #[serde(default, rename = "for")]
-    lasts: Option<HumanDuration>,
+    duration: Option<HumanDuration>,
     #[serde(default)]
     endpoints: Option<Vec<usize>>,
     #[serde(default)]
@@ -402,27 +450,36 @@
     #[serde(default)]
     share: Option<Ratio>,
     #[serde(default)]
-    left: Option<Ratio>,
+    #[serde(rename = "left")]
+    speed_left: Option<Ratio>,
     #[serde(default)]
-    verb: Option<String>,
+    #[serde(rename = "verb")]
+    class: Option<String>,
     #[serde(default)]
-    by: Option<HumanDuration>,
+    #[serde(rename = "by")]
+    delay: Option<HumanDuration>,
     #[serde(default)]
     every: Option<HumanDuration>,
     #[serde(default)]
-    repeat: Option<usize>,
+    #[serde(rename = "repeat")]
+    repetitions: Option<usize>,
     #[serde(default)]
-    relays: Option<usize>,
+    #[serde(rename = "relays")]
+    max_relays: Option<usize>,
     #[serde(default)]
-    whom: Option<FaultTarget>,
+    #[serde(rename = "whom")]
+    target: Option<FaultTarget>,
     #[serde(default)]
-    from: Option<Vec<usize>>,
+    #[serde(rename = "from")]
+    from_instances: Option<Vec<usize>>,
     #[serde(default)]
-    to: Option<Vec<usize>>,
+    #[serde(rename = "to")]
+    to_instances: Option<Vec<usize>>,
     #[serde(default)]
     one_way: Option<OneWay>,
     #[serde(default)]
-    spread: Option<HumanDuration>,
+    #[serde(rename = "spread")]
+    delay_spread: Option<HumanDuration>,
 }
 
 #[derive(Deserialize, Debug, Clone, Copy, PartialEq, Eq)]
@@ -431,12 +488,17 @@
     Stall,
     Slow,
     Errors,
-    Spoil,
-    Reset,
+    #[serde(rename = "spoil")]
+    MalformedResponses,
+    #[serde(rename = "reset")]
+    Resets,
     Hang,
-    Lies,
-    Silence,
-    Die,
+    #[serde(rename = "lies")]
+    FalseLoadReports,
+    #[serde(rename = "silence")]
+    NetworkCut,
+    #[serde(rename = "die")]
+    Crash,
     Drain,
     Cordon,
     Deploy,
@@ -447,122 +509,178 @@
     SidecarStop,
     SidecarReload,
     SidecarUpgrade,
-    SidecarRetune,
+    #[serde(rename = "sidecar-retune")]
+    SidecarReconfigure,
     SidecarPause,
     PeersCut,
     PeersLose,
     PeersLate,
-    PeersTwice,
-    PeersKeep,
-    ActsKeep,
+    #[serde(rename = "peers-twice")]
+    PeersDuplicate,
+    #[serde(rename = "peers-keep")]
+    PeersBuffer,
+    #[serde(rename = "acts-keep")]
+    ActsBuffer,
+}
+
+impl FaultKind {
+    /// The value that files have for it.
+    pub fn name(self) -> &'static str {
+        match self {
+            FaultKind::Stall => "stall",
+            FaultKind::Slow => "slow",
+            FaultKind::Errors => "errors",
+            FaultKind::MalformedResponses => "spoil",
+            FaultKind::Resets => "reset",
+            FaultKind::Hang => "hang",
+            FaultKind::FalseLoadReports => "lies",
+            FaultKind::NetworkCut => "silence",
+            FaultKind::Crash => "die",
+            FaultKind::Drain => "drain",
+            FaultKind::Cordon => "cordon",
+            FaultKind::Deploy => "deploy",
+            FaultKind::DiscoveryLate => "discovery-late",
+            FaultKind::DiscoveryDown => "discovery-down",
+            FaultKind::DiscoveryMalformed => "discovery-malformed",
+            FaultKind::SidecarKill => "sidecar-kill",
+            FaultKind::SidecarStop => "sidecar-stop",
+            FaultKind::SidecarReload => "sidecar-reload",
+            FaultKind::SidecarUpgrade => "sidecar-upgrade",
+            FaultKind::SidecarReconfigure => "sidecar-retune",
+            FaultKind::SidecarPause => "sidecar-pause",
+            FaultKind::PeersCut => "peers-cut",
+            FaultKind::PeersLose => "peers-lose",
+            FaultKind::PeersLate => "peers-late",
+            FaultKind::PeersDuplicate => "peers-twice",
+            FaultKind::PeersBuffer => "peers-keep",
+            FaultKind::ActsBuffer => "acts-keep",
+        }
+    }
+
+    /// Whether it disturbs what sidecars send to each other.
+    fn is_between_peers(self) -> bool {
+        matches!(
+            self,
+            FaultKind::PeersCut
+                | FaultKind::PeersLose
+                | FaultKind::PeersLate
+                | FaultKind::PeersDuplicate
+                | FaultKind::PeersBuffer
+        )
+    }
 }
 
 #[derive(Deserialize, Debug)]
 #[serde(deny_unknown_fields)]
-struct Hold {
+struct ExpectationSection {
     metric: Metric,
     #[serde(default)]
     policy: Option<String>,
     #[serde(default)]
-    above: Option<String>,
+    #[serde(rename = "above")]
+    compared_policy: Option<String>,
     #[serde(default)]
     from: Option<HumanDuration>,
     #[serde(default)]
     to: Option<HumanDuration>,
     #[serde(default)]
-    verb: Option<String>,
+    #[serde(rename = "verb")]
+    class: Option<String>,
     #[serde(default)]
     zone: Option<String>,
     #[serde(default)]
-    asked_in: Option<String>,
+    #[serde(rename = "asked_in")]
+    client_zone: Option<String>,
     #[serde(default)]
     at_least: Option<f64>,
     #[serde(default)]
     at_most: Option<f64>,
-    /// Judged in simulated time only: a figure that hangs on the machine.
+    /// Checked in virtual time only, as the figure depends on the machine.
     #[serde(default)]
-    simulated: bool,
+    #[serde(rename = "simulated")]
+    simulated_only: bool,
 }
 
-/// A figure that the report can give and an experiment can hold.
+/// A figure that an experiment can set bounds for. Labels in reports have the variant's name in lower case, so the variants
+/// are named like the values in files.
 #[derive(Deserialize, Debug, Clone, Copy, PartialEq, Eq)]
 #[serde(rename_all = "kebab-case")]
 pub enum Metric {
-    /// Share of commands answered within their goal.
+    /// Share of commands answered within their deadline target.
     Served,
-    /// The same by what their verbs are worth, first try to last answer.
+    /// Share of the utility of commands, counting a command with its retries as one.
     Worth,
     Declined,
     Terminated,
-    /// Share answered past their goal.
+    /// Share of commands answered after their deadline target.
     Late,
     /// Milliseconds to an answer.
     P50,
     P99,
-    /// Relays a command.
+    /// Relays per command.
     Relays,
     Probes,
-    /// Broken rules.
+    /// Violations of the service's rules.
     Broken,
-    /// The most that any cold endpoint was offered, in multiples of what it could do, over `tip_after`.
+    /// The most work that any cold endpoint was offered over its `tip_after`, in multiples of its capacity.
     Push,
-    /// The most requests that any cold endpoint got over `tip_after`, against the N that it can take then and
-    /// 2 x root of N + 2 for chance; 1 is the bound.
+    /// The most commands that any cold endpoint got over its `tip_after`, as a share of the bound: the number N that its
+    /// settings allow then, plus 2 x sqrt(N) + 2 for chance.
     Ramp,
     /// Share of the relays that went to a zone.
     Share,
-    /// Seconds from `from` until all but a twentieth of what was served before is served again, and stays so to `to`.
+    /// Seconds from `from` until the share served is at 95 % of that before the first fault, and stays so until `to`.
     Recovers,
-    /// Seconds from `from` until a zone has nine tenths of the share of the relays that it had before the first fault.
+    /// Seconds from `from` until a zone has 90 % of the share of the relays that it had before the first fault.
     Returns,
     /// Mean change of a zone's share of the relays from one second to the next.
     Swing,
-    /// Commands that the endpoints of a zone hold, for each core.
+    /// Outstanding commands at the endpoints of a zone, per core.
     Load,
-    /// The most and the least relays of an endpoint, over its fair share by size.
+    /// The most and the fewest relays of an endpoint, over its fair share by size.
     Busiest,
     Idlest,
-    /// Variance over mean of the relays of an endpoint in a second, and in 100 ms; 1 where choice is random.
+    /// Variance over mean of the relays of an endpoint in 1 s, and in 100 ms; 1 where choice is random.
     Herding,
     HerdingFast,
-    /// Share of endpoint-time with nothing held while another endpoint has a queue.
+    /// Share of endpoint time without an outstanding command while another endpoint has a queue.
     Idle,
-    /// Sidecars that used an endpoint, most and least.
+    /// Sidecars that sent to an endpoint, most and fewest.
     HoldersMost,
     HoldersLeast,
     /// Most open connections at one endpoint.
     LinksMost,
-    /// Connections that were opened.
+    /// Connections opened.
     Connections,
-    /// How often a tenth of all sidecars chose the same endpoint within 50 ms, a second.
+    /// How often per second a tenth of all sidecars chose the same endpoint within 50 ms.
     Together,
-    /// Most epochs of a duty whose accepted acts lie between each other's.
+    /// Most epochs of a leased role whose accepted calls overlap in time.
     OwnersAtOnce,
-    /// Most that took themselves for the owner at once; seen in virtual time only.
+    /// Most sidecars that took themselves for the owner at once; known in virtual time only.
     Believers,
-    /// Acts accepted by a lower epoch than one before, or by another's.
+    /// Calls that were accepted although a higher epoch, or another owner of the same epoch, had been accepted before.
     StaleActs,
-    /// Acts refused.
+    /// Calls refused.
     StaleTries,
-    /// Longest time with no accepted act of some duty, in seconds.
+    /// Longest time without an accepted call of a leased role, in seconds.
     Unowned,
-    /// Accepted acts.
+    /// Calls accepted.
     Acts,
-    /// Epochs by which acts were accepted.
+    /// Epochs with accepted calls.
     Owners,
-    /// Datagrams a second of the sidecar that sent most.
+    /// Datagrams per second of the sidecar that sent the most.
     PeerDatagrams,
-    /// Doubts that the sidecars raised.
+    /// Suspicions that sidecars raised of others.
     Doubts,
-    /// What the faults between sidecars hit.
+    /// Datagrams, sidecars and calls that the faults between sidecars hit.
     Hits,
-    /// Machines on which work was done.
+    /// Endpoints with completed maintenance.
     Worked,
-    /// Most machines at work at once.
+    /// Most endpoints under maintenance at once.
     AtWork,
-    /// Relays that came to a machine while somebody worked on it, or were on it when that began.
+    /// Relays sent to an endpoint during maintenance on it, or on it when that began.
     WorkBroken,
-    /// Longest time from a request to the end of its last machine's work, in seconds.
+    /// Longest time from a maintenance request to the end of the work on its last endpoint, in seconds.
     WorkTime,
 }
 
@@ -574,7 +692,7 @@
     pub effect: Effect,
     pub deduplication_scope: DeduplicationScope,
     pub deduplication_window: Duration,
-    pub mean_work: f64, // seconds of a core at speed one, on the mean
+    pub mean_work: f64, // seconds of a core at speed 1
     pub work_sigma: f64,
     pub deadline_target: Duration,
     pub time_limit: Duration,
@@ -592,7 +710,7 @@
     pub weight: f64,
 }
 
-/// What changes at a time.
+/// A change that faults make at a time.
 #[derive(Debug, Clone, PartialEq)]
 pub enum ScheduledChange {
     EndpointFault(usize, FaultChange),
@@ -605,19 +723,19 @@
     Start(usize),
     Drain(usize),
     Leave(usize),
-    /// By operators, at all sidecars: out, or called back.
+    /// By operators at all sidecars: cordoned, or no longer so.
     Cordon(usize, bool),
     DiscoveryDelay(Duration),
-    /// News come to one instance after the other, spread over so long.
+    /// List updates reach one instance after the other, spread over this time.
     DiscoveryStagger(Duration),
     DiscoveryDown(bool),
     DiscoveryMalformed(bool),
     SidecarKill(usize),
     SidecarStop(usize),
     SidecarReload(usize),
-    /// The next process takes over beside it.
+    /// A new process takes over from the running one.
     SidecarUpgrade(usize),
-    /// Other settings on SIGHUP: so many relays a command.
+    /// New settings on SIGHUP: the maximum of relays per command.
     SidecarReconfigure(usize, usize),
 }
 
@@ -629,7 +747,7 @@
     pub window: Range<Duration>,
     pub class: Option<usize>,
     pub zone: Option<usize>,
-    /// Only commands asked in this zone.
+    /// Only commands of clients in this zone.
     pub client_zone: Option<usize>,
     pub at_least: Option<f64>,
     pub at_most: Option<f64>,
@@ -638,7 +756,7 @@
     pub label: String,
 }
 
-/// All that a day needs to be played, whoever decides in it.
+/// All that a run needs, under any policy.
 #[derive(Debug, Clone)]
 pub struct Plan {
     pub about: String,
@@ -650,12 +768,12 @@
     pub zones: Vec<String>,
     pub kinds: Vec<String>,
     pub endpoints: Vec<EndpointPlan>,
-    pub crash_listed_after: Duration, // until the list says that an endpoint has died
-    pub restart_after: Duration,      // of one that fell over
+    pub crash_listed_after: Duration, // until discovery lists a crashed endpoint as removed
+    pub restart_after: Duration,      // of an endpoint that crashed from overload
     pub classes: Vec<ClassPlan>,
-    pub tenants: Vec<(String, f64, f64)>, // name, portion, share of the load
+    pub tenants: Vec<(String, f64, f64)>, // name, tenant's share, share of the load
     pub per_second: f64,
-    pub instance_skew: f64, // spread of the instances' shares of the load
+    pub instance_skew: f64, // sigma of the lognormal shares of the load by instance
     pub load_steps: Vec<(Duration, f64)>,
     pub retry_share: f64,
     pub retries_marked: bool,
@@ -671,9 +789,9 @@
     pub changes: Vec<(Duration, ScheduledChange)>,
     pub expectations: Vec<Expectation>,
     pub policies: Vec<String>,
-    /// Sidecars that talk, where the experiment has some.
+    /// Sidecars that exchange messages, where the experiment has peers.
     pub fleet: Option<FleetPlan>,
-    /// A file of routes, for the policy that has them.
+    /// Text of a routes file, for the policy passroad-routes.
     pub routes: Option<String>,
     report_mode: ReportMode,
     allowed: serde_json::Value,
@@ -682,7 +800,7 @@
     goal: serde_json::Value,
 }
 
-/// Names that decide in a day: our module, and what it is held against.
+/// Names of the policies: passroad's balancer and the baselines.
 pub const POLICIES: [&str; 6] = [
     "passroad",
     "passroad-routes",
@@ -692,35 +810,35 @@
     "full-sight",
 ];
 
-/// Reads an experiment.
+/// Parses and checks an experiment file.
 pub fn parse(text: &str) -> Result<Plan, ConfigError> {
     parse_with_instances(text, None)
 }
 
-/// The same, for another number of instances than the file's.
+/// The same with another number of instances than the file's.
 pub fn parse_with_instances(text: &str, instances: Option<usize>) -> Result<Plan, ConfigError> {
-    let mut told: Text = toml::from_str(text)
+    let mut file: ExperimentFile = toml::from_str(text)
         .map_err(|e| ConfigError::from_parser(text, e.span().map(|s| s.start), e.message()))?;
-    told.instances = instances.unwrap_or(told.instances);
-    Checker { text }.plan(told)
+    file.instances = instances.unwrap_or(file.instances);
+    FileChecker { text }.plan(file)
 }
 
-struct Checker<'a> {
-    text: &'a str,
+struct FileChecker<'allowed> {
+    text: &'allowed str,
 }
 
-type Place = Range<usize>;
+type Span = Range<usize>;
 
-impl Checker<'_> {
-    fn wrong<T>(&self, place: &Place, what: impl Into<String>) -> Result<T, ConfigError> {
+impl FileChecker<'_> {
+    fn error<T>(&self, span: &Span, message: impl Into<String>) -> Result<T, ConfigError> {
         Err(ConfigError {
-            line: line_number(self.text, place.start),
-            message: what.into(),
+            line: line_number(self.text, span.start),
+            message: message.into(),
         })
     }
 
-    /// The line of a key, searched for from a place on, for what has no place of its own.
-    fn at_key(&self, from: usize, key: &str) -> Place {
+    /// The position of a key, searched for from an offset on, for values without a span of their own.
+    fn key_span(&self, from: usize, key: &str) -> Span {
         let start = self.text[from..].lines().scan(from, |at, line| {
             let start = *at;
             *at += line.len() + 1;
@@ -736,66 +854,77 @@
         at..at
     }
 
-    fn plan(&self, told: Text) -> Result<Plan, ConfigError> {
-        let top = |key: &str| self.at_key(0, key);
-        if told.seeds.is_empty() {
-            return self.wrong(&top("seeds"), "seeds: none");
+    fn plan(&self, file: ExperimentFile) -> Result<Plan, ConfigError> {
+        let top_level_key = |key: &str| self.key_span(0, key);
+        if file.seeds.is_empty() {
+            return self.error(&top_level_key("seeds"), "seeds: the list is empty");
         }
-        if told.length.0.is_zero() || told.length.0 > Duration::from_secs(3600) {
-            return self.wrong(
-                &top("length"),
-                "length: a day takes more than nothing and an hour at most",
+        if file.length.0.is_zero() || file.length.0 > Duration::from_secs(3600) {
+            return self.error(
+                &top_level_key("length"),
+                "length: must be greater than 0s and at most 3600s",
             );
         }
-        if told.settle >= told.length {
-            return self.wrong(
-                &top("settle"),
-                "settle: nothing of the day is left to count",
+        if file.settle >= file.length {
+            return self.error(
+                &top_level_key("settle"),
+                "settle: must be shorter than length",
             );
         }
-        if !(1..=20_000).contains(&told.instances) {
-            return self.wrong(&top("instances"), "instances: from 1 to 20000");
+        if !(1..=20_000).contains(&file.instances) {
+            return self.error(&top_level_key("instances"), "instances: from 1 to 20000");
         }
-        let kinds: Vec<String> = told.fleet.kind.keys().cloned().collect();
-        let (zones, endpoints) = self.endpoints(&told.fleet, &kinds)?;
-        let verbs = self.verbs(&told.verb)?;
-        let mean: f64 = {
-            let of: f64 = verbs.iter().map(|v| v.share).sum();
-            verbs.iter().map(|v| v.share * v.mean_work).sum::<f64>() / of
+        let kinds: Vec<String> = file.fleet.kinds.keys().cloned().collect();
+        let (zones, endpoints) = self.endpoints(&file.fleet, &kinds)?;
+        let classes = self.classes(&file.classes)?;
+        let mean_work: f64 = {
+            let of: f64 = classes.iter().map(|class| class.share).sum();
+            classes
+                .iter()
+                .map(|class| class.share * class.mean_work)
+                .sum::<f64>()
+                / of
         };
         let capacity: f64 = endpoints
             .iter()
             .map(|e| e.spec.cores as f64 * e.spec.speed)
             .sum::<f64>()
-            / mean;
-        let per_second = match (told.load.of_capacity, told.load.per_second) {
+            / mean_work;
+        let per_second = match (file.load.of_capacity, file.load.per_second) {
             (Some(share), None) if share > 0.0 => share * capacity,
             (None, Some(rate)) if rate > 0.0 => rate,
             _ => {
-                return self.wrong(
-                    &top("[load]"),
-                    "load: one of of_capacity and per_second, more than nothing",
+                return self.error(
+                    &top_level_key("[load]"),
+                    "load: set one of of_capacity and per_second, greater than 0",
                 );
             }
         };
         if per_second > 200_000.0 {
-            return self.wrong(
-                &top("per_second"),
-                format!("load: {per_second:.0} commands a second are too many"),
+            return self.error(
+                &top_level_key("per_second"),
+                format!("load: {per_second:.0} commands a second are more than 200000"),
             );
         }
-        let (mut changes, length) = (Vec::new(), told.length.0);
-        let fleet = self.fleet(&told)?;
-        let talks = |fault: &Fault| fleet.is_some() && of_fleet(fault.kind);
-        for fault in told.fault.iter().filter(|fault| !talks(fault.get_ref())) {
+        let (mut changes, length) = (Vec::new(), file.length.0);
+        let fleet = self.fleet(&file)?;
+        let needs_peers = |fault: &FaultSection| fleet.is_some() && is_peer_fault(fault.kind);
+        for fault in file
+            .faults
+            .iter()
+            .filter(|fault| !needs_peers(fault.get_ref()))
+        {
             let n = changes.len();
-            self.changes(fault, &told, &endpoints, &zones, &verbs, &mut changes)?;
+            self.schedule_changes(fault, &file, &endpoints, &zones, &classes, &mut changes)?;
             if changes[n..].iter().any(|(at, _)| *at > length * 2) {
-                return self.wrong(&fault.span(), "fault: goes on long after the day");
+                return self.error(
+                    &fault.span(),
+                    "fault: changes something later than twice the length",
+                );
             }
         }
         changes.sort_by_key(|(at, _)| *at);
-        let needs = changes.iter().any(|(_, c)| {
+        let needs_processes = changes.iter().any(|(_, c)| {
             matches!(
                 c,
                 ScheduledChange::SidecarStop(_)
@@ -804,17 +933,17 @@
                     | ScheduledChange::SidecarReconfigure(..)
             )
         });
-        if needs && told.sockets != Some(SocketMode::Required) {
-            return self.wrong(
+        if needs_processes && file.socket_mode != Some(SocketMode::Required) {
+            return self.error(
                 &(0..0),
-                "sockets = \"needed\" is missing: a fault here is one of processes",
+                "sockets = \"needed\" is missing: a fault of processes needs it",
             );
         }
         let mut policies: Vec<String> = Vec::new();
-        for name in &told.policies {
+        for name in &file.policies {
             if !POLICIES.contains(&name.get_ref().as_str()) {
                 let known = POLICIES.join(", ");
-                return self.wrong(
+                return self.error(
                     &name.span(),
                     format!("policies: unknown '{}'; there are {known}", name.get_ref()),
                 );
@@ -824,251 +953,281 @@
         if policies.is_empty() {
             let all = POLICIES
                 .iter()
-                .filter(|p| **p != "passroad-routes" || told.routes.is_some());
+                .filter(|p| **p != "passroad-routes" || file.routes.is_some());
             policies = all.map(|p| p.to_string()).collect();
         }
-        let holds = told
-            .hold
+        let expectations = file
+            .expectations
             .iter()
-            .map(|hold| self.hold(hold, &told, &verbs, &zones, &policies));
-        let holds = holds.collect::<Result<Vec<_>, ConfigError>>()?;
-        let of: f64 = told
-            .company
+            .map(|expectation| self.expectation(expectation, &file, &classes, &zones, &policies));
+        let expectations = expectations.collect::<Result<Vec<_>, ConfigError>>()?;
+        let of: f64 = file
+            .tenants
             .iter()
-            .map(|c| c.share.unwrap_or(c.portion))
+            .map(|c| c.load_share.unwrap_or(c.tenant_share))
             .sum();
-        let companies = told
-            .company
-            .iter()
-            .map(|c| (c.name.clone(), c.portion, c.share.unwrap_or(c.portion) / of));
-        let a = &told.allowed;
-        let ns = |time: HumanDuration| time.0.as_nanos() as u64;
-        let make = &endpoints[0].spec;
+        let tenants = file.tenants.iter().map(|c| {
+            (
+                c.name.clone(),
+                c.tenant_share,
+                c.load_share.unwrap_or(c.tenant_share) / of,
+            )
+        });
+        let allowed = &file.allowed;
+        let nanos = |time: HumanDuration| time.0.as_nanos() as u64;
+        let spec = &endpoints[0].spec;
         let plan = Plan {
-            seeds: told.seeds.clone(),
+            seeds: file.seeds.clone(),
             length,
-            settle: told.settle.0,
-            instances: told.instances,
-            socket_mode: told.sockets,
+            settle: file.settle.0,
+            instances: file.instances,
+            socket_mode: file.socket_mode,
             kinds,
-            crash_listed_after: told.fleet.noticed.map_or(Duration::from_secs(2), |t| t.0),
-            restart_after: told.fleet.restart.map_or(Duration::from_secs(5), |t| t.0),
-            tenants: companies.collect(),
+            crash_listed_after: file
+                .fleet
+                .crash_listed_after
+                .map_or(Duration::from_secs(2), |t| t.0),
+            restart_after: file
+                .fleet
+                .restart_after
+                .map_or(Duration::from_secs(5), |t| t.0),
+            tenants: tenants.collect(),
             per_second,
-            instance_skew: told.load.uneven,
-            load_steps: told.load.steps.iter().map(|s| (s.at.0, s.factor)).collect(),
-            retry_share: told.load.retries.0,
-            retries_marked: told.load.marked,
-            max_tries: told.load.tries.max(1),
-            retry_pause: told.load.pause.0,
-            round_trip: told.network.round_trip.0,
-            cross_zone_extra: told.network.cross_zone.0,
-            max_relays: a.relays,
-            retry_after: a.retry_after.0,
-            connect_timeout: a.connect.0,
-            idle_close: a.idle_close.0,
-            drain_grace: a.grace.0,
+            instance_skew: file.load.instance_skew,
+            load_steps: file.load.steps.iter().map(|s| (s.at.0, s.factor)).collect(),
+            retry_share: file.load.retry_share.0,
+            retries_marked: file.load.retries_marked,
+            max_tries: file.load.max_tries.max(1),
+            retry_pause: file.load.retry_pause.0,
+            round_trip: file.network.round_trip.0,
+            cross_zone_extra: file.network.cross_zone_extra.0,
+            max_relays: allowed.max_relays,
+            retry_after: allowed.retry_after.0,
+            connect_timeout: allowed.connect_timeout.0,
+            idle_close: allowed.idle_close.0,
+            drain_grace: allowed.drain_grace.0,
             changes,
-            expectations: holds,
+            expectations: expectations,
             policies,
-            report_mode: a.reports,
+            report_mode: allowed.report_mode,
             allowed: json!({
-                "max_relays": a.relays, "may_cancel": a.recall, "probes": a.probes,
-                "second_copies": a.second_copies, "retry_after": !a.retry_after.0.is_zero(),
-                "max_retry_after": ns(a.retry_after), "connect_timeout": ns(a.connect),
-                "idle_close": ns(a.idle_close), "streams_per_conn": 1, "may_tell": told.peers.is_some(),
+                "max_relays": allowed.max_relays, "may_cancel": allowed.cancellation, "probes": allowed.probes,
+                "second_copies": allowed.hedging, "retry_after": !allowed.retry_after.0.is_zero(),
+                "max_retry_after": nanos(allowed.retry_after), "connect_timeout": nanos(allowed.connect_timeout),
+                "idle_close": nanos(allowed.idle_close), "streams_per_conn": 1, "may_tell": file.peers.is_some(),
             }),
             prices: json!({
-                "probe": a.probe_price, "cross_zone": a.cross_zone_price, "handshake": a.handshake_price,
+                "probe": allowed.probe_price, "cross_zone": allowed.cross_zone_price, "handshake": allowed.handshake_price,
             }),
             rules: json!({
-                "ask_every": ns(a.ask_every), "cold_from": make.cold_capacity,
-                "warm_within": make.warm_up_time.as_nanos() as u64, "tip_multiple": make.overload_multiple,
-                "tip_after": make.overload_window.as_nanos() as u64,
+                "ask_every": nanos(allowed.list_poll_interval), "cold_from": spec.cold_capacity,
+                "warm_within": spec.warm_up_time.as_nanos() as u64, "tip_multiple": spec.overload_multiple,
+                "tip_after": spec.overload_window.as_nanos() as u64,
             }),
-            goal: json!({ "whole": told.goal.whole, "worst_class": told.goal.worst_verb }),
-            about: told.about,
-            routes: told.routes.as_ref().map(|r| r.get_ref().clone()),
+            goal: json!({ "whole": file.objective.total, "worst_class": file.objective.worst_class }),
+            about: file.about,
+            routes: file
+                .routes
+                .as_ref()
+                .map(|request| request.get_ref().clone()),
             fleet,
             zones,
             endpoints,
-            classes: verbs,
+            classes: classes,
         };
-        // What is wrong in the routes is named by its own line there, and by where they stand here.
-        if let Some(routes) = &told.routes {
-            let orders = passroad_orders::config_from_value(1, &plan.settings(0));
-            let read =
-                orders.map(|orders| passroad_routes::parse_routes(routes.get_ref(), &orders));
-            if let Ok(Err(wrong)) = read {
-                return self.wrong(&routes.span(), format!("routes: {wrong}"));
+        // An error in the routes names the line within them; the file's line is that of the routes key.
+        if let Some(routes) = &file.routes {
+            let config = passroad_orders::config_from_value(1, &plan.settings(0));
+            let routes_result =
+                config.map(|config| passroad_routes::parse_routes(routes.get_ref(), &config));
+            if let Ok(Err(error)) = routes_result {
+                return self.error(&routes.span(), format!("routes: {error}"));
             }
         }
         Ok(plan)
     }
 
-    /// Sidecars that talk, and the faults between them.
-    fn fleet(&self, told: &Text) -> Result<Option<FleetPlan>, ConfigError> {
-        let Some(spanned) = &told.peers else {
-            let alone = |fault: &&Spanned<Fault>| {
-                of_fleet(fault.get_ref().kind) && !of_processes(fault.get_ref().kind)
-                    || fault.get_ref().whom.is_some()
+    /// The plan of the sidecars among each other, with their faults; none without [peers].
+    fn fleet(&self, file: &ExperimentFile) -> Result<Option<FleetPlan>, ConfigError> {
+        let Some(spanned) = &file.peers else {
+            let needs_peers_section = |fault: &&Spanned<FaultSection>| {
+                is_peer_fault(fault.get_ref().kind) && !is_process_fault(fault.get_ref().kind)
+                    || fault.get_ref().target.is_some()
             };
-            return match told.fault.iter().find(alone) {
-                Some(fault) => {
-                    self.wrong(&fault.span(), "fault: needs sidecars that talk, [peers]")
-                }
+            return match file.faults.iter().find(needs_peers_section) {
+                Some(fault) => self.error(&fault.span(), "fault: needs a [peers] section"),
                 None => Ok(None),
             };
         };
-        let (peers, place) = (spanned.get_ref(), spanned.span());
-        if peers.duty.is_empty() && peers.work.is_none()
+        let (peers, span) = (spanned.get_ref(), spanned.span());
+        if peers.leased_roles.is_empty() && peers.maintenance.is_none()
             || peers.lease.0 < Duration::from_millis(200)
         {
-            return self.wrong(&place, "peers: a duty, and a lease of 200ms at least");
+            return self.error(
+                &span,
+                "peers: needs a duty or work, and a lease of at least 200ms",
+            );
         }
         if peers.voters.is_multiple_of(2) || peers.voters > 7 {
-            return self.wrong(&place, "peers: voters is 1, 3, 5 or 7");
+            return self.error(&span, "peers: voters must be 1, 3, 5 or 7");
         }
-        let most = peers.lease.0.mul_f64(0.95 * 2.0 / 3.0) - peers.lease.0 / 20;
-        if let Some(duty) = peers
-            .duty
-            .iter()
-            .find(|d| d.within.0.is_zero() || d.within.0 > most || d.work > d.within)
-        {
-            return self.wrong(
-                &place,
-                format!("peers: within of {}: from its work to {most:?}", duty.name),
+        let longest_allowed = peers.lease.0.mul_f64(0.95 * 2.0 / 3.0) - peers.lease.0 / 20;
+        if let Some(duty) = peers.leased_roles.iter().find(|role| {
+            role.within.0.is_zero() || role.within.0 > longest_allowed || role.work > role.within
+        }) {
+            return self.error(
+                &span,
+                format!(
+                    "peers: within of {}: must be from its work to {longest_allowed:?}",
+                    duty.name
+                ),
             );
         }
-        let work = match &peers.work {
+        let work = match &peers.maintenance {
             None => None,
             Some(work) => {
-                let count: usize = told
+                let count: usize = file
                     .fleet
-                    .group
+                    .groups
                     .iter()
                     .map(|group| group.get_ref().count)
                     .sum();
-                let odd = |r: &WorkRequest| {
-                    r.instance >= told.instances
-                        || r.endpoints.is_empty()
-                        || r.endpoints.iter().any(|e| *e >= count)
+                let is_invalid = |request: &MaintenanceRequest| {
+                    request.instance >= file.instances
+                        || request.endpoints.is_empty()
+                        || request.endpoints.iter().any(|e| *e >= count)
                 };
-                if work.request.is_empty() || work.at_once == 0 || work.request.iter().any(odd) {
-                    return self.wrong(
-                        &place,
-                        "peers.work: a request, of endpoints and an instance that there are",
+                if work.requests.is_empty()
+                    || work.at_once == 0
+                    || work.requests.iter().any(is_invalid)
+                {
+                    return self.error(
+                        &span,
+                        "peers.work: needs at_once and requests, with endpoints and an instance that exist",
                     );
                 }
-                if told.sockets != Some(SocketMode::Required) {
-                    return self.wrong(&place, "peers.work: sockets = \"needed\" is missing");
+                if file.socket_mode != Some(SocketMode::Required) {
+                    return self.error(&span, "peers.work: sockets = \"needed\" is missing");
                 }
                 let requests = work
-                    .request
+                    .requests
                     .iter()
-                    .map(|r| (r.at.0, r.instance, r.endpoints.clone()));
+                    .map(|request| (request.at.0, request.instance, request.endpoints.clone()));
                 Some(WorkPlan {
-                    lasts: work.lasts.0,
+                    lasts: work.duration.0,
                     at_once: work.at_once,
                     requests: requests.collect(),
                 })
             }
         };
-        let duties = peers.duty.iter().map(|d| DutyPlan {
-            name: d.name.clone(),
-            every: d.every.0,
-            within: d.within.0,
-            work: d.work.0,
+        let duties = peers.leased_roles.iter().map(|role| DutyPlan {
+            name: role.name.clone(),
+            every: role.every.0,
+            within: role.within.0,
+            work: role.work.0,
         });
         let mut faults = Vec::new();
-        for fault in told
-            .fault
+        for fault in file
+            .faults
             .iter()
-            .filter(|fault| of_fleet(fault.get_ref().kind))
+            .filter(|fault| is_peer_fault(fault.get_ref().kind))
         {
-            let (f, place) = (fault.get_ref(), fault.span());
+            let (fault_section, span) = (fault.get_ref(), fault.span());
             for (key, list) in [
-                ("instances", &f.instances),
-                ("from", &f.from),
-                ("to", &f.to),
+                ("instances", &fault_section.instances),
+                ("from", &fault_section.from_instances),
+                ("to", &fault_section.to_instances),
             ] {
-                if let Some(n) = list.iter().flatten().find(|n| **n >= told.instances) {
-                    return self.wrong(
-                        &place,
-                        format!("{key}: there is no {n}, the last is {}", told.instances - 1),
+                if let Some(n) = list.iter().flatten().find(|n| **n >= file.instances) {
+                    return self.error(
+                        &span,
+                        format!("{key}: there is no {n}, the last is {}", file.instances - 1),
                     );
                 }
             }
-            let name = format!("{:?}", f.kind);
-            let between = name.starts_with("Peers");
-            if f.instances.is_some() && between || !between && (f.from.is_some() || f.to.is_some())
+            let between = fault_section.kind.is_between_peers();
+            if fault_section.instances.is_some() && between
+                || !between
+                    && (fault_section.from_instances.is_some()
+                        || fault_section.to_instances.is_some())
             {
-                return self.wrong(
-                    &place,
-                    "fault: between sidecars by from and to, of sidecars by instances",
+                return self.error(
+                    &span,
+                    "fault: faults between sidecars take from and to, others take instances",
                 );
             }
-            if f.whom.is_some() && (f.instances.is_some() || f.from.is_some()) {
-                return self.wrong(&place, "fault: whom beside a list of the same");
+            if fault_section.target.is_some()
+                && (fault_section.instances.is_some() || fault_section.from_instances.is_some())
+            {
+                return self.error(
+                    &span,
+                    "fault: whom can't be combined with instances or from",
+                );
             }
-            let need = |share: Option<Ratio>| match share {
+            let required_share = |share: Option<Ratio>| match share {
                 Some(share) => Ok(share.0),
-                None => self.wrong(&place, "fault: share is missing"),
+                None => self.error(&span, "fault: share is missing"),
             };
-            let what = match f.kind {
+            let effect = match fault_section.kind {
                 FaultKind::PeersCut => What::Cut {
-                    out: f.one_way != Some(OneWay::Back),
-                    back: f.one_way != Some(OneWay::Out),
+                    out: fault_section.one_way != Some(OneWay::Back),
+                    back: fault_section.one_way != Some(OneWay::Out),
                 },
-                FaultKind::PeersLose => What::Lose(need(f.share)?),
-                FaultKind::PeersTwice => What::Twice(need(f.share)?),
-                FaultKind::PeersLate => match f.by {
+                FaultKind::PeersLose => What::Lose(required_share(fault_section.share)?),
+                FaultKind::PeersDuplicate => What::Twice(required_share(fault_section.share)?),
+                FaultKind::PeersLate => match fault_section.delay {
                     Some(by) => What::Late {
                         by: by.0,
-                        spread: f.spread.unwrap_or_default().0,
+                        spread: fault_section.delay_spread.unwrap_or_default().0,
                     },
-                    None => return self.wrong(&place, "fault peers-late: by is missing"),
+                    None => return self.error(&span, "fault peers-late: by is missing"),
                 },
-                FaultKind::PeersKeep => What::Keep,
+                FaultKind::PeersBuffer => What::Keep,
                 FaultKind::SidecarPause => What::Pause,
                 FaultKind::SidecarKill => What::Kill,
                 FaultKind::SidecarStop => What::Stop,
                 _ => What::ActsKeep,
             };
-            if f.one_way.is_some() && f.kind != FaultKind::PeersCut {
-                return self.wrong(&place, "one_way: of peers-cut only");
+            if fault_section.one_way.is_some() && fault_section.kind != FaultKind::PeersCut {
+                return self.error(&span, "one_way: only for peers-cut");
             }
-            let ends = matches!(what, What::Pause | What::Keep | What::ActsKeep);
-            if ends && f.lasts.is_none() {
-                return self.wrong(
-                    &place,
-                    "fault: for is missing; what is stopped or kept has to end",
+            let must_end = matches!(effect, What::Pause | What::Keep | What::ActsKeep);
+            if must_end && fault_section.duration.is_none() {
+                return self.error(
+                    &span,
+                    "fault: for is missing; a pause or a buffering has to end",
                 );
             }
-            let whom = match (f.whom, f.instances.clone().or(f.from.clone())) {
+            let whom = match (
+                fault_section.target,
+                fault_section
+                    .instances
+                    .clone()
+                    .or(fault_section.from_instances.clone()),
+            ) {
                 (Some(FaultTarget::Owner), _) => Whom::Owner,
                 (Some(FaultTarget::Minority), _) => Whom::Minority,
                 (Some(FaultTarget::Voters), _) => Whom::Voters,
-                (None, list) => Whom::These(list.unwrap_or_else(|| (0..told.instances).collect())),
+                (None, list) => Whom::These(list.unwrap_or_else(|| (0..file.instances).collect())),
             };
-            let every = f.every.map_or(Duration::ZERO, |t| t.0);
-            for round in 0..f.repeat.unwrap_or(1).clamp(1, 1000) {
-                // One after the other, where all are to be replaced in turn.
-                let all: Vec<Whom> = match (&whom, f.repeat) {
+            let every = fault_section.every.map_or(Duration::ZERO, |t| t.0);
+            for round in 0..fault_section.repetitions.unwrap_or(1).clamp(1, 1000) {
+                // With every but without repeat, the sidecars are hit one after the other.
+                let all: Vec<Whom> = match (&whom, fault_section.repetitions) {
                     (Whom::These(list), None) if !every.is_zero() => {
                         list.iter().map(|n| Whom::These(vec![*n])).collect()
                     }
                     _ => vec![whom.clone()],
                 };
                 for (n, whom) in all.into_iter().enumerate() {
-                    let from = f.at.0 + every * (round + n) as u32;
-                    let to = f.lasts.map(|span| from + span.0);
+                    let from = fault_section.at.0 + every * (round + n) as u32;
+                    let to = fault_section.duration.map(|span| from + span.0);
                     faults.push(FleetFault {
                         from,
                         to,
                         whom,
-                        others: f.to.clone(),
-                        what,
+                        others: fault_section.to_instances.clone(),
+                        what: effect,
                     });
                 }
             }
@@ -1088,26 +1247,26 @@
 
     fn endpoints(
         &self,
-        fleet: &Fleet,
+        fleet: &FleetSection,
         kinds: &[String],
     ) -> Result<(Vec<String>, Vec<EndpointPlan>), ConfigError> {
         let (mut zones, mut endpoints) = (Vec::<String>::new(), Vec::new());
-        for spanned in &fleet.group {
-            let (group, place) = (spanned.get_ref(), spanned.span());
+        for spanned in &fleet.groups {
+            let (group, span) = (spanned.get_ref(), spanned.span());
             let Some(kind) = kinds.iter().position(|k| *k == group.kind) else {
                 let known = kinds.join(", ");
-                return self.wrong(
-                    &place,
+                return self.error(
+                    &span,
                     format!("kind: unknown '{}'; there are {known}", group.kind),
                 );
             };
-            let told = &fleet.kind[&group.kind];
-            if told.cores == 0 || told.speed <= 0.0 || group.weight <= 0.0 {
-                let what = format!(
-                    "kind {}: cores, speed and weight are more than nothing",
+            let file = &fleet.kinds[&group.kind];
+            if file.cores == 0 || file.speed <= 0.0 || group.weight <= 0.0 {
+                let message = format!(
+                    "kind {}: cores, speed and weight must be greater than 0",
                     group.kind
                 );
-                return self.wrong(&place, what);
+                return self.error(&span, message);
             }
             let zone = zones
                 .iter()
@@ -1117,25 +1276,25 @@
                     zones.len() - 1
                 });
             for n in 0..group.count {
-                let make = EndpointSpec {
-                    cores: told.cores,
-                    speed: told.speed,
-                    queue_limit: told.queue,
-                    slowdown_queue_length: told.drag_from,
-                    slowdown_speed: told.drag.0,
-                    cold_capacity: told.cold_from.0.max(0.01),
-                    warm_up_time: told.warm_within.0,
-                    overload_multiple: told.tip_multiple,
-                    overload_window: told.tip_after.0,
-                    crashes_on_overload: told.tips,
-                    stops_cancelled: told.drops_recalled,
-                    max_connections: told.most_links,
-                    connection_work: told.link_work.0.as_secs_f64(),
-                    report_age: told.report_age.0,
+                let spec = EndpointSpec {
+                    cores: file.cores,
+                    speed: file.speed,
+                    queue_limit: file.queue_limit,
+                    slowdown_queue_length: file.slowdown_queue_length,
+                    slowdown_speed: file.slowdown_speed.0,
+                    cold_capacity: file.cold_capacity.0.max(0.01),
+                    warm_up_time: file.warm_up_time.0,
+                    overload_multiple: file.overload_multiple,
+                    overload_window: file.overload_window.0,
+                    crashes_on_overload: file.crashes_on_overload,
+                    stops_cancelled: file.stops_cancelled,
+                    max_connections: file.max_connections,
+                    connection_work: file.connection_work.0.as_secs_f64(),
+                    report_age: file.report_age.0,
                 };
                 let cell = n % group.cells.max(1);
                 endpoints.push(EndpointPlan {
-                    spec: make,
+                    spec: spec,
                     kind,
                     zone,
                     cell,
@@ -1145,263 +1304,283 @@
         }
         match endpoints.len() {
             1..=5000 => Ok((zones, endpoints)),
-            n => self.wrong(
-                &self.at_key(0, "count"),
+            n => self.error(
+                &self.key_span(0, "count"),
                 format!("fleet: {n} endpoints; from 1 to 5000"),
             ),
         }
     }
 
-    fn verbs(&self, told: &[Spanned<Verb>]) -> Result<Vec<ClassPlan>, ConfigError> {
-        let mut verbs: Vec<ClassPlan> = Vec::new();
-        for spanned in told {
-            let (v, place) = (spanned.get_ref(), spanned.span());
-            let odd = v.name.is_empty()
-                || !v
+    fn classes(&self, file: &[Spanned<ClassSection>]) -> Result<Vec<ClassPlan>, ConfigError> {
+        let mut classes: Vec<ClassPlan> = Vec::new();
+        for spanned in file {
+            let (class, span) = (spanned.get_ref(), spanned.span());
+            let is_invalid = class.name.is_empty()
+                || !class
                     .name
                     .bytes()
                     .all(|b| b.is_ascii_alphanumeric() || b == b'-');
-            if odd || verbs.iter().any(|known| known.name == v.name) {
-                return self.wrong(
-                    &place,
+            if is_invalid || classes.iter().any(|known| known.name == class.name) {
+                return self.error(
+                    &span,
                     format!(
-                        "name: '{}' is taken, or not of letters, digits and -",
-                        v.name
+                        "name: '{}' is taken or has characters other than letters, digits and -",
+                        class.name
                     ),
                 );
             }
-            if v.goal > v.limit {
-                return self.wrong(&place, format!("goal of {}: longer than its limit", v.name));
+            if class.deadline_target > class.time_limit {
+                return self.error(
+                    &span,
+                    format!("goal of {}: longer than its limit", class.name),
+                );
             }
-            if v.work.0.is_zero() || v.share < 0.0 || !(0.0..=3.0).contains(&v.spread) {
-                return self.wrong(
-                    &place,
-                    format!("{}: work, share or spread out of bounds", v.name),
+            if class.mean_work.0.is_zero()
+                || class.share < 0.0
+                || !(0.0..=3.0).contains(&class.work_sigma)
+            {
+                return self.error(
+                    &span,
+                    format!("{}: work, share or spread out of bounds", class.name),
                 );
             }
-            if v.effect == Effect::Keyed && v.window.0.is_zero() {
-                return self.wrong(
-                    &place,
-                    format!("window of {}: a receipted verb needs one", v.name),
+            if class.effect == Effect::Keyed && class.deduplication_window.0.is_zero() {
+                return self.error(
+                    &span,
+                    format!("window of {}: a receipted verb needs one", class.name),
                 );
             }
-            verbs.push(ClassPlan {
-                name: v.name.clone(),
-                effect: v.effect,
-                deduplication_scope: v.group,
-                deduplication_window: v.window.0,
-                mean_work: v.work.0.as_secs_f64(),
-                work_sigma: v.spread,
-                deadline_target: v.goal.0,
-                time_limit: v.limit.0,
-                utility: v.utility,
-                late_utility: v.late_utility,
-                share: v.share,
+            classes.push(ClassPlan {
+                name: class.name.clone(),
+                effect: class.effect,
+                deduplication_scope: class.deduplication_scope,
+                deduplication_window: class.deduplication_window.0,
+                mean_work: class.mean_work.0.as_secs_f64(),
+                work_sigma: class.work_sigma,
+                deadline_target: class.deadline_target.0,
+                time_limit: class.time_limit.0,
+                utility: class.utility,
+                late_utility: class.late_utility,
+                share: class.share,
             });
         }
-        if verbs.iter().all(|v| v.share <= 0.0) {
-            return self.wrong(&(0..0), "verb: none with a share of the load");
+        if classes.iter().all(|class| class.share <= 0.0) {
+            return self.error(&(0..0), "verb: none has a share of the load");
         }
-        Ok(verbs)
+        Ok(classes)
     }
 
-    /// What a fault comes to, one change after the other.
-    fn changes(
+    /// Adds the changes that a fault makes.
+    fn schedule_changes(
         &self,
-        fault: &Spanned<Fault>,
-        told: &Text,
+        fault: &Spanned<FaultSection>,
+        file: &ExperimentFile,
         endpoints: &[EndpointPlan],
         zones: &[String],
-        verbs: &[ClassPlan],
-        out: &mut Vec<(Duration, ScheduledChange)>,
+        classes: &[ClassPlan],
+        changes: &mut Vec<(Duration, ScheduledChange)>,
     ) -> Result<(), ConfigError> {
-        let (f, place) = (fault.get_ref(), fault.span());
-        let kind = format!("{:?}", f.kind).to_lowercase();
-        let need = |what: Option<Ratio>, key: &str| match what {
+        let (fault_section, span) = (fault.get_ref(), fault.span());
+        let kind = fault_section.kind.name();
+        let required_share = |message: Option<Ratio>, key: &str| match message {
             Some(share) => Ok(share.0),
-            None => self.wrong(&place, format!("fault {kind}: {key} is missing")),
+            None => self.error(&span, format!("fault {kind}: {key} is missing")),
         };
-        if let Some(n) = f
+        if let Some(n) = fault_section
             .endpoints
             .iter()
             .flatten()
             .find(|n| **n >= endpoints.len())
         {
-            return self.wrong(
-                &place,
+            return self.error(
+                &span,
                 format!(
                     "endpoints: there is no {n}, the last is {}",
                     endpoints.len() - 1
                 ),
             );
         }
-        if let Some(n) = f.instances.iter().flatten().find(|n| **n >= told.instances) {
-            return self.wrong(
-                &place,
+        if let Some(n) = fault_section
+            .instances
+            .iter()
+            .flatten()
+            .find(|n| **n >= file.instances)
+        {
+            return self.error(
+                &span,
                 format!(
                     "instances: there is no {n}, the last is {}",
-                    told.instances - 1
+                    file.instances - 1
                 ),
             );
         }
-        let zone = match &f.zone {
+        let zone = match &fault_section.zone {
             None => None,
             Some(name) => match zones.iter().position(|z| z == name) {
                 Some(zone) => Some(zone),
-                None => return self.wrong(&place, format!("zone: unknown '{name}'")),
+                None => return self.error(&span, format!("zone: unknown '{name}'")),
             },
         };
-        let named = |n: &usize| f.endpoints.as_ref().is_none_or(|list| list.contains(n));
+        let is_named = |n: &usize| {
+            fault_section
+                .endpoints
+                .as_ref()
+                .is_none_or(|list| list.contains(n))
+        };
         let at: Vec<usize> = (0..endpoints.len())
-            .filter(|n| named(n) && zone.is_none_or(|zone| endpoints[*n].zone == zone))
+            .filter(|n| is_named(n) && zone.is_none_or(|zone| endpoints[*n].zone == zone))
             .collect();
-        let of: Vec<usize> = f
+        let of: Vec<usize> = fault_section
             .instances
             .clone()
-            .unwrap_or_else(|| (0..told.instances).collect());
-        let lasts = f.lasts.map(|t| t.0);
-        if f.repeat.is_some() && f.every.is_none() {
-            return self.wrong(&place, format!("fault {kind}: repeat needs every"));
+            .unwrap_or_else(|| (0..file.instances).collect());
+        let duration = fault_section.duration.map(|t| t.0);
+        if fault_section.repetitions.is_some() && fault_section.every.is_none() {
+            return self.error(&span, format!("fault {kind}: repeat needs every"));
         }
-        let every = f.every.map_or(Duration::ZERO, |t| t.0);
-        for round in 0..f.repeat.unwrap_or(1).clamp(1, 1000) {
-            let from = f.at.0
-                + if f.kind == FaultKind::Deploy {
+        let every = fault_section.every.map_or(Duration::ZERO, |t| t.0);
+        for round in 0..fault_section.repetitions.unwrap_or(1).clamp(1, 1000) {
+            let from = fault_section.at.0
+                + if fault_section.kind == FaultKind::Deploy {
                     Duration::ZERO
                 } else {
                     every * round as u32
                 };
-            let to = lasts.map(|span| from + span);
-            let mut both = |on: ScheduledChange, off: ScheduledChange| {
-                out.push((from, on));
-                out.extend(to.map(|to| (to, off)));
+            let to = duration.map(|span| from + span);
+            let mut during_fault = |on: ScheduledChange, off: ScheduledChange| {
+                changes.push((from, on));
+                changes.extend(to.map(|to| (to, off)));
             };
             for e in at.iter().copied() {
-                let mut trouble = |on: FaultChange, off: FaultChange| {
-                    both(
+                let mut endpoint_fault = |on: FaultChange, off: FaultChange| {
+                    during_fault(
                         ScheduledChange::EndpointFault(e, on),
                         ScheduledChange::EndpointFault(e, off),
                     )
                 };
-                match f.kind {
+                match fault_section.kind {
                     FaultKind::Stall => {
-                        trouble(FaultChange::Stalled(true), FaultChange::Stalled(false))
+                        endpoint_fault(FaultChange::Stalled(true), FaultChange::Stalled(false))
                     }
-                    FaultKind::Slow => trouble(
-                        FaultChange::SpeedLeft(need(f.left, "left")?),
+                    FaultKind::Slow => endpoint_fault(
+                        FaultChange::SpeedLeft(required_share(fault_section.speed_left, "left")?),
                         FaultChange::SpeedLeft(1.0),
                     ),
-                    FaultKind::Errors => trouble(
-                        FaultChange::ErrorShare(need(f.share, "share")?),
+                    FaultKind::Errors => endpoint_fault(
+                        FaultChange::ErrorShare(required_share(fault_section.share, "share")?),
                         FaultChange::ErrorShare(0.0),
                     ),
-                    FaultKind::Spoil => trouble(
-                        FaultChange::MalformedShare(need(f.share, "share")?),
+                    FaultKind::MalformedResponses => endpoint_fault(
+                        FaultChange::MalformedShare(required_share(fault_section.share, "share")?),
                         FaultChange::MalformedShare(0.0),
                     ),
-                    FaultKind::Reset => trouble(
-                        FaultChange::ResetShare(need(f.share, "share")?),
+                    FaultKind::Resets => endpoint_fault(
+                        FaultChange::ResetShare(required_share(fault_section.share, "share")?),
                         FaultChange::ResetShare(0.0),
                     ),
-                    FaultKind::Lies => trouble(
+                    FaultKind::FalseLoadReports => endpoint_fault(
                         FaultChange::ReportsIdle(true),
                         FaultChange::ReportsIdle(false),
                     ),
                     FaultKind::Hang => {
-                        let name = f.verb.clone().unwrap_or_default();
-                        let Some(verb) = verbs.iter().position(|v| v.name == name) else {
-                            return self.wrong(&place, format!("verb: unknown '{name}'"));
+                        let name = fault_section.class.clone().unwrap_or_default();
+                        let Some(class) = classes.iter().position(|class| class.name == name)
+                        else {
+                            return self.error(&span, format!("verb: unknown '{name}'"));
                         };
-                        trouble(
-                            FaultChange::ClassHangs(verb, true),
-                            FaultChange::ClassHangs(verb, false),
+                        endpoint_fault(
+                            FaultChange::ClassHangs(class, true),
+                            FaultChange::ClassHangs(class, false),
                         );
                     }
-                    FaultKind::Silence => {
+                    FaultKind::NetworkCut => {
                         let instances: Vec<bool> =
-                            (0..told.instances).map(|n| of.contains(&n)).collect();
+                            (0..file.instances).map(|n| of.contains(&n)).collect();
                         let cut = |on| ScheduledChange::NetworkCut {
                             endpoint: e,
                             instances: instances.clone(),
                             on,
                         };
-                        both(cut(true), cut(false));
+                        during_fault(cut(true), cut(false));
+                    }
+                    FaultKind::Crash => {
+                        during_fault(ScheduledChange::Crash(e), ScheduledChange::Start(e))
                     }
-                    FaultKind::Die => both(ScheduledChange::Crash(e), ScheduledChange::Start(e)),
-                    FaultKind::Cordon => both(
+                    FaultKind::Cordon => during_fault(
                         ScheduledChange::Cordon(e, true),
                         ScheduledChange::Cordon(e, false),
                     ),
-                    FaultKind::Drain => both(ScheduledChange::Drain(e), ScheduledChange::Leave(e)),
+                    FaultKind::Drain => {
+                        during_fault(ScheduledChange::Drain(e), ScheduledChange::Leave(e))
+                    }
                     _ => {}
                 }
             }
-            match f.kind {
-                // One after the other: drain, end, start anew and cold.
+            match fault_section.kind {
+                // One endpoint after the other: drain, stop, start again.
                 FaultKind::Deploy => {
-                    let step = f.every.map_or(Duration::from_secs(2), |t| t.0);
-                    let drains = lasts.unwrap_or(Duration::from_secs(1));
+                    let step = fault_section.every.map_or(Duration::from_secs(2), |t| t.0);
+                    let drain_time = duration.unwrap_or(Duration::from_secs(1));
                     for (n, e) in at.iter().copied().enumerate() {
                         let from = from + step * n as u32;
-                        out.push((from, ScheduledChange::Drain(e)));
-                        out.push((from + drains, ScheduledChange::Crash(e)));
-                        out.push((
-                            from + drains + Duration::from_millis(500),
+                        changes.push((from, ScheduledChange::Drain(e)));
+                        changes.push((from + drain_time, ScheduledChange::Crash(e)));
+                        changes.push((
+                            from + drain_time + Duration::from_millis(500),
                             ScheduledChange::Start(e),
                         ));
                     }
                 }
                 FaultKind::DiscoveryLate => {
-                    let Some(by) = f.by else {
-                        return self.wrong(&place, "fault discovery-late: by is missing");
+                    let Some(by) = fault_section.delay else {
+                        return self.error(&span, "fault discovery-late: by is missing");
                     };
-                    both(
+                    during_fault(
                         ScheduledChange::DiscoveryDelay(by.0),
                         ScheduledChange::DiscoveryDelay(Duration::ZERO),
                     );
-                    if let Some(spread) = f.spread {
-                        both(
+                    if let Some(spread) = fault_section.delay_spread {
+                        during_fault(
                             ScheduledChange::DiscoveryStagger(spread.0),
                             ScheduledChange::DiscoveryStagger(Duration::ZERO),
                         );
                     }
                 }
-                FaultKind::DiscoveryDown => both(
+                FaultKind::DiscoveryDown => during_fault(
                     ScheduledChange::DiscoveryDown(true),
                     ScheduledChange::DiscoveryDown(false),
                 ),
                 FaultKind::DiscoveryMalformed => {
-                    both(
+                    during_fault(
                         ScheduledChange::DiscoveryMalformed(true),
                         ScheduledChange::DiscoveryMalformed(false),
                     );
                 }
                 FaultKind::SidecarKill => {
-                    out.extend(of.iter().map(|n| (from, ScheduledChange::SidecarKill(*n))))
+                    changes.extend(of.iter().map(|n| (from, ScheduledChange::SidecarKill(*n))))
                 }
                 FaultKind::SidecarStop => {
-                    out.extend(of.iter().map(|n| (from, ScheduledChange::SidecarStop(*n))))
+                    changes.extend(of.iter().map(|n| (from, ScheduledChange::SidecarStop(*n))))
                 }
-                FaultKind::SidecarReload => out.extend(
+                FaultKind::SidecarReload => changes.extend(
                     of.iter()
                         .map(|n| (from, ScheduledChange::SidecarReload(*n))),
                 ),
-                FaultKind::SidecarUpgrade => out.extend(
+                FaultKind::SidecarUpgrade => changes.extend(
                     of.iter()
                         .map(|n| (from, ScheduledChange::SidecarUpgrade(*n))),
                 ),
-                FaultKind::SidecarRetune => {
-                    let Some(relays) = f.relays.filter(|relays| *relays > 0) else {
-                        return self
-                            .wrong(&place, "fault sidecar-retune: relays is missing, or nought");
+                FaultKind::SidecarReconfigure => {
+                    let Some(relays) = fault_section.max_relays.filter(|relays| *relays > 0) else {
+                        return self.error(&span, "fault sidecar-retune: relays is missing or 0");
                     };
-                    out.extend(
+                    changes.extend(
                         of.iter()
                             .map(|n| (from, ScheduledChange::SidecarReconfigure(*n, relays))),
                     );
                 }
                 _ if at.is_empty() => {
-                    return self.wrong(&place, format!("fault {kind}: concerns no endpoint"));
+                    return self.error(&span, format!("fault {kind}: applies to no endpoint"));
                 }
                 _ => {}
             }
@@ -1409,38 +1588,45 @@
         Ok(())
     }
 
-    fn hold(
+    fn expectation(
         &self,
-        hold: &Spanned<Hold>,
-        told: &Text,
-        verbs: &[ClassPlan],
+        expectation: &Spanned<ExpectationSection>,
+        file: &ExperimentFile,
+        classes: &[ClassPlan],
         zones: &[String],
         policies: &[String],
     ) -> Result<Expectation, ConfigError> {
-        let (h, place) = (hold.get_ref(), hold.span());
-        for name in h.policy.iter().chain(&h.above) {
+        let (section, span) = (expectation.get_ref(), expectation.span());
+        for name in section.policy.iter().chain(&section.compared_policy) {
             if !policies.contains(name) {
-                return self.wrong(&place, format!("policy: '{name}' is not played here"));
+                return self.error(
+                    &span,
+                    format!("policy: '{name}' is not among this experiment's policies"),
+                );
             }
         }
-        let find = |name: &Option<String>, all: Vec<&String>, key: &str| match name {
+        let position_of = |name: &Option<String>, all: Vec<&String>, key: &str| match name {
             None => Ok(None),
             Some(name) => match all.iter().position(|known| *known == name) {
                 Some(n) => Ok(Some(n)),
-                None => self.wrong(&place, format!("{key}: unknown '{name}'")),
+                None => self.error(&span, format!("{key}: unknown '{name}'")),
             },
         };
-        let verb = find(&h.verb, verbs.iter().map(|v| &v.name).collect(), "verb")?;
-        let zone = find(&h.zone, zones.iter().collect(), "zone")?;
-        let asked_in = find(&h.asked_in, zones.iter().collect(), "asked_in")?;
-        if h.at_least.is_none() && h.at_most.is_none() {
-            return self.wrong(
-                &place,
+        let class = position_of(
+            &section.class,
+            classes.iter().map(|class| &class.name).collect(),
+            "verb",
+        )?;
+        let zone = position_of(&section.zone, zones.iter().collect(), "zone")?;
+        let asked_in = position_of(&section.client_zone, zones.iter().collect(), "asked_in")?;
+        if section.at_least.is_none() && section.at_most.is_none() {
+            return self.error(
+                &span,
                 "hold: at_least or at_most is missing; without either it can't fail",
             );
         }
-        let talks = matches!(
-            h.metric,
+        let needs_peers = matches!(
+            section.metric,
             Metric::OwnersAtOnce
                 | Metric::Believers
                 | Metric::StaleActs
@@ -1456,106 +1642,117 @@
                 | Metric::WorkBroken
                 | Metric::WorkTime
         );
-        if talks && told.peers.is_none() {
-            return self.wrong(
-                &place,
-                "hold: a metric of sidecars that talk, and there are no [peers]",
-            );
+        if needs_peers && file.peers.is_none() {
+            return self.error(&span, "hold: this metric needs a [peers] section");
         }
-        let of_zone = matches!(
-            h.metric,
+        let needs_zone = matches!(
+            section.metric,
             Metric::Share | Metric::Returns | Metric::Swing | Metric::Load
         );
-        if of_zone != zone.is_some() {
-            return self.wrong(
-                &place,
+        if needs_zone != zone.is_some() {
+            return self.error(
+                &span,
                 "hold: share, returns, swing and load are of a zone, and no other metric is",
             );
         }
-        let window = h.from.map_or(told.settle.0, |t| t.0)..h.to.map_or(told.length.0, |t| t.0);
-        if window.start >= window.end || window.end > told.length.0 {
-            return self.wrong(&place, "hold: from and to leave nothing of the day");
+        let window =
+            section.from.map_or(file.settle.0, |t| t.0)..section.to.map_or(file.length.0, |t| t.0);
+        if window.start >= window.end || window.end > file.length.0 {
+            return self.error(
+                &span,
+                "hold: from must be before to, and to at most the length",
+            );
         }
-        let line = line_number(self.text, place.start);
-        let name = format!("{:?}", h.metric).to_lowercase();
-        let mut text = h
+        let line = line_number(self.text, span.start);
+        let name = format!("{:?}", section.metric).to_lowercase();
+        let mut text = section
             .policy
             .clone()
             .filter(|p| p != "passroad")
             .map_or(name.clone(), |p| format!("{name} of {p}"));
-        text.extend(h.verb.iter().map(|v| format!(" of {v}")));
-        text.extend(h.zone.iter().map(|z| format!(" of zone {z}")));
-        text.extend(h.asked_in.iter().map(|z| format!(" asked in zone {z}")));
-        if h.from.is_some() || h.to.is_some() {
-            let (a, b) = (window.start.as_secs_f64(), window.end.as_secs_f64());
-            text += &format!(" from {a:.1} to {b:.1} s");
+        text.extend(section.class.iter().map(|class| format!(" of {class}")));
+        text.extend(section.zone.iter().map(|z| format!(" of zone {z}")));
+        text.extend(
+            section
+                .client_zone
+                .iter()
+                .map(|z| format!(" asked in zone {z}")),
+        );
+        if section.from.is_some() || section.to.is_some() {
+            let (allowed, b) = (window.start.as_secs_f64(), window.end.as_secs_f64());
+            text += &format!(" from {allowed:.1} to {b:.1} s");
         }
-        text.extend(h.above.iter().map(|p| format!(" less that of {p}")));
+        text.extend(
+            section
+                .compared_policy
+                .iter()
+                .map(|p| format!(" less that of {p}")),
+        );
         Ok(Expectation {
-            metric: h.metric,
-            policy: h.policy.clone().unwrap_or_else(|| "passroad".into()),
-            compared_policy: h.above.clone(),
+            metric: section.metric,
+            policy: section.policy.clone().unwrap_or_else(|| "passroad".into()),
+            compared_policy: section.compared_policy.clone(),
             window,
-            class: verb,
+            class: class,
             zone,
             client_zone: asked_in,
-            at_least: h.at_least,
-            at_most: h.at_most,
-            simulated_only: h.simulated || h.metric == Metric::Believers,
+            at_least: section.at_least,
+            at_most: section.at_most,
+            simulated_only: section.simulated_only || section.metric == Metric::Believers,
             line,
             label: text,
         })
     }
 }
 
-/// Faults between sidecars that talk, or of the processes of those.
-fn of_fleet(kind: FaultKind) -> bool {
+/// Whether a fault is one between sidecars or of their processes.
+fn is_peer_fault(kind: FaultKind) -> bool {
     matches!(
         kind,
         FaultKind::SidecarPause
             | FaultKind::PeersCut
             | FaultKind::PeersLose
             | FaultKind::PeersLate
-            | FaultKind::PeersTwice
-            | FaultKind::PeersKeep
-            | FaultKind::ActsKeep
-    ) || of_processes(kind)
+            | FaultKind::PeersDuplicate
+            | FaultKind::PeersBuffer
+            | FaultKind::ActsBuffer
+    ) || is_process_fault(kind)
 }
 
-fn of_processes(kind: FaultKind) -> bool {
+fn is_process_fault(kind: FaultKind) -> bool {
     matches!(kind, FaultKind::SidecarKill | FaultKind::SidecarStop)
 }
 
 impl Plan {
-    /// How long after the plan's end the last answers may come.
+    /// How long after the end of the load the last answers may come.
     pub fn answer_tail(&self) -> Duration {
         self.classes
             .iter()
-            .map(|v| v.time_limit)
+            .map(|class| class.time_limit)
             .max()
             .unwrap_or_default()
     }
 
     /// The settings object that a sidecar in a zone is given.
     pub fn settings(&self, zone: usize) -> serde_json::Value {
-        let ns = |time: Duration| time.as_nanos() as u64;
-        let verbs: Vec<_> = self
+        let nanos = |time: Duration| time.as_nanos() as u64;
+        let classes: Vec<_> = self
             .classes
             .iter()
-            .map(|v| {
-                let effect = match v.effect {
+            .map(|class| {
+                let effect = match class.effect {
                     Effect::Safe => "read_like",
                     Effect::Keyed => "idempotency_key",
                     Effect::NonIdempotent => "non_idempotent",
                 };
-                let scope = match v.deduplication_scope {
+                let scope = match class.deduplication_scope {
                     DeduplicationScope::All => "all",
                     DeduplicationScope::Zone => "zone",
                     DeduplicationScope::Cell => "cell",
                 };
                 json!({
-                    "name": v.name, "effect": effect, "key_scope": scope, "window": ns(v.deduplication_window),
-                    "response_goal": ns(v.deadline_target), "time_limit": ns(v.time_limit), "utility": v.utility, "late_utility": v.late_utility,
+                    "name": class.name, "effect": effect, "key_scope": scope, "window": nanos(class.deduplication_window),
+                    "response_goal": nanos(class.deadline_target), "time_limit": nanos(class.time_limit), "utility": class.utility, "late_utility": class.late_utility,
                 })
             })
             .collect();
@@ -1564,20 +1761,20 @@
             .iter()
             .map(|(name, portion, _)| json!({ "name": name, "portion": portion }))
             .collect();
-        let how = match self.report_mode {
+        let report_mode = match self.report_mode {
             ReportMode::Piggyback => "piggyback",
             ReportMode::Pull => "pull",
             ReportMode::Silent => "silent",
         };
         json!({
-            "verbs": verbs, "tenants": tenants, "dcs": self.zones, "az": self.zones[zone],
-            "discovery": "on_request", "weights": "nominal", "report": { "how": how },
+            "verbs": classes, "tenants": tenants, "dcs": self.zones, "az": self.zones[zone],
+            "discovery": "on_request", "weights": "nominal", "report": { "how": report_mode },
             "allowed": self.allowed, "prices": self.prices, "rules": self.rules, "goal": self.goal,
             "tick": 1_000_000, "surplus_utility": 0.5,
         })
     }
 
-    /// How much of the load the day has at a time, against the plan's rate.
+    /// The factor of the load at a time, over the plan's rate.
     pub fn load_factor(&self, at: Duration) -> f64 {
         self.load_steps
             .iter()
@@ -1586,16 +1783,16 @@
             .map_or(1.0, |(_, factor)| *factor)
     }
 
-    /// The zone that an instance stands in.
+    /// The zone of an instance.
     pub fn zone_of(&self, instance: usize) -> usize {
         instance % self.zones.len()
     }
 
-    /// One way between an instance and an endpoint.
+    /// Network delay from an instance to an endpoint, one way.
     pub fn one_way_delay(&self, instance: usize, endpoint: usize) -> Duration {
-        let far = self.zone_of(instance) != self.endpoints[endpoint].zone;
+        let other_zone = self.zone_of(instance) != self.endpoints[endpoint].zone;
         (self.round_trip
-            + if far {
+            + if other_zone {
                 self.cross_zone_extra
             } else {
                 Duration::ZERO
--- a/crates/passroad-rig/src/experiment/tests.rs
+++ b/crates/passroad-rig/src/experiment/tests.rs
@@ -40,7 +40,7 @@
 retries = "50%"
 "#;
 
-// The line is that of the slip, or of the table that it stands in.
+// The line is that of the error or of the table that contains it.
 #[rstest]
 #[case::no_toml("about = ", 1, "about")]
 #[case::unknown_key(&format!("{SMALL}speed = 2\n"), 38, "speed: unknown field")]
@@ -56,7 +56,7 @@
 #[case::no_window(&SMALL.replace("\"effectful\"", "\"receipted\""), 28, "a receipted verb needs one")]
 #[case::odd_effect(&SMALL.replace("\"effectful\"", "\"harmless\""), 30, "effect: unknown variant `harmless`")]
 #[case::two_loads(&SMALL.replace("of_capacity = 0.5", "of_capacity = 0.5\nper_second = 9"), 35, "one of of_capacity")]
-#[case::all_settle(&SMALL.replace("settle = \"1s\"", "settle = \"6s\""), 4, "nothing of the day is left")]
+#[case::all_settle(&SMALL.replace("settle = \"1s\"", "settle = \"6s\""), 4, "settle: must be shorter than length")]
 #[case::no_endpoint(&format!("{SMALL}[[fault]]\nkind = \"stall\"\nat = \"1s\"\nendpoints = [5]\n"), 38, "there is no 5")]
 #[case::no_zone(&format!("{SMALL}[[fault]]\nkind = \"die\"\nat = \"1s\"\nzone = \"c\"\n"), 38, "zone: unknown 'c'")]
 #[case::no_left(&format!("{SMALL}[[fault]]\nkind = \"slow\"\nat = \"1s\"\n"), 38, "fault slow: left is missing")]
@@ -66,47 +66,47 @@
 #[case::no_such_verb(&format!("{SMALL}[[fault]]\nkind = \"hang\"\nat = \"1s\"\nverb = \"buy\"\n"), 38, "unknown 'buy'")]
 #[case::processes(&format!("{SMALL}[[fault]]\nkind = \"sidecar-stop\"\nat = \"1s\"\n"), 1, "sockets = \"needed\"")]
 #[case::upgrades(&format!("{SMALL}[[fault]]\nkind = \"sidecar-upgrade\"\nat = \"1s\"\n"), 1, "sockets = \"needed\"")]
-#[case::retuned_to_what(&format!("sockets = \"needed\"\n{SMALL}[[fault]]\nkind = \"sidecar-retune\"\nat = \"1s\"\n"), 39, "relays is missing")]
+#[case::reconfigured_without_relays(&format!("sockets = \"needed\"\n{SMALL}[[fault]]\nkind = \"sidecar-retune\"\nat = \"1s\"\n"), 39, "relays is missing")]
 #[case::no_policy(&SMALL.replace("instances = 3", "policies = [\"best\"]"), 5, "unknown 'best'")]
 #[case::no_bound(&format!("{SMALL}[[hold]]\nmetric = \"served\"\n"), 38, "without either it can't fail")]
 #[case::no_metric(&format!("{SMALL}[[hold]]\nmetric = \"luck\"\nat_most = 1\n"), 39, "unknown variant `luck`")]
-#[case::share_of_nothing(&format!("{SMALL}[[hold]]\nmetric = \"share\"\nat_most = 1\n"), 38, "are of a zone")]
-fn a_slip_is_named_with_its_line(#[case] text: &str, #[case] line: usize, #[case] what: &str) {
-    let wrong = parse(text).expect_err("it is wrong");
+#[case::share_without_a_zone(&format!("{SMALL}[[hold]]\nmetric = \"share\"\nat_most = 1\n"), 38, "are of a zone")]
+fn an_error_names_its_line_and_key(#[case] text: &str, #[case] line: usize, #[case] message: &str) {
+    let error = parse(text).expect_err("it is wrong");
     assert!(
-        wrong.line == line && wrong.message.contains(what),
-        "{wrong}"
+        error.line == line && error.message.contains(message),
+        "{error}"
     );
 }
 
 #[rstest]
-fn a_plan_says_what_its_file_does() {
+fn a_plan_has_the_changes_and_settings_of_its_file() {
     let faults = "[[fault]]\nkind = \"die\"\nat = \"1s\"\nfor = \"500ms\"\nzone = \"b\"\nevery = \"2s\"\nrepeat = 2\n";
     let plan = parse(&format!("{SMALL}{faults}")).expect("a plan");
     assert_eq!(
         (plan.endpoints.len(), plan.zones.len(), plan.instances),
         (5, 2, 3)
     );
-    // Ten cores at half their time, 10 ms each.
+    // Ten cores at half their capacity, 10 ms for each command.
     assert_eq!(plan.per_second.round(), 500.0);
     let at = |ms: u64, change| (Duration::from_millis(ms), change);
-    let (dies, starts) = (|e| ScheduledChange::Crash(e), |e| ScheduledChange::Start(e));
+    let (crashes, starts) = (|e| ScheduledChange::Crash(e), |e| ScheduledChange::Start(e));
     let expected = [
-        at(1000, dies(3)),
-        at(1000, dies(4)),
+        at(1000, crashes(3)),
+        at(1000, crashes(4)),
         at(1500, starts(3)),
         at(1500, starts(4)),
-        at(3000, dies(3)),
-        at(3000, dies(4)),
+        at(3000, crashes(3)),
+        at(3000, crashes(4)),
         at(3500, starts(3)),
         at(3500, starts(4)),
     ];
     assert_eq!(plan.changes, expected);
-    let orders = passroad_orders::config_from_value(1, &plan.settings(1))
+    let config = passroad_orders::config_from_value(1, &plan.settings(1))
         .expect("settings that can be used");
     assert_eq!(
-        (orders.own_zone, orders.classes.len(), orders.max_relays),
+        (config.own_zone, config.classes.len(), config.max_relays),
         (1, 2, 4)
     );
-    assert_eq!(orders.warm_up_time, Duration::from_secs(4));
+    assert_eq!(config.warm_up_time, Duration::from_secs(4));
 }
