--- a/crates/passroad-rig/src/experiment.rs
+++ b/crates/passroad-rig/src/experiment.rs
@@ -125,7 +125,7 @@
     allowed: serde_json::Value,
     prices: serde_json::Value,
     rules: serde_json::Value,
-    goal: serde_json::Value,
+    objective: serde_json::Value,
 }
 
 /// Names of the policies: passroad's balancer and the baselines.
@@ -151,6 +151,7 @@
     FileChecker { text }.plan(file)
 }
 
+/// Checks the content of an experiment file and makes its plan; the text is for the lines of errors.
 struct FileChecker<'a> {
     text: &'a str,
 }
@@ -158,6 +159,7 @@
 type Span = Range<usize>;
 
 impl FileChecker<'_> {
+    /// An error at the line of a span.
     fn error<T>(&self, span: &Span, message: impl Into<String>) -> Result<T, ConfigError> {
         Err(ConfigError {
             line: line_number(self.text, span.start),
@@ -167,21 +169,25 @@
 
     /// The position of a key, searched for from an offset on, for values without a span of their own.
     fn key_span(&self, from: usize, key: &str) -> Span {
-        let start = self.text[from..].lines().scan(from, |at, line| {
+        let lines = self.text[from..].lines().scan(from, |at, line| {
             let start = *at;
             *at += line.len() + 1;
             Some((start, line))
         });
-        let is = |line: &str| {
+        let has_key = |line: &str| {
             line.trim_start()
                 .strip_prefix(key)
-                .is_some_and(|l| key.starts_with('[') || l.trim_start().starts_with('='))
+                .is_some_and(|rest| key.starts_with('[') || rest.trim_start().starts_with('='))
         };
-        let found = start.filter(|(_, line)| is(line)).map(|(at, _)| at).next();
+        let found = lines
+            .filter(|(_, line)| has_key(line))
+            .map(|(at, _)| at)
+            .next();
         let at = found.unwrap_or(from);
         at..at
     }
 
+    /// Checks a file and makes the plan of its runs.
     fn plan(&self, file: ExperimentFile) -> Result<Plan, ConfigError> {
         let top_level_key = |key: &str| self.key_span(0, key);
         if file.seeds.is_empty() {
@@ -206,16 +212,16 @@
         let (zones, endpoints) = self.endpoints(&file.fleet, &kinds)?;
         let classes = self.classes(&file.classes)?;
         let mean_work: f64 = {
-            let of: f64 = classes.iter().map(|class| class.share).sum();
+            let all_shares: f64 = classes.iter().map(|class| class.share).sum();
             classes
                 .iter()
                 .map(|class| class.share * class.mean_work)
                 .sum::<f64>()
-                / of
+                / all_shares
         };
         let capacity: f64 = endpoints
             .iter()
-            .map(|e| e.spec.cores as f64 * e.spec.speed)
+            .map(|endpoint| endpoint.spec.cores as f64 * endpoint.spec.speed)
             .sum::<f64>()
             / mean_work;
         let per_second = match (file.load.of_capacity, file.load.per_second) {
@@ -236,15 +242,18 @@
         }
         let (mut changes, length) = (Vec::new(), file.length.0);
         let fleet = self.fleet(&file)?;
-        let needs_peers = |fault: &FaultSection| fleet.is_some() && is_peer_fault(fault.kind);
+        let is_of_fleet_plan = |fault: &FaultSection| fleet.is_some() && is_peer_fault(fault.kind);
         for fault in file
             .faults
             .iter()
-            .filter(|fault| !needs_peers(fault.get_ref()))
+            .filter(|fault| !is_of_fleet_plan(fault.get_ref()))
         {
-            let n = changes.len();
+            let count_before = changes.len();
             self.schedule_changes(fault, &file, &endpoints, &zones, &classes, &mut changes)?;
-            if changes[n..].iter().any(|(at, _)| *at > length * 2) {
+            if changes[count_before..]
+                .iter()
+                .any(|(at, _)| *at > length * 2)
+            {
                 return self.error(
                     &fault.span(),
                     "fault: changes something later than twice the length",
@@ -252,9 +261,9 @@
             }
         }
         changes.sort_by_key(|(at, _)| *at);
-        let needs_processes = changes.iter().any(|(_, c)| {
+        let needs_processes = changes.iter().any(|(_, change)| {
             matches!(
-                c,
+                change,
                 ScheduledChange::SidecarStop(_)
                     | ScheduledChange::SidecarReload(_)
                     | ScheduledChange::SidecarUpgrade(_)
@@ -289,16 +298,16 @@
             .iter()
             .map(|expectation| self.expectation(expectation, &file, &classes, &zones, &policies));
         let expectations = expectations.collect::<Result<Vec<_>, ConfigError>>()?;
-        let of: f64 = file
+        let all_shares: f64 = file
             .tenants
             .iter()
-            .map(|c| c.load_share.unwrap_or(c.tenant_share))
+            .map(|tenant| tenant.load_share.unwrap_or(tenant.tenant_share))
             .sum();
-        let tenants = file.tenants.iter().map(|c| {
+        let tenants = file.tenants.iter().map(|tenant| {
             (
-                c.name.clone(),
-                c.tenant_share,
-                c.load_share.unwrap_or(c.tenant_share) / of,
+                tenant.name.clone(),
+                tenant.tenant_share,
+                tenant.load_share.unwrap_or(tenant.tenant_share) / all_shares,
             )
         });
         let allowed = &file.allowed;
@@ -352,12 +361,9 @@
                 "warm_within": spec.warm_up_time.as_nanos() as u64, "tip_multiple": spec.overload_multiple,
                 "tip_after": spec.overload_window.as_nanos() as u64,
             }),
-            goal: json!({ "whole": file.objective.total, "worst_class": file.objective.worst_class }),
+            objective: json!({ "whole": file.objective.total, "worst_class": file.objective.worst_class }),
             about: file.about,
-            routes: file
-                .routes
-                .as_ref()
-                .map(|request| request.get_ref().clone()),
+            routes: file.routes.as_ref().map(|routes| routes.get_ref().clone()),
             fleet,
             zones,
             endpoints,
@@ -460,11 +466,11 @@
             .iter()
             .filter(|fault| is_peer_fault(fault.get_ref().kind))
         {
-            let (fault_section, span) = (fault.get_ref(), fault.span());
+            let (section, span) = (fault.get_ref(), fault.span());
             for (key, list) in [
-                ("instances", &fault_section.instances),
-                ("from", &fault_section.from_instances),
-                ("to", &fault_section.to_instances),
+                ("instances", &section.instances),
+                ("from", &section.from_instances),
+                ("to", &section.to_instances),
             ] {
                 if let Some(n) = list.iter().flatten().find(|n| **n >= file.instances) {
                     return self.error(
@@ -473,19 +479,17 @@
                     );
                 }
             }
-            let between = fault_section.kind.is_between_peers();
-            if fault_section.instances.is_some() && between
-                || !between
-                    && (fault_section.from_instances.is_some()
-                        || fault_section.to_instances.is_some())
+            let between = section.kind.is_between_peers();
+            if section.instances.is_some() && between
+                || !between && (section.from_instances.is_some() || section.to_instances.is_some())
             {
                 return self.error(
                     &span,
                     "fault: faults between sidecars take from and to, others take instances",
                 );
             }
-            if fault_section.target.is_some()
-                && (fault_section.instances.is_some() || fault_section.from_instances.is_some())
+            if section.target.is_some()
+                && (section.instances.is_some() || section.from_instances.is_some())
             {
                 return self.error(
                     &span,
@@ -496,17 +500,17 @@
                 Some(share) => Ok(share.0),
                 None => self.error(&span, "fault: share is missing"),
             };
-            let effect = match fault_section.kind {
+            let effect = match section.kind {
                 FaultKind::PeersCut => What::Cut {
-                    out: fault_section.one_way != Some(OneWay::Back),
-                    back: fault_section.one_way != Some(OneWay::Out),
+                    out: section.one_way != Some(OneWay::Back),
+                    back: section.one_way != Some(OneWay::Out),
                 },
-                FaultKind::PeersLose => What::Lose(required_share(fault_section.share)?),
-                FaultKind::PeersDuplicate => What::Twice(required_share(fault_section.share)?),
-                FaultKind::PeersLate => match fault_section.delay {
+                FaultKind::PeersLose => What::Lose(required_share(section.share)?),
+                FaultKind::PeersDuplicate => What::Twice(required_share(section.share)?),
+                FaultKind::PeersLate => match section.delay {
                     Some(by) => What::Late {
                         by: by.0,
-                        spread: fault_section.delay_spread.unwrap_or_default().0,
+                        spread: section.delay_spread.unwrap_or_default().0,
                     },
                     None => return self.error(&span, "fault peers-late: by is missing"),
                 },
@@ -516,45 +520,42 @@
                 FaultKind::SidecarStop => What::Stop,
                 _ => What::ActsKeep,
             };
-            if fault_section.one_way.is_some() && fault_section.kind != FaultKind::PeersCut {
+            if section.one_way.is_some() && section.kind != FaultKind::PeersCut {
                 return self.error(&span, "one_way: only for peers-cut");
             }
             let must_end = matches!(effect, What::Pause | What::Keep | What::ActsKeep);
-            if must_end && fault_section.duration.is_none() {
+            if must_end && section.duration.is_none() {
                 return self.error(
                     &span,
                     "fault: for is missing; a pause or a buffering has to end",
                 );
             }
             let whom = match (
-                fault_section.target,
-                fault_section
-                    .instances
-                    .clone()
-                    .or(fault_section.from_instances.clone()),
+                section.target,
+                section.instances.clone().or(section.from_instances.clone()),
             ) {
                 (Some(FaultTarget::Owner), _) => Whom::Owner,
                 (Some(FaultTarget::Minority), _) => Whom::Minority,
                 (Some(FaultTarget::Voters), _) => Whom::Voters,
                 (None, list) => Whom::These(list.unwrap_or_else(|| (0..file.instances).collect())),
             };
-            let every = fault_section.every.map_or(Duration::ZERO, |t| t.0);
-            for round in 0..fault_section.repetitions.unwrap_or(1).clamp(1, 1000) {
+            let every = section.every.map_or(Duration::ZERO, |time| time.0);
+            for round in 0..section.repetitions.unwrap_or(1).clamp(1, 1000) {
                 // With every but without repeat, the sidecars are hit one after the other.
-                let all: Vec<Whom> = match (&whom, fault_section.repetitions) {
+                let all: Vec<Whom> = match (&whom, section.repetitions) {
                     (Whom::These(list), None) if !every.is_zero() => {
                         list.iter().map(|n| Whom::These(vec![*n])).collect()
                     }
                     _ => vec![whom.clone()],
                 };
                 for (n, whom) in all.into_iter().enumerate() {
-                    let from = fault_section.at.0 + every * (round + n) as u32;
-                    let to = fault_section.duration.map(|span| from + span.0);
+                    let from = section.at.0 + every * (round + n) as u32;
+                    let to = section.duration.map(|span| from + span.0);
                     faults.push(FleetFault {
                         from,
                         to,
                         whom,
-                        others: fault_section.to_instances.clone(),
+                        others: section.to_instances.clone(),
                         what: effect,
                     });
                 }
@@ -573,6 +574,7 @@
         }))
     }
 
+    /// The zones and endpoints of the fleet.
     fn endpoints(
         &self,
         fleet: &FleetSection,
@@ -588,8 +590,8 @@
                     format!("kind: unknown '{}'; there are {known}", group.kind),
                 );
             };
-            let file = &fleet.kinds[&group.kind];
-            if file.cores == 0 || file.speed <= 0.0 || group.weight <= 0.0 {
+            let section = &fleet.kinds[&group.kind];
+            if section.cores == 0 || section.speed <= 0.0 || group.weight <= 0.0 {
                 let message = format!(
                     "kind {}: cores, speed and weight must be greater than 0",
                     group.kind
@@ -605,20 +607,20 @@
                 });
             for n in 0..group.count {
                 let spec = EndpointSpec {
-                    cores: file.cores,
-                    speed: file.speed,
-                    queue_limit: file.queue_limit,
-                    slowdown_queue_length: file.slowdown_queue_length,
-                    slowdown_speed: file.slowdown_speed.0,
-                    cold_capacity: file.cold_capacity.0.max(0.01),
-                    warm_up_time: file.warm_up_time.0,
-                    overload_multiple: file.overload_multiple,
-                    overload_window: file.overload_window.0,
-                    crashes_on_overload: file.crashes_on_overload,
-                    stops_cancelled: file.stops_cancelled,
-                    max_connections: file.max_connections,
-                    connection_work: file.connection_work.0.as_secs_f64(),
-                    report_age: file.report_age.0,
+                    cores: section.cores,
+                    speed: section.speed,
+                    queue_limit: section.queue_limit,
+                    slowdown_queue_length: section.slowdown_queue_length,
+                    slowdown_speed: section.slowdown_speed.0,
+                    cold_capacity: section.cold_capacity.0.max(0.01),
+                    warm_up_time: section.warm_up_time.0,
+                    overload_multiple: section.overload_multiple,
+                    overload_window: section.overload_window.0,
+                    crashes_on_overload: section.crashes_on_overload,
+                    stops_cancelled: section.stops_cancelled,
+                    max_connections: section.max_connections,
+                    connection_work: section.connection_work.0.as_secs_f64(),
+                    report_age: section.report_age.0,
                 };
                 let cell = n % group.cells.max(1);
                 endpoints.push(EndpointPlan {
@@ -639,9 +641,10 @@
         }
     }
 
-    fn classes(&self, file: &[Spanned<ClassSection>]) -> Result<Vec<ClassPlan>, ConfigError> {
+    /// The request classes.
+    fn classes(&self, sections: &[Spanned<ClassSection>]) -> Result<Vec<ClassPlan>, ConfigError> {
         let mut classes: Vec<ClassPlan> = Vec::new();
-        for spanned in file {
+        for spanned in sections {
             let (class, span) = (spanned.get_ref(), spanned.span());
             let is_invalid = class.name.is_empty()
                 || !class
@@ -708,13 +711,13 @@
         classes: &[ClassPlan],
         changes: &mut Vec<(Duration, ScheduledChange)>,
     ) -> Result<(), ConfigError> {
-        let (fault_section, span) = (fault.get_ref(), fault.span());
-        let kind = fault_section.kind.name();
-        let required_share = |message: Option<Ratio>, key: &str| match message {
+        let (section, span) = (fault.get_ref(), fault.span());
+        let kind = section.kind.name();
+        let required_share = |share: Option<Ratio>, key: &str| match share {
             Some(share) => Ok(share.0),
             None => self.error(&span, format!("fault {kind}: {key} is missing")),
         };
-        if let Some(n) = fault_section
+        if let Some(n) = section
             .endpoints
             .iter()
             .flatten()
@@ -728,7 +731,7 @@
                 ),
             );
         }
-        if let Some(n) = fault_section
+        if let Some(n) = section
             .instances
             .iter()
             .flatten()
@@ -742,7 +745,7 @@
                 ),
             );
         }
-        let zone = match &fault_section.zone {
+        let zone = match &section.zone {
             None => None,
             Some(name) => match zones.iter().position(|z| z == name) {
                 Some(zone) => Some(zone),
@@ -750,26 +753,26 @@
             },
         };
         let is_named = |n: &usize| {
-            fault_section
+            section
                 .endpoints
                 .as_ref()
                 .is_none_or(|list| list.contains(n))
         };
-        let at: Vec<usize> = (0..endpoints.len())
+        let endpoints_hit: Vec<usize> = (0..endpoints.len())
             .filter(|n| is_named(n) && zone.is_none_or(|zone| endpoints[*n].zone == zone))
             .collect();
-        let of: Vec<usize> = fault_section
+        let instances_hit: Vec<usize> = section
             .instances
             .clone()
             .unwrap_or_else(|| (0..file.instances).collect());
-        let duration = fault_section.duration.map(|t| t.0);
-        if fault_section.repetitions.is_some() && fault_section.every.is_none() {
+        let duration = section.duration.map(|time| time.0);
+        if section.repetitions.is_some() && section.every.is_none() {
             return self.error(&span, format!("fault {kind}: repeat needs every"));
         }
-        let every = fault_section.every.map_or(Duration::ZERO, |t| t.0);
-        for round in 0..fault_section.repetitions.unwrap_or(1).clamp(1, 1000) {
-            let from = fault_section.at.0
-                + if fault_section.kind == FaultKind::Deploy {
+        let every = section.every.map_or(Duration::ZERO, |time| time.0);
+        for round in 0..section.repetitions.unwrap_or(1).clamp(1, 1000) {
+            let from = section.at.0
+                + if section.kind == FaultKind::Deploy {
                     Duration::ZERO
                 } else {
                     every * round as u32
@@ -779,31 +782,31 @@
                 changes.push((from, on));
                 changes.extend(to.map(|to| (to, off)));
             };
-            for e in at.iter().copied() {
+            for endpoint in endpoints_hit.iter().copied() {
                 let mut endpoint_fault = |on: FaultChange, off: FaultChange| {
                     during_fault(
-                        ScheduledChange::EndpointFault(e, on),
-                        ScheduledChange::EndpointFault(e, off),
+                        ScheduledChange::EndpointFault(endpoint, on),
+                        ScheduledChange::EndpointFault(endpoint, off),
                     )
                 };
-                match fault_section.kind {
+                match section.kind {
                     FaultKind::Stall => {
                         endpoint_fault(FaultChange::Stalled(true), FaultChange::Stalled(false))
                     }
                     FaultKind::Slow => endpoint_fault(
-                        FaultChange::SpeedLeft(required_share(fault_section.speed_left, "left")?),
+                        FaultChange::SpeedLeft(required_share(section.speed_left, "left")?),
                         FaultChange::SpeedLeft(1.0),
                     ),
                     FaultKind::Errors => endpoint_fault(
-                        FaultChange::ErrorShare(required_share(fault_section.share, "share")?),
+                        FaultChange::ErrorShare(required_share(section.share, "share")?),
                         FaultChange::ErrorShare(0.0),
                     ),
                     FaultKind::MalformedResponses => endpoint_fault(
-                        FaultChange::MalformedShare(required_share(fault_section.share, "share")?),
+                        FaultChange::MalformedShare(required_share(section.share, "share")?),
                         FaultChange::MalformedShare(0.0),
                     ),
                     FaultKind::Resets => endpoint_fault(
-                        FaultChange::ResetShare(required_share(fault_section.share, "share")?),
+                        FaultChange::ResetShare(required_share(section.share, "share")?),
                         FaultChange::ResetShare(0.0),
                     ),
                     FaultKind::FalseLoadReports => endpoint_fault(
@@ -811,7 +814,7 @@
                         FaultChange::ReportsIdle(false),
                     ),
                     FaultKind::Hang => {
-                        let name = fault_section.class.clone().unwrap_or_default();
+                        let name = section.class.clone().unwrap_or_default();
                         let Some(class) = classes.iter().position(|class| class.name == name)
                         else {
                             return self.error(&span, format!("verb: unknown '{name}'"));
@@ -822,52 +825,55 @@
                         );
                     }
                     FaultKind::NetworkCut => {
-                        let instances: Vec<bool> =
-                            (0..file.instances).map(|n| of.contains(&n)).collect();
+                        let instances: Vec<bool> = (0..file.instances)
+                            .map(|n| instances_hit.contains(&n))
+                            .collect();
                         let cut = |on| ScheduledChange::NetworkCut {
-                            endpoint: e,
+                            endpoint,
                             instances: instances.clone(),
                             on,
                         };
                         during_fault(cut(true), cut(false));
                     }
-                    FaultKind::Crash => {
-                        during_fault(ScheduledChange::Crash(e), ScheduledChange::Start(e))
-                    }
+                    FaultKind::Crash => during_fault(
+                        ScheduledChange::Crash(endpoint),
+                        ScheduledChange::Start(endpoint),
+                    ),
                     FaultKind::Cordon => during_fault(
-                        ScheduledChange::Cordon(e, true),
-                        ScheduledChange::Cordon(e, false),
+                        ScheduledChange::Cordon(endpoint, true),
+                        ScheduledChange::Cordon(endpoint, false),
+                    ),
+                    FaultKind::Drain => during_fault(
+                        ScheduledChange::Drain(endpoint),
+                        ScheduledChange::Leave(endpoint),
                     ),
-                    FaultKind::Drain => {
-                        during_fault(ScheduledChange::Drain(e), ScheduledChange::Leave(e))
-                    }
                     _ => {}
                 }
             }
-            match fault_section.kind {
+            match section.kind {
                 // One endpoint after the other: drain, stop, start again.
                 FaultKind::Deploy => {
-                    let step = fault_section.every.map_or(Duration::from_secs(2), |t| t.0);
+                    let step = section.every.map_or(Duration::from_secs(2), |time| time.0);
                     let drain_time = duration.unwrap_or(Duration::from_secs(1));
-                    for (n, e) in at.iter().copied().enumerate() {
+                    for (n, endpoint) in endpoints_hit.iter().copied().enumerate() {
                         let from = from + step * n as u32;
-                        changes.push((from, ScheduledChange::Drain(e)));
-                        changes.push((from + drain_time, ScheduledChange::Crash(e)));
+                        changes.push((from, ScheduledChange::Drain(endpoint)));
+                        changes.push((from + drain_time, ScheduledChange::Crash(endpoint)));
                         changes.push((
                             from + drain_time + Duration::from_millis(500),
-                            ScheduledChange::Start(e),
+                            ScheduledChange::Start(endpoint),
                         ));
                     }
                 }
                 FaultKind::DiscoveryLate => {
-                    let Some(by) = fault_section.delay else {
+                    let Some(delay) = section.delay else {
                         return self.error(&span, "fault discovery-late: by is missing");
                     };
                     during_fault(
-                        ScheduledChange::DiscoveryDelay(by.0),
+                        ScheduledChange::DiscoveryDelay(delay.0),
                         ScheduledChange::DiscoveryDelay(Duration::ZERO),
                     );
-                    if let Some(spread) = fault_section.delay_spread {
+                    if let Some(spread) = section.delay_spread {
                         during_fault(
                             ScheduledChange::DiscoveryStagger(spread.0),
                             ScheduledChange::DiscoveryStagger(Duration::ZERO),
@@ -884,30 +890,37 @@
                         ScheduledChange::DiscoveryMalformed(false),
                     );
                 }
-                FaultKind::SidecarKill => {
-                    changes.extend(of.iter().map(|n| (from, ScheduledChange::SidecarKill(*n))))
-                }
-                FaultKind::SidecarStop => {
-                    changes.extend(of.iter().map(|n| (from, ScheduledChange::SidecarStop(*n))))
-                }
+                FaultKind::SidecarKill => changes.extend(
+                    instances_hit
+                        .iter()
+                        .map(|n| (from, ScheduledChange::SidecarKill(*n))),
+                ),
+                FaultKind::SidecarStop => changes.extend(
+                    instances_hit
+                        .iter()
+                        .map(|n| (from, ScheduledChange::SidecarStop(*n))),
+                ),
                 FaultKind::SidecarReload => changes.extend(
-                    of.iter()
+                    instances_hit
+                        .iter()
                         .map(|n| (from, ScheduledChange::SidecarReload(*n))),
                 ),
                 FaultKind::SidecarUpgrade => changes.extend(
-                    of.iter()
+                    instances_hit
+                        .iter()
                         .map(|n| (from, ScheduledChange::SidecarUpgrade(*n))),
                 ),
                 FaultKind::SidecarReconfigure => {
-                    let Some(relays) = fault_section.max_relays.filter(|relays| *relays > 0) else {
+                    let Some(max_relays) = section.max_relays.filter(|relays| *relays > 0) else {
                         return self.error(&span, "fault sidecar-retune: relays is missing or 0");
                     };
                     changes.extend(
-                        of.iter()
-                            .map(|n| (from, ScheduledChange::SidecarReconfigure(*n, relays))),
+                        instances_hit
+                            .iter()
+                            .map(|n| (from, ScheduledChange::SidecarReconfigure(*n, max_relays))),
                     );
                 }
-                _ if at.is_empty() => {
+                _ if endpoints_hit.is_empty() => {
                     return self.error(&span, format!("fault {kind}: applies to no endpoint"));
                 }
                 _ => {}
@@ -916,6 +929,7 @@
         Ok(())
     }
 
+    /// An expectation with its label in reports.
     fn expectation(
         &self,
         expectation: &Spanned<ExpectationSection>,
@@ -946,7 +960,7 @@
             "verb",
         )?;
         let zone = position_of(&section.zone, zones.iter().collect(), "zone")?;
-        let asked_in = position_of(&section.client_zone, zones.iter().collect(), "asked_in")?;
+        let client_zone = position_of(&section.client_zone, zones.iter().collect(), "asked_in")?;
         if section.at_least.is_none() && section.at_most.is_none() {
             return self.error(
                 &span,
@@ -983,8 +997,8 @@
                 "hold: share, returns, swing and load are of a zone, and no other metric is",
             );
         }
-        let window =
-            section.from.map_or(file.settle.0, |t| t.0)..section.to.map_or(file.length.0, |t| t.0);
+        let window = section.from.map_or(file.settle.0, |time| time.0)
+            ..section.to.map_or(file.length.0, |time| time.0);
         if window.start >= window.end || window.end > file.length.0 {
             return self.error(
                 &span,
@@ -992,25 +1006,26 @@
             );
         }
         let line = line_number(self.text, span.start);
+        // Reports contain the label.
         let name = format!("{:?}", section.metric).to_lowercase();
-        let mut text = section
+        let mut label = section
             .policy
             .clone()
             .filter(|p| p != "passroad")
             .map_or(name.clone(), |p| format!("{name} of {p}"));
-        text.extend(section.class.iter().map(|class| format!(" of {class}")));
-        text.extend(section.zone.iter().map(|z| format!(" of zone {z}")));
-        text.extend(
+        label.extend(section.class.iter().map(|class| format!(" of {class}")));
+        label.extend(section.zone.iter().map(|z| format!(" of zone {z}")));
+        label.extend(
             section
                 .client_zone
                 .iter()
                 .map(|z| format!(" asked in zone {z}")),
         );
         if section.from.is_some() || section.to.is_some() {
-            let (allowed, b) = (window.start.as_secs_f64(), window.end.as_secs_f64());
-            text += &format!(" from {allowed:.1} to {b:.1} s");
+            let (start, end) = (window.start.as_secs_f64(), window.end.as_secs_f64());
+            label += &format!(" from {start:.1} to {end:.1} s");
         }
-        text.extend(
+        label.extend(
             section
                 .compared_policy
                 .iter()
@@ -1023,12 +1038,12 @@
             window,
             class,
             zone,
-            client_zone: asked_in,
+            client_zone,
             at_least: section.at_least,
             at_most: section.at_most,
             simulated_only: section.simulated_only || section.metric == Metric::Believers,
             line,
-            label: text,
+            label,
         })
     }
 }
@@ -1097,7 +1112,7 @@
         json!({
             "verbs": classes, "tenants": tenants, "dcs": self.zones, "az": self.zones[zone],
             "discovery": "on_request", "weights": "nominal", "report": { "how": report_mode },
-            "allowed": self.allowed, "prices": self.prices, "rules": self.rules, "goal": self.goal,
+            "allowed": self.allowed, "prices": self.prices, "rules": self.rules, "goal": self.objective,
             "tick": 1_000_000, "surplus_utility": 0.5,
         })
     }
