--- a/crates/passroad-rig/src/experiment.rs
+++ b/crates/passroad-rig/src/experiment.rs
@@ -2,6 +2,7 @@
 //! unknown name or a value without a unit is an error that names the line and the key.
 
 mod checks;
+mod expectations;
 mod faults;
 mod file_format;
 
