--- a/crates/passroad-rig/src/experiment.rs
+++ b/crates/passroad-rig/src/experiment.rs
@@ -17,6 +17,7 @@
 use std::ops::Range;
 use std::time::Duration;
 
+/// A request class.
 #[derive(Debug, Clone)]
 pub struct ClassPlan {
     pub name: String,
@@ -32,6 +33,7 @@
     pub share: f64,
 }
 
+/// An endpoint: its model, and how discovery lists it.
 #[derive(Debug, Clone)]
 pub struct EndpointPlan {
     pub spec: EndpointSpec,
@@ -70,6 +72,7 @@
     SidecarReconfigure(usize, usize),
 }
 
+/// Bounds for a metric over a window of time, for one policy or its difference to another one.
 #[derive(Debug, Clone)]
 pub struct Expectation {
     pub metric: Metric,
@@ -83,7 +86,7 @@
     pub at_least: Option<f64>,
     pub at_most: Option<f64>,
     pub simulated_only: bool,
-    pub line: usize,
+    pub line: usize, // in the file
     pub label: String,
 }
 
@@ -93,7 +96,7 @@
     pub about: String,
     pub seeds: Vec<u64>,
     pub length: Duration,
-    pub settle: Duration,
+    pub settle: Duration, // at the start of the run, not counted in figures
     pub instances: usize,
     pub socket_mode: Option<SocketMode>,
     pub zones: Vec<String>,
--- a/crates/passroad-rig/src/main.rs
+++ b/crates/passroad-rig/src/main.rs
@@ -1,4 +1,4 @@
-//! `passroad-rig`: experiments from files, played and judged.
+//! `passroad-rig`: runs experiments from files, checks their expectations and writes reports.
 
 use clap::{Parser, Subcommand};
 use passroad_rig::added_latency::{self, Asked, Connections};
@@ -9,74 +9,74 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
-/// A stand-in fleet for passroad: load, faults, and a ledger of the rules.
+/// A simulated fleet for passroad: load, faults, and checks of the rules of the service.
 ///
-/// `run` plays experiments and says whether what they ask for holds: 0 if all of it does, 1 if something does not,
-/// 2 if something given can't be used.
+/// `run` runs experiments and checks their expectations. Exit code: 0 if all hold, 1 if one does not, 2 if the input
+/// can't be used.
 #[derive(Parser)]
 #[command(name = "passroad-rig", version)]
-struct Told {
+struct Arguments {
     #[command(subcommand)]
-    what: What,
+    command: Command,
 }
 
 #[derive(Subcommand)]
-enum What {
-    /// See it work: two sidecars and six endpoints on loopback sockets, one of which fails in the middle. No file needed.
+enum Command {
+    /// A demonstration: two sidecars and six endpoints on loopback sockets, one of which fails in the middle. Needs no file.
     Try {
         /// How long the load lasts.
         #[arg(long, default_value_t = 10, value_parser = clap::value_parser!(u64).range(4..=600))]
         seconds: u64,
         #[command(flatten)]
-        out: Out,
+        out: ReportFiles,
     },
-    /// Play experiments and say whether what they ask for holds.
+    /// Run experiments and check their expectations.
     Run {
         /// Files, as those under experiments/.
         #[arg(required = true)]
         files: Vec<PathBuf>,
-        /// In simulated time, or on loopback sockets against real sidecars; else as the file says, simulated if it says
-        /// nothing. On sockets only passroad decides, and holds of others are passed over.
+        /// In virtual time, or on loopback sockets with real sidecars. The default is what the file says, or virtual time.
+        /// On sockets only passroad's policies run, and expectations on others are skipped.
         #[arg(long, value_enum)]
-        on: Option<On>,
-        /// Play these seeds in place of the file's: 1,2,5 or 1..20.
+        on: Option<Mode>,
+        /// Use these seeds instead of the file's: 1,2,5 or 1..20.
         #[arg(long, value_parser = seeds)]
         seeds: Option<Seeds>,
-        /// Let these decide in place of the file's: passroad, passroad-routes, random, round-robin, least-of-two,
+        /// Run these policies instead of the file's: passroad, passroad-routes, random, round-robin, least-of-two,
         /// full-sight.
         #[arg(long, value_delimiter = ',')]
         policies: Vec<String>,
-        /// Play so many instances in place of the file's; the load stays as it is.
+        /// Use this number of instances instead of the file's; the load stays the same.
         #[arg(long)]
         instances: Option<usize>,
-        /// Simulated days played at the same time; the result is the same for any number.
+        /// Number of runs simulated at the same time; the result is the same for any number.
         #[arg(long, default_value_t = 4)]
         threads: usize,
-        /// Take the fence at the resource out, to see what it is for: of sidecars that talk.
+        /// Turn off the fence at the resource, to see what it prevents; for experiments with peers.
         #[arg(long)]
         no_fence: bool,
-        /// On sockets, start this program in place of the one built in: an earlier version, for example.
+        /// On sockets, start this program instead of the built-in sidecar, for example an earlier version.
         #[arg(long, value_name = "PATH")]
         sidecar: Option<PathBuf>,
-        /// On sockets, put the logs of the sidecars into this folder.
+        /// On sockets, write the logs of the sidecars to this folder.
         #[arg(long, value_name = "FOLDER")]
         logs: Option<PathBuf>,
-        /// Print the module's log lines as well.
+        /// Print the balancer's log lines as well.
         #[arg(long)]
         lines: bool,
         #[command(flatten)]
-        out: Out,
+        out: ReportFiles,
     },
-    /// Set two JSON reports of one experiment side by side, paired by seed; says where there is no telling apart.
+    /// Compare two JSON reports of one experiment, paired by seed, and say which differences are not significant.
     Compare { before: PathBuf, after: PathBuf },
-    /// Read experiments and say what is wrong with them.
+    /// Check experiment files without running them.
     Check {
         #[arg(required = true)]
         files: Vec<PathBuf>,
     },
-    /// Print the configuration that a sidecar gets in an experiment, as a sample of one.
+    /// Print the configuration of a sidecar in an experiment, as a sample.
     Sample { file: Option<PathBuf> },
-    /// Play histories of sidecars that talk, drawn at random, in simulated time, and say whether any breaks a promise.
+    /// Simulate random histories of sidecars that exchange messages, and check that none breaks a guarantee.
     Histories {
         /// The first seed.
         #[arg(long, default_value_t = 1)]
@@ -85,46 +85,46 @@
         count: u64,
         #[arg(long, default_value_t = 4)]
         threads: usize,
-        /// Take the fence at the resource out, to see what it is for.
+        /// Turn off the fence at the resource, to see what it prevents.
         #[arg(long)]
         no_fence: bool,
     },
-    /// Measure what a call gains in a sidecar: the same load straight to the endpoints and through it, by turns.
-    AddedLatency(AddedLatency),
+    /// Measure the latency that a sidecar adds to a call: the same load to the endpoints directly and through it, in turns.
+    AddedLatency(AddedLatencyArguments),
     /// Write the tables of docs/CAPACITY.md: what each role needs at the target's size, and what breaks first.
     Capacity(passroad_rig::capacity::Told),
-    /// Play scale runs: as many sidecars as a target has, hollow ones beside real ones, on loopback.
+    /// Run scale experiments: as many sidecars as a target has, simulated ones beside real ones, on loopback.
     Scale {
         /// Files, as experiments/scale-*.toml.
         #[arg(required = true)]
         files: Vec<PathBuf>,
-        /// Play this size in place of the file's.
+        /// Use this number of sidecars instead of the file's.
         #[arg(long)]
         sidecars: Option<usize>,
-        /// Play these seeds in place of the file's: 1,2,5 or 1..3.
+        /// Use these seeds instead of the file's: 1,2,5 or 1..3.
         #[arg(long, value_parser = seeds)]
         seeds: Option<Seeds>,
         /// Write the figures as points for the capacity page to this file; with {seed} in its name a file for each seed.
         #[arg(long, value_name = "FILE")]
         json: Option<PathBuf>,
-        /// What the figures are of: the short hash of the program's commit.
+        /// The short hash of the measured program's commit.
         #[arg(long, default_value = "unknown")]
         commit: String,
     },
-    /// Be the process of some hundred hollow sidecars; it ends with its standard input.
-    #[command(hide = true)]
-    Hollow { folder: PathBuf },
-    /// Run the sidecar itself, as the rig does on sockets; it reads LB_CONFIG and ends with its standard input.
+    /// Be the process of some hundred simulated sidecars; it ends when its standard input closes.
+    #[command(hide = true, name = "hollow")]
+    SimulatedSidecars { folder: PathBuf },
+    /// Run the sidecar itself, as the rig does on sockets; it reads LB_CONFIG and ends when its standard input closes.
     #[command(hide = true)]
     Sidecar,
 }
 
 #[derive(clap::Args)]
-struct AddedLatency {
-    /// Calls a second, one measurement each.
+struct AddedLatencyArguments {
+    /// Calls per second; one measurement for each rate.
     #[arg(long, value_delimiter = ',', default_value = "230,920", value_parser = clap::value_parser!(u32).range(1..=20_000))]
     rate: Vec<u32>,
-    /// Whether connections outlive a call: warm, cold.
+    /// Whether connections are kept between calls: warm, cold.
     #[arg(long, value_delimiter = ',', default_value = "warm,cold", value_parser = connections)]
     connections: Vec<Connections>,
     /// How long each arm has the load, all its turns together.
@@ -133,21 +133,21 @@
     /// How long one turn is, in milliseconds; the first fifth of it is not counted.
     #[arg(long, default_value_t = 1000, value_parser = clap::value_parser!(u32).range(50..=10_000))]
     turn_ms: u32,
-    /// Calls within calls, each with a sidecar of its own.
+    /// Depth of nested calls, each through a sidecar of its own.
     #[arg(long, default_value_t = 1, value_parser = clap::value_parser!(u32).range(1..=9))]
     depth: u32,
     /// Endpoints of each tier.
     #[arg(long, default_value_t = 10, value_parser = clap::value_parser!(u32).range(1..=60))]
     endpoints: u32,
-    /// Of a call at its endpoint, in milliseconds.
+    /// Work of a call at its endpoint, in milliseconds.
     #[arg(long, default_value_t = 1, value_parser = clap::value_parser!(u64).range(0..=100))]
     work_ms: u64,
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// Only straight and as shipped, not the arms that say where the difference goes.
+    /// Only measure directly and with the sidecar as shipped, not the arms that break the difference down.
     #[arg(long)]
     no_parts: bool,
-    /// Start this program in place of the one built in.
+    /// Start this program instead of the built-in sidecar.
     #[arg(long, value_name = "PATH")]
     sidecar: Option<PathBuf>,
     /// Write points for slopes as JSON to this file.
@@ -163,26 +163,28 @@
     }
 }
 
-/// Whether every call was answered.
-fn added(told: AddedLatency) -> Result<bool, String> {
-    let asked = Asked {
-        rates: told.rate,
-        connections: told.connections,
-        // Two at least: of one there is no error.
-        rounds: (told.seconds * 1000).div_ceil(told.turn_ms).max(2) as usize,
-        slice: Duration::from_millis(u64::from(told.turn_ms)),
-        depth: told.depth as usize,
-        endpoints: told.endpoints as usize,
-        work: Duration::from_millis(told.work_ms),
-        seed: told.seed,
-        parts: !told.no_parts,
+/// Measures added latency; returns whether every call was answered.
+fn measure_added_latency(arguments: AddedLatencyArguments) -> Result<bool, String> {
+    let settings = Asked {
+        rates: arguments.rate,
+        connections: arguments.connections,
+        // At least two, as a single round has no standard error.
+        rounds: (arguments.seconds * 1000)
+            .div_ceil(arguments.turn_ms)
+            .max(2) as usize,
+        slice: Duration::from_millis(u64::from(arguments.turn_ms)),
+        depth: arguments.depth as usize,
+        endpoints: arguments.endpoints as usize,
+        work: Duration::from_millis(arguments.work_ms),
+        seed: arguments.seed,
+        parts: !arguments.no_parts,
     };
-    let all = added_latency::run(&asked, &program(told.sidecar)?)?;
-    print!("{}", added_latency::text(&asked, &all));
-    if let Some(path) = &told.json {
+    let results = added_latency::run(&settings, &sidecar_program(arguments.sidecar)?)?;
+    print!("{}", added_latency::text(&settings, &results));
+    if let Some(path) = &arguments.json {
         let points = added_latency::json(
-            &asked,
-            &all,
+            &settings,
+            &results,
             &added_latency::command(),
             &added_latency::commit(),
         );
@@ -191,13 +193,13 @@
             &serde_json::to_string_pretty(&points).map_err(|e| e.to_string())?,
         )?;
     }
-    Ok(all.iter().all(added_latency::Measured::whole))
+    Ok(results.iter().all(added_latency::Measured::whole))
 }
 
-/// Where reports go beside standard output.
+/// Where reports are written beside standard output.
 #[derive(clap::Args)]
-struct Out {
-    /// Write figures and series as JSON to this file, - for standard output in place of the text; with several
+struct ReportFiles {
+    /// Write figures and series as JSON to this file, - for standard output instead of the text; with several
     /// experiments to this folder.
     #[arg(long, value_name = "FILE")]
     json: Option<PathBuf>,
@@ -207,9 +209,9 @@
 }
 
 #[derive(clap::ValueEnum, Clone, Copy, PartialEq, Eq)]
-enum On {
+enum Mode {
     Virtual,
-    SocketMode,
+    Sockets,
 }
 
 #[derive(Clone)]
@@ -221,41 +223,42 @@
             .parse::<u64>()
             .map_err(|_| format!("'{t}' is no seed"))
     };
-    let all = match text.split_once("..") {
+    let seeds = match text.split_once("..") {
         Some((from, to)) => (number(from)?..=number(to)?).take(10_001).collect(),
         None => text.split(',').map(number).collect::<Result<Vec<_>, _>>()?,
     };
-    match all.len() {
+    match seeds.len() {
         0 => Err("none".into()),
-        1..=10_000 => Ok(Seeds(all)),
+        1..=10_000 => Ok(Seeds(seeds)),
         _ => Err("more than 10000".into()),
     }
 }
 
-const TRY: &str = include_str!("try.toml");
+const TRY_EXPERIMENT: &str = include_str!("try.toml");
 
 fn read(path: &Path, instances: Option<usize>) -> Result<Plan, String> {
     let text = std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))?;
     experiment::parse_with_instances(&text, instances)
-        .map_err(|wrong| format!("{}: {wrong}", path.display()))
+        .map_err(|error| format!("{}: {error}", path.display()))
 }
 
-/// Whole or not at all: a disk that is full must not leave half a page behind.
+/// Writes a file whole or not at all, so that a full disk doesn't leave half a report behind.
 fn write(path: &Path, text: &str) -> Result<(), String> {
-    let at = |what: &str, e: std::io::Error| format!("{what} {}: {e}", path.display());
+    let describe =
+        |what: &str, error: std::io::Error| format!("{what} {}: {error}", path.display());
     if let Some(folder) = path.parent().filter(|f| !f.as_os_str().is_empty()) {
-        std::fs::create_dir_all(folder).map_err(|e| at("folder of", e))?;
+        std::fs::create_dir_all(folder).map_err(|e| describe("folder of", e))?;
     }
-    let new = path.with_extension("new");
-    let written = std::fs::write(&new, text).and_then(|()| std::fs::rename(&new, path));
+    let temporary = path.with_extension("new");
+    let written = std::fs::write(&temporary, text).and_then(|()| std::fs::rename(&temporary, path));
     written.map_err(|e| {
-        let _ = std::fs::remove_file(&new);
-        at("report", e)
+        let _ = std::fs::remove_file(&temporary);
+        describe("report", e)
     })
 }
 
-/// What is started as a sidecar: this executable itself, or another build.
-fn program(sidecar: Option<PathBuf>) -> Result<Program, String> {
+/// The program that is started as a sidecar: this executable, or the one given.
+fn sidecar_program(sidecar: Option<PathBuf>) -> Result<Program, String> {
     match sidecar {
         Some(path) => {
             sockets::usable(&path)?;
@@ -274,9 +277,9 @@
     }
 }
 
-/// Whoever started it holds the other end of its standard input. Guards against sidecars left behind by a rig that
-/// was killed.
-fn end_with_input() {
+/// The process that started this one holds the other end of its standard input. Prevents sidecars from being left behind by
+/// a rig that was killed.
+fn exit_when_stdin_closes() {
     std::thread::spawn(|| {
         let _ = std::io::copy(&mut std::io::stdin(), &mut std::io::sink());
         std::process::exit(0);
@@ -284,44 +287,44 @@
 }
 
 fn main() -> ExitCode {
-    let told = Told::parse();
-    if matches!(told.what, What::Sidecar) {
-        // Also one that is stopped ends with the rig.
+    let arguments = Arguments::parse();
+    if matches!(arguments.command, Command::Sidecar) {
+        // A stopped process can't see that its input closes, but is killed with its parent.
         let _ =
             rustix::process::set_parent_process_death_signal(Some(rustix::process::Signal::KILL));
-        end_with_input();
+        exit_when_stdin_closes();
         return passroad::main();
     }
-    if let What::Hollow { folder } = told.what {
+    if let Command::SimulatedSidecars { folder } = arguments.command {
         let _ =
             rustix::process::set_parent_process_death_signal(Some(rustix::process::Signal::KILL));
         env_logger::Builder::from_env(env_logger::Env::default().default_filter_or("info")).init();
         return match passroad_rig::scale::host::run(folder) {
             Ok(()) => ExitCode::SUCCESS,
-            Err(fault) => {
-                eprintln!("passroad-rig: {fault}");
+            Err(error) => {
+                eprintln!("passroad-rig: {error}");
                 ExitCode::from(2)
             }
         };
     }
     env_logger::Builder::from_env(env_logger::Env::default().default_filter_or("warn")).init();
-    match act(told.what) {
+    match execute(arguments.command) {
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::from(1),
-        Err(fault) => {
-            eprintln!("passroad-rig: {}", fault.replace('\n', " "));
+        Err(error) => {
+            eprintln!("passroad-rig: {}", error.replace('\n', " "));
             ExitCode::from(2)
         }
     }
 }
 
-/// Whether all held.
-fn act(what: What) -> Result<bool, String> {
-    match what {
-        What::AddedLatency(told) => added(told),
-        What::Capacity(told) => passroad_rig::capacity::act(&told, write),
-        What::Sidecar | What::Hollow { .. } => Ok(true),
-        What::Scale {
+/// Runs a command; returns whether all checks passed.
+fn execute(command: Command) -> Result<bool, String> {
+    match command {
+        Command::AddedLatency(arguments) => measure_added_latency(arguments),
+        Command::Capacity(arguments) => passroad_rig::capacity::act(&arguments, write),
+        Command::Sidecar | Command::SimulatedSidecars { .. } => Ok(true),
+        Command::Scale {
             files,
             sidecars,
             seeds,
@@ -331,7 +334,7 @@
             let seeds = seeds.map(|Seeds(seeds)| seeds);
             passroad_rig::scale::command::run(&files, sidecars, seeds, json.as_deref(), &commit)
         }
-        What::Histories {
+        Command::Histories {
             from,
             count,
             threads,
@@ -342,13 +345,13 @@
                 "simulated: {} histories, {} acts by {} epochs, {} refused, faults hit {} times",
                 sums.histories, sums.acts, sums.owners, sums.stale_tries, sums.hits
             );
-            for (seed, what) in sums.broken.iter().take(20) {
-                println!("broken, seed {seed}: {what}");
+            for (seed, violation) in sums.broken.iter().take(20) {
+                println!("broken, seed {seed}: {violation}");
             }
             println!("{} broken", sums.broken.len());
             Ok(sums.broken.is_empty())
         }
-        What::Check { files } => {
+        Command::Check { files } => {
             for file in &files {
                 let plan = read(file, None)?;
                 println!(
@@ -360,22 +363,22 @@
             }
             Ok(true)
         }
-        What::Sample { file } => {
+        Command::Sample { file } => {
             let plan = match file {
                 Some(file) => read(&file, None)?,
-                None => built_in()?,
+                None => built_in_experiment()?,
             };
-            let told = serde_json::json!({
+            let configuration = serde_json::json!({
                 "name": "sample", "listen": "127.0.0.1:7800", "discovery": "127.0.0.1:7900", "management": "127.0.0.1:7950", "seed": "8c1f30d27a5be964",
                 "limits": { "sockets": 1024, "memory_mb": 64 }, "settings": plan.settings(0),
             });
             println!(
                 "{}",
-                serde_json::to_string_pretty(&told).map_err(|e| e.to_string())?
+                serde_json::to_string_pretty(&configuration).map_err(|e| e.to_string())?
             );
             Ok(true)
         }
-        What::Compare { before, after } => {
+        Command::Compare { before, after } => {
             let read = |path: &Path| -> Result<serde_json::Value, String> {
                 let text = std::fs::read_to_string(path)
                     .map_err(|e| format!("{}: {e}", path.display()))?;
@@ -387,10 +390,10 @@
             );
             Ok(true)
         }
-        What::Try { seconds, out } => {
-            let mut plan = built_in()?;
+        Command::Try { seconds, out } => {
+            let mut plan = built_in_experiment()?;
             plan.length = Duration::from_secs(seconds);
-            // In the middle, however long it is.
+            // The fault is in the middle, for any length.
             let middle = [plan.length * 2 / 5, plan.length * 7 / 10];
             plan.changes
                 .iter_mut()
@@ -405,16 +408,16 @@
                 middle[0].as_secs_f64(),
                 middle[1].as_secs_f64()
             );
-            let runs = run::run_on_sockets(&plan, &program(None)?, None, true)?;
-            out.put(Path::new("try"), false, &plan, &runs, false)?;
-            let broken: usize = runs.iter().map(|r| r.violations.len()).sum();
-            match broken {
+            let runs = run::run_on_sockets(&plan, &sidecar_program(None)?, None, true)?;
+            out.write_reports(Path::new("try"), false, &plan, &runs, false)?;
+            let violations: usize = runs.iter().map(|r| r.violations.len()).sum();
+            match violations {
                 0 => println!("4 rules kept, and nothing given up was held back"),
                 n => println!("rules broken {n} times"),
             }
-            Ok(broken == 0)
+            Ok(violations == 0)
         }
-        What::Run {
+        Command::Run {
             files,
             on,
             seeds,
@@ -433,27 +436,33 @@
                     POLICIES.join(", ")
                 ));
             }
-            // All are read before the first is played: a slip in the last must not cost the others' time.
+            // All files are read before the first run, so that an error in the last doesn't cost the time of the others.
             let plans = files
                 .iter()
                 .map(|file| read(file, instances))
                 .collect::<Result<Vec<_>, _>>()?;
-            let program = program(sidecar)?;
-            let mut good = true;
+            let sidecar_program = sidecar_program(sidecar)?;
+            let mut all_met = true;
             for (file, mut plan) in files.iter().zip(plans) {
-                let real = match (on, plan.socket_mode) {
-                    (Some(On::Virtual), Some(SocketMode::Required)) => {
-                        return Err(format!("{}: needs sockets, as it says", file.display()));
+                let on_sockets = match (on, plan.socket_mode) {
+                    (Some(Mode::Virtual), Some(SocketMode::Required)) => {
+                        return Err(format!(
+                            "{}: needs sockets, by its key sockets",
+                            file.display()
+                        ));
                     }
-                    (Some(On::SocketMode), Some(SocketMode::Never)) => {
+                    (Some(Mode::Sockets), Some(SocketMode::Never)) => {
                         return Err(format!(
-                            "{}: is not for sockets, as it says",
+                            "{}: can't run on sockets, by its key sockets",
                             file.display()
                         ));
                     }
-                    (Some(on), _) => on == On::SocketMode,
-                    (None, told) => {
-                        matches!(told, Some(SocketMode::Required | SocketMode::Preferred))
+                    (Some(on), _) => on == Mode::Sockets,
+                    (None, socket_mode) => {
+                        matches!(
+                            socket_mode,
+                            Some(SocketMode::Required | SocketMode::Preferred)
+                        )
                     }
                 };
                 if let Some(Seeds(seeds)) = &seeds {
@@ -465,12 +474,12 @@
                 if !policies.is_empty() {
                     plan.policies.clone_from(&policies);
                 }
-                let runs = match real {
-                    true => run::run_on_sockets(&plan, &program, logs.as_deref(), false)?,
+                let runs = match on_sockets {
+                    true => run::run_on_sockets(&plan, &sidecar_program, logs.as_deref(), false)?,
                     false => run::simulate_all(&plan, threads)?,
                 };
-                good &= run::check_expectations(&plan, &runs).iter().all(|h| h.met);
-                out.put(file, files.len() > 1, &plan, &runs, !real)?;
+                all_met &= run::check_expectations(&plan, &runs).iter().all(|h| h.met);
+                out.write_reports(file, files.len() > 1, &plan, &runs, !on_sockets)?;
                 for run in runs
                     .iter()
                     .filter(|r| lines && r.policy.starts_with("passroad"))
@@ -480,26 +489,28 @@
                     }
                 }
             }
-            Ok(good)
+            Ok(all_met)
         }
     }
 }
 
-fn built_in() -> Result<Plan, String> {
-    experiment::parse(TRY).map_err(|wrong| format!("the built-in experiment: {wrong}"))
+fn built_in_experiment() -> Result<Plan, String> {
+    experiment::parse(TRY_EXPERIMENT).map_err(|error| format!("the built-in experiment: {error}"))
 }
 
-impl Out {
-    fn put(
+impl ReportFiles {
+    fn write_reports(
         &self,
-        of: &Path,
-        many: bool,
+        experiment: &Path,
+        several: bool,
         plan: &Plan,
         runs: &[run::Run],
         simulated: bool,
     ) -> Result<(), String> {
-        let named = |path: &Path, end: &str| match many {
-            true => path.join(Path::new(of.file_name().unwrap_or_default()).with_extension(end)),
+        let named = |path: &Path, end: &str| match several {
+            true => {
+                path.join(Path::new(experiment.file_name().unwrap_or_default()).with_extension(end))
+            }
             false => path.to_path_buf(),
         };
         let on_output = self.json.as_deref() == Some(Path::new("-"));
--- a/crates/passroad-rig/tests/command_line.rs
+++ b/crates/passroad-rig/tests/command_line.rs
@@ -1,4 +1,4 @@
-//! The program as it is called: what it says, what it exits with, and what it leaves behind.
+//! The program from its command line: its output, its exit code, and that it leaves no process behind.
 
 use rstest::rstest;
 use std::path::{Path, PathBuf};
@@ -25,7 +25,7 @@
 per_second = 50
 "#;
 
-/// A folder of its own with one experiment, gone with it.
+/// A temporary folder with one experiment, removed on drop.
 struct Folder(PathBuf);
 
 impl Folder {
@@ -53,9 +53,9 @@
     }
 }
 
-fn rig(words: &[&str], paths: &[&Path]) -> Output {
+fn rig(arguments: &[&str], paths: &[&Path]) -> Output {
     Command::new(env!("CARGO_BIN_EXE_passroad-rig"))
-        .args(words)
+        .args(arguments)
         .args(paths)
         .output()
         .unwrap()
@@ -67,40 +67,47 @@
 
 #[rstest]
 #[case::holds("[[hold]]\nmetric = \"served\"\nat_least = 0.9\n", 0, "holds: served")]
-#[case::does_not(
+#[case::does_not_hold(
     "[[hold]]\nmetric = \"served\"\nat_most = 0.1\n",
     1,
     "DOES NOT HOLD: served"
 )]
-fn what_must_hold_decides_the_exit_code(#[case] hold: &str, #[case] code: i32, #[case] said: &str) {
-    let folder = Folder::with(&format!("{SMALL}{hold}"));
+fn expectations_decide_the_exit_code(
+    #[case] expectation: &str,
+    #[case] code: i32,
+    #[case] expected: &str,
+) {
+    let folder = Folder::with(&format!("{SMALL}{expectation}"));
     let output = rig(&["run"], &[&folder.at("e.toml")]);
     assert_eq!(
-        (output.status.code(), text(&output.stdout).contains(said)),
+        (
+            output.status.code(),
+            text(&output.stdout).contains(expected)
+        ),
         (Some(code), true)
     );
 }
 
 #[rstest]
-#[case::slip(&format!("{SMALL}speed = 1\n"), &["run"], "line 19: speed: unknown field")]
+#[case::unknown_key(&format!("{SMALL}speed = 1\n"), &["run"], "line 19: speed: unknown field")]
 #[case::seeds(SMALL, &["run", "--seeds", "x"], "'x' is no seed")]
 #[case::policy(SMALL, &["run", "--policies", "best"], "unknown 'best'")]
 #[case::no_sidecar(SMALL, &["run", "--on", "sockets", "--sidecar", "/nowhere"], "--sidecar /nowhere")]
 #[case::full_disk(SMALL, &["run", "--json", "/dev/full/x"], "/dev/full")]
 #[case::virtually(&format!("sockets = \"needed\"\n{SMALL}"), &["run", "--on", "virtual"], "needs sockets")]
-fn bad_input_is_told_in_one_place_and_exits_with_2(
+fn bad_input_is_reported_and_exits_with_2(
     #[case] file: &str,
-    #[case] words: &[&str],
-    #[case] said: &str,
+    #[case] arguments: &[&str],
+    #[case] expected: &str,
 ) {
     let folder = Folder::with(file);
-    let output = rig(words, &[&folder.at("e.toml")]);
-    let fault = text(&output.stderr);
-    assert_eq!(output.status.code(), Some(2), "{fault}");
-    assert!(fault.contains(said), "{fault}");
+    let output = rig(arguments, &[&folder.at("e.toml")]);
+    let error = text(&output.stderr);
+    assert_eq!(output.status.code(), Some(2), "{error}");
+    assert!(error.contains(expected), "{error}");
 }
 
-// A program that ends at once is no sidecar; what it said last is passed on.
+// A program that ends at once is not a sidecar; its last output is part of the error.
 #[rstest]
 fn a_sidecar_that_does_not_come_up_is_named() {
     let folder = Folder::with(SMALL);
@@ -108,23 +115,23 @@
         &["run", "--on", "sockets", "--sidecar", "/bin/false"],
         &[&folder.at("e.toml")],
     );
-    let fault = text(&output.stderr);
+    let error = text(&output.stderr);
     assert_eq!(
-        (output.status.code(), fault.lines().count()),
+        (output.status.code(), error.lines().count()),
         (Some(2), 1),
-        "{fault}"
+        "{error}"
     );
     assert!(
-        fault.contains("sidecar 0 ended: it said nothing"),
-        "{fault}"
+        error.contains("sidecar 0 ended: it said nothing"),
+        "{error}"
     );
 }
 
 #[rstest]
-fn the_same_days_give_the_same_report_on_one_thread_and_on_eight() {
+fn one_thread_and_eight_give_the_same_report() {
     let folder = Folder::with(SMALL);
     let report = |threads: &str| {
-        let words = [
+        let arguments = [
             "run",
             "--seeds",
             "1..4",
@@ -133,7 +140,7 @@
             "--json",
             "-",
         ];
-        rig(&words, &[&folder.at("e.toml")]).stdout
+        rig(&arguments, &[&folder.at("e.toml")]).stdout
     };
     let (one, eight) = (report("1"), report("8"));
     assert!(one.len() > 1000);
@@ -141,7 +148,7 @@
 }
 
 #[rstest]
-fn two_reports_are_compared_and_odd_ones_refused() {
+fn two_reports_are_compared_and_other_files_refused() {
     let folder = Folder::with(SMALL);
     let (a, b) = (folder.at("a.json"), folder.at("b.json"));
     for path in [&a, &b] {
@@ -163,7 +170,7 @@
     );
 }
 
-/// How many processes have their configuration in a folder of this rig.
+/// Number of processes that have their configuration in a folder of this rig.
 fn sidecars_of(rig: u32) -> usize {
     let mark = format!("passroad-rig-{rig}-");
     let environment =
@@ -175,17 +182,17 @@
         .count()
 }
 
-fn until(mut come: impl FnMut() -> bool) {
+fn until(mut done: impl FnMut() -> bool) {
     let end = std::time::Instant::now() + std::time::Duration::from_secs(20);
-    while !come() {
+    while !done() {
         assert!(std::time::Instant::now() < end, "it did not come");
         std::thread::sleep(std::time::Duration::from_millis(10));
     }
 }
 
-// Its sidecars end with a rig that is killed in the middle.
+// Sidecars end when the rig that started them is killed.
 #[rstest]
-fn no_process_is_left_behind() {
+fn no_sidecar_is_left_behind_when_the_rig_is_killed() {
     let folder = Folder::with(&SMALL.replace("3s", "60s"));
     let mut command = Command::new(env!("CARGO_BIN_EXE_passroad-rig"));
     command
@@ -199,13 +206,13 @@
     until(|| sidecars_of(child.id()) == 0);
 }
 
-/// The same with sidecars that talk, one of which is stopped for most of a long day.
-fn talks() -> String {
-    let talks = SMALL.replace("length = \"3s\"", "length = \"60s\"\nsockets = \"first\"");
-    talks.replace("instances = 2", "instances = 3") + STOPPED
+/// The experiment with peers, one of which is paused for most of a long run.
+fn experiment_with_peers() -> String {
+    let with_length = SMALL.replace("length = \"3s\"", "length = \"60s\"\nsockets = \"first\"");
+    with_length.replace("instances = 2", "instances = 3") + PEERS_AND_PAUSE
 }
 
-const STOPPED: &str = r#"
+const PEERS_AND_PAUSE: &str = r#"
 [peers]
 lease = "1s"
 [[peers.duty]]
@@ -219,8 +226,8 @@
 instances = [1]
 "#;
 
-/// The processes that an other one started, and whether each is stopped.
-fn children(of: u32) -> Vec<(u32, bool)> {
+/// The child processes of a process, and whether each is stopped.
+fn children(parent: u32) -> Vec<(u32, bool)> {
     let all = std::fs::read_dir("/proc").unwrap().flatten();
     let number = |entry: std::fs::DirEntry| {
         entry
@@ -236,21 +243,21 @@
             .split(' ')
             .map(str::to_string)
             .collect();
-        (fields[1] == of.to_string() && fields[0] != "Z").then(|| (pid, fields[0] == "T"))
+        (fields[1] == parent.to_string() && fields[0] != "Z").then(|| (pid, fields[0] == "T"))
     };
     all.flat_map(number).filter_map(own).collect()
 }
 
-// Also a process that is stopped, and can't see that its standard input has ended.
+// A stopped process can't see that its standard input closes, and has to be killed with its parent.
 #[rstest]
-fn nothing_is_left_behind_when_the_rig_is_killed() {
-    let folder = Folder::with(&talks());
+fn no_stopped_sidecar_is_left_behind_when_the_rig_is_killed() {
+    let folder = Folder::with(&experiment_with_peers());
     let mut rig = Command::new(env!("CARGO_BIN_EXE_passroad-rig"));
     let mut rig = rig.arg("run").arg(folder.at("e.toml")).spawn().unwrap();
     let until = |done: &dyn Fn() -> bool| {
-        let began = std::time::Instant::now();
+        let started_at = std::time::Instant::now();
         while !done() {
-            assert!(began.elapsed().as_secs() < 30, "it did not come");
+            assert!(started_at.elapsed().as_secs() < 30, "it did not come");
             std::thread::sleep(std::time::Duration::from_millis(20));
         }
     };
--- a/crates/passroad-rig/tests/known_red.rs
+++ b/crates/passroad-rig/tests/known_red.rs
@@ -1,4 +1,4 @@
-//! The script that runs the tests but for those that are known to fail, with a stand-in for cargo.
+//! The script that runs all tests but those that are known to fail, with a fake cargo.
 
 use rstest::rstest;
 use std::os::unix::fs::PermissionsExt;
@@ -6,8 +6,8 @@
 use std::process::{Command, Output};
 use std::sync::atomic::{AtomicUsize, Ordering::SeqCst};
 
-/// Four tests: `a::red` and `b::red` fail, `a::green` passes, `twice` is there in two places. With `--skip` it obeys as
-/// cargo does, and it writes down how it was called.
+/// A fake cargo: tests with `red` in their name fail, `a::green` passes, and `twice` is the name of two tests. It handles
+/// `--skip` like cargo and records its arguments.
 const CARGO: &str = r#"#!/usr/bin/env bash
 here=$(dirname "$0")
 echo "$*" >>"$here/calls"
@@ -69,7 +69,7 @@
 #[case(None)]
 #[case(Some(""))]
 #[case(Some("\n  \n"))]
-fn without_a_list_it_is_the_whole_test_run(#[case] list: Option<&str>) {
+fn without_a_list_all_tests_are_run(#[case] list: Option<&str>) {
     let folder = Folder::new();
     assert!(folder.run(list).status.success());
     assert_eq!(folder.calls(), ["test --workspace --locked"]);
@@ -81,16 +81,16 @@
 }
 
 #[rstest]
-fn listed_tests_have_to_fail_and_only_they_are_passed_over() {
+fn listed_tests_must_fail_and_only_they_are_skipped() {
     let folder = Folder::new();
-    let out = folder.run(Some(
+    let output = folder.run(Some(
         "a::red, a cause, with a comma, issue 12\nb::red, another, issue 13\n",
     ));
-    let said = String::from_utf8_lossy(&out.stdout);
-    assert!(out.status.success(), "{said}");
+    let stdout = String::from_utf8_lossy(&output.stdout);
+    assert!(output.status.success(), "{stdout}");
     assert!(
-        said.contains("a::red, a cause, with a comma, issue 12"),
-        "{said}"
+        stdout.contains("a::red, a cause, with a comma, issue 12"),
+        "{stdout}"
     );
     let last = folder.calls().pop().unwrap();
     assert_eq!(
@@ -118,11 +118,14 @@
     "a::red, c, 1\nb::red, c, 2\na::red_too, c, 3\na::green, c, 4",
     "three are the most"
 )]
-fn a_list_that_is_not_right_fails(#[case] list: &str, #[case] said: &str) {
+fn an_invalid_list_fails(#[case] list: &str, #[case] expected: &str) {
     let folder = Folder::new();
-    let out = folder.run(Some(list));
-    let fault = String::from_utf8_lossy(&out.stderr);
-    assert!(!out.status.success() && fault.contains(said), "{fault}");
+    let output = folder.run(Some(list));
+    let error = String::from_utf8_lossy(&output.stderr);
+    assert!(
+        !output.status.success() && error.contains(expected),
+        "{error}"
+    );
     assert!(
         !folder.calls().iter().any(|call| call.contains("--skip")),
         "{:?}",
@@ -131,14 +134,14 @@
 }
 
 #[rstest]
-fn a_build_that_fails_is_no_known_failure() {
+fn a_failing_build_is_not_a_known_failure() {
     let folder = Folder::new();
     let cargo = CARGO.replace("a::red: test", "a::red: test\\nunbuilt::x: test");
     std::fs::write(folder.0.join("cargo"), cargo).unwrap();
-    let out = folder.run(Some("unbuilt::x, a cause, issue 12"));
-    let fault = String::from_utf8_lossy(&out.stderr);
+    let output = folder.run(Some("unbuilt::x, a cause, issue 12"));
+    let error = String::from_utf8_lossy(&output.stderr);
     assert!(
-        !out.status.success() && fault.contains("did not fail as a test"),
-        "{fault}"
+        !output.status.success() && error.contains("did not fail as a test"),
+        "{error}"
     );
 }
