--- a/crates/passroad-rig/src/experiment/faults.rs
+++ b/crates/passroad-rig/src/experiment/faults.rs
@@ -34,14 +34,14 @@
             return self.error(&span, "peers: voters must be 1, 3, 5 or 7");
         }
         let longest_allowed = peers.lease.0.mul_f64(0.95 * 2.0 / 3.0) - peers.lease.0 / 20;
-        if let Some(duty) = peers.leased_roles.iter().find(|role| {
+        if let Some(role) = peers.leased_roles.iter().find(|role| {
             role.within.0.is_zero() || role.within.0 > longest_allowed || role.work > role.within
         }) {
             return self.error(
                 &span,
                 format!(
                     "peers: within of {}: must be from its work to {longest_allowed:?}",
-                    duty.name
+                    role.name
                 ),
             );
         }
--- a/crates/passroad-rig/src/experiment/tests.rs
+++ b/crates/passroad-rig/src/experiment/tests.rs
@@ -42,37 +42,37 @@
 
 // The line is that of the error or of the table that contains it.
 #[rstest]
-#[case::no_toml("about = ", 1, "about")]
+#[case::invalid_toml("about = ", 1, "about")]
 #[case::unknown_key(&format!("{SMALL}speed = 2\n"), 38, "speed: unknown field")]
 #[case::no_unit(&SMALL.replace("\"6s\"", "\"6\""), 3, "'6' has no unit")]
-#[case::odd_unit(&SMALL.replace("\"6s\"", "\"6h\""), 3, "unknown unit 'h'")]
+#[case::unknown_unit(&SMALL.replace("\"6s\"", "\"6h\""), 3, "unknown unit 'h'")]
 #[case::share_for_time(&SMALL.replace("\"200ms\"", "\"20%\""), 25, "is a share where a duration is expected")]
 #[case::time_for_share(&SMALL.replace("\"50%\"", "\"50ms\""), 37, "'50ms' is not a share")]
 #[case::share_over_one(&SMALL.replace("\"50%\"", "1.5"), 37, "1.5 is not a share between 0 and 1")]
 #[case::number_for_time(&SMALL.replace("\"6s\"", "6"), 3, "expected a duration with a unit")]
-#[case::no_kind(&SMALL.replace("kind = \"plain\"\nzone = \"b\"", "kind = \"big\"\nzone = \"b\""), 16, "unknown 'big'")]
+#[case::unknown_kind(&SMALL.replace("kind = \"plain\"\nzone = \"b\"", "kind = \"big\"\nzone = \"b\""), 16, "unknown 'big'")]
 #[case::goal_past_limit(&SMALL.replacen("\"500ms\"", "\"100ms\"", 1), 21, "goal of look: longer than its limit")]
-#[case::same_verb(&SMALL.replace("\"book\"", "\"look\""), 28, "'look' is taken")]
+#[case::same_class(&SMALL.replace("\"book\"", "\"look\""), 28, "'look' is taken")]
 #[case::no_window(&SMALL.replace("\"effectful\"", "\"receipted\""), 28, "a receipted verb needs one")]
-#[case::odd_effect(&SMALL.replace("\"effectful\"", "\"harmless\""), 30, "effect: unknown variant `harmless`")]
+#[case::unknown_effect(&SMALL.replace("\"effectful\"", "\"harmless\""), 30, "effect: unknown variant `harmless`")]
 #[case::two_loads(&SMALL.replace("of_capacity = 0.5", "of_capacity = 0.5\nper_second = 9"), 35, "one of of_capacity")]
-#[case::all_settle(&SMALL.replace("settle = \"1s\"", "settle = \"6s\""), 4, "settle: must be shorter than length")]
-#[case::no_endpoint(&format!("{SMALL}[[fault]]\nkind = \"stall\"\nat = \"1s\"\nendpoints = [5]\n"), 38, "there is no 5")]
-#[case::no_zone(&format!("{SMALL}[[fault]]\nkind = \"die\"\nat = \"1s\"\nzone = \"c\"\n"), 38, "zone: unknown 'c'")]
+#[case::settle_as_long_as_the_run(&SMALL.replace("settle = \"1s\"", "settle = \"6s\""), 4, "settle: must be shorter than length")]
+#[case::unknown_endpoint(&format!("{SMALL}[[fault]]\nkind = \"stall\"\nat = \"1s\"\nendpoints = [5]\n"), 38, "there is no 5")]
+#[case::unknown_zone(&format!("{SMALL}[[fault]]\nkind = \"die\"\nat = \"1s\"\nzone = \"c\"\n"), 38, "zone: unknown 'c'")]
 #[case::no_left(&format!("{SMALL}[[fault]]\nkind = \"slow\"\nat = \"1s\"\n"), 38, "fault slow: left is missing")]
-#[case::no_instance(
+#[case::unknown_instance(
     &format!("{SMALL}[[fault]]\nkind = \"silence\"\nat = \"1s\"\ninstances = [3]\n"), 38, "there is no 3"
 )]
-#[case::no_such_verb(&format!("{SMALL}[[fault]]\nkind = \"hang\"\nat = \"1s\"\nverb = \"buy\"\n"), 38, "unknown 'buy'")]
-#[case::processes(&format!("{SMALL}[[fault]]\nkind = \"sidecar-stop\"\nat = \"1s\"\n"), 1, "sockets = \"needed\"")]
-#[case::upgrades(&format!("{SMALL}[[fault]]\nkind = \"sidecar-upgrade\"\nat = \"1s\"\n"), 1, "sockets = \"needed\"")]
+#[case::unknown_class(&format!("{SMALL}[[fault]]\nkind = \"hang\"\nat = \"1s\"\nverb = \"buy\"\n"), 38, "unknown 'buy'")]
+#[case::stop_needs_sockets(&format!("{SMALL}[[fault]]\nkind = \"sidecar-stop\"\nat = \"1s\"\n"), 1, "sockets = \"needed\"")]
+#[case::upgrade_needs_sockets(&format!("{SMALL}[[fault]]\nkind = \"sidecar-upgrade\"\nat = \"1s\"\n"), 1, "sockets = \"needed\"")]
 #[case::reconfigured_without_relays(&format!("sockets = \"needed\"\n{SMALL}[[fault]]\nkind = \"sidecar-retune\"\nat = \"1s\"\n"), 39, "relays is missing")]
-#[case::no_policy(&SMALL.replace("instances = 3", "policies = [\"best\"]"), 5, "unknown 'best'")]
+#[case::unknown_policy(&SMALL.replace("instances = 3", "policies = [\"best\"]"), 5, "unknown 'best'")]
 #[case::no_bound(&format!("{SMALL}[[hold]]\nmetric = \"served\"\n"), 38, "without either it can't fail")]
-#[case::no_metric(&format!("{SMALL}[[hold]]\nmetric = \"luck\"\nat_most = 1\n"), 39, "unknown variant `luck`")]
+#[case::unknown_metric(&format!("{SMALL}[[hold]]\nmetric = \"luck\"\nat_most = 1\n"), 39, "unknown variant `luck`")]
 #[case::share_without_a_zone(&format!("{SMALL}[[hold]]\nmetric = \"share\"\nat_most = 1\n"), 38, "are of a zone")]
 fn an_error_names_its_line_and_key(#[case] text: &str, #[case] line: usize, #[case] message: &str) {
-    let error = parse(text).expect_err("it is wrong");
+    let error = parse(text).expect_err("an error");
     assert!(
         error.line == line && error.message.contains(message),
         "{error}"
--- a/crates/passroad-rig/src/html.rs
+++ b/crates/passroad-rig/src/html.rs
@@ -46,9 +46,9 @@
 impl Plot<'_> {
     fn draw(&self, out: &mut String) {
         let all = || self.lines.iter().flat_map(|line| &line.points);
-        let end = all().map(|p| p.0).fold(1e-9, f64::max);
+        let end = all().map(|point| point.0).fold(1e-9, f64::max);
         let top = match self.stacked {
-            false => all().map(|p| p.1).fold(0.0, f64::max),
+            false => all().map(|point| point.1).fold(0.0, f64::max),
             true => {
                 let most = self
                     .lines
@@ -60,7 +60,7 @@
                     self.lines
                         .iter()
                         .filter_map(|line| line.points.get(n))
-                        .map(|p| p.1)
+                        .map(|point| point.1)
                         .sum::<f64>()
                 };
                 (0..most).map(sum).fold(0.0, f64::max)
@@ -112,15 +112,19 @@
                     .points
                     .iter()
                     .zip(&base)
-                    .map(|(p, base_value)| p.1 + base_value)
+                    .map(|(point, base_value)| point.1 + base_value)
                     .collect();
-                let up = line.points.iter().zip(&tops).map(|(p, v)| (x(p.0), y(*v)));
+                let up = line
+                    .points
+                    .iter()
+                    .zip(&tops)
+                    .map(|(point, v)| (x(point.0), y(*v)));
                 let down = line
                     .points
                     .iter()
                     .zip(&base)
                     .rev()
-                    .map(|(p, v)| (x(p.0), y(*v)));
+                    .map(|(point, v)| (x(point.0), y(*v)));
                 let path: Vec<String> = up
                     .chain(down)
                     .map(|(x, y)| format!("{x:.1},{y:.1}"))
@@ -135,7 +139,7 @@
                 let path: Vec<String> = line
                     .points
                     .iter()
-                    .map(|p| format!("{:.1},{:.1}", x(p.0), y(p.1)))
+                    .map(|point| format!("{:.1},{:.1}", x(point.0), y(point.1)))
                     .collect();
                 let path = path.join(" ");
                 let _ = write!(
@@ -230,7 +234,7 @@
 fn table(plan: &Plan, runs: &[Run], out: &mut String) {
     let rows = policy_rows(plan, runs);
     let _ = write!(out, "<table><tr><th>policy</th>");
-    for (name, _) in rows.first().map(|r| &r.figures[..]).unwrap_or_default() {
+    for (name, _) in rows.first().map(|row| &row.figures[..]).unwrap_or_default() {
         let _ = write!(out, "<th>{name}</th>");
     }
     let _ = write!(out, "<th>broken rules</th></tr>");
@@ -298,7 +302,7 @@
     plots(plan, runs, &mut out);
     for run in runs
         .iter()
-        .filter(|r| !r.violations.is_empty() && r.policy == "passroad")
+        .filter(|run| !run.violations.is_empty() && run.policy == "passroad")
     {
         let _ = write!(out, "<h2>Broken by passroad, seed {}</h2><ul>", run.seed);
         for violation in run.violations.iter().take(50) {
@@ -315,10 +319,10 @@
 }
 
 fn plots(plan: &Plan, runs: &[Run], out: &mut String) {
-    let Some(seed) = runs.first().map(|r| r.seed) else {
+    let Some(seed) = runs.first().map(|run| run.seed) else {
         return;
     };
-    let first: Vec<&Run> = runs.iter().filter(|r| r.seed == seed).collect();
+    let first: Vec<&Run> = runs.iter().filter(|run| run.seed == seed).collect();
     let spans = fault_spans(plan);
     let plot = |title: &str, unit, lines, stacked| Plot {
         title: title.into(),
@@ -332,30 +336,30 @@
         counts_by_second(run, plan)
             .iter()
             .enumerate()
-            .map(|(n, s)| (n as f64, of(s)))
+            .map(|(n, counts)| (n as f64, of(counts)))
             .collect()
     };
     let each = |of: &dyn Fn(&SecondCounts) -> f64| -> Vec<Line> {
         first
             .iter()
-            .map(|r| Line {
-                name: r.policy.clone(),
-                points: by_second(r, of),
+            .map(|run| Line {
+                name: run.policy.clone(),
+                points: by_second(run, of),
             })
             .collect()
     };
-    let share = |s: &SecondCounts, n: usize| n as f64 / s.arrived.max(1) as f64;
+    let share = |counts: &SecondCounts, n: usize| n as f64 / counts.arrived.max(1) as f64;
     plot(
         "Answered within the goal",
         "share of commands",
-        each(&|s| share(s, s.served)),
+        each(&|counts| share(counts, counts.served)),
         false,
     )
     .draw(out);
     plot(
         "Relays",
         "for each command",
-        each(&|s| share(s, s.relays)),
+        each(&|counts| share(counts, counts.relays)),
         false,
     )
     .draw(out);
@@ -382,18 +386,18 @@
     .draw(out);
     let Some(main_run) = first
         .iter()
-        .find(|r| r.policy == "passroad")
+        .find(|run| run.policy == "passroad")
         .or(first.first())
     else {
         return;
     };
     type CountOf = fn(&SecondCounts) -> f64;
     let kinds: [(&str, CountOf); 5] = [
-        ("served", |s| s.served as f64),
-        ("late", |s| s.late as f64),
-        ("declined", |s| s.refused as f64),
-        ("terminated", |s| s.failed as f64),
-        ("no answer", |s| s.unanswered as f64),
+        ("served", |counts| counts.served as f64),
+        ("late", |counts| counts.late as f64),
+        ("declined", |counts| counts.refused as f64),
+        ("terminated", |counts| counts.failed as f64),
+        ("no answer", |counts| counts.unanswered as f64),
     ];
     let lines = kinds
         .iter()
@@ -459,7 +463,7 @@
         .history
         .relays
         .iter()
-        .filter(|s| s.sent_at < Duration::from_secs(length as u64))
+        .filter(|relay| relay.sent_at < Duration::from_secs(length as u64))
     {
         counts[plan.endpoints[sent.endpoint].zone][sent.sent_at.as_secs() as usize] += 1;
     }
--- a/crates/passroad-rig/src/html/tests.rs
+++ b/crates/passroad-rig/src/html/tests.rs
@@ -22,7 +22,7 @@
     let text = SMALL.replace("about = \"small\"", "about = \"a <b> & \\\"c\\\"\"");
     let mut plan = parse(&text).expect("a plan");
     plan.policies = vec!["passroad".into(), "random".into()];
-    let runs = simulate_all(&plan, 2).expect("days");
+    let runs = simulate_all(&plan, 2).expect("runs");
     let page = page(&plan, &runs, true);
     assert!(page.contains("a &lt;b&gt; &amp; &quot;c&quot;") && page.contains("Simulated"));
     for external in ["http://", "https://", "<script", "<link", "NaN", "inf\""] {
--- a/crates/passroad-rig/src/ledger/tests.rs
+++ b/crates/passroad-rig/src/ledger/tests.rs
@@ -10,7 +10,7 @@
         deduplication_window: 1000 * MS,
         mean_work: 0.01,
     };
-    let verbs = vec![
+    let classes = vec![
         class(Effect::Safe, DeduplicationScope::All),
         class(Effect::NonIdempotent, DeduplicationScope::All),
         class(Effect::Keyed, DeduplicationScope::Zone),
@@ -22,7 +22,7 @@
     };
     let endpoints = vec![(make.clone(), 0, 0), (make.clone(), 0, 0), (make, 1, 0)];
     RuleContext {
-        classes: verbs,
+        classes,
         mean_work: 0.01,
         endpoints,
         drain_grace: 500 * MS,
--- a/crates/passroad-rig/src/load.rs
+++ b/crates/passroad-rig/src/load.rs
@@ -14,7 +14,7 @@
     pub work: f64, // seconds of a core at speed 1
     pub is_retry: bool,
     pub try_number: u32,
-    pub chain: Option<usize>, // the first command of its chain of tries; none for a first try before it is recorded
+    pub chain: Option<usize>, // first command of its chain of tries; none for a first try until it is recorded
     pub serial: u64,          // of the chain of tries; the same under any policy
 }
 
--- a/crates/passroad-rig/src/main.rs
+++ b/crates/passroad-rig/src/main.rs
@@ -190,7 +190,7 @@
         );
         write(
             path,
-            &serde_json::to_string_pretty(&points).map_err(|e| e.to_string())?,
+            &serde_json::to_string_pretty(&points).map_err(|error| error.to_string())?,
         )?;
     }
     Ok(results.iter().all(added_latency::Measured::whole))
@@ -237,7 +237,8 @@
 const TRY_EXPERIMENT: &str = include_str!("try.toml");
 
 fn read(path: &Path, instances: Option<usize>) -> Result<Plan, String> {
-    let text = std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))?;
+    let text =
+        std::fs::read_to_string(path).map_err(|error| format!("{}: {error}", path.display()))?;
     experiment::parse_with_instances(&text, instances)
         .map_err(|error| format!("{}: {error}", path.display()))
 }
@@ -247,13 +248,13 @@
     let describe =
         |what: &str, error: std::io::Error| format!("{what} {}: {error}", path.display());
     if let Some(folder) = path.parent().filter(|f| !f.as_os_str().is_empty()) {
-        std::fs::create_dir_all(folder).map_err(|e| describe("folder of", e))?;
+        std::fs::create_dir_all(folder).map_err(|error| describe("folder of", error))?;
     }
     let temporary = path.with_extension("new");
     let written = std::fs::write(&temporary, text).and_then(|()| std::fs::rename(&temporary, path));
-    written.map_err(|e| {
+    written.map_err(|error| {
         let _ = std::fs::remove_file(&temporary);
-        describe("report", e)
+        describe("report", error)
     })
 }
 
@@ -268,7 +269,8 @@
             })
         }
         None => {
-            let path = std::env::current_exe().map_err(|e| format!("this executable: {e}"))?;
+            let path =
+                std::env::current_exe().map_err(|error| format!("this executable: {error}"))?;
             Ok(Program {
                 path,
                 arguments: vec!["sidecar".into()],
@@ -374,15 +376,15 @@
             });
             println!(
                 "{}",
-                serde_json::to_string_pretty(&configuration).map_err(|e| e.to_string())?
+                serde_json::to_string_pretty(&configuration).map_err(|error| error.to_string())?
             );
             Ok(true)
         }
         Command::Compare { before, after } => {
             let read = |path: &Path| -> Result<serde_json::Value, String> {
                 let text = std::fs::read_to_string(path)
-                    .map_err(|e| format!("{}: {e}", path.display()))?;
-                serde_json::from_str(&text).map_err(|e| format!("{}: {e}", path.display()))
+                    .map_err(|error| format!("{}: {error}", path.display()))?;
+                serde_json::from_str(&text).map_err(|error| format!("{}: {error}", path.display()))
             };
             print!(
                 "{}",
@@ -401,7 +403,7 @@
                 .for_each(|(change, at)| change.0 = at);
             plan.expectations
                 .iter_mut()
-                .for_each(|hold| hold.window = plan.settle..plan.length);
+                .for_each(|expectation| expectation.window = plan.settle..plan.length);
             println!(
                 "{}. Endpoint 2 fails from {:.0} to {:.0} s.",
                 plan.about,
@@ -478,7 +480,9 @@
                     true => run::run_on_sockets(&plan, &sidecar_program, logs.as_deref(), false)?,
                     false => run::simulate_all(&plan, threads)?,
                 };
-                all_met &= run::check_expectations(&plan, &runs).iter().all(|h| h.met);
+                all_met &= run::check_expectations(&plan, &runs)
+                    .iter()
+                    .all(|result| result.met);
                 out.write_reports(file, files.len() > 1, &plan, &runs, !on_sockets)?;
                 for run in runs
                     .iter()
--- a/crates/passroad-rig/src/model/tests.rs
+++ b/crates/passroad-rig/src/model/tests.rs
@@ -151,8 +151,8 @@
 #[case::stall(FaultState { stalled: true, ..FaultState::default() }, vec![])]
 #[case::slow(FaultState { speed_left: 0.1, ..FaultState::default() }, vec![])]
 #[case::errors(FaultState { error_share: 1.0, ..FaultState::default() }, vec![(1, JobResult::Error)])]
-#[case::spoils(FaultState { malformed_share: 1.0, ..FaultState::default() }, vec![(1, JobResult::Malformed)])]
-#[case::resets(FaultState { reset_share: 1.0, ..FaultState::default() }, vec![(1, JobResult::Reset)])]
+#[case::malformed(FaultState { malformed_share: 1.0, ..FaultState::default() }, vec![(1, JobResult::Malformed)])]
+#[case::reset(FaultState { reset_share: 1.0, ..FaultState::default() }, vec![(1, JobResult::Reset)])]
 #[case::hang(FaultState { hanging_classes: vec![0], ..FaultState::default() }, vec![])]
 #[case::hang_of_another(FaultState { hanging_classes: vec![1], ..FaultState::default() }, vec![(1, JobResult::Completed)])]
 fn faults_show_in_results(#[case] faults: FaultState, #[case] expected: Vec<(JobId, JobResult)>) {
--- a/crates/passroad-rig/src/report.rs
+++ b/crates/passroad-rig/src/report.rs
@@ -60,13 +60,13 @@
 pub fn policy_rows(plan: &Plan, runs: &[Run]) -> Vec<PolicyRow> {
     let mut rows = Vec::new();
     let mut policies: Vec<&String> = Vec::new();
-    runs.iter().for_each(|r| {
-        if !policies.contains(&&r.policy) {
-            policies.push(&r.policy);
+    runs.iter().for_each(|run| {
+        if !policies.contains(&&run.policy) {
+            policies.push(&run.policy);
         }
     });
     for policy in policies {
-        let own_runs: Vec<&Run> = runs.iter().filter(|r| r.policy == *policy).collect();
+        let own_runs: Vec<&Run> = runs.iter().filter(|run| run.policy == *policy).collect();
         let figures_by_run: Vec<_> = own_runs.iter().map(|run| run_figures(plan, run)).collect();
         let n = figures_by_run.len().max(1) as f64;
         // Means over the seeds, but the worst seed for load on cold endpoints.
@@ -75,17 +75,21 @@
                 name,
                 figures_by_run
                     .iter()
-                    .map(|d| d[index].1)
+                    .map(|figures| figures[index].1)
                     .fold(0.0, f64::max),
             ),
             _ => (
                 name,
-                figures_by_run.iter().map(|d| d[index].1).sum::<f64>() / n,
+                figures_by_run
+                    .iter()
+                    .map(|figures| figures[index].1)
+                    .sum::<f64>()
+                    / n,
             ),
         };
         let names = figures_by_run
             .first()
-            .map(|d| d.iter().map(|(name, _)| *name).collect::<Vec<_>>());
+            .map(|figures| figures.iter().map(|(name, _)| *name).collect::<Vec<_>>());
         let figures = names
             .unwrap_or_default()
             .into_iter()
@@ -95,7 +99,7 @@
         let violations = Rule::ALL.iter().map(|rule| {
             (
                 *rule,
-                own_runs.iter().map(|r| r.violation_count(*rule)).sum(),
+                own_runs.iter().map(|run| run.violation_count(*rule)).sum(),
             )
         });
         rows.push(PolicyRow {
@@ -144,7 +148,7 @@
     );
     let rows = policy_rows(plan, runs);
     let _ = write!(out, "\n{:<14}", "");
-    for (name, _) in rows.first().map(|r| &r.figures[..]).unwrap_or_default() {
+    for (name, _) in rows.first().map(|row| &row.figures[..]).unwrap_or_default() {
         let _ = write!(out, "{name:>11}");
     }
     let _ = writeln!(out, "   broken rules");
@@ -173,7 +177,7 @@
         rows.iter()
             .for_each(|row| out.push_str(&spread_line(plan, runs, &row.policy)));
     }
-    for run in runs.iter().filter(|r| r.policy.starts_with("passroad")) {
+    for run in runs.iter().filter(|run| run.policy.starts_with("passroad")) {
         for violation in run.violations.iter().take(5) {
             let (seed, at) = (run.seed, violation.time.as_secs_f64());
             let _ = writeln!(
@@ -186,7 +190,7 @@
         if let Some(fleet) = &run.fleet {
             let unowned = fleet.unowned(
                 &(plan.settle..plan.length),
-                plan.fleet.as_ref().map_or(0, |f| f.duties.len()),
+                plan.fleet.as_ref().map_or(0, |fleet| fleet.duties.len()),
             );
             let _ = writeln!(
                 out,
@@ -252,7 +256,7 @@
 
 /// How evenly the endpoints were loaded: means over the seeds.
 fn spread_line(plan: &Plan, runs: &[Run], policy: &str) -> String {
-    let own_runs: Vec<&Run> = runs.iter().filter(|r| r.policy == policy).collect();
+    let own_runs: Vec<&Run> = runs.iter().filter(|run| run.policy == policy).collect();
     let window = plan.settle..plan.length;
     let mean = |figure_of: &dyn Fn(&Run) -> f64| {
         own_runs.iter().map(|run| figure_of(run)).sum::<f64>() / own_runs.len().max(1) as f64
@@ -283,23 +287,23 @@
         .map(|run| {
             let series: Vec<Value> = counts_by_second(run, plan)
                 .iter()
-                .map(|s| {
+                .map(|counts| {
                     json!({
-                        "asked": s.arrived, "served": s.served, "late": s.late, "declined": s.refused,
-                        "terminated": s.failed, "unanswered": s.unanswered, "relays": s.relays,
+                        "asked": counts.arrived, "served": counts.served, "late": counts.late, "declined": counts.refused,
+                        "terminated": counts.failed, "unanswered": counts.unanswered, "relays": counts.relays,
                     })
                 })
                 .collect();
-            let breaches: Vec<Value> = run
+            let violations: Vec<Value> = run
                 .violations
                 .iter()
                 .take(100)
                 .map(|violation| json!({ "rule": violation.rule.name(), "at_s": violation.time.as_secs_f64(), "what": violation.message }))
                 .collect();
             let figures: serde_json::Map<String, Value> =
-                run_figures(plan, run).into_iter().map(|(name, f)| (name.replace(' ', "_"), json!(f))).collect();
+                run_figures(plan, run).into_iter().map(|(name, figure)| (name.replace(' ', "_"), json!(figure))).collect();
             json!({
-                "policy": run.policy, "seed": run.seed, "figures": figures, "seconds": series, "breaches": breaches,
+                "policy": run.policy, "seed": run.seed, "figures": figures, "seconds": series, "breaches": violations,
                 "connections": run.connections, "remarks": run.remarks,
                 "fleet": run.fleet.as_ref().map(|fleet| json!({
                     "acts": fleet.acts.len(), "owners": fleet.owners(), "stale_tries": fleet.stale_tries(),
@@ -316,7 +320,7 @@
             let figures: serde_json::Map<String, Value> = row
                 .figures
                 .iter()
-                .map(|(name, f)| (name.replace(' ', "_"), json!(f)))
+                .map(|(name, figure)| (name.replace(' ', "_"), json!(figure)))
                 .collect();
             let violations: serde_json::Map<String, Value> = row
                 .violations
--- a/crates/passroad-rig/src/run.rs
+++ b/crates/passroad-rig/src/run.rs
@@ -40,15 +40,15 @@
         recording: Recording,
         slack: Duration,
     ) -> Run {
-        let facts = RuleContext::from_plan(plan, slack);
-        let books = recording.ledger.history();
-        let breaches = books.check_rules(&facts);
+        let rule_context = RuleContext::from_plan(plan, slack);
+        let history = recording.ledger.history();
+        let violations = history.check_rules(&rule_context);
         Run {
             policy: policy.into(),
             seed,
-            history: books,
-            rule_context: facts,
-            violations: breaches,
+            history,
+            rule_context,
+            violations,
             samples: recording.samples,
             log_lines: recording.log_lines,
             connections: recording.connections,
@@ -59,20 +59,23 @@
     }
 
     pub fn violation_count(&self, rule: Rule) -> usize {
-        self.violations.iter().filter(|b| b.rule == rule).count()
+        self.violations
+            .iter()
+            .filter(|violation| violation.rule == rule)
+            .count()
     }
 
     /// The most work that any cold endpoint was offered, in multiples of its capacity.
     pub fn worst_cold_overload(&self) -> f64 {
         (0..self.rule_context.endpoints.len())
-            .map(|e| self.history.cold_overload(e, &self.rule_context).0)
+            .map(|endpoint| self.history.cold_overload(endpoint, &self.rule_context).0)
             .fold(0.0, f64::max)
     }
 
     /// The most commands that any cold endpoint got over its `overload_window`, as a share of the bound.
     pub fn worst_cold_start_load(&self) -> f64 {
         (0..self.rule_context.endpoints.len())
-            .map(|e| self.history.cold_start_load(e, &self.rule_context).0)
+            .map(|endpoint| self.history.cold_start_load(endpoint, &self.rule_context).0)
             .fold(0.0, f64::max)
     }
 }
@@ -82,7 +85,7 @@
     let runs_to_simulate: Vec<(&String, u64)> = plan
         .policies
         .iter()
-        .flat_map(|p| plan.seeds.iter().map(move |s| (p, *s)))
+        .flat_map(|policy| plan.seeds.iter().map(move |s| (policy, *s)))
         .collect();
     let (next, done) = (AtomicUsize::new(0), Mutex::new(BTreeMap::new()));
     std::thread::scope(|scope| {
@@ -137,7 +140,11 @@
     show_progress: bool,
 ) -> Result<Vec<Run>, String> {
     let mut runs = Vec::new();
-    for policy in plan.policies.iter().filter(|p| p.starts_with("passroad")) {
+    for policy in plan
+        .policies
+        .iter()
+        .filter(|policy| policy.starts_with("passroad"))
+    {
         for seed in &plan.seeds {
             let routes = plan.routes.as_ref().filter(|_| policy == "passroad-routes");
             let (recording, remarks, fleet) =
@@ -205,9 +212,9 @@
                     let in_time = elapsed <= plan.classes[command.class].deadline_target;
                     tally.served += usize::from(in_time);
                     tally.late += usize::from(!in_time);
-                    response_times
-                        .iter_mut()
-                        .for_each(|t| t.saturating_record(elapsed.as_micros() as u64));
+                    response_times.iter_mut().for_each(|histogram| {
+                        histogram.saturating_record(elapsed.as_micros() as u64)
+                    });
                 }
                 Some(Answer::Refused) => tally.refused += 1,
                 Some(Answer::Failed) => tally.failed += 1,
@@ -247,8 +254,8 @@
 
     /// Milliseconds within which this percentage of the answers came.
     pub fn percentile_ms(&self, percentile: f64) -> f64 {
-        self.response_times.as_ref().map_or(0.0, |t| {
-            t.value_at_quantile(percentile / 100.0) as f64 / 1e3
+        self.response_times.as_ref().map_or(0.0, |histogram| {
+            histogram.value_at_quantile(percentile / 100.0) as f64 / 1e3
         })
     }
 }
@@ -374,51 +381,55 @@
         Metric::LinksMost => distribution::most_connections(run, &expectation.window) as f64,
         Metric::Connections => run.connections as f64,
         Metric::Together => distribution::synchronized_choices(run, plan, &expectation.window),
-        Metric::OwnersAtOnce => fleet(|f| f.owners_at_once() as f64),
-        Metric::Believers => fleet(|f| f.believers.map_or(f64::NAN, |n| n as f64)),
-        Metric::StaleActs => fleet(|f| f.stale_acts() as f64),
-        Metric::StaleTries => fleet(|f| f.stale_tries() as f64),
+        Metric::OwnersAtOnce => fleet(|fleet| fleet.owners_at_once() as f64),
+        Metric::Believers => fleet(|fleet| fleet.believers.map_or(f64::NAN, |n| n as f64)),
+        Metric::StaleActs => fleet(|fleet| fleet.stale_acts() as f64),
+        Metric::StaleTries => fleet(|fleet| fleet.stale_tries() as f64),
         Metric::Unowned => {
             let duties = plan.fleet.as_ref().map_or(0, |plan| plan.duties.len());
             run.fleet
                 .as_ref()
-                .map_or(f64::NAN, |f| f.unowned(&expectation.window, duties))
+                .map_or(f64::NAN, |fleet| fleet.unowned(&expectation.window, duties))
         }
         Metric::Acts => {
-            let within = |a: &&Act| a.accepted && expectation.window.contains(&a.at);
-            run.fleet
-                .as_ref()
-                .map_or(f64::NAN, |f| f.acts.iter().filter(within).count() as f64)
+            let within = |act: &&Act| act.accepted && expectation.window.contains(&act.at);
+            run.fleet.as_ref().map_or(f64::NAN, |fleet| {
+                fleet.acts.iter().filter(within).count() as f64
+            })
         }
-        Metric::Owners => fleet(|f| f.owners() as f64),
+        Metric::Owners => fleet(|fleet| fleet.owners() as f64),
         Metric::PeerDatagrams => fleet(FleetDay::peer_datagrams),
-        Metric::Doubts => fleet(|f| f.doubts as f64),
-        Metric::Hits => fleet(|f| f.hits as f64),
-        Metric::Worked => fleet(|f| f.worked() as f64),
-        Metric::AtWork => fleet(|f| f.at_work() as f64),
+        Metric::Doubts => fleet(|fleet| fleet.doubts as f64),
+        Metric::Hits => fleet(|fleet| fleet.hits as f64),
+        Metric::Worked => fleet(|fleet| fleet.worked() as f64),
+        Metric::AtWork => fleet(|fleet| fleet.at_work() as f64),
         Metric::WorkBroken => relays_during_work(run) as f64,
         Metric::WorkTime => {
             let requests = plan
                 .fleet
                 .iter()
-                .flat_map(|f| f.work.iter())
+                .flat_map(|fleet| fleet.work.iter())
                 .flat_map(|work| &work.requests);
             let last_end = |endpoints: &[usize]| {
                 let own = run
                     .fleet
                     .iter()
-                    .flat_map(|f| &f.works)
-                    .filter(|w| endpoints.contains(&w.endpoint));
-                own.map(|w| w.to).max().unwrap_or(Duration::MAX)
+                    .flat_map(|fleet| &fleet.works)
+                    .filter(|work| endpoints.contains(&work.endpoint));
+                own.map(|work| work.to).max().unwrap_or(Duration::MAX)
             };
             let durations = requests
                 .map(|(at, _, endpoints)| last_end(endpoints).saturating_sub(*at).as_secs_f64());
             durations.fold(0.0, f64::max)
         }
         Metric::Load => {
-            let in_zone = |e: &usize| Some(plan.endpoints[*e].zone) == expectation.zone;
+            let in_zone =
+                |endpoint: &usize| Some(plan.endpoints[*endpoint].zone) == expectation.zone;
             let own: Vec<usize> = (0..plan.endpoints.len()).filter(in_zone).collect();
-            let cores: usize = own.iter().map(|e| plan.endpoints[*e].spec.cores).sum();
+            let cores: usize = own
+                .iter()
+                .map(|endpoint| plan.endpoints[*endpoint].spec.cores)
+                .sum();
             let samples: Vec<_> = run
                 .samples
                 .iter()
@@ -426,7 +437,11 @@
                 .collect();
             let outstanding: usize = samples
                 .iter()
-                .map(|sample| own.iter().map(|e| sample.outstanding[*e]).sum::<usize>())
+                .map(|sample| {
+                    own.iter()
+                        .map(|endpoint| sample.outstanding[*endpoint])
+                        .sum::<usize>()
+                })
                 .sum();
             outstanding as f64 / samples.len().max(1) as f64 / cores.max(1) as f64
         }
@@ -441,9 +456,11 @@
             .history
             .relays
             .iter()
-            .filter(|r| r.endpoint == work.endpoint);
-        on.filter(|r| r.sent_at < work.to && r.ended.is_none_or(|(at, _)| at > work.from))
-            .count()
+            .filter(|relay| relay.endpoint == work.endpoint);
+        on.filter(|relay| {
+            relay.sent_at < work.to && relay.ended.is_none_or(|(at, _)| at > work.from)
+        })
+        .count()
     };
     works.map(disturbed).sum()
 }
@@ -451,14 +468,14 @@
 /// Share of the relays within a window that went to a zone.
 fn zone_share(run: &Run, plan: &Plan, window: &Range<Duration>, zone: Option<usize>) -> f64 {
     let (mut in_zone, mut all) = (0u32, 0u32);
-    for r in run
+    for relay in run
         .history
         .relays
         .iter()
-        .filter(|r| window.contains(&r.sent_at))
+        .filter(|relay| window.contains(&relay.sent_at))
     {
         all += 1;
-        in_zone += u32::from(Some(plan.endpoints[r.endpoint].zone) == zone);
+        in_zone += u32::from(Some(plan.endpoints[relay.endpoint].zone) == zone);
     }
     f64::from(in_zone) / f64::from(all.max(1))
 }
@@ -477,7 +494,7 @@
     let figure = |expectation: &Expectation, policy: &str| {
         let all: Vec<f64> = runs
             .iter()
-            .filter(|r| r.policy == policy)
+            .filter(|run| run.policy == policy)
             .map(|run| measure(run, plan, expectation))
             .collect();
         match expectation.metric {
@@ -503,14 +520,14 @@
             .map_or(0.0, |other| figure(expectation, other));
         let figure = figure(expectation, &expectation.policy) - other;
         let met = expectation.at_least.is_none_or(|least| figure >= least)
-            && expectation.at_most.is_none_or(|m| figure <= m);
+            && expectation.at_most.is_none_or(|most| figure <= most);
         let bounds = [
             ("at least", expectation.at_least),
             ("at most", expectation.at_most),
         ];
         let bound: Vec<_> = bounds
             .iter()
-            .filter_map(|(word, b)| Some(format!("{word} {}", (*b)?)))
+            .filter_map(|(word, value)| Some(format!("{word} {}", (*value)?)))
             .collect();
         ExpectationResult {
             label: expectation.label.clone(),
@@ -521,10 +538,14 @@
         }
     };
     // Expectations on policies that were not run are left out.
-    let was_run = |name: &String| runs.iter().any(|r| r.policy == *name);
-    let applies = |h: &&Expectation| !h.simulated_only || runs.iter().all(|run| run.simulated);
-    let can_be_checked = |h: &&Expectation| {
-        was_run(&h.policy) && h.compared_policy.iter().all(was_run) && applies(h)
+    let was_run = |name: &String| runs.iter().any(|run| run.policy == *name);
+    let applies = |expectation: &&Expectation| {
+        !expectation.simulated_only || runs.iter().all(|run| run.simulated)
+    };
+    let can_be_checked = |expectation: &&Expectation| {
+        was_run(&expectation.policy)
+            && expectation.compared_policy.iter().all(was_run)
+            && applies(expectation)
     };
     plan.expectations
         .iter()
--- a/crates/passroad-rig/tests/ramp.rs
+++ b/crates/passroad-rig/tests/ramp.rs
@@ -148,7 +148,7 @@
     let late = "[[fault]]\nkind = \"discovery-late\"\nat = \"0s\"\nfor = \"16s\"\nby = \"0s\"\nspread = \"6s\"\n";
     let last = |extra_toml: &str| {
         let history = simulate(&plan_with(extra_toml), 3, "random")
-            .expect("a day")
+            .expect("a run")
             .ledger
             .history();
         let belongs = |relay: &&RelayRecord, n: usize| {
@@ -181,7 +181,7 @@
 fn a_sidecar_killed_in_virtual_time_loses_its_commands_and_goes_on() {
     let kill = "[[fault]]\nkind = \"sidecar-kill\"\nat = \"7s\"\ninstances = [0, 1, 2]\n";
     let plan = plan_with(kill);
-    let run = &simulate_all(&plan, 1).expect("a day")[0];
+    let run = &simulate_all(&plan, 1).expect("a run")[0];
     let lost = |command: &&CommandRecord| command.lost_with_sidecar;
     let lost: Vec<&CommandRecord> = run.history.commands.iter().filter(lost).collect();
     assert!(
@@ -215,7 +215,7 @@
     assert!(run.violations.is_empty(), "{:?}", run.violations);
     // A second run gives the same history.
     assert_eq!(
-        simulate_all(&plan, 1).expect("a day")[0].history.commands,
+        simulate_all(&plan, 1).expect("a run")[0].history.commands,
         run.history.commands
     );
 }
@@ -229,7 +229,7 @@
         plan.endpoints
             .iter_mut()
             .for_each(|e| e.spec.crashes_on_overload = crashes);
-        let recording = simulate(&plan, 3, "random").expect("a day");
+        let recording = simulate(&plan, 3, "random").expect("a run");
         let starts = recording.ledger.history().cold_starts_of(0).len();
         let run = Run::from_recording(&plan, "random", 3, recording, Duration::ZERO);
         (starts, run.worst_cold_start_load())
