--- a/crates/passroad-rig/src/scale/host.rs
+++ b/crates/passroad-rig/src/scale/host.rs
@@ -2,7 +2,7 @@
 //! and telling on standard output.
 
 use passroad::Files;
-use passroad::fleet::Turned;
+use passroad::fleet::MemberStateChange;
 use passroad::hollow::Hollow;
 use std::collections::BTreeMap;
 use std::io::{BufRead, Write};
@@ -81,7 +81,7 @@
 
 async fn start(folder: PathBuf, n: usize, lives: Lives) {
     let (turns, mut turned) = mpsc::unbounded_channel();
-    let begun = tokio::task::spawn_blocking(move || Hollow::begin(files(&folder, n), turns)).await;
+    let begun = tokio::task::spawn_blocking(move || Hollow::start(files(&folder, n), turns)).await;
     match begun.unwrap_or_else(|e| Err(e.to_string())) {
         Ok(life) => {
             let paths: Vec<String> = life
@@ -97,20 +97,15 @@
     // Many at once where a region is cut off: a line and a write each would be load of its own.
     let mut some = Vec::new();
     while turned.recv_many(&mut some, 1024).await > 0 {
-        let line = |turn: Turned| {
-            format!(
-                "turned {n} {} {:?} {}",
-                turn.member,
-                turn.standing,
-                unix_us()
-            )
+        let line = |turn: MemberStateChange| {
+            format!("turned {n} {} {:?} {}", turn.member, turn.state, unix_us())
         };
         say(&some.drain(..).map(line).collect::<Vec<_>>().join("\n"));
     }
 }
 
 async fn status(n: usize, lives: Lives) {
-    let door = held(&lives).get(&n).and_then(|life| life.door.clone());
+    let door = held(&lives).get(&n).and_then(|life| life.fleet.clone());
     let said = match door {
         Some(door) => tokio::time::timeout(Duration::from_secs(5), door.status())
             .await
