--- a/crates/passroad-rig/src/experiment/file_format.rs
+++ b/crates/passroad-rig/src/experiment/file_format.rs
@@ -7,6 +7,7 @@
 use std::time::Duration;
 use toml::Spanned;
 
+/// A whole file.
 #[derive(Deserialize, Debug)]
 #[serde(deny_unknown_fields)]
 pub(super) struct ExperimentFile {
@@ -18,32 +19,27 @@
     pub(super) settle: HumanDuration,
     #[serde(default = "default_instances")]
     pub(super) instances: usize,
-    #[serde(default)]
-    #[serde(rename = "sockets")]
+    #[serde(default, rename = "sockets")]
     pub(super) socket_mode: Option<SocketMode>,
     #[serde(default)]
     pub(super) routes: Option<Spanned<String>>,
     pub(super) fleet: FleetSection,
     #[serde(rename = "verb")]
     pub(super) classes: Vec<Spanned<ClassSection>>,
-    #[serde(default)]
-    #[serde(rename = "company")]
+    #[serde(default, rename = "company")]
     pub(super) tenants: Vec<TenantSection>,
     pub(super) load: LoadSection,
     #[serde(default)]
     pub(super) network: NetworkSection,
     #[serde(default)]
     pub(super) allowed: AllowedSection,
-    #[serde(default)]
-    #[serde(rename = "goal")]
+    #[serde(default, rename = "goal")]
     pub(super) objective: ObjectiveSection,
     #[serde(default)]
     pub(super) peers: Option<Spanned<PeersSection>>,
-    #[serde(default)]
-    #[serde(rename = "fault")]
+    #[serde(default, rename = "fault")]
     pub(super) faults: Vec<Spanned<FaultSection>>,
-    #[serde(default)]
-    #[serde(rename = "hold")]
+    #[serde(default, rename = "hold")]
     pub(super) expectations: Vec<Spanned<ExpectationSection>>,
     #[serde(default)]
     pub(super) policies: Vec<Spanned<String>>,
@@ -73,14 +69,13 @@
     Never,
 }
 
+/// `[fleet]`: the kinds and groups of endpoints.
 #[derive(Deserialize, Debug)]
 #[serde(deny_unknown_fields)]
 pub(super) struct FleetSection {
-    #[serde(default)]
-    #[serde(rename = "noticed")]
+    #[serde(default, rename = "noticed")]
     pub(super) crash_listed_after: Option<HumanDuration>,
-    #[serde(default)]
-    #[serde(rename = "restart")]
+    #[serde(default, rename = "restart")]
     pub(super) restart_after: Option<HumanDuration>,
     #[serde(rename = "kind")]
     pub(super) kinds: BTreeMap<String, KindSection>,
@@ -88,44 +83,34 @@
     pub(super) groups: Vec<Spanned<GroupSection>>,
 }
 
+/// `[fleet.kind.NAME]`: the properties of endpoints of a kind, as in [`crate::model::EndpointSpec`].
 #[derive(Deserialize, Debug)]
 #[serde(deny_unknown_fields)]
 pub(super) struct KindSection {
     pub(super) cores: usize,
     #[serde(default = "default_one")]
     pub(super) speed: f64,
-    #[serde(default = "default_queue_limit")]
-    #[serde(rename = "queue")]
+    #[serde(default = "default_queue_limit", rename = "queue")]
     pub(super) queue_limit: usize,
-    #[serde(default)]
-    #[serde(rename = "drag_from")]
+    #[serde(default, rename = "drag_from")]
     pub(super) slowdown_queue_length: usize,
-    #[serde(default = "default_slowdown_speed")]
-    #[serde(rename = "drag")]
+    #[serde(default = "default_slowdown_speed", rename = "drag")]
     pub(super) slowdown_speed: Ratio,
-    #[serde(default = "default_cold_capacity")]
-    #[serde(rename = "cold_from")]
+    #[serde(default = "default_cold_capacity", rename = "cold_from")]
     pub(super) cold_capacity: Ratio,
-    #[serde(default)]
-    #[serde(rename = "warm_within")]
+    #[serde(default, rename = "warm_within")]
     pub(super) warm_up_time: HumanDuration,
-    #[serde(default = "default_overload_multiple")]
-    #[serde(rename = "tip_multiple")]
+    #[serde(default = "default_overload_multiple", rename = "tip_multiple")]
     pub(super) overload_multiple: f64,
-    #[serde(default = "default_overload_window")]
-    #[serde(rename = "tip_after")]
+    #[serde(default = "default_overload_window", rename = "tip_after")]
     pub(super) overload_window: HumanDuration,
-    #[serde(default = "default_true")]
-    #[serde(rename = "tips")]
+    #[serde(default = "default_true", rename = "tips")]
     pub(super) crashes_on_overload: bool,
-    #[serde(default = "default_true")]
-    #[serde(rename = "drops_recalled")]
+    #[serde(default = "default_true", rename = "drops_recalled")]
     pub(super) stops_cancelled: bool,
-    #[serde(default = "default_max_connections")]
-    #[serde(rename = "most_links")]
+    #[serde(default = "default_max_connections", rename = "most_links")]
     pub(super) max_connections: usize,
-    #[serde(default)]
-    #[serde(rename = "link_work")]
+    #[serde(default, rename = "link_work")]
     pub(super) connection_work: HumanDuration,
     #[serde(default)]
     pub(super) report_age: HumanDuration,
@@ -156,6 +141,7 @@
     120
 }
 
+/// `[[fleet.group]]`: a number of endpoints of one kind in one zone.
 #[derive(Deserialize, Debug)]
 #[serde(deny_unknown_fields)]
 pub(super) struct GroupSection {
@@ -176,21 +162,19 @@
     1
 }
 
+/// `[[verb]]`: a request class.
 #[derive(Deserialize, Debug)]
 #[serde(deny_unknown_fields)]
 pub(super) struct ClassSection {
     pub(super) name: String,
     pub(super) effect: Effect,
-    #[serde(default)]
-    #[serde(rename = "group")]
+    #[serde(default, rename = "group")]
     pub(super) deduplication_scope: DeduplicationScope,
-    #[serde(default)]
-    #[serde(rename = "window")]
+    #[serde(default, rename = "window")]
     pub(super) deduplication_window: HumanDuration,
     #[serde(rename = "work")]
     pub(super) mean_work: HumanDuration,
-    #[serde(default)]
-    #[serde(rename = "spread")]
+    #[serde(default, rename = "spread")]
     pub(super) work_sigma: f64,
     #[serde(rename = "goal")]
     pub(super) deadline_target: HumanDuration,
@@ -224,17 +208,18 @@
     Cell,
 }
 
+/// `[[company]]`: a tenant. Its share of the load is that of the service where the file has none.
 #[derive(Deserialize, Debug)]
 #[serde(deny_unknown_fields)]
 pub(super) struct TenantSection {
     pub(super) name: String,
     #[serde(rename = "portion")]
     pub(super) tenant_share: f64,
-    #[serde(default)]
-    #[serde(rename = "share")]
+    #[serde(default, rename = "share")]
     pub(super) load_share: Option<f64>,
 }
 
+/// `[load]`: the rate of first tries, as a share of capacity or per second, and how clients retry.
 #[derive(Deserialize, Debug)]
 #[serde(deny_unknown_fields)]
 pub(super) struct LoadSection {
@@ -242,22 +227,17 @@
     pub(super) of_capacity: Option<f64>,
     #[serde(default)]
     pub(super) per_second: Option<f64>,
-    #[serde(default)]
-    #[serde(rename = "uneven")]
+    #[serde(default, rename = "uneven")]
     pub(super) instance_skew: f64,
     #[serde(default)]
     pub(super) steps: Vec<LoadStep>,
-    #[serde(default)]
-    #[serde(rename = "retries")]
+    #[serde(default, rename = "retries")]
     pub(super) retry_share: Ratio,
-    #[serde(default)]
-    #[serde(rename = "marked")]
+    #[serde(default, rename = "marked")]
     pub(super) retries_marked: bool,
-    #[serde(default = "default_max_tries")]
-    #[serde(rename = "tries")]
+    #[serde(default = "default_max_tries", rename = "tries")]
     pub(super) max_tries: u32,
-    #[serde(default = "default_retry_pause")]
-    #[serde(rename = "pause")]
+    #[serde(default = "default_retry_pause", rename = "pause")]
     pub(super) retry_pause: HumanDuration,
 }
 
@@ -268,6 +248,7 @@
     HumanDuration(Duration::from_millis(200))
 }
 
+/// From a time on, the load has a factor over its rate.
 #[derive(Deserialize, Debug)]
 #[serde(deny_unknown_fields)]
 pub(super) struct LoadStep {
@@ -275,6 +256,7 @@
     pub(super) factor: f64,
 }
 
+/// `[network]`: round-trip times.
 #[derive(Deserialize, Debug)]
 #[serde(deny_unknown_fields, default)]
 pub(super) struct NetworkSection {
@@ -292,6 +274,7 @@
     }
 }
 
+/// `[allowed]`: what the balancer may do, its timeouts and its prices.
 #[derive(Deserialize, Debug)]
 #[serde(deny_unknown_fields, default)]
 pub(super) struct AllowedSection {
@@ -345,6 +328,7 @@
     Silent,
 }
 
+/// `[goal]`: the weights of the whole service's utility and of the worst class.
 #[derive(Deserialize, Debug)]
 #[serde(deny_unknown_fields, default)]
 pub(super) struct ObjectiveSection {
@@ -376,11 +360,9 @@
     pub(super) state: bool,
     #[serde(default = "default_true")]
     pub(super) fence: bool,
-    #[serde(default)]
-    #[serde(rename = "duty")]
+    #[serde(default, rename = "duty")]
     pub(super) leased_roles: Vec<LeasedRole>,
-    #[serde(default)]
-    #[serde(rename = "work")]
+    #[serde(default, rename = "work")]
     pub(super) maintenance: Option<MaintenanceSection>,
 }
 
@@ -396,6 +378,7 @@
     pub(super) requests: Vec<MaintenanceRequest>,
 }
 
+/// `[[peers.work.request]]`: a request for maintenance at one instance.
 #[derive(Deserialize, Debug)]
 #[serde(deny_unknown_fields)]
 pub(super) struct MaintenanceRequest {
@@ -408,6 +391,7 @@
     HumanDuration(Duration::from_secs(1))
 }
 
+/// `[[peers.duty]]`: a leased role and the calls that its owner makes.
 #[derive(Deserialize, Debug)]
 #[serde(deny_unknown_fields)]
 pub(super) struct LeasedRole {
@@ -434,6 +418,7 @@
     Back,
 }
 
+/// `[[fault]]`: a fault, when it happens and what it hits.
 #[derive(Deserialize, Debug, Clone)]
 #[serde(deny_unknown_fields)]
 pub(super) struct FaultSection {
@@ -449,58 +434,61 @@
     pub(super) instances: Option<Vec<usize>>,
     #[serde(default)]
     pub(super) share: Option<Ratio>,
-    #[serde(default)]
-    #[serde(rename = "left")]
+    #[serde(default, rename = "left")]
     pub(super) speed_left: Option<Ratio>,
-    #[serde(default)]
-    #[serde(rename = "verb")]
+    #[serde(default, rename = "verb")]
     pub(super) class: Option<String>,
-    #[serde(default)]
-    #[serde(rename = "by")]
+    #[serde(default, rename = "by")]
     pub(super) delay: Option<HumanDuration>,
     #[serde(default)]
     pub(super) every: Option<HumanDuration>,
-    #[serde(default)]
-    #[serde(rename = "repeat")]
+    #[serde(default, rename = "repeat")]
     pub(super) repetitions: Option<usize>,
-    #[serde(default)]
-    #[serde(rename = "relays")]
+    #[serde(default, rename = "relays")]
     pub(super) max_relays: Option<usize>,
-    #[serde(default)]
-    #[serde(rename = "whom")]
+    #[serde(default, rename = "whom")]
     pub(super) target: Option<FaultTarget>,
-    #[serde(default)]
-    #[serde(rename = "from")]
+    #[serde(default, rename = "from")]
     pub(super) from_instances: Option<Vec<usize>>,
-    #[serde(default)]
-    #[serde(rename = "to")]
+    #[serde(default, rename = "to")]
     pub(super) to_instances: Option<Vec<usize>>,
     #[serde(default)]
     pub(super) one_way: Option<OneWay>,
-    #[serde(default)]
-    #[serde(rename = "spread")]
+    #[serde(default, rename = "spread")]
     pub(super) delay_spread: Option<HumanDuration>,
 }
 
 #[derive(Deserialize, Debug, Clone, Copy, PartialEq, Eq)]
 #[serde(rename_all = "kebab-case")]
 pub enum FaultKind {
+    /// Endpoints make no progress.
     Stall,
+    /// Endpoints have a share of their speed left.
     Slow,
+    /// Endpoints answer a share of jobs with an error.
     Errors,
+    /// Endpoints answer a share of jobs with a malformed response.
     #[serde(rename = "spoil")]
     MalformedResponses,
+    /// Endpoints reset the connection of a share of jobs.
     #[serde(rename = "reset")]
     Resets,
+    /// Jobs of a class never end.
     Hang,
+    /// Endpoints report that they are idle.
     #[serde(rename = "lies")]
     FalseLoadReports,
+    /// No packet passes between instances and endpoints.
     #[serde(rename = "silence")]
     NetworkCut,
+    /// Endpoints crash, and start again at the end of the fault.
     #[serde(rename = "die")]
     Crash,
+    /// Endpoints drain, and leave at the end of the fault.
     Drain,
+    /// Operators cordon endpoints at all sidecars.
     Cordon,
+    /// Endpoints are drained, stopped and started again, one after the other.
     Deploy,
     DiscoveryLate,
     DiscoveryDown,
@@ -570,34 +558,31 @@
     }
 }
 
+/// `[[hold]]`: bounds for a metric.
 #[derive(Deserialize, Debug)]
 #[serde(deny_unknown_fields)]
 pub(super) struct ExpectationSection {
     pub(super) metric: Metric,
     #[serde(default)]
     pub(super) policy: Option<String>,
-    #[serde(default)]
-    #[serde(rename = "above")]
+    #[serde(default, rename = "above")]
     pub(super) compared_policy: Option<String>,
     #[serde(default)]
     pub(super) from: Option<HumanDuration>,
     #[serde(default)]
     pub(super) to: Option<HumanDuration>,
-    #[serde(default)]
-    #[serde(rename = "verb")]
+    #[serde(default, rename = "verb")]
     pub(super) class: Option<String>,
     #[serde(default)]
     pub(super) zone: Option<String>,
-    #[serde(default)]
-    #[serde(rename = "asked_in")]
+    #[serde(default, rename = "asked_in")]
     pub(super) client_zone: Option<String>,
     #[serde(default)]
     pub(super) at_least: Option<f64>,
     #[serde(default)]
     pub(super) at_most: Option<f64>,
     /// Checked in virtual time only, as the figure depends on the machine.
-    #[serde(default)]
-    #[serde(rename = "simulated")]
+    #[serde(default, rename = "simulated")]
     pub(super) simulated_only: bool,
 }
 
--- a/crates/passroad-rig/src/lib.rs
+++ b/crates/passroad-rig/src/lib.rs
@@ -1,5 +1,5 @@
-//! The rig: a fleet, its clients and its faults as models, in virtual time and behind real sockets, with a ledger that
-//! judges what went over the wire, baselines to be held against, experiments as files, and reports.
+//! Test rig for passroad: simulated endpoints, clients and faults, in virtual time and behind real sockets; a ledger that
+//! checks the service's rules on what was exchanged; baseline policies to compare with; experiments as files; and reports.
 
 pub mod added_latency;
 pub mod baseline;
