--- a/crates/passroad-rig/src/experiment/checks.rs
+++ b/crates/passroad-rig/src/experiment/checks.rs
@@ -1,10 +1,15 @@
 //! Checks an experiment file and makes the plan of its runs.
 
 use super::faults::is_peer_fault;
-use super::file_format::*;
-use super::*;
-use passroad_units::{HumanDuration, line_number};
+use super::file_format::{
+    ClassSection, Effect, ExperimentFile, FaultSection, FleetSection, SocketMode,
+};
+use super::{ClassPlan, EndpointPlan, POLICIES, Plan, ScheduledChange};
+use crate::model::EndpointSpec;
+use passroad_units::{ConfigError, HumanDuration, line_number};
 use serde_json::json;
+use std::ops::Range;
+use std::time::Duration;
 use toml::Spanned;
 
 /// Checks the content of an experiment file and makes its plan; the text is for the lines of errors.
@@ -101,7 +106,7 @@
             );
         }
         let (mut changes, length) = (Vec::new(), file.length.0);
-        let fleet = self.fleet(&file)?;
+        let fleet = self.fleet_plan(&file)?;
         let is_of_fleet_plan = |fault: &FaultSection| fleet.is_some() && is_peer_fault(fault.kind);
         for fault in file
             .faults
--- a/crates/passroad-rig/src/experiment/expectations.rs
+++ b/crates/passroad-rig/src/experiment/expectations.rs
@@ -1,9 +1,9 @@
 //! Checks the expectations of an experiment file.
 
 use super::checks::FileChecker;
-use super::file_format::*;
-use super::*;
-use passroad_units::line_number;
+use super::file_format::{ExpectationSection, ExperimentFile, Metric};
+use super::{ClassPlan, Expectation};
+use passroad_units::{ConfigError, line_number};
 use toml::Spanned;
 
 impl FileChecker<'_> {
--- a/crates/passroad-rig/src/experiment/faults.rs
+++ b/crates/passroad-rig/src/experiment/faults.rs
@@ -2,15 +2,22 @@
 //! among each other.
 
 use super::checks::FileChecker;
-use super::file_format::*;
-use super::*;
-use crate::fleet::{DutyPlan, FleetFault, What, Whom, WorkPlan};
-use passroad_units::Ratio;
+use super::file_format::{
+    ExperimentFile, FaultKind, FaultSection, FaultTarget, MaintenanceRequest, OneWay, SocketMode,
+};
+use super::{ClassPlan, EndpointPlan, ScheduledChange};
+use crate::fleet::{DutyPlan, FleetFault, FleetPlan, What, Whom, WorkPlan};
+use crate::model::FaultChange;
+use passroad_units::{ConfigError, Ratio};
+use std::time::Duration;
 use toml::Spanned;
 
 impl FileChecker<'_> {
     /// The plan of the sidecars among each other, with their faults; none without [peers].
-    pub(super) fn fleet(&self, file: &ExperimentFile) -> Result<Option<FleetPlan>, ConfigError> {
+    pub(super) fn fleet_plan(
+        &self,
+        file: &ExperimentFile,
+    ) -> Result<Option<FleetPlan>, ConfigError> {
         let Some(spanned) = &file.peers else {
             let needs_peers_section = |fault: &&Spanned<FaultSection>| {
                 is_peer_fault(fault.get_ref().kind) && !is_process_fault(fault.get_ref().kind)
--- a/crates/passroad-rig/src/virtual_time.rs
+++ b/crates/passroad-rig/src/virtual_time.rs
@@ -42,21 +42,26 @@
 
 enum SimulationEvent {
     RequestDue(ClientRequest),
+    /// By index in the plan.
     ApplyChange(usize),
+    /// A relay reaches its endpoint, over a new or a kept connection.
     RelayArrives {
         relay: RelayId,
         new_connection: bool,
     },
+    /// A response, or the end of its connection, reaches the sidecar.
     ResponseArrives {
         relay: RelayId,
         outcome: Outcome,
         load: Option<EndpointLoad>,
         keeps_connection: bool,
     },
+    /// The sidecar's own timeout ends a relay.
     RelayGivenUp {
         relay: RelayId,
         outcome: Outcome,
     },
+    /// The end of a relay's connection reaches its endpoint.
     CancelArrives {
         relay: RelayId,
     },
@@ -75,6 +80,7 @@
         token: u64,
         generation: u32,
     },
+    /// An endpoint's state changes by itself; stale if its version has changed since.
     EndpointWake {
         endpoint: usize,
         version: u64,
@@ -82,21 +88,25 @@
     EndpointRestart {
         endpoint: usize,
     },
+    /// The sidecar answers a command that is still open shortly before its time limit.
     SidecarDeadline {
         command: CommandId,
     },
+    /// The time limit of a command: the client stops waiting.
     ClientDeadline {
         command: CommandId,
     },
     InstanceStart {
         instance: usize,
     },
+    /// A list update reaches an instance, unless its subscription has been replaced.
     ListUpdate {
         instance: usize,
         kind: ListUpdateKind,
         endpoints: Vec<usize>,
         subscription: u64,
     },
+    /// Discovery learns of an endpoint's state.
     ListedStateChange {
         endpoint: usize,
         state: EndpointState,
