--- a/crates/passroad-rig/src/ledger.rs
+++ b/crates/passroad-rig/src/ledger.rs
@@ -10,10 +10,14 @@
 pub type CommandId = usize;
 pub type RelayId = usize;
 
+/// The final answer to a command.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Answer {
+    /// The endpoint's answer.
     Answered,
+    /// Refused by the sidecar: the command has had no effect, and the client may retry it.
     Refused,
+    /// Given up by the sidecar: the command may have had an effect.
     Failed,
 }
 
@@ -87,12 +91,18 @@
     },
 }
 
+/// A rule of the service that is checked on the history of a run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Rule {
+    /// Each command gets one answer in time, and nothing is sent for it after its end.
     OneAnswer,
+    /// The effect of a command takes place once at most.
     NoDuplicateEffect,
+    /// Nothing is sent to endpoints that are cordoned, draining or gone.
     NothingToDrained,
+    /// A cold endpoint is not offered more work than a multiple of its capacity.
     ColdNotOverloaded,
+    /// A command that is given up is answered without delay.
     AnsweredAtOnce,
 }
 
@@ -195,13 +205,13 @@
             deduplication_window: v.deduplication_window,
             mean_work: v.mean_work,
         };
-        let shares: f64 = plan.classes.iter().map(|v| v.share).sum();
+        let shares: f64 = plan.classes.iter().map(|class| class.share).sum();
         RuleContext {
             classes: plan.classes.iter().map(class).collect(),
             mean_work: plan
                 .classes
                 .iter()
-                .map(|v| v.mean_work * v.share)
+                .map(|class| class.mean_work * class.share)
                 .sum::<f64>()
                 / shares.max(1e-9),
             endpoints: plan
--- a/crates/passroad-rig/src/main.rs
+++ b/crates/passroad-rig/src/main.rs
@@ -412,7 +412,7 @@
             );
             let runs = run::run_on_sockets(&plan, &sidecar_program(None)?, None, true)?;
             out.write_reports(Path::new("try"), false, &plan, &runs, false)?;
-            let violations: usize = runs.iter().map(|r| r.violations.len()).sum();
+            let violations: usize = runs.iter().map(|run| run.violations.len()).sum();
             match violations {
                 0 => println!("4 rules kept, and nothing given up was held back"),
                 n => println!("rules broken {n} times"),
@@ -486,7 +486,7 @@
                 out.write_reports(file, files.len() > 1, &plan, &runs, !on_sockets)?;
                 for run in runs
                     .iter()
-                    .filter(|r| lines && r.policy.starts_with("passroad"))
+                    .filter(|run| lines && run.policy.starts_with("passroad"))
                 {
                     for (at, instance, line) in &run.log_lines {
                         println!("{:.3} s, instance {instance}: {line}", at.as_secs_f64());
--- a/crates/passroad-rig/src/model.rs
+++ b/crates/passroad-rig/src/model.rs
@@ -211,10 +211,15 @@
         let work_left: f64 = self
             .running
             .iter()
-            .filter(|w| !w.hung)
-            .map(|w| w.work_left)
+            .filter(|running_job| !running_job.hung)
+            .map(|running_job| running_job.work_left)
             .sum();
-        let work_ahead = work_left + self.queue.iter().map(|j| j.work).sum::<f64>();
+        let work_ahead = work_left
+            + self
+                .queue
+                .iter()
+                .map(|queued_job| queued_job.work)
+                .sum::<f64>();
         let wait = if self.busy_cores() < self.spec.cores {
             0.0
         } else {
@@ -227,7 +232,10 @@
     }
 
     fn busy_cores(&self) -> usize {
-        self.running.iter().filter(|w| !w.hung).count()
+        self.running
+            .iter()
+            .filter(|running_job| !running_job.hung)
+            .count()
     }
 
     /// Opens a connection; returns whether it was accepted.
@@ -296,11 +304,14 @@
 
     /// Cancels a job; returns whether the endpoint still held it.
     pub fn cancel(&mut self, id: JobId) -> bool {
-        let was_held =
-            self.running.iter().any(|w| w.job.id == id) || self.queue.iter().any(|j| j.id == id);
+        let was_held = self
+            .running
+            .iter()
+            .any(|running_job| running_job.job.id == id)
+            || self.queue.iter().any(|queued_job| queued_job.id == id);
         if was_held && self.spec.stops_cancelled {
-            self.queue.retain(|j| j.id != id);
-            self.running.retain(|w| w.job.id != id);
+            self.queue.retain(|queued_job| queued_job.id != id);
+            self.running.retain(|running_job| running_job.job.id != id);
             self.start_queued();
         }
         was_held
@@ -352,10 +363,15 @@
                 .map_or(to, |at| at.clamp(self.now + Duration::from_nanos(1), to));
             let done = rate * (end - self.now).as_secs_f64();
             self.now = end;
-            for work in self.running.iter_mut().filter(|w| !w.hung) {
+            for work in self
+                .running
+                .iter_mut()
+                .filter(|running_job| !running_job.hung)
+            {
                 work.work_left -= done;
             }
-            let ended = |w: &RunningJob| !w.hung && w.work_left <= 1e-9;
+            let ended =
+                |running_job: &RunningJob| !running_job.hung && running_job.work_left <= 1e-9;
             let mut n = 0;
             while n < self.running.len() {
                 if ended(&self.running[n]) {
@@ -376,8 +392,8 @@
         let least = self
             .running
             .iter()
-            .filter(|w| !w.hung)
-            .map(|w| w.work_left)
+            .filter(|running_job| !running_job.hung)
+            .map(|running_job| running_job.work_left)
             .fold(f64::INFINITY, f64::min);
         if rate <= 0.0 || !least.is_finite() {
             return None;
@@ -421,9 +437,13 @@
         self.slowed_down = false;
         let work = std::mem::take(&mut self.running)
             .into_iter()
-            .map(|w| w.job.id);
-        work.chain(std::mem::take(&mut self.queue).into_iter().map(|j| j.id))
-            .collect()
+            .map(|running_job| running_job.job.id);
+        work.chain(
+            std::mem::take(&mut self.queue)
+                .into_iter()
+                .map(|queued_job| queued_job.id),
+        )
+        .collect()
     }
 
     /// Starts a new process, cold where its kind has a warm-up time.
@@ -450,7 +470,7 @@
             FaultChange::ReportsIdle(on) => faults.reports_idle = on,
             FaultChange::ClassHangs(class, true) => faults.hanging_classes.push(class),
             FaultChange::ClassHangs(class, false) => {
-                faults.hanging_classes.retain(|v| *v != class);
+                faults.hanging_classes.retain(|hanging| *hanging != class);
                 self.update_hung_jobs();
             }
         }
@@ -460,7 +480,7 @@
         let hangs = &self.faults.hanging_classes;
         self.running
             .iter_mut()
-            .for_each(|w| w.hung = hangs.contains(&w.job.class));
+            .for_each(|running_job| running_job.hung = hangs.contains(&running_job.job.class));
     }
 }
 
--- a/crates/passroad-rig/src/virtual_time.rs
+++ b/crates/passroad-rig/src/virtual_time.rs
@@ -1078,8 +1078,8 @@
         }
         self.probes
             .iter_mut()
-            .filter(|p| p.instance == instance)
-            .for_each(|p| p.reported = true);
+            .filter(|probe| probe.instance == instance)
+            .for_each(|probe| probe.reported = true);
         for endpoint in 0..self.listed_states.len() {
             let idle = std::mem::take(&mut self.instances[instance].idle_connections[endpoint]);
             idle.iter()
