--- a/crates/passroad-rig/src/capacity/simulate.rs
+++ b/crates/passroad-rig/src/capacity/simulate.rs
@@ -124,14 +124,18 @@
     let (Some(day), Some(fleet)) = (&run.fleet, &plan.fleet) else {
         return Vec::new();
     };
-    let owners: Vec<usize> = day.reigns().iter().map(|reign| reign.owner).collect();
+    let owners: Vec<usize> = day
+        .ownerships()
+        .iter()
+        .map(|ownership| ownership.owner)
+        .collect();
     let voters: Vec<usize> = fleet
         .duties
         .iter()
-        .flat_map(|duty| voters_for(duty.mark(), plan.instances, fleet.voters))
+        .flat_map(|duty| voters_for(duty.lease_key(), plan.instances, fleet.voters))
         .map(usize::from)
         .collect();
-    let rate = |n: usize| day.datagrams[n] as f64 / day.seconds.max(1e-9);
+    let rate = |n: usize| day.datagrams_sent[n] as f64 / day.seconds.max(1e-9);
     let mean =
         |these: &[usize]| these.iter().map(|n| rate(*n)).sum::<f64>() / these.len().max(1) as f64;
     let plain: Vec<usize> = (0..plan.instances)
@@ -147,7 +151,7 @@
     let rows = [
         ("control", "messages-out", "1/s", "mean", control),
         ("control", "messages-out", "1/s", "busiest", most),
-        ("control", "false-doubts", "", "mean", day.doubts as f64),
+        ("control", "false-doubts", "", "mean", day.suspicions as f64),
         (
             "voter",
             "messages-out",
--- a/crates/passroad-rig/src/experiment/faults.rs
+++ b/crates/passroad-rig/src/experiment/faults.rs
@@ -6,7 +6,9 @@
     ExperimentFile, FaultKind, FaultSection, FaultTarget, MaintenanceRequest, OneWay, SocketMode,
 };
 use super::{ClassPlan, EndpointPlan, ScheduledChange};
-use crate::fleet::{DutyPlan, FleetFault, FleetPlan, What, Whom, WorkPlan};
+use crate::fleet::{
+    DutyPlan, FleetFault, FleetFaultKind, FleetFaultTarget, FleetPlan, MaintenancePlan,
+};
 use crate::model::FaultChange;
 use passroad_units::{ConfigError, Ratio};
 use std::time::Duration;
@@ -82,18 +84,18 @@
                     .requests
                     .iter()
                     .map(|request| (request.at.0, request.instance, request.endpoints.clone()));
-                Some(WorkPlan {
-                    lasts: work.duration.0,
-                    at_once: work.at_once,
+                Some(MaintenancePlan {
+                    duration: work.duration.0,
+                    max_concurrent: work.at_once,
                     requests: requests.collect(),
                 })
             }
         };
         let duties = peers.leased_roles.iter().map(|role| DutyPlan {
             name: role.name.clone(),
-            every: role.every.0,
-            within: role.within.0,
-            work: role.work.0,
+            interval: role.every.0,
+            timeout: role.within.0,
+            act_duration: role.work.0,
         });
         let mut faults = Vec::new();
         for fault in file
@@ -136,62 +138,70 @@
                 None => self.error(&span, "fault: share is missing"),
             };
             let effect = match section.kind {
-                FaultKind::PeersCut => What::Cut {
+                FaultKind::PeersCut => FleetFaultKind::Cut {
                     out: section.one_way != Some(OneWay::Back),
                     back: section.one_way != Some(OneWay::Out),
                 },
-                FaultKind::PeersLose => What::Lose(required_share(section.share)?),
-                FaultKind::PeersDuplicate => What::Twice(required_share(section.share)?),
+                FaultKind::PeersLose => FleetFaultKind::Loss(required_share(section.share)?),
+                FaultKind::PeersDuplicate => {
+                    FleetFaultKind::Duplication(required_share(section.share)?)
+                }
                 FaultKind::PeersLate => match section.delay {
-                    Some(by) => What::Late {
-                        by: by.0,
-                        spread: section.delay_spread.unwrap_or_default().0,
+                    Some(by) => FleetFaultKind::Delay {
+                        delay: by.0,
+                        jitter: section.delay_spread.unwrap_or_default().0,
                     },
                     None => return self.error(&span, "fault peers-late: by is missing"),
                 },
-                FaultKind::PeersBuffer => What::Keep,
-                FaultKind::SidecarPause => What::Pause,
-                FaultKind::SidecarKill => What::Kill,
-                FaultKind::SidecarStop => What::Stop,
-                _ => What::ActsKeep,
+                FaultKind::PeersBuffer => FleetFaultKind::HoldBack,
+                FaultKind::SidecarPause => FleetFaultKind::Pause,
+                FaultKind::SidecarKill => FleetFaultKind::Kill,
+                FaultKind::SidecarStop => FleetFaultKind::Stop,
+                _ => FleetFaultKind::HoldBackCalls,
             };
             if section.one_way.is_some() && section.kind != FaultKind::PeersCut {
                 return self.error(&span, "one_way: only for peers-cut");
             }
-            let must_end = matches!(effect, What::Pause | What::Keep | What::ActsKeep);
+            let must_end = matches!(
+                effect,
+                FleetFaultKind::Pause | FleetFaultKind::HoldBack | FleetFaultKind::HoldBackCalls
+            );
             if must_end && section.duration.is_none() {
                 return self.error(
                     &span,
                     "fault: for is missing; a pause or a buffering has to end",
                 );
             }
-            let whom = match (
+            let target = match (
                 section.target,
                 section.instances.clone().or(section.from_instances.clone()),
             ) {
-                (Some(FaultTarget::Owner), _) => Whom::Owner,
-                (Some(FaultTarget::Minority), _) => Whom::Minority,
-                (Some(FaultTarget::Voters), _) => Whom::Voters,
-                (None, list) => Whom::These(list.unwrap_or_else(|| (0..file.instances).collect())),
+                (Some(FaultTarget::Owner), _) => FleetFaultTarget::Owner,
+                (Some(FaultTarget::Minority), _) => FleetFaultTarget::Minority,
+                (Some(FaultTarget::Voters), _) => FleetFaultTarget::Voters,
+                (None, list) => FleetFaultTarget::Instances(
+                    list.unwrap_or_else(|| (0..file.instances).collect()),
+                ),
             };
             let every = section.every.map_or(Duration::ZERO, |time| time.0);
             for round in 0..section.repetitions.unwrap_or(1).clamp(1, 1000) {
                 // With every but without repeat, the sidecars are hit one after the other.
-                let all: Vec<Whom> = match (&whom, section.repetitions) {
-                    (Whom::These(list), None) if !every.is_zero() => {
-                        list.iter().map(|n| Whom::These(vec![*n])).collect()
-                    }
-                    _ => vec![whom.clone()],
+                let all: Vec<FleetFaultTarget> = match (&target, section.repetitions) {
+                    (FleetFaultTarget::Instances(list), None) if !every.is_zero() => list
+                        .iter()
+                        .map(|n| FleetFaultTarget::Instances(vec![*n]))
+                        .collect(),
+                    _ => vec![target.clone()],
                 };
-                for (n, whom) in all.into_iter().enumerate() {
+                for (n, target) in all.into_iter().enumerate() {
                     let from = section.at.0 + every * (round + n) as u32;
                     let to = section.duration.map(|span| from + span.0);
                     faults.push(FleetFault {
                         from,
                         to,
-                        whom,
+                        target,
                         others: section.to_instances.clone(),
-                        what: effect,
+                        kind: effect,
                     });
                 }
             }
@@ -201,11 +211,11 @@
             lease: peers.lease.0,
             period: peers.period.0,
             voters: peers.voters,
-            state: peers.state,
+            persist_votes: peers.state,
             duties: duties.collect(),
             faults,
             fence: peers.fence,
-            work,
+            maintenance: work,
         }))
     }
 
--- a/crates/passroad-rig/src/fleet/wires.rs
+++ b/crates/passroad-rig/src/fleet/datagram_faults.rs
@@ -1,6 +1,6 @@
 //! Applies the active faults to datagrams: loss, delay, duplication and holding back. Used on sockets and in virtual time.
 
-use super::What;
+use super::FleetFaultKind;
 use crate::rng::SeededRng;
 use std::time::Duration;
 
@@ -9,14 +9,14 @@
     id: usize,
     from: Vec<bool>,
     to: Vec<bool>,
-    what: What,
+    kind: FleetFaultKind,
 }
 
 /// A datagram that is held back until a fault ends.
 type HeldDatagram = (usize, usize, usize, Vec<u8>); // fault, from, to, bytes
 
 #[derive(Debug)]
-pub struct Wires {
+pub struct DatagramFaults {
     faults: Vec<Fault>,
     held_back: Vec<HeldDatagram>,
     rng: SeededRng,
@@ -24,9 +24,9 @@
     pub hits: usize,
 }
 
-impl Wires {
+impl DatagramFaults {
     pub fn new(seed: u64) -> Self {
-        Wires {
+        DatagramFaults {
             faults: Vec::new(),
             held_back: Vec::new(),
             rng: SeededRng::stream(seed, "wires", 0),
@@ -34,12 +34,13 @@
         }
     }
 
-    pub fn begin(&mut self, id: usize, from: Vec<bool>, to: Vec<bool>, what: What) {
-        self.faults.push(Fault { id, from, to, what });
+    /// Begins a fault of datagrams between two groups of sidecars.
+    pub fn begin_fault(&mut self, id: usize, from: Vec<bool>, to: Vec<bool>, kind: FleetFaultKind) {
+        self.faults.push(Fault { id, from, to, kind });
     }
 
     /// Ends a fault; returns the datagrams that it held back, in the order in which they were sent.
-    pub fn end(&mut self, id: usize) -> Vec<(usize, usize, Vec<u8>)> {
+    pub fn end_fault(&mut self, id: usize) -> Vec<(usize, usize, Vec<u8>)> {
         self.faults.retain(|fault| fault.id != id);
         let (released, held_back) = std::mem::take(&mut self.held_back)
             .into_iter()
@@ -53,13 +54,13 @@
     }
 
     /// The delays after which a datagram arrives: none if it is lost or held back, several if it is duplicated.
-    pub fn pass(&mut self, from: usize, to: usize, bytes: &[u8]) -> Vec<Duration> {
+    pub fn delivery_delays(&mut self, from: usize, to: usize, bytes: &[u8]) -> Vec<Duration> {
         let mut delays = vec![Duration::ZERO];
         for fault in &self.faults {
             let forward = fault.from[from] && fault.to[to];
             let backward = fault.from[to] && fault.to[from];
-            let hit = match fault.what {
-                What::Cut { out, back } => {
+            let hit = match fault.kind {
+                FleetFaultKind::Cut { out, back } => {
                     let cut = out && forward || back && backward;
                     if cut {
                         delays.clear();
@@ -67,20 +68,23 @@
                     cut
                 }
                 _ if !(forward || backward) => false,
-                What::Lose(share) => {
+                FleetFaultKind::Loss(share) => {
                     let lost = self.rng.uniform() < share;
                     if lost {
                         delays.clear();
                     }
                     lost
                 }
-                What::Late { by, spread } => {
+                FleetFaultKind::Delay {
+                    delay: added,
+                    jitter,
+                } => {
                     delays
                         .iter_mut()
-                        .for_each(|delay| *delay += by + spread.mul_f64(self.rng.uniform()));
+                        .for_each(|delay| *delay += added + jitter.mul_f64(self.rng.uniform()));
                     true
                 }
-                What::Twice(share) => {
+                FleetFaultKind::Duplication(share) => {
                     let duplicated = self.rng.uniform() < share && !delays.is_empty();
                     if duplicated {
                         let extra = Duration::from_millis(self.rng.below(50) as u64);
@@ -88,7 +92,7 @@
                     }
                     duplicated
                 }
-                What::Keep => {
+                FleetFaultKind::HoldBack => {
                     if !delays.is_empty() {
                         delays.clear();
                         self.held_back.push((fault.id, from, to, bytes.to_vec()));
--- a/crates/passroad-rig/src/fleet/mod.rs
+++ b/crates/passroad-rig/src/fleet/mod.rs
@@ -1,9 +1,9 @@
 //! Communicating sidecars: the plan of their leases, maintenance and faults, the acts at the fenced resource, and the results;
 //! with a simulation in virtual time.
 
-pub mod histories;
-pub mod wires;
-pub mod world;
+pub mod datagram_faults;
+pub mod random_histories;
+pub mod simulation;
 
 use passroad::fleet::LeasedTask;
 use passroad_lease::{candidate_order, voters_for};
@@ -16,27 +16,28 @@
     pub period: Duration,
     pub voters: usize,
     /// Whether voters persist their votes.
-    pub state: bool,
+    pub persist_votes: bool,
     pub duties: Vec<DutyPlan>,
     pub faults: Vec<FleetFault>,
     /// Whether the resource refuses lower epochs. Experiments disable it to show what it prevents.
     pub fence: bool,
-    pub work: Option<WorkPlan>,
+    pub maintenance: Option<MaintenancePlan>,
 }
 
 /// Maintenance that operators request.
 #[derive(Debug, Clone)]
-pub struct WorkPlan {
+pub struct MaintenancePlan {
     /// How long the maintenance of one machine takes.
-    pub lasts: Duration,
-    pub at_once: usize,
+    pub duration: Duration,
+    /// Maximum number of machines under maintenance at the same time.
+    pub max_concurrent: usize,
     /// Time, sidecar that receives the request, and endpoints.
     pub requests: Vec<(Duration, usize, Vec<usize>)>,
 }
 
 /// A period in which a machine was under maintenance.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Worked {
+pub struct MaintenanceInterval {
     pub endpoint: usize,
     pub from: Duration,
     pub to: Duration,
@@ -45,25 +46,25 @@
 #[derive(Debug, Clone)]
 pub struct DutyPlan {
     pub name: String,
-    pub every: Duration,
-    pub within: Duration,
-    pub work: Duration, // how long the resource takes for an act
+    pub interval: Duration,
+    pub timeout: Duration,
+    pub act_duration: Duration, // how long the resource takes for an act
 }
 
 #[derive(Debug, Clone)]
 pub struct FleetFault {
     pub from: Duration,
     pub to: Option<Duration>,
-    pub whom: Whom,
+    pub target: FleetFaultTarget,
     /// For faults between sidecars, the other side; None for all others.
     pub others: Option<Vec<usize>>,
-    pub what: What,
+    pub kind: FleetFaultKind,
 }
 
 /// The sidecars that a fault affects; which ones these are may be known only when it begins.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Whom {
-    These(Vec<usize>),
+pub enum FleetFaultTarget {
+    Instances(Vec<usize>),
     /// The owner whose act was accepted last.
     Owner,
     /// The owner and as many other voters as stay short of a majority.
@@ -73,41 +74,51 @@
 }
 
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum What {
-    Cut {
-        out: bool,
-        back: bool,
+pub enum FleetFaultKind {
+    /// Datagrams are lost from the target to the other side (`out`), in the other direction (`back`), or in both.
+    Cut { out: bool, back: bool },
+    /// Datagrams are lost with this probability.
+    Loss(f64),
+    Delay {
+        delay: Duration,
+        /// Up to this much more, drawn for each datagram.
+        jitter: Duration,
     },
-    Lose(f64),
-    Late {
-        by: Duration,
-        spread: Duration,
-    },
-    Twice(f64),
+    /// Datagrams are duplicated with this probability.
+    Duplication(f64),
     /// Datagrams are held back until the fault ends, then all delivered.
-    Keep,
+    HoldBack,
+    /// The process is paused as by SIGSTOP.
     Pause,
+    /// The process is killed and restarted.
     Kill,
+    /// The process is gracefully stopped and restarted.
     Stop,
     /// Calls to the resource are held back until the fault ends, then all delivered.
-    ActsKeep,
+    HoldBackCalls,
 }
 
-impl What {
+impl FleetFaultKind {
     /// Whether the fault concerns datagrams between sidecars.
-    pub fn between(self) -> bool {
-        !matches!(self, What::Pause | What::Kill | What::Stop | What::ActsKeep)
+    pub fn is_between_sidecars(self) -> bool {
+        !matches!(
+            self,
+            FleetFaultKind::Pause
+                | FleetFaultKind::Kill
+                | FleetFaultKind::Stop
+                | FleetFaultKind::HoldBackCalls
+        )
     }
 }
 
 /// Restart delay of a killed or stopped sidecar, unless the fault has its own.
-pub const RESTART: Duration = Duration::from_millis(500);
+pub const RESTART_DELAY: Duration = Duration::from_millis(500);
 
-impl Whom {
+impl FleetFaultTarget {
     /// The instances that are affected now.
-    pub fn find(&self, plan: &FleetPlan, instances: usize, owner: Option<usize>) -> Vec<usize> {
+    pub fn resolve(&self, plan: &FleetPlan, instances: usize, owner: Option<usize>) -> Vec<usize> {
         let key = match plan.duties.first() {
-            Some(duty) => duty.mark(),
+            Some(duty) => duty.lease_key(),
             None => passroad_choice::interner::stable_hash("upkeep"),
         };
         let voters: Vec<usize> = voters_for(key, instances, plan.voters)
@@ -120,9 +131,9 @@
                 .map_or(0, |instance| usize::from(*instance))
         };
         match self {
-            Whom::These(list) => list.clone(),
-            Whom::Owner => vec![owner.unwrap_or_else(first_candidate)],
-            Whom::Minority => {
+            FleetFaultTarget::Instances(list) => list.clone(),
+            FleetFaultTarget::Owner => vec![owner.unwrap_or_else(first_candidate)],
+            FleetFaultTarget::Minority => {
                 let owner = owner.unwrap_or_else(first_candidate);
                 let half = voters.len() / 2;
                 let mut minority: Vec<usize> = voters
@@ -134,24 +145,24 @@
                 minority.push(owner);
                 minority
             }
-            Whom::Voters => voters[..voters.len() / 2 + 1].to_vec(),
+            FleetFaultTarget::Voters => voters[..voters.len() / 2 + 1].to_vec(),
         }
     }
 }
 
 impl DutyPlan {
-    pub fn mark(&self) -> u64 {
+    pub fn lease_key(&self) -> u64 {
         passroad_choice::interner::stable_hash(&self.name)
     }
 
-    pub fn orders(&self) -> LeasedTask {
+    pub fn leased_task(&self) -> LeasedTask {
         let call = Some(hyper::Uri::from_static("http://127.0.0.1:1/"));
         LeasedTask {
             name: self.name.clone(),
-            key: self.mark(),
-            interval: self.every,
+            key: self.lease_key(),
+            interval: self.interval,
             call,
-            timeout: self.within,
+            timeout: self.timeout,
         }
     }
 }
@@ -159,7 +170,7 @@
 /// A call that the resource accepted or refused.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Act {
-    pub at: Duration,
+    pub time: Duration,
     pub duty: usize,
     pub epoch: u64,
     pub owner: usize,
@@ -168,7 +179,7 @@
 
 /// One ownership of a duty, as seen by the resource.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Reign {
+pub struct Ownership {
     pub duty: usize,
     pub epoch: u64,
     pub owner: usize,
@@ -179,21 +190,22 @@
 
 /// The results of a run of communicating sidecars.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct FleetDay {
+pub struct FleetResults {
     pub acts: Vec<Act>,
-    pub datagrams: Vec<u64>, // sent, by sidecar
-    pub longest: usize,      // bytes of the longest datagram
+    pub datagrams_sent: Vec<u64>, // by sidecar
+    pub longest_datagram_bytes: usize,
+    /// Length of the run in seconds.
     pub seconds: f64,
     /// Largest number of sidecars that believed to own the first duty at the same time; known in virtual time only.
-    pub believers: Option<usize>,
-    pub doubts: u64,
+    pub max_believed_owners: Option<usize>,
+    pub suspicions: u64,
     pub refuted: u64,
-    pub works: Vec<Worked>,
+    pub maintenance: Vec<MaintenanceInterval>,
     /// Effects of faults: datagrams lost, held back, duplicated or delayed, calls held back, processes stopped.
-    pub hits: usize,
+    pub fault_hits: usize,
 }
 
-impl FleetDay {
+impl FleetResults {
     /// The accepted acts of a duty in order.
     fn accepted(&self, duty: usize) -> impl Iterator<Item = &Act> {
         self.acts
@@ -252,17 +264,21 @@
     }
 
     /// Acts that were refused.
-    pub fn stale_tries(&self) -> usize {
+    pub fn refused_acts(&self) -> usize {
         self.acts.iter().filter(|act| !act.accepted).count()
     }
 
     /// Longest time in a window without an accepted act of any one duty, in seconds.
-    pub fn unowned(&self, window: &std::ops::Range<Duration>, duties: usize) -> f64 {
+    pub fn longest_unowned_seconds(
+        &self,
+        window: &std::ops::Range<Duration>,
+        duties: usize,
+    ) -> f64 {
         let longest = |duty: usize| {
             let (mut last, mut longest_gap) = (window.start, Duration::ZERO);
             let times = self
                 .accepted(duty)
-                .map(|act| act.at)
+                .map(|act| act.time)
                 .filter(|time| window.contains(time));
             for time in times.chain([window.end]) {
                 longest_gap = longest_gap.max(time.saturating_sub(last));
@@ -274,41 +290,44 @@
     }
 
     /// Datagrams per second of the sidecar that sent the most.
-    pub fn peer_datagrams(&self) -> f64 {
-        self.datagrams.iter().copied().max().unwrap_or(0) as f64 / self.seconds.max(1e-9)
+    pub fn busiest_sender_rate(&self) -> f64 {
+        self.datagrams_sent.iter().copied().max().unwrap_or(0) as f64 / self.seconds.max(1e-9)
     }
 
     /// The ownerships by order of their first accepted act.
-    pub fn reigns(&self) -> Vec<Reign> {
-        let mut reigns: Vec<Reign> = Vec::new();
+    pub fn ownerships(&self) -> Vec<Ownership> {
+        let mut ownerships: Vec<Ownership> = Vec::new();
         for act in self.acts.iter().filter(|act| act.accepted) {
-            let same = |reign: &&mut Reign| {
-                (reign.duty, reign.epoch, reign.owner) == (act.duty, act.epoch, act.owner)
+            let same = |ownership: &&mut Ownership| {
+                (ownership.duty, ownership.epoch, ownership.owner)
+                    == (act.duty, act.epoch, act.owner)
             };
-            match reigns.iter_mut().find(same) {
-                Some(reign) => (reign.last, reign.acts) = (act.at, reign.acts + 1),
-                None => reigns.push(Reign {
+            match ownerships.iter_mut().find(same) {
+                Some(ownership) => {
+                    (ownership.last, ownership.acts) = (act.time, ownership.acts + 1)
+                }
+                None => ownerships.push(Ownership {
                     duty: act.duty,
                     epoch: act.epoch,
                     owner: act.owner,
-                    first: act.at,
-                    last: act.at,
+                    first: act.time,
+                    last: act.time,
                     acts: 1,
                 }),
             }
         }
-        reigns
+        ownerships
     }
 
     /// Largest number of machines under maintenance at the same time.
-    pub fn at_work(&self) -> usize {
+    pub fn max_machines_under_maintenance(&self) -> usize {
         let at = |time: Duration| {
-            self.works
+            self.maintenance
                 .iter()
                 .filter(|work| work.from <= time && time < work.to)
                 .count()
         };
-        self.works
+        self.maintenance
             .iter()
             .map(|work| at(work.from))
             .max()
@@ -316,15 +335,15 @@
     }
 
     /// Number of machines that were under maintenance.
-    pub fn worked(&self) -> usize {
-        let mut machines: Vec<usize> = self.works.iter().map(|work| work.endpoint).collect();
+    pub fn machines_maintained(&self) -> usize {
+        let mut machines: Vec<usize> = self.maintenance.iter().map(|work| work.endpoint).collect();
         machines.sort_unstable();
         machines.dedup();
         machines.len()
     }
 
     /// Number of ownerships: pairs of duty and epoch with an accepted act.
-    pub fn owners(&self) -> usize {
+    pub fn ownership_count(&self) -> usize {
         let mut epochs: Vec<_> = self
             .acts
             .iter()
--- a/crates/passroad-rig/src/fleet/histories.rs
+++ b/crates/passroad-rig/src/fleet/random_histories.rs
@@ -1,7 +1,7 @@
 //! Randomly generated runs (histories) with overlapping faults of all kinds, and the properties that must hold in each.
 
-use super::world::play;
-use super::{DutyPlan, FleetDay, FleetFault, FleetPlan, What, Whom};
+use super::simulation::simulate;
+use super::{DutyPlan, FleetFault, FleetFaultKind, FleetFaultTarget, FleetPlan, FleetResults};
 use crate::rng::SeededRng;
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
 use std::sync::{Mutex, PoisonError};
@@ -13,20 +13,20 @@
 
 /// Totals over all histories.
 #[derive(Debug, Default, Clone, PartialEq)]
-pub struct Sums {
+pub struct HistoryTotals {
     pub histories: u64,
     pub acts: u64,
-    pub owners: u64,
-    pub stale_tries: u64,
-    pub hits: u64,
+    pub ownerships: u64,
+    pub refused_acts: u64,
+    pub fault_hits: u64,
     /// The seed and the violated property of each history that failed.
     pub broken: Vec<(u64, String)>,
 }
 
 /// Draws the plan of a history and its number of sidecars.
-pub fn draw(seed: u64, fence: bool) -> (FleetPlan, usize) {
+pub fn random_plan(seed: u64, fence: bool) -> (FleetPlan, usize) {
     let mut rng = SeededRng::stream(seed, "history", 0);
-    let ms = |n: usize| Duration::from_millis(n as u64);
+    let ms = |millis: usize| Duration::from_millis(millis as u64);
     let instances = 3 + rng.below(5);
     let mut faults = Vec::new();
     for _ in 0..2 + rng.below(7) {
@@ -40,96 +40,96 @@
                 list
             }
         };
-        let whom = match rng.below(4) {
-            0 => Whom::These(random_instances(&mut rng)),
-            1 => Whom::Voters,
-            2 => Whom::Minority,
-            _ => Whom::Owner,
+        let target = match rng.below(4) {
+            0 => FleetFaultTarget::Instances(random_instances(&mut rng)),
+            1 => FleetFaultTarget::Voters,
+            2 => FleetFaultTarget::Minority,
+            _ => FleetFaultTarget::Owner,
         };
-        let all = Whom::These((0..instances).collect());
-        let (whom, what) = match rng.below(9) {
+        let all = FleetFaultTarget::Instances((0..instances).collect());
+        let (target, kind) = match rng.below(9) {
             0 => (
-                whom,
-                What::Cut {
+                target,
+                FleetFaultKind::Cut {
                     out: true,
                     back: true,
                 },
             ),
             1 => (
-                whom,
-                What::Cut {
+                target,
+                FleetFaultKind::Cut {
                     out: rng.uniform() < 0.5,
                     back: false,
                 },
             ),
-            2 => (all, What::Lose(0.6 * rng.uniform())),
+            2 => (all, FleetFaultKind::Loss(0.6 * rng.uniform())),
             3 => (
                 all,
-                What::Late {
-                    by: ms(rng.below(600)),
-                    spread: ms(rng.below(900)),
+                FleetFaultKind::Delay {
+                    delay: ms(rng.below(600)),
+                    jitter: ms(rng.below(900)),
                 },
             ),
-            4 => (all, What::Twice(rng.uniform())),
-            5 => (whom, What::Keep),
-            6 => (whom, What::Pause),
-            7 => (whom, What::Kill),
-            _ => (whom, What::Stop),
+            4 => (all, FleetFaultKind::Duplication(rng.uniform())),
+            5 => (target, FleetFaultKind::HoldBack),
+            6 => (target, FleetFaultKind::Pause),
+            7 => (target, FleetFaultKind::Kill),
+            _ => (target, FleetFaultKind::Stop),
         };
-        let what = if what
-            == (What::Cut {
+        let kind = if kind
+            == (FleetFaultKind::Cut {
                 out: false,
                 back: false,
             }) {
-            What::Cut {
+            FleetFaultKind::Cut {
                 out: false,
                 back: true,
             }
         } else {
-            what
+            kind
         };
         // Often the paused sidecar has a call under way that arrives only after the pause.
-        if what == What::Pause && rng.uniform() < 0.7 {
+        if kind == FleetFaultKind::Pause && rng.uniform() < 0.7 {
             let before = from - ms(300);
             let to = Some(to + ms(500));
             faults.push(FleetFault {
                 from: before,
                 to,
-                whom: whom.clone(),
+                target: target.clone(),
                 others: None,
-                what: What::ActsKeep,
+                kind: FleetFaultKind::HoldBackCalls,
             });
         }
         faults.push(FleetFault {
             from,
             to: Some(to),
-            whom,
+            target,
             others: None,
-            what,
+            kind,
         });
     }
     let duty = DutyPlan {
         name: "sweep".into(),
-        every: ms(20 + rng.below(200)),
-        within: ms(300),
-        work: ms(rng.below(120)),
+        interval: ms(20 + rng.below(200)),
+        timeout: ms(300),
+        act_duration: ms(rng.below(120)),
     };
     let plan = FleetPlan {
         lease: LEASE,
         period: ms(500),
         voters: 5,
-        state: rng.uniform() < 0.3,
+        persist_votes: rng.uniform() < 0.3,
         duties: vec![duty],
         faults,
         fence,
-        work: None,
+        maintenance: None,
     };
     (plan, instances)
 }
 
 /// Checks the properties that must hold in every history.
-pub fn judge(results: &FleetDay) -> Result<(), String> {
-    if let Some(believers) = results.believers.filter(|n| *n > 1) {
+pub fn check(results: &FleetResults) -> Result<(), String> {
+    if let Some(believers) = results.max_believed_owners.filter(|count| *count > 1) {
         return Err(format!(
             "{believers} sidecars believed to be the owner at once"
         ));
@@ -140,10 +140,10 @@
             results.stale_acts()
         ));
     }
-    if results.longest > passroad_peers::MAX_DATAGRAM_BYTES {
+    if results.longest_datagram_bytes > passroad_peers::MAX_DATAGRAM_BYTES {
         return Err(format!(
             "a datagram had {} bytes, more than allowed",
-            results.longest
+            results.longest_datagram_bytes
         ));
     }
     if results.acts.is_empty() {
@@ -153,8 +153,8 @@
 }
 
 /// Runs histories with consecutive seeds on several threads; the totals don't depend on the number of threads.
-pub fn run(from: u64, count: u64, threads: usize, fence: bool) -> Sums {
-    let (next, sums) = (AtomicU64::new(from), Mutex::new(Sums::default()));
+pub fn run(from: u64, count: u64, threads: usize, fence: bool) -> HistoryTotals {
+    let (next, totals) = (AtomicU64::new(from), Mutex::new(HistoryTotals::default()));
     std::thread::scope(|scope| {
         for _ in 0..threads.max(1) {
             scope.spawn(|| {
@@ -163,23 +163,25 @@
                     if seed >= from + count {
                         return;
                     }
-                    let (plan, instances) = draw(seed, fence);
-                    let results = play(&plan, instances, LENGTH, Duration::from_micros(500), seed);
-                    let mut sums = sums.lock().unwrap_or_else(PoisonError::into_inner);
-                    sums.histories += 1;
-                    sums.acts += results.acts.len() as u64;
-                    sums.owners += results.owners() as u64;
-                    sums.stale_tries += results.stale_tries() as u64;
-                    sums.hits += results.hits as u64;
-                    sums.broken
-                        .extend(judge(&results).err().map(|violation| (seed, violation)));
+                    let (plan, instances) = random_plan(seed, fence);
+                    let results =
+                        simulate(&plan, instances, LENGTH, Duration::from_micros(500), seed);
+                    let mut totals = totals.lock().unwrap_or_else(PoisonError::into_inner);
+                    totals.histories += 1;
+                    totals.acts += results.acts.len() as u64;
+                    totals.ownerships += results.ownership_count() as u64;
+                    totals.refused_acts += results.refused_acts() as u64;
+                    totals.fault_hits += results.fault_hits as u64;
+                    totals
+                        .broken
+                        .extend(check(&results).err().map(|violation| (seed, violation)));
                 }
             });
         }
     });
-    let mut sums = sums.into_inner().unwrap_or_else(PoisonError::into_inner);
-    sums.broken.sort();
-    sums
+    let mut totals = totals.into_inner().unwrap_or_else(PoisonError::into_inner);
+    totals.broken.sort();
+    totals
 }
 
 #[cfg(test)]
--- a/crates/passroad-rig/src/fleet/histories/tests.rs
+++ b/crates/passroad-rig/src/fleet/random_histories/tests.rs
@@ -5,29 +5,31 @@
 // effect often enough for this to mean something, and the totals must not depend on the number of threads.
 #[rstest]
 fn no_history_has_two_owners_or_accepts_acts_of_an_old_owner() {
-    let sums = run(1, 150, 2, true);
-    assert_eq!(sums.broken, []);
+    let totals = run(1, 150, 2, true);
+    assert_eq!(totals.broken, []);
     assert!(
-        sums.owners > 2 * sums.histories && sums.hits > 100 * sums.histories,
-        "{sums:?}"
+        totals.ownerships > 2 * totals.histories && totals.fault_hits > 100 * totals.histories,
+        "{totals:?}"
     );
-    assert!(sums.stale_tries > 0, "{sums:?}");
-    assert_eq!(sums, run(1, 150, 3, true));
+    assert!(totals.refused_acts > 0, "{totals:?}");
+    assert_eq!(totals, run(1, 150, 3, true));
 }
 
 #[rstest]
 fn acts_of_old_owners_are_accepted_without_the_fence() {
-    let sums = run(1, 150, 3, false);
+    let totals = run(1, 150, 3, false);
     assert!(
-        sums.broken
+        totals
+            .broken
             .iter()
             .any(|(_, violation)| violation.contains("old owner")),
-        "{sums:?}"
+        "{totals:?}"
     );
     assert!(
-        sums.broken
+        totals
+            .broken
             .iter()
             .all(|(_, violation)| !violation.contains("at once")),
-        "{sums:?}"
+        "{totals:?}"
     );
 }
--- a/crates/passroad-rig/src/fleet/world.rs
+++ b/crates/passroad-rig/src/fleet/simulation.rs
@@ -1,8 +1,8 @@
 //! Communicating sidecars in virtual time: the sidecar's own fleet code, clocks that drift apart, the network between them and
 //! the resource that lease owners act on. The result depends on the seed only, not on the machine or the number of threads.
 
-use super::wires::Wires;
-use super::{Act, FleetDay, FleetPlan, RESTART, What};
+use super::datagram_faults::DatagramFaults;
+use super::{Act, FleetFaultKind, FleetPlan, FleetResults, RESTART_DELAY};
 use crate::rng::SeededRng;
 use passroad::fleet::node::{CallOutcome, FleetNode, MachineView, NodeAction, NodeIdentity};
 use passroad_lease::{Clocks, Epoch, Fence, LeaseKey, Vote};
@@ -78,23 +78,23 @@
     queue: BinaryHeap<Reverse<(Duration, u64, SimulationEvent)>>,
     event_count: u64, // orders events of the same time
     nodes: Vec<Node>,
-    wires: Wires,
+    datagram_faults: DatagramFaults,
     calls: Vec<Call>,
     held_calls: Vec<(usize, Vec<usize>, Vec<usize>)>, // fault, callers, calls
     affected: Vec<Vec<usize>>,                        // by fault, the nodes that it affected
     fence: Fence,
-    results: FleetDay,
+    results: FleetResults,
     believed_epochs: Vec<Option<Epoch>>, // of the first duty, by node
 }
 
 /// Simulates a run.
-pub fn play(
+pub fn simulate(
     plan: &FleetPlan,
     instances: usize,
     length: Duration,
     one_way_delay: Duration,
     seed: u64,
-) -> FleetDay {
+) -> FleetResults {
     let mut simulation = Simulation {
         plan,
         instances,
@@ -103,15 +103,15 @@
         queue: BinaryHeap::new(),
         event_count: 0,
         nodes: Vec::new(),
-        wires: Wires::new(seed),
+        datagram_faults: DatagramFaults::new(seed),
         calls: Vec::new(),
         held_calls: Vec::new(),
         affected: vec![Vec::new(); plan.faults.len()],
         fence: Fence::default(),
-        results: FleetDay {
-            datagrams: vec![0; instances],
+        results: FleetResults {
+            datagrams_sent: vec![0; instances],
             seconds: length.as_secs_f64(),
-            ..FleetDay::default()
+            ..FleetResults::default()
         },
         believed_epochs: vec![None; instances],
     };
@@ -135,7 +135,7 @@
     }
     for (index, fault) in plan.faults.iter().enumerate() {
         simulation.schedule(fault.from, SimulationEvent::FaultBegins(index));
-        let end = if fault.what == What::Kill {
+        let end = if fault.kind == FleetFaultKind::Kill {
             None
         } else {
             fault.to
@@ -156,10 +156,10 @@
             .as_ref()
             .map(FleetNode::counts)
             .unwrap_or_default();
-        simulation.results.doubts += counts.suspicions;
+        simulation.results.suspicions += counts.suspicions;
         simulation.results.refuted += counts.refuted;
     }
-    simulation.results.hits += simulation.wires.hits;
+    simulation.results.fault_hits += simulation.datagram_faults.hits;
     simulation.results
 }
 
@@ -234,11 +234,14 @@
                 {
                     Some((_, _, held)) => {
                         held.push(call);
-                        self.results.hits += 1;
+                        self.results.fault_hits += 1;
                     }
                     None => {
-                        let work = self.plan.duties[self.calls[call].duty].work;
-                        self.schedule(self.now + work, SimulationEvent::ActCommits { call });
+                        let act_duration = self.plan.duties[self.calls[call].duty].act_duration;
+                        self.schedule(
+                            self.now + act_duration,
+                            SimulationEvent::ActCommits { call },
+                        );
                     }
                 }
             }
@@ -284,8 +287,13 @@
             incarnation,
             seed,
         };
-        let votes = (self.plan.state && !state.disk.is_empty()).then(|| state.disk.clone());
-        let duties = self.plan.duties.iter().map(|duty| duty.orders()).collect();
+        let votes = (self.plan.persist_votes && !state.disk.is_empty()).then(|| state.disk.clone());
+        let duties = self
+            .plan
+            .duties
+            .iter()
+            .map(|duty| duty.leased_task())
+            .collect();
         let (voters, lease, period) = (self.plan.voters, self.plan.lease, self.plan.period);
         let clocks = self.clocks(node);
         self.nodes[node].fleet_node = Some(FleetNode::new(
@@ -298,7 +306,7 @@
     fn end_process(&mut self, node: usize) {
         let state = &mut self.nodes[node];
         if let Some(fleet_node) = state.fleet_node.take() {
-            self.results.doubts += fleet_node.counts().suspicions;
+            self.results.suspicions += fleet_node.counts().suspicions;
             self.results.refuted += fleet_node.counts().refuted;
         }
         state.timer_id += 1;
@@ -350,17 +358,18 @@
                 believers += usize::from(believes);
             }
         }
-        self.results.believers = self.results.believers.max(Some(believers));
+        self.results.max_believed_owners = self.results.max_believed_owners.max(Some(believers));
     }
 
     fn carry_out(&mut self, node: usize, actions: Vec<NodeAction>) {
         for action in actions {
             match action {
                 NodeAction::Send { to, bytes } => {
-                    self.results.datagrams[node] += 1;
-                    self.results.longest = self.results.longest.max(bytes.len());
+                    self.results.datagrams_sent[node] += 1;
+                    self.results.longest_datagram_bytes =
+                        self.results.longest_datagram_bytes.max(bytes.len());
                     let to = usize::from(to);
-                    for delay in self.wires.pass(node, to, &bytes) {
+                    for delay in self.datagram_faults.delivery_delays(node, to, &bytes) {
                         let jitter = Duration::from_micros(self.nodes[node].rng.below(200) as u64);
                         let event = SimulationEvent::Datagram {
                             from: node,
@@ -417,7 +426,7 @@
         let admitted = self.fence.admit(duty as LeaseKey, epoch, node as u16);
         let accepted = admitted.is_ok() || !self.plan.fence;
         self.results.acts.push(Act {
-            at: self.now,
+            time: self.now,
             duty,
             epoch,
             owner: node,
@@ -461,24 +470,24 @@
             .rev()
             .find(|act| act.accepted)
             .map(|act| act.owner);
-        let nodes = fault.whom.find(self.plan, self.instances, owner);
+        let nodes = fault.target.resolve(self.plan, self.instances, owner);
         self.affected[index].clone_from(&nodes);
-        match fault.what {
-            What::Pause => {
-                self.results.hits += nodes.len();
+        match fault.kind {
+            FleetFaultKind::Pause => {
+                self.results.fault_hits += nodes.len();
                 nodes.iter().for_each(|node| self.nodes[*node].paused += 1);
             }
-            What::Kill => {
-                self.results.hits += nodes.len();
-                let restart = fault.to.unwrap_or(self.now + RESTART);
+            FleetFaultKind::Kill => {
+                self.results.fault_hits += nodes.len();
+                let restart = fault.to.unwrap_or(self.now + RESTART_DELAY);
                 for node in nodes {
                     self.end_process(node);
                     self.schedule(restart, SimulationEvent::ProcessStarts(node));
                 }
             }
-            What::Stop => {
-                self.results.hits += nodes.len();
-                let restart = fault.to.unwrap_or(self.now + 2 * RESTART);
+            FleetFaultKind::Stop => {
+                self.results.fault_hits += nodes.len();
+                let restart = fault.to.unwrap_or(self.now + 2 * RESTART_DELAY);
                 for node in nodes {
                     if let Some(fleet_node) = &mut self.nodes[node].fleet_node {
                         fleet_node.stop();
@@ -495,8 +504,8 @@
                     }
                 }
             }
-            What::ActsKeep => self.held_calls.push((index, nodes, Vec::new())),
-            what => {
+            FleetFaultKind::HoldBackCalls => self.held_calls.push((index, nodes, Vec::new())),
+            kind => {
                 let membership = |list: &[usize]| {
                     (0..self.instances)
                         .map(|node| list.contains(&node))
@@ -508,14 +517,14 @@
                     None if nodes.len() == self.instances => vec![true; self.instances],
                     None => from.iter().map(|member| !member).collect(),
                 };
-                self.wires.begin(index, from, to, what);
+                self.datagram_faults.begin_fault(index, from, to, kind);
             }
         }
     }
 
     fn end_fault(&mut self, index: usize) {
-        match self.plan.faults[index].what {
-            What::Pause => {
+        match self.plan.faults[index].kind {
+            FleetFaultKind::Pause => {
                 for node in std::mem::take(&mut self.affected[index]) {
                     self.nodes[node].paused = self.nodes[node].paused.saturating_sub(1);
                     if self.nodes[node].paused > 0 {
@@ -528,7 +537,7 @@
                     }
                 }
             }
-            What::ActsKeep => {
+            FleetFaultKind::HoldBackCalls => {
                 let held = self
                     .held_calls
                     .iter()
@@ -540,9 +549,9 @@
                     self.schedule(self.now, SimulationEvent::ActCommits { call });
                 }
             }
-            What::Kill | What::Stop => {}
+            FleetFaultKind::Kill | FleetFaultKind::Stop => {}
             _ => {
-                for (from, to, bytes) in self.wires.end(index) {
+                for (from, to, bytes) in self.datagram_faults.end_fault(index) {
                     self.schedule(
                         self.now + self.one_way_delay,
                         SimulationEvent::Datagram { from, to, bytes },
--- a/crates/passroad-rig/src/main.rs
+++ b/crates/passroad-rig/src/main.rs
@@ -342,16 +342,21 @@
             threads,
             no_fence,
         } => {
-            let sums = passroad_rig::fleet::histories::run(from, count, threads, !no_fence);
+            let totals =
+                passroad_rig::fleet::random_histories::run(from, count, threads, !no_fence);
             println!(
                 "simulated: {} histories, {} acts by {} epochs, {} refused, faults hit {} times",
-                sums.histories, sums.acts, sums.owners, sums.stale_tries, sums.hits
+                totals.histories,
+                totals.acts,
+                totals.ownerships,
+                totals.refused_acts,
+                totals.fault_hits
             );
-            for (seed, violation) in sums.broken.iter().take(20) {
+            for (seed, violation) in totals.broken.iter().take(20) {
                 println!("broken, seed {seed}: {violation}");
             }
-            println!("{} broken", sums.broken.len());
-            Ok(sums.broken.is_empty())
+            println!("{} broken", totals.broken.len());
+            Ok(totals.broken.is_empty())
         }
         Command::Check { files } => {
             for file in &files {
--- a/crates/passroad-rig/src/report.rs
+++ b/crates/passroad-rig/src/report.rs
@@ -188,7 +188,7 @@
             );
         }
         if let Some(fleet) = &run.fleet {
-            let unowned = fleet.unowned(
+            let unowned = fleet.longest_unowned_seconds(
                 &(plan.settle..plan.length),
                 plan.fleet.as_ref().map_or(0, |fleet| fleet.duties.len()),
             );
@@ -198,20 +198,20 @@
                  unowned at most, {:.2} datagrams a second of the busiest, {} doubts ({} refuted), faults hit {} times",
                 run.seed,
                 fleet.acts.iter().filter(|a| a.accepted).count(),
-                fleet.owners(),
-                fleet.stale_tries(),
+                fleet.ownership_count(),
+                fleet.refused_acts(),
                 fleet.stale_acts(),
                 fleet.owners_at_once(),
-                fleet.peer_datagrams(),
-                fleet.doubts,
+                fleet.busiest_sender_rate(),
+                fleet.suspicions,
                 fleet.refuted,
-                fleet.hits
+                fleet.fault_hits
             );
         }
         for ownership in run
             .fleet
             .iter()
-            .flat_map(|fleet| fleet.reigns())
+            .flat_map(|fleet| fleet.ownerships())
             .take(MAX_LISTED_OWNERSHIPS)
         {
             let (first, last) = (ownership.first.as_secs_f64(), ownership.last.as_secs_f64());
@@ -221,7 +221,7 @@
                 ownership.duty, ownership.owner, ownership.epoch, ownership.acts
             );
         }
-        for work in run.fleet.iter().flat_map(|fleet| &fleet.works) {
+        for work in run.fleet.iter().flat_map(|fleet| &fleet.maintenance) {
             let (from, to) = (work.from.as_secs_f64(), work.to.as_secs_f64());
             let _ = writeln!(
                 out,
@@ -306,10 +306,10 @@
                 "policy": run.policy, "seed": run.seed, "figures": figures, "seconds": series, "breaches": violations,
                 "connections": run.connections, "remarks": run.remarks,
                 "fleet": run.fleet.as_ref().map(|fleet| json!({
-                    "acts": fleet.acts.len(), "owners": fleet.owners(), "stale_tries": fleet.stale_tries(),
+                    "acts": fleet.acts.len(), "owners": fleet.ownership_count(), "stale_tries": fleet.refused_acts(),
                     "stale_acts": fleet.stale_acts(), "owners_at_once": fleet.owners_at_once(),
-                    "believers": fleet.believers, "peer_datagrams": fleet.peer_datagrams(),
-                    "doubts": fleet.doubts, "hits": fleet.hits,
+                    "believers": fleet.max_believed_owners, "peer_datagrams": fleet.busiest_sender_rate(),
+                    "doubts": fleet.suspicions, "hits": fleet.fault_hits,
                 })),
             })
         })
--- a/crates/passroad-rig/src/run.rs
+++ b/crates/passroad-rig/src/run.rs
@@ -2,7 +2,7 @@
 
 use crate::distribution;
 use crate::experiment::{Expectation, Metric, Plan};
-use crate::fleet::{Act, FleetDay, world};
+use crate::fleet::{Act, FleetResults, simulation};
 use crate::ledger::{Answer, CommandRecord, History, Rule, RuleContext, Violation};
 use crate::sockets::{self, Program};
 use crate::virtual_time::{self, FleetSample, Recording};
@@ -29,7 +29,7 @@
     /// Whether the run was in virtual time.
     pub simulated: bool,
     /// What happened between the sidecars, where the experiment has peers.
-    pub fleet: Option<FleetDay>,
+    pub fleet: Option<FleetResults>,
 }
 
 impl Run {
@@ -118,12 +118,12 @@
 
 /// Simulates the sidecars' traffic among each other. It is a simulation of its own, as it and the commands don't affect
 /// each other.
-fn simulate_fleet(plan: &Plan, policy: &str, seed: u64) -> Option<FleetDay> {
+fn simulate_fleet(plan: &Plan, policy: &str, seed: u64) -> Option<FleetResults> {
     let fleet = plan
         .fleet
         .as_ref()
         .filter(|_| policy.starts_with("passroad"))?;
-    Some(world::play(
+    Some(simulation::simulate(
         fleet,
         plan.instances,
         plan.length,
@@ -269,7 +269,7 @@
                 .is_none_or(|zone| plan.zone_of(command.instance) == zone)
     };
     let tally = || Tally::of_matching(run, plan, &expectation.window, matches_filter);
-    let fleet = |of: fn(&FleetDay) -> f64| run.fleet.as_ref().map_or(f64::NAN, of);
+    let fleet = |of: fn(&FleetResults) -> f64| run.fleet.as_ref().map_or(f64::NAN, of);
     match expectation.metric {
         Metric::Served => {
             let tally = tally();
@@ -382,39 +382,41 @@
         Metric::Connections => run.connections as f64,
         Metric::Together => distribution::synchronized_choices(run, plan, &expectation.window),
         Metric::OwnersAtOnce => fleet(|fleet| fleet.owners_at_once() as f64),
-        Metric::Believers => fleet(|fleet| fleet.believers.map_or(f64::NAN, |n| n as f64)),
+        Metric::Believers => {
+            fleet(|fleet| fleet.max_believed_owners.map_or(f64::NAN, |n| n as f64))
+        }
         Metric::StaleActs => fleet(|fleet| fleet.stale_acts() as f64),
-        Metric::StaleTries => fleet(|fleet| fleet.stale_tries() as f64),
+        Metric::StaleTries => fleet(|fleet| fleet.refused_acts() as f64),
         Metric::Unowned => {
             let duties = plan.fleet.as_ref().map_or(0, |plan| plan.duties.len());
-            run.fleet
-                .as_ref()
-                .map_or(f64::NAN, |fleet| fleet.unowned(&expectation.window, duties))
+            run.fleet.as_ref().map_or(f64::NAN, |fleet| {
+                fleet.longest_unowned_seconds(&expectation.window, duties)
+            })
         }
         Metric::Acts => {
-            let within = |act: &&Act| act.accepted && expectation.window.contains(&act.at);
+            let within = |act: &&Act| act.accepted && expectation.window.contains(&act.time);
             run.fleet.as_ref().map_or(f64::NAN, |fleet| {
                 fleet.acts.iter().filter(within).count() as f64
             })
         }
-        Metric::Owners => fleet(|fleet| fleet.owners() as f64),
-        Metric::PeerDatagrams => fleet(FleetDay::peer_datagrams),
-        Metric::Doubts => fleet(|fleet| fleet.doubts as f64),
-        Metric::Hits => fleet(|fleet| fleet.hits as f64),
-        Metric::Worked => fleet(|fleet| fleet.worked() as f64),
-        Metric::AtWork => fleet(|fleet| fleet.at_work() as f64),
+        Metric::Owners => fleet(|fleet| fleet.ownership_count() as f64),
+        Metric::PeerDatagrams => fleet(FleetResults::busiest_sender_rate),
+        Metric::Doubts => fleet(|fleet| fleet.suspicions as f64),
+        Metric::Hits => fleet(|fleet| fleet.fault_hits as f64),
+        Metric::Worked => fleet(|fleet| fleet.machines_maintained() as f64),
+        Metric::AtWork => fleet(|fleet| fleet.max_machines_under_maintenance() as f64),
         Metric::WorkBroken => relays_during_work(run) as f64,
         Metric::WorkTime => {
             let requests = plan
                 .fleet
                 .iter()
-                .flat_map(|fleet| fleet.work.iter())
+                .flat_map(|fleet| fleet.maintenance.iter())
                 .flat_map(|work| &work.requests);
             let last_end = |endpoints: &[usize]| {
                 let own = run
                     .fleet
                     .iter()
-                    .flat_map(|fleet| &fleet.works)
+                    .flat_map(|fleet| &fleet.maintenance)
                     .filter(|work| endpoints.contains(&work.endpoint));
                 own.map(|work| work.to).max().unwrap_or(Duration::MAX)
             };
@@ -450,8 +452,8 @@
 
 /// Relays that were sent to an endpoint during maintenance on it, or were on it when that began.
 fn relays_during_work(run: &Run) -> usize {
-    let works = run.fleet.iter().flat_map(|fleet| &fleet.works);
-    let disturbed = |work: &crate::fleet::Worked| {
+    let works = run.fleet.iter().flat_map(|fleet| &fleet.maintenance);
+    let disturbed = |work: &crate::fleet::MaintenanceInterval| {
         let on = run
             .history
             .relays
--- a/crates/passroad-rig/src/sockets/fenced_resource.rs
+++ b/crates/passroad-rig/src/sockets/fenced_resource.rs
@@ -69,7 +69,7 @@
             };
             // A call that has arrived is carried out, whether or not its caller still waits.
             self.wait_until_released(owner).await;
-            sleep(self.plan.duties[duty].work).await;
+            sleep(self.plan.duties[duty].act_duration).await;
             let answer = match self.commit(duty, epoch, owner) {
                 None => response("200 OK", "", ""),
                 Some(highest) => response("409 Conflict", &format!("Epoch: {highest}\r\n"), ""),
@@ -98,7 +98,7 @@
         let (mut fence, mut acts) = (lock(&self.fence), lock(&self.acts));
         let accepted = fence.admit(duty as u64, epoch, owner as u16).is_ok() || !self.plan.fence;
         acts.push(Act {
-            at: self.run_state.now(),
+            time: self.run_state.now(),
             duty,
             epoch,
             owner,
--- a/crates/passroad-rig/src/sockets/fleet_environment.rs
+++ b/crates/passroad-rig/src/sockets/fleet_environment.rs
@@ -8,7 +8,7 @@
 use super::process_control::{kill, stop};
 use super::run_state::{RunState, lock};
 use super::sidecar::call_management;
-use crate::fleet::{FleetDay, FleetPlan, RESTART, What, Worked};
+use crate::fleet::{FleetFaultKind, FleetPlan, FleetResults, MaintenanceInterval, RESTART_DELAY};
 use crate::ledger::Entry;
 use rustix::process::Signal;
 use serde_json::{Value, json};
@@ -32,7 +32,7 @@
     resource: Arc<FencedResource>,
     /// How often a fault of processes took effect.
     hits: AtomicUsize,
-    maintenance: Mutex<Vec<Worked>>,
+    maintenance: Mutex<Vec<MaintenanceInterval>>,
     /// The sidecar last seen as coordinator of maintenance; `usize::MAX` for none.
     coordinator: AtomicUsize,
     /// Datagrams that each sidecar had sent when the run began.
@@ -75,7 +75,7 @@
             ms(plan.period),
             plan.voters
         );
-        if plan.state {
+        if plan.persist_votes {
             text += &format!(
                 "state = {:?}\n",
                 folder
@@ -84,16 +84,20 @@
                     .to_string()
             );
         }
-        if let Some(work) = &plan.work {
+        if let Some(maintenance) = &plan.maintenance {
             text += &format!(
                 "\n[upkeep]\nat_once = {0}\nat_once_in_a_zone = {0}\n",
-                work.at_once
+                maintenance.max_concurrent
             );
         }
         for duty in &plan.duties {
             let (name, address) = (&duty.name, self.resource.address);
             text += &format!("\n[[duty]]\nname = \"{name}\"\ncall = \"http://{address}/{name}\"\n");
-            text += &format!("every = {}\nwithin = {}\n", ms(duty.every), ms(duty.within));
+            text += &format!(
+                "every = {}\nwithin = {}\n",
+                ms(duty.interval),
+                ms(duty.timeout)
+            );
         }
         text
     }
@@ -117,7 +121,7 @@
         sleep_until(self.run_state.instant(fault.from)).await;
         let coordinator =
             Some(self.coordinator.load(Relaxed)).filter(|instance| *instance < instances);
-        let instances_hit = fault.whom.find(
+        let instances_hit = fault.target.resolve(
             &self.plan,
             instances,
             self.resource.last_owner().or(coordinator),
@@ -125,23 +129,23 @@
         log::info!(
             "fault {index} at {:.1} s: {:?} of {instances_hit:?}",
             fault.from.as_secs_f64(),
-            fault.what
+            fault.kind
         );
         let duration = fault.to.map(|to| to.saturating_sub(fault.from));
-        match fault.what {
-            What::Kill | What::Stop => {
+        match fault.kind {
+            FleetFaultKind::Kill | FleetFaultKind::Stop => {
                 self.hits.fetch_add(instances_hit.len(), Relaxed);
                 for instance in instances_hit {
                     let (clients, sidecars) = (Arc::clone(&clients), Arc::clone(&sidecars));
-                    let down = duration.unwrap_or(RESTART);
-                    if fault.what == What::Kill {
+                    let down = duration.unwrap_or(RESTART_DELAY);
+                    if fault.kind == FleetFaultKind::Kill {
                         tokio::spawn(kill(clients, sidecars, instance, down));
                     } else {
                         tokio::spawn(stop(clients, sidecars, instance));
                     }
                 }
             }
-            What::Pause => {
+            FleetFaultKind::Pause => {
                 for instance in &instances_hit {
                     self.hits.fetch_add(1, Relaxed);
                     // The process does not run: its clients treat their commands there as lost.
@@ -160,12 +164,12 @@
                     .iter()
                     .for_each(|instance| clients.targets[*instance].away.store(false, Relaxed));
             }
-            What::ActsKeep => {
+            FleetFaultKind::HoldBackCalls => {
                 self.resource.delay_calls(index, instances_hit);
                 sleep(duration.unwrap_or_default()).await;
                 self.resource.release_calls(index);
             }
-            what => {
+            kind => {
                 let membership = |list: &[usize]| {
                     (0..instances)
                         .map(|instance| list.contains(&instance))
@@ -177,7 +181,7 @@
                     None if instances_hit.len() == instances => vec![true; instances],
                     None => from.iter().map(|member| !member).collect(),
                 };
-                self.peers.begin_fault(index, from, to, what);
+                self.peers.begin_fault(index, from, to, kind);
                 if let Some(duration) = duration {
                     sleep(duration).await;
                     self.peers.end_fault(index).await;
@@ -188,10 +192,10 @@
 
     /// Operators request maintenance of machines, work on each that is reported as at work, and report its end.
     pub fn schedule_maintenance(self: &Arc<Self>, sidecars: &Sidecars) {
-        let Some(work) = self.plan.work.clone() else {
+        let Some(maintenance) = self.plan.maintenance.clone() else {
             return;
         };
-        for (number, (at, instance, endpoints)) in work.requests.into_iter().enumerate() {
+        for (number, (at, instance, endpoints)) in maintenance.requests.into_iter().enumerate() {
             let (own, sidecars) = (Arc::clone(self), Arc::clone(sidecars));
             tokio::spawn(async move {
                 sleep_until(own.run_state.instant(at)).await;
@@ -211,7 +215,10 @@
             });
         }
         let (own, sidecars) = (Arc::clone(self), Arc::clone(sidecars));
-        tokio::spawn(async move { own.perform_maintenance(sidecars, work.lasts).await });
+        tokio::spawn(async move {
+            own.perform_maintenance(sidecars, maintenance.duration)
+                .await
+        });
     }
 
     /// Calls the management endpoint of a sidecar until the call is accepted or conflicts; where one does not answer, the next
@@ -272,7 +279,7 @@
                 tokio::spawn(async move {
                     sleep(duration).await;
                     let to = own.run_state.now();
-                    lock(&own.maintenance).push(Worked { endpoint, from, to });
+                    lock(&own.maintenance).push(MaintenanceInterval { endpoint, from, to });
                     let body = json!({ "machine": machine }).to_string();
                     own.call_until_accepted(&sidecars, instance, "POST", "/admin/work/done", &body)
                         .await;
@@ -282,21 +289,21 @@
     }
 
     /// The results of a run, for the checks.
-    pub fn results(&self, length: Duration) -> FleetDay {
-        FleetDay {
+    pub fn results(&self, length: Duration) -> FleetResults {
+        FleetResults {
             acts: self.resource.acts(),
-            datagrams: self
+            datagrams_sent: self
                 .peers
                 .counts()
                 .iter()
                 .zip(lock(&self.sent_before_run).iter())
                 .map(|(now, before)| now - before)
                 .collect(),
-            longest: self.peers.longest.load(Relaxed),
+            longest_datagram_bytes: self.peers.longest.load(Relaxed),
             seconds: self.run_state.now().max(length).as_secs_f64(),
-            works: lock(&self.maintenance).clone(),
-            hits: self.peers.hits() + self.resource.hits() + self.hits.load(Relaxed),
-            ..FleetDay::default()
+            maintenance: lock(&self.maintenance).clone(),
+            fault_hits: self.peers.hits() + self.resource.hits() + self.hits.load(Relaxed),
+            ..FleetResults::default()
         }
     }
 }
--- a/crates/passroad-rig/src/sockets/mod.rs
+++ b/crates/passroad-rig/src/sockets/mod.rs
@@ -16,7 +16,7 @@
 pub use sidecar::{Program, check_program};
 
 use crate::experiment::{Plan, ScheduledChange};
-use crate::fleet::FleetDay;
+use crate::fleet::FleetResults;
 use crate::ledger::Entry;
 use crate::rng::SeededRng;
 use crate::virtual_time::{FleetSample, Recording};
@@ -73,7 +73,7 @@
     routes: Option<&String>,
     log_folder: Option<&Path>,
     show_progress: bool,
-) -> Result<(Recording, Vec<String>, Option<FleetDay>), String> {
+) -> Result<(Recording, Vec<String>, Option<FleetResults>), String> {
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .worker_threads(3)
         .enable_all()
@@ -102,7 +102,7 @@
     routes: Option<&String>,
     log_folder: Option<&Path>,
     show_progress: bool,
-) -> std::io::Result<(Recording, Vec<String>, Option<FleetDay>)> {
+) -> std::io::Result<(Recording, Vec<String>, Option<FleetResults>)> {
     if plan.endpoints.len() > 240 || plan.instances > 240 {
         return Err(std::io::Error::other(
             "on sockets there are 240 endpoints and 240 instances at most",
--- a/crates/passroad-rig/src/sockets/peer_network.rs
+++ b/crates/passroad-rig/src/sockets/peer_network.rs
@@ -2,8 +2,8 @@
 //! can be lost, delayed, duplicated, cut off in one direction or held back.
 
 use super::run_state::{lock, loopback_address};
-use crate::fleet::What;
-use crate::fleet::wires::Wires;
+use crate::fleet::FleetFaultKind;
+use crate::fleet::datagram_faults::DatagramFaults;
 use std::collections::HashMap;
 use std::io;
 use std::net::SocketAddr;
@@ -23,7 +23,7 @@
     /// The address that forwards a datagram to all others.
     pub all: SocketAddr,
     sockets: Vec<UdpSocket>,
-    wires: Mutex<Wires>,
+    datagram_faults: Mutex<DatagramFaults>,
     /// Datagrams that each sidecar has sent.
     pub sent: Vec<AtomicU64>,
     /// Bytes of the longest datagram.
@@ -52,7 +52,7 @@
             proxies,
             all: to_all.local_addr()?,
             sockets,
-            wires: Mutex::new(Wires::new(seed)),
+            datagram_faults: Mutex::new(DatagramFaults::new(seed)),
             sent: (0..instances).map(|_| AtomicU64::new(0)).collect(),
             longest: AtomicUsize::new(0),
         });
@@ -97,7 +97,7 @@
     async fn forward(self: &Arc<Self>, from: usize, to: usize, bytes: &[u8]) {
         self.sent[from].fetch_add(1, Relaxed);
         self.longest.fetch_max(bytes.len(), Relaxed);
-        let delays = lock(&self.wires).pass(from, to, bytes);
+        let delays = lock(&self.datagram_faults).delivery_delays(from, to, bytes);
         for delay in delays {
             if delay.is_zero() {
                 self.deliver(from, to, bytes).await;
@@ -115,12 +115,12 @@
         let _ = self.sockets[from].send_to(bytes, self.real[to]).await;
     }
 
-    pub fn begin_fault(&self, id: usize, from: Vec<bool>, to: Vec<bool>, what: What) {
-        lock(&self.wires).begin(id, from, to, what);
+    pub fn begin_fault(&self, id: usize, from: Vec<bool>, to: Vec<bool>, kind: FleetFaultKind) {
+        lock(&self.datagram_faults).begin_fault(id, from, to, kind);
     }
 
     pub async fn end_fault(&self, id: usize) {
-        let held_back = lock(&self.wires).end(id);
+        let held_back = lock(&self.datagram_faults).end_fault(id);
         for (from, to, bytes) in held_back {
             self.deliver(from, to, &bytes).await;
         }
@@ -128,7 +128,7 @@
 
     /// How often a fault took effect.
     pub fn hits(&self) -> usize {
-        lock(&self.wires).hits
+        lock(&self.datagram_faults).hits
     }
 
     /// Datagrams sent by each sidecar so far.
