--- a/crates/passroad-rig/src/capacity/simulate.rs
+++ b/crates/passroad-rig/src/capacity/simulate.rs
@@ -130,9 +130,9 @@
         .map(|ownership| ownership.owner)
         .collect();
     let voters: Vec<usize> = fleet
-        .duties
+        .leased_roles
         .iter()
-        .flat_map(|duty| voters_for(duty.lease_key(), plan.instances, fleet.voters))
+        .flat_map(|role| voters_for(role.lease_key(), plan.instances, fleet.voters))
         .map(usize::from)
         .collect();
     let rate = |n: usize| day.datagrams_sent[n] as f64 / day.seconds.max(1e-9);
--- a/crates/passroad-rig/src/experiment/faults.rs
+++ b/crates/passroad-rig/src/experiment/faults.rs
@@ -7,7 +7,7 @@
 };
 use super::{ClassPlan, EndpointPlan, ScheduledChange};
 use crate::fleet::{
-    DutyPlan, FleetFault, FleetFaultKind, FleetFaultTarget, FleetPlan, MaintenancePlan,
+    FleetFault, FleetFaultKind, FleetFaultTarget, FleetPlan, LeasedRolePlan, MaintenancePlan,
 };
 use crate::model::FaultChange;
 use passroad_units::{ConfigError, Ratio};
@@ -91,7 +91,7 @@
                 })
             }
         };
-        let duties = peers.leased_roles.iter().map(|role| DutyPlan {
+        let leased_roles = peers.leased_roles.iter().map(|role| LeasedRolePlan {
             name: role.name.clone(),
             interval: role.every.0,
             timeout: role.within.0,
@@ -212,7 +212,7 @@
             period: peers.period.0,
             voters: peers.voters,
             persist_votes: peers.state,
-            duties: duties.collect(),
+            leased_roles: leased_roles.collect(),
             faults,
             fence: peers.fence,
             maintenance: work,
--- a/crates/passroad-rig/src/fleet/datagram_faults.rs
+++ b/crates/passroad-rig/src/fleet/datagram_faults.rs
@@ -1,4 +1,5 @@
-//! Applies the active faults to datagrams: loss, delay, duplication and holding back. Used on sockets and in virtual time.
+//! Applies the active faults to datagrams: loss, delay, duplication and holding back. Used on sockets and in virtual
+//! time.
 
 use super::FleetFaultKind;
 use crate::rng::SeededRng;
--- a/crates/passroad-rig/src/fleet/mod.rs
+++ b/crates/passroad-rig/src/fleet/mod.rs
@@ -1,5 +1,5 @@
-//! Communicating sidecars: the plan of their leases, maintenance and faults, the acts at the fenced resource, and the results;
-//! with a simulation in virtual time.
+//! Communicating sidecars: the plan of their leases, maintenance and faults, the acts at the fenced resource, and the
+//! results; with a simulation in virtual time.
 
 pub mod datagram_faults;
 pub mod random_histories;
@@ -17,7 +17,7 @@
     pub voters: usize,
     /// Whether voters persist their votes.
     pub persist_votes: bool,
-    pub duties: Vec<DutyPlan>,
+    pub leased_roles: Vec<LeasedRolePlan>,
     pub faults: Vec<FleetFault>,
     /// Whether the resource refuses lower epochs. Experiments disable it to show what it prevents.
     pub fence: bool,
@@ -43,14 +43,19 @@
     pub to: Duration,
 }
 
+/// A leased role, whose owner repeatedly acts at the resource.
 #[derive(Debug, Clone)]
-pub struct DutyPlan {
+pub struct LeasedRolePlan {
     pub name: String,
+    /// Time between two acts.
     pub interval: Duration,
+    /// Timeout of a call to the resource.
     pub timeout: Duration,
-    pub act_duration: Duration, // how long the resource takes for an act
+    /// How long the resource takes for an act.
+    pub act_duration: Duration,
 }
 
+/// A fault of processes, of datagrams between them, or of calls to the resource.
 #[derive(Debug, Clone)]
 pub struct FleetFault {
     pub from: Duration,
@@ -69,16 +74,18 @@
     Owner,
     /// The owner and as many other voters as stay short of a majority.
     Minority,
-    /// A majority of the voters for the first duty.
+    /// A majority of the voters for the first leased role.
     Voters,
 }
 
+/// What a fault does to its target.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum FleetFaultKind {
     /// Datagrams are lost from the target to the other side (`out`), in the other direction (`back`), or in both.
     Cut { out: bool, back: bool },
     /// Datagrams are lost with this probability.
     Loss(f64),
+    /// Datagrams are delayed.
     Delay {
         delay: Duration,
         /// Up to this much more, drawn for each datagram.
@@ -117,8 +124,8 @@
 impl FleetFaultTarget {
     /// The instances that are affected now.
     pub fn resolve(&self, plan: &FleetPlan, instances: usize, owner: Option<usize>) -> Vec<usize> {
-        let key = match plan.duties.first() {
-            Some(duty) => duty.lease_key(),
+        let key = match plan.leased_roles.first() {
+            Some(role) => role.lease_key(),
             None => passroad_choice::interner::stable_hash("upkeep"),
         };
         let voters: Vec<usize> = voters_for(key, instances, plan.voters)
@@ -150,11 +157,12 @@
     }
 }
 
-impl DutyPlan {
+impl LeasedRolePlan {
     pub fn lease_key(&self) -> u64 {
         passroad_choice::interner::stable_hash(&self.name)
     }
 
+    /// The task as the code of a sidecar has it; the simulation makes its calls itself.
     pub fn leased_task(&self) -> LeasedTask {
         let call = Some(hyper::Uri::from_static("http://127.0.0.1:1/"));
         LeasedTask {
@@ -171,16 +179,16 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Act {
     pub time: Duration,
-    pub duty: usize,
+    pub role: usize,
     pub epoch: u64,
     pub owner: usize,
     pub accepted: bool,
 }
 
-/// One ownership of a duty, as seen by the resource.
+/// One ownership of a leased role, as seen by the resource.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Ownership {
-    pub duty: usize,
+    pub role: usize,
     pub epoch: u64,
     pub owner: usize,
     pub first: Duration,
@@ -196,7 +204,8 @@
     pub longest_datagram_bytes: usize,
     /// Length of the run in seconds.
     pub seconds: f64,
-    /// Largest number of sidecars that believed to own the first duty at the same time; known in virtual time only.
+    /// Largest number of sidecars that believed to own the first leased role at the same time; known in virtual time
+    /// only.
     pub max_believed_owners: Option<usize>,
     pub suspicions: u64,
     pub refuted: u64,
@@ -206,24 +215,24 @@
 }
 
 impl FleetResults {
-    /// The accepted acts of a duty in order.
-    fn accepted(&self, duty: usize) -> impl Iterator<Item = &Act> {
+    /// The accepted acts of a leased role in order.
+    fn accepted(&self, role: usize) -> impl Iterator<Item = &Act> {
         self.acts
             .iter()
-            .filter(move |act| act.accepted && act.duty == duty)
+            .filter(move |act| act.accepted && act.role == role)
     }
 
-    fn duties(&self) -> std::ops::Range<usize> {
-        0..self.acts.iter().map(|act| act.duty + 1).max().unwrap_or(0)
+    fn leased_roles(&self) -> std::ops::Range<usize> {
+        0..self.acts.iter().map(|act| act.role + 1).max().unwrap_or(0)
     }
 
-    /// Largest number of epochs of a duty whose accepted acts are interleaved; more than one means that the resource accepted two
-    /// owners at the same time.
+    /// Largest number of epochs of a leased role whose accepted acts are interleaved; more than one means that the
+    /// resource accepted two owners at the same time.
     pub fn owners_at_once(&self) -> usize {
         let mut maximum = 0;
-        for duty in self.duties() {
+        for role in self.leased_roles() {
             let mut spans: Vec<(u64, usize, usize)> = Vec::new();
-            for (position, act) in self.accepted(duty).enumerate() {
+            for (position, act) in self.accepted(role).enumerate() {
                 match spans.iter_mut().find(|(epoch, ..)| *epoch == act.epoch) {
                     Some((_, _, last)) => *last = position,
                     None => spans.push((act.epoch, position, position)),
@@ -249,9 +258,9 @@
     /// Acts that were accepted although a higher epoch, or the same epoch of another owner, had been accepted before.
     pub fn stale_acts(&self) -> usize {
         let mut stale = 0;
-        for duty in self.duties() {
+        for role in self.leased_roles() {
             let mut highest = (0, usize::MAX);
-            for act in self.accepted(duty) {
+            for act in self.accepted(role) {
                 stale += usize::from(
                     act.epoch < highest.0 || act.epoch == highest.0 && act.owner != highest.1,
                 );
@@ -268,16 +277,16 @@
         self.acts.iter().filter(|act| !act.accepted).count()
     }
 
-    /// Longest time in a window without an accepted act of any one duty, in seconds.
+    /// Longest time in a window without an accepted act of any one leased role, in seconds.
     pub fn longest_unowned_seconds(
         &self,
         window: &std::ops::Range<Duration>,
-        duties: usize,
+        leased_roles: usize,
     ) -> f64 {
-        let longest = |duty: usize| {
+        let longest = |role: usize| {
             let (mut last, mut longest_gap) = (window.start, Duration::ZERO);
             let times = self
-                .accepted(duty)
+                .accepted(role)
                 .map(|act| act.time)
                 .filter(|time| window.contains(time));
             for time in times.chain([window.end]) {
@@ -286,7 +295,7 @@
             }
             longest_gap.as_secs_f64()
         };
-        (0..duties).map(longest).fold(0.0, f64::max)
+        (0..leased_roles).map(longest).fold(0.0, f64::max)
     }
 
     /// Datagrams per second of the sidecar that sent the most.
@@ -299,15 +308,15 @@
         let mut ownerships: Vec<Ownership> = Vec::new();
         for act in self.acts.iter().filter(|act| act.accepted) {
             let same = |ownership: &&mut Ownership| {
-                (ownership.duty, ownership.epoch, ownership.owner)
-                    == (act.duty, act.epoch, act.owner)
+                (ownership.role, ownership.epoch, ownership.owner)
+                    == (act.role, act.epoch, act.owner)
             };
             match ownerships.iter_mut().find(same) {
                 Some(ownership) => {
                     (ownership.last, ownership.acts) = (act.time, ownership.acts + 1)
                 }
                 None => ownerships.push(Ownership {
-                    duty: act.duty,
+                    role: act.role,
                     epoch: act.epoch,
                     owner: act.owner,
                     first: act.time,
@@ -342,13 +351,13 @@
         machines.len()
     }
 
-    /// Number of ownerships: pairs of duty and epoch with an accepted act.
+    /// Number of ownerships: pairs of leased role and epoch with an accepted act.
     pub fn ownership_count(&self) -> usize {
         let mut epochs: Vec<_> = self
             .acts
             .iter()
             .filter(|act| act.accepted)
-            .map(|act| (act.duty, act.epoch))
+            .map(|act| (act.role, act.epoch))
             .collect();
         epochs.sort_unstable();
         epochs.dedup();
--- a/crates/passroad-rig/src/fleet/random_histories.rs
+++ b/crates/passroad-rig/src/fleet/random_histories.rs
@@ -1,7 +1,9 @@
 //! Randomly generated runs (histories) with overlapping faults of all kinds, and the properties that must hold in each.
 
 use super::simulation::simulate;
-use super::{DutyPlan, FleetFault, FleetFaultKind, FleetFaultTarget, FleetPlan, FleetResults};
+use super::{
+    FleetFault, FleetFaultKind, FleetFaultTarget, FleetPlan, FleetResults, LeasedRolePlan,
+};
 use crate::rng::SeededRng;
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
 use std::sync::{Mutex, PoisonError};
@@ -108,7 +110,7 @@
             kind,
         });
     }
-    let duty = DutyPlan {
+    let role = LeasedRolePlan {
         name: "sweep".into(),
         interval: ms(20 + rng.below(200)),
         timeout: ms(300),
@@ -119,7 +121,7 @@
         period: ms(500),
         voters: 5,
         persist_votes: rng.uniform() < 0.3,
-        duties: vec![duty],
+        leased_roles: vec![role],
         faults,
         fence,
         maintenance: None,
--- a/crates/passroad-rig/src/fleet/random_histories/tests.rs
+++ b/crates/passroad-rig/src/fleet/random_histories/tests.rs
@@ -1,8 +1,8 @@
 use super::*;
 use rstest::rstest;
 
-// In no history is there more than one owner, nor is an act of an old one accepted. Ownership must change and faults must take
-// effect often enough for this to mean something, and the totals must not depend on the number of threads.
+// In no history is there more than one owner, nor is an act of an old one accepted. Ownership must change and faults
+// must take effect often enough for this to mean something, and the totals must not depend on the number of threads.
 #[rstest]
 fn no_history_has_two_owners_or_accepts_acts_of_an_old_owner() {
     let totals = run(1, 150, 2, true);
--- a/crates/passroad-rig/src/fleet/simulation.rs
+++ b/crates/passroad-rig/src/fleet/simulation.rs
@@ -1,5 +1,6 @@
-//! Communicating sidecars in virtual time: the sidecar's own fleet code, clocks that drift apart, the network between them and
-//! the resource that lease owners act on. The result depends on the seed only, not on the machine or the number of threads.
+//! Communicating sidecars in virtual time: the sidecar's own fleet code, clocks that drift apart, the network between
+//! them and the resource that lease owners act on. The result depends on the seed only, not on the machine or the
+//! number of threads.
 
 use super::datagram_faults::DatagramFaults;
 use super::{Act, FleetFaultKind, FleetPlan, FleetResults, RESTART_DELAY};
@@ -50,6 +51,7 @@
     ProcessEnds(usize),
 }
 
+/// A sidecar process and its machine.
 struct Node {
     fleet_node: Option<FleetNode>, // none while the process is down
     started_at: Duration,
@@ -59,12 +61,13 @@
     deferred: Vec<SimulationEvent>, // events for it while it is paused
     disk: BTreeMap<LeaseKey, Vote>,
     rng: SeededRng,
-    calls: Vec<Option<usize>>, // open calls, by duty
+    calls: Vec<Option<usize>>, // open calls, by leased role
 }
 
+/// A call of a lease owner to the resource.
 struct Call {
     node: usize,
-    duty: usize,
+    role: usize,
     epoch: Epoch,
     aborted: bool,
     outcome: Option<Result<(), Epoch>>, // once committed; the highest epoch where it is refused
@@ -84,7 +87,7 @@
     affected: Vec<Vec<usize>>,                        // by fault, the nodes that it affected
     fence: Fence,
     results: FleetResults,
-    believed_epochs: Vec<Option<Epoch>>, // of the first duty, by node
+    believed_epochs: Vec<Option<Epoch>>, // of the first leased role, by node
 }
 
 /// Simulates a run.
@@ -126,7 +129,7 @@
             paused: 0,
             deferred: Vec::new(),
             disk: BTreeMap::new(),
-            calls: vec![None; plan.duties.len()],
+            calls: vec![None; plan.leased_roles.len()],
             rng,
         });
         // All start within half a second.
@@ -169,6 +172,7 @@
         self.queue.push(Reverse((time, self.event_count, event)));
     }
 
+    /// The clocks of a node: a monotonic one with its own rate, and the wall clock.
     fn clocks(&self, node: usize) -> Clocks {
         let state = &self.nodes[node];
         Clocks {
@@ -237,7 +241,8 @@
                         self.results.fault_hits += 1;
                     }
                     None => {
-                        let act_duration = self.plan.duties[self.calls[call].duty].act_duration;
+                        let act_duration =
+                            self.plan.leased_roles[self.calls[call].role].act_duration;
                         self.schedule(
                             self.now + act_duration,
                             SimulationEvent::ActCommits { call },
@@ -288,16 +293,22 @@
             seed,
         };
         let votes = (self.plan.persist_votes && !state.disk.is_empty()).then(|| state.disk.clone());
-        let duties = self
+        let leased_roles = self
             .plan
-            .duties
+            .leased_roles
             .iter()
-            .map(|duty| duty.leased_task())
+            .map(|role| role.leased_task())
             .collect();
         let (voters, lease, period) = (self.plan.voters, self.plan.lease, self.plan.period);
         let clocks = self.clocks(node);
         self.nodes[node].fleet_node = Some(FleetNode::new(
-            &identity, voters, lease, period, duties, clocks, votes,
+            &identity,
+            voters,
+            lease,
+            period,
+            leased_roles,
+            clocks,
+            votes,
         ));
         self.advance(node);
     }
@@ -329,7 +340,7 @@
         };
         let (wait, owned) = (
             fleet_node.wait(clocks),
-            (!self.plan.duties.is_empty()).then(|| fleet_node.owned_epoch(clocks, 0)),
+            (!self.plan.leased_roles.is_empty()).then(|| fleet_node.owned_epoch(clocks, 0)),
         );
         state.timer_id += 1;
         let event = SimulationEvent::Timer {
@@ -344,7 +355,7 @@
         }
     }
 
-    /// Counts the running nodes that believe to own the first duty now.
+    /// Counts the running nodes that believe to own the first leased role now.
     fn count_believers(&mut self) {
         let mut believers = 0;
         for node in 0..self.instances {
@@ -361,6 +372,7 @@
         self.results.max_believed_owners = self.results.max_believed_owners.max(Some(believers));
     }
 
+    /// Carries out the actions that the code of a node has returned.
     fn carry_out(&mut self, node: usize, actions: Vec<NodeAction>) {
         for action in actions {
             match action {
@@ -381,19 +393,19 @@
                 }
                 NodeAction::Persist { key, vote } => drop(self.nodes[node].disk.insert(key, vote)),
                 NodeAction::BeginCall {
-                    task: duty,
+                    task: role,
                     epoch,
                     timeout,
                 } => {
                     let call = self.calls.len();
                     self.calls.push(Call {
                         node,
-                        duty,
+                        role,
                         epoch,
                         aborted: false,
                         outcome: None,
                     });
-                    self.nodes[node].calls[duty] = Some(call);
+                    self.nodes[node].calls[role] = Some(call);
                     self.schedule(
                         self.now + self.one_way_delay,
                         SimulationEvent::CallArrives { call },
@@ -404,8 +416,8 @@
                         SimulationEvent::CallTimesOut { call },
                     );
                 }
-                NodeAction::AbortCall { task: duty } => {
-                    if let Some(call) = self.nodes[node].calls[duty].take() {
+                NodeAction::AbortCall { task: role } => {
+                    if let Some(call) = self.nodes[node].calls[role].take() {
                         self.calls[call].aborted = true;
                     }
                 }
@@ -419,22 +431,23 @@
         }
     }
 
+    /// The resource accepts or refuses the act of a call, and sends its answer.
     fn commit(&mut self, call: usize) {
         let Call {
-            node, duty, epoch, ..
+            node, role, epoch, ..
         } = self.calls[call];
-        let admitted = self.fence.admit(duty as LeaseKey, epoch, node as u16);
+        let admitted = self.fence.admit(role as LeaseKey, epoch, node as u16);
         let accepted = admitted.is_ok() || !self.plan.fence;
         self.results.acts.push(Act {
             time: self.now,
-            duty,
+            role,
             epoch,
             owner: node,
             accepted,
         });
         let highest = self
             .fence
-            .highest(duty as LeaseKey)
+            .highest(role as LeaseKey)
             .map_or(epoch, |(highest, _)| highest);
         self.calls[call].outcome = Some(if accepted { Ok(()) } else { Err(highest) });
         self.schedule(
@@ -444,18 +457,18 @@
     }
 
     fn call_ended(&mut self, call: usize, outcome: CallOutcome) {
-        let (node, duty, epoch) = (
+        let (node, role, epoch) = (
             self.calls[call].node,
-            self.calls[call].duty,
+            self.calls[call].role,
             self.calls[call].epoch,
         );
-        if self.calls[call].aborted || self.nodes[node].calls[duty] != Some(call) {
+        if self.calls[call].aborted || self.nodes[node].calls[role] != Some(call) {
             return;
         }
-        self.nodes[node].calls[duty] = None;
+        self.nodes[node].calls[role] = None;
         let clocks = self.clocks(node);
         if let Some(fleet_node) = &mut self.nodes[node].fleet_node {
-            let actions = fleet_node.call_ended(clocks, duty, epoch, outcome);
+            let actions = fleet_node.call_ended(clocks, role, epoch, outcome);
             self.carry_out(node, actions);
             self.advance(node);
         }
--- a/crates/passroad-rig/src/fleet/tests.rs
+++ b/crates/passroad-rig/src/fleet/tests.rs
@@ -4,7 +4,7 @@
 fn results(acts: &[(u64, usize, bool)]) -> FleetResults {
     let act = |(position, &(epoch, owner, accepted)): (usize, &(u64, usize, bool))| Act {
         time: Duration::from_millis(100 * position as u64),
-        duty: 0,
+        role: 0,
         epoch,
         owner,
         accepted,
--- a/crates/passroad-rig/src/report.rs
+++ b/crates/passroad-rig/src/report.rs
@@ -190,7 +190,9 @@
         if let Some(fleet) = &run.fleet {
             let unowned = fleet.longest_unowned_seconds(
                 &(plan.settle..plan.length),
-                plan.fleet.as_ref().map_or(0, |fleet| fleet.duties.len()),
+                plan.fleet
+                    .as_ref()
+                    .map_or(0, |fleet| fleet.leased_roles.len()),
             );
             let _ = writeln!(
                 out,
@@ -218,7 +220,7 @@
             let _ = writeln!(
                 out,
                 "  duty {}: sidecar {} by epoch {}, {first:.3} to {last:.3} s, {} acts",
-                ownership.duty, ownership.owner, ownership.epoch, ownership.acts
+                ownership.role, ownership.owner, ownership.epoch, ownership.acts
             );
         }
         for work in run.fleet.iter().flat_map(|fleet| &fleet.maintenance) {
--- a/crates/passroad-rig/src/run.rs
+++ b/crates/passroad-rig/src/run.rs
@@ -388,9 +388,12 @@
         Metric::StaleActs => fleet(|fleet| fleet.stale_acts() as f64),
         Metric::StaleTries => fleet(|fleet| fleet.refused_acts() as f64),
         Metric::Unowned => {
-            let duties = plan.fleet.as_ref().map_or(0, |plan| plan.duties.len());
+            let leased_roles = plan
+                .fleet
+                .as_ref()
+                .map_or(0, |plan| plan.leased_roles.len());
             run.fleet.as_ref().map_or(f64::NAN, |fleet| {
-                fleet.longest_unowned_seconds(&expectation.window, duties)
+                fleet.longest_unowned_seconds(&expectation.window, leased_roles)
             })
         }
         Metric::Acts => {
--- a/crates/passroad-rig/src/scale/discovery.rs
+++ b/crates/passroad-rig/src/scale/discovery.rs
@@ -1,5 +1,5 @@
-//! The discovery stand-in of a scale run, and the resource that lease owners call. It serves one list to all sidecars by long
-//! polls, and records when each sidecar has received which revision.
+//! The discovery stand-in of a scale run, and the resource that lease owners call. It serves one list to all sidecars
+//! by long polls, and records when each sidecar has received which revision.
 
 use super::network::{DISCOVERY, SidecarNetwork};
 use super::plan::ScalePlan;
@@ -17,6 +17,7 @@
 use tokio::sync::watch;
 use tokio::time::{sleep, timeout};
 
+/// Longest time that a long poll is held open.
 const MAX_HOLD: Duration = Duration::from_secs(60);
 /// How often a call across a cut checks whether the cut has ended.
 const CUT_POLL_INTERVAL: Duration = Duration::from_millis(20);
@@ -30,6 +31,7 @@
     pub open_watches: u64,
 }
 
+/// Serves the list at a separate address for each sidecar, and counts its calls.
 pub struct Discovery {
     plan: ScalePlan,
     network: Arc<SidecarNetwork>,
@@ -42,7 +44,7 @@
     bytes_in: AtomicU64,
     bytes_out: AtomicU64,
     open_polls: AtomicUsize,
-    /// The duties for which calls arrived, each with the number of its owner.
+    /// The leased roles for which calls arrived, each with the number of its owner.
     pub owners: Mutex<BTreeSet<(String, usize)>>,
 }
 
@@ -57,6 +59,7 @@
     cached_texts: BTreeMap<Option<u64>, Arc<String>>,
 }
 
+/// The size of a request on the wire.
 fn message_bytes(message: &Message) -> usize {
     let headers: usize = message
         .headers
@@ -127,14 +130,15 @@
         Ok(discovery)
     }
 
+    /// Accepts every act at the resource, and records its owner.
     async fn serve_resource(&self, mut connection: HttpConnection) {
         while let Ok(Some(call)) = connection.read_request().await {
             let owner = call
                 .header("owner")
                 .and_then(|number| number.parse().ok())
                 .unwrap_or_default();
-            let duty = call.header("duty").unwrap_or_default().to_string();
-            lock(&self.owners).insert((duty, owner));
+            let role = call.header("duty").unwrap_or_default().to_string();
+            lock(&self.owners).insert((role, owner));
             if connection.write(&response("200 OK", "", "")).await.is_err() {
                 return;
             }
@@ -230,6 +234,7 @@
             .collect()
     }
 
+    /// The encoded list, complete or with the entries that changed after a revision.
     fn list_text(&self, list: &mut List, from: Option<u64>) -> Arc<String> {
         if let Some(text) = list.cached_texts.get(&from) {
             return Arc::clone(text);
@@ -297,8 +302,8 @@
                 }
                 self.open_polls.fetch_add(1, Relaxed);
                 let wait = newest_revision.wait_for(|newest| *newest > from || self.is_down());
-                // With or without a newer revision, the answer is the list as it is then. The sidecar may close the connection
-                // before that.
+                // With or without a newer revision, the answer is the list as it is then. The sidecar may close the
+                // connection before that.
                 tokio::select! {
                     _ = timeout(hold.min(MAX_HOLD), wait) => {}
                     () = connection.wait_closed() => {}
--- a/crates/passroad-rig/src/scale/evaluation.rs
+++ b/crates/passroad-rig/src/scale/evaluation.rs
@@ -55,8 +55,8 @@
         count
     }
 
-    /// For each sidecar that an event took down, the time until all unaffected simulated sidecars saw it as dead, and the time
-    /// from its restart until they all saw it as alive; None where some never did.
+    /// For each sidecar that an event took down, the time until all unaffected simulated sidecars saw it as dead, and
+    /// the time from its restart until they all saw it as alive; None where some never did.
     fn propagation_times(
         &self,
         state_changes: &[StateChange],
@@ -64,7 +64,7 @@
         event: &Event,
         started: Duration,
     ) -> [Vec<Option<Duration>>; 2] {
-        let (from, to) = (started + event.at, started + event.span().end);
+        let (from, to) = (started + event.start, started + event.span().end);
         let downtimes = lock(&self.downtimes).clone();
         let affected: Vec<_> = downtimes
             .iter()
@@ -147,7 +147,7 @@
         state_changes.sort_by_key(|change| change.time);
         let voters: BTreeSet<usize> = [stable_hash("sweep"), stable_hash("upkeep")]
             .into_iter()
-            .flat_map(|duty| passroad_lease::voters_for(duty, count, plan.fleet.voters))
+            .flat_map(|lease_key| passroad_lease::voters_for(lease_key, count, plan.fleet.voters))
             .map(usize::from)
             .collect();
         let owners: BTreeSet<usize> = lock(&self.discovery.owners)
@@ -184,7 +184,8 @@
                 continue;
             }
             let mut window_points = measure::points(&window, &roles, condition);
-            // Without events every suspicion that a sidecar counted is unjustified; with events the recorded faults decide.
+            // Without events every suspicion that a sidecar counted is unjustified; with events the recorded faults
+            // decide.
             let unjustified = match plan.events.is_empty() {
                 true => {
                     sum_of("doubts", statuses).saturating_sub(sum_of("doubts", before)) as usize
@@ -384,6 +385,7 @@
         (0..count).filter(|sidecar| !was_down(sidecar)).collect()
     }
 
+    /// A point of the control plane of simulated sidecars.
     fn point(
         &self,
         roles: &Roles,
@@ -410,6 +412,7 @@
         }
     }
 
+    /// The line about CPU time by thread for a window.
     fn cpu_by_thread(&self, samples: &[Sample], roles: &Roles) -> String {
         let percent = |sidecars: &[usize], thread: usize| {
             measure::spread(samples, sidecars, |sample, sidecar| {
--- a/crates/passroad-rig/src/scale/host.rs
+++ b/crates/passroad-rig/src/scale/host.rs
@@ -1,5 +1,5 @@
-//! The host process of about a hundred simulated sidecars. It reads commands line by line from its standard input, ends when
-//! that is closed, and reports on standard output.
+//! The host process of about a hundred simulated sidecars. It reads commands line by line from its standard input, ends
+//! when that is closed, and reports on standard output.
 
 use passroad::Files;
 use passroad::fleet::MemberStateChange;
@@ -13,10 +13,11 @@
 
 use super::{lock, status_summary};
 
-pub fn config_files(folder: &Path, number: usize) -> Files {
+/// The configuration files of a sidecar in the folder of a run.
+pub fn config_files(folder: &Path, sidecar: usize) -> Files {
     Files {
-        config: Some(folder.join(format!("{number}.json"))),
-        routes: Some(folder.join(format!("{number}.routes.toml"))),
+        config: Some(folder.join(format!("{sidecar}.json"))),
+        routes: Some(folder.join(format!("{sidecar}.routes.toml"))),
         fleet: Some(folder.join("fleet.toml")),
     }
 }
@@ -55,24 +56,25 @@
     let running = RunningSidecars::default();
     runtime.block_on(async move {
         while let Some(line) = lines.recv().await {
-            let (word, number) = line.split_once(' ').unwrap_or_default();
-            let Ok(number) = number.parse::<usize>() else {
+            let (command, sidecar) = line.split_once(' ').unwrap_or_default();
+            let Ok(sidecar) = sidecar.parse::<usize>() else {
                 continue;
             };
-            let (word, folder, running) = (word.to_string(), folder.clone(), Arc::clone(&running));
-            match word.as_str() {
-                "start" => drop(tokio::spawn(start(folder, number, running))),
-                "status" => drop(tokio::spawn(status(number, running))),
+            let (command, folder, running) =
+                (command.to_string(), folder.clone(), Arc::clone(&running));
+            match command.as_str() {
+                "start" => drop(tokio::spawn(start(folder, sidecar, running))),
+                "status" => drop(tokio::spawn(status(sidecar, running))),
                 // Dropping a sidecar waits for its threads.
                 "kill" => drop(tokio::task::spawn_blocking(move || {
-                    let sidecar = lock(&running).remove(&number);
-                    drop(sidecar);
-                    print_line(&format!("gone {number}"));
+                    let removed = lock(&running).remove(&sidecar);
+                    drop(removed);
+                    print_line(&format!("gone {sidecar}"));
                 })),
                 "stop" => drop(tokio::task::spawn_blocking(move || {
-                    let sidecar = lock(&running).remove(&number);
-                    sidecar.into_iter().for_each(Hollow::stop);
-                    print_line(&format!("gone {number}"));
+                    let removed = lock(&running).remove(&sidecar);
+                    removed.into_iter().for_each(Hollow::stop);
+                    print_line(&format!("gone {sidecar}"));
                 })),
                 _ => {}
             }
@@ -81,29 +83,30 @@
     Ok(())
 }
 
-async fn start(folder: PathBuf, number: usize, running: RunningSidecars) {
+/// Starts a sidecar, reports that it is up, and then reports its changes of member states until it ends.
+async fn start(folder: PathBuf, sidecar: usize, running: RunningSidecars) {
     let (sender, mut state_changes) = mpsc::unbounded_channel();
     let started =
-        tokio::task::spawn_blocking(move || Hollow::start(config_files(&folder, number), sender))
+        tokio::task::spawn_blocking(move || Hollow::start(config_files(&folder, sidecar), sender))
             .await;
     match started.unwrap_or_else(|e| Err(e.to_string())) {
-        Ok(sidecar) => {
-            let paths: Vec<String> = sidecar
+        Ok(running_sidecar) => {
+            let paths: Vec<String> = running_sidecar
                 .threads
                 .iter()
                 .map(|path| path.display().to_string())
                 .collect();
-            lock(&running).insert(number, sidecar);
-            print_line(&format!("up {number} {}", paths.join(" ")));
+            lock(&running).insert(sidecar, running_sidecar);
+            print_line(&format!("up {sidecar} {}", paths.join(" ")));
         }
-        Err(error) => print_line(&format!("fault {number} {}", error.replace('\n', " "))),
+        Err(error) => print_line(&format!("fault {sidecar} {}", error.replace('\n', " "))),
     }
     // A region that is cut off causes many changes at once: one write for each would be a load of its own.
     let mut batch = Vec::new();
     while state_changes.recv_many(&mut batch, 1024).await > 0 {
         let line = |change: MemberStateChange| {
             format!(
-                "turned {number} {} {:?} {}",
+                "turned {sidecar} {} {:?} {}",
                 change.member,
                 change.state,
                 unix_micros()
@@ -113,10 +116,11 @@
     }
 }
 
-async fn status(number: usize, running: RunningSidecars) {
+/// Reports the status of a sidecar, or null if there is none.
+async fn status(sidecar: usize, running: RunningSidecars) {
     let fleet = lock(&running)
-        .get(&number)
-        .and_then(|sidecar| sidecar.fleet.clone());
+        .get(&sidecar)
+        .and_then(|running_sidecar| running_sidecar.fleet.clone());
     let status = match fleet {
         Some(fleet) => tokio::time::timeout(Duration::from_secs(5), fleet.status())
             .await
@@ -125,7 +129,7 @@
         None => None,
     };
     print_line(&format!(
-        "status {number} {}",
+        "status {sidecar} {}",
         status.map_or("null".into(), |status| status_summary(&status).to_string())
     ));
 }
--- a/crates/passroad-rig/src/scale/load.rs
+++ b/crates/passroad-rig/src/scale/load.rs
@@ -1,5 +1,5 @@
-//! The load on the real sidecars of a scale run, and the endpoints behind all sidecars. The load is open-loop: each call is
-//! sent at its time, whether or not earlier ones have been answered.
+//! The load on the real sidecars of a scale run, and the endpoints behind all sidecars. The load is open-loop: each
+//! call is sent at its time, whether or not earlier ones have been answered.
 
 use super::plan::ScalePlan;
 use super::{lock, loopback_address};
@@ -18,7 +18,8 @@
 const SERVICE_TIME: Duration = Duration::from_millis(1);
 const CALL_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// The addresses of the endpoints. They accept connections only if `listen` is set: simulated sidecars never connect to them.
+/// The addresses of the endpoints. They accept connections only if `listen` is set: simulated sidecars never connect to
+/// them.
 pub async fn start_endpoints(count: usize, listen: bool) -> io::Result<Vec<SocketAddr>> {
     let mut addresses = Vec::new();
     for endpoint in 0..count {
--- a/crates/passroad-rig/src/scale/measure.rs
+++ b/crates/passroad-rig/src/scale/measure.rs
@@ -58,7 +58,8 @@
     pub value: f64,
 }
 
-/// A rate over a window: the mean of all sidecars, that of the busiest one, and the highest in any second of any sidecar.
+/// A rate over a window: the mean of all sidecars, that of the busiest one, and the highest in any second of any
+/// sidecar.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Spread {
     pub mean: f64,
--- a/crates/passroad-rig/src/scale/mod.rs
+++ b/crates/passroad-rig/src/scale/mod.rs
@@ -1,6 +1,6 @@
-//! Scale runs: as many sidecars on loopback as an operators' target has, simulated ones beside real processes. A simulated
-//! sidecar (`hollow` in files and points) runs the program's own discovery, membership, leases, maintenance and configuration
-//! without traffic; about a hundred share a host process.
+//! Scale runs: as many sidecars on loopback as an operators' target has, simulated ones beside real processes. A
+//! simulated sidecar (`hollow` in files and points) runs the program's own discovery, membership, leases, maintenance
+//! and configuration without traffic; about a hundred share a host process.
 
 pub mod command;
 mod discovery;
@@ -30,8 +30,8 @@
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// A loopback address of its own for each stand-in (row) and sidecar. The process id keeps the addresses of rigs that run side
-/// by side apart.
+/// A loopback address of its own for each stand-in (row) and sidecar. The process id keeps the addresses of rigs that
+/// run side by side apart.
 fn loopback_address(row: usize, column: usize) -> IpAddr {
     let block = 64 + (std::process::id() % 128) as u8;
     IpAddr::V4(Ipv4Addr::new(
--- a/crates/passroad-rig/src/scale/network.rs
+++ b/crates/passroad-rig/src/scale/network.rs
@@ -68,6 +68,7 @@
     direction: CutDirection,
 }
 
+/// Forwards all datagrams between the sidecars.
 pub struct SidecarNetwork {
     plan: ScalePlan,
     /// The address on which each sidecar listens.
@@ -75,6 +76,7 @@
     /// The proxy address by which the others know it.
     pub proxies: Vec<SocketAddr>,
     pub counters: Vec<TrafficCounter>,
+    /// Bytes of the longest datagram.
     pub longest: AtomicUsize,
     sockets: Vec<UdpSocket>,
     cut: Mutex<Option<Cut>>,
--- a/crates/passroad-rig/src/scale/plan.rs
+++ b/crates/passroad-rig/src/scale/plan.rs
@@ -86,7 +86,7 @@
     }
 }
 
-/// Settings of leases and membership, and the interval of the leased duty.
+/// Settings of leases and membership, and the interval of the leased role.
 #[derive(Deserialize, Debug, Clone, Copy)]
 #[serde(deny_unknown_fields, default)]
 pub struct Fleet {
@@ -162,11 +162,12 @@
     DiscoveryDown,
 }
 
+/// An event of a run. Events do not overlap.
 #[derive(Debug, Clone)]
 pub struct Event {
     pub name: String,
     pub kind: EventKind,
-    pub at: Duration,
+    pub start: Duration,
     pub duration: Duration,
     /// Time until discovery removes killed sidecars from the list.
     pub detection_delay: Duration,
@@ -174,7 +175,7 @@
 
 impl Event {
     pub fn span(&self) -> Range<Duration> {
-        self.at..self.at + self.duration
+        self.start..self.start + self.duration
     }
 }
 
@@ -208,6 +209,7 @@
     pub at_most: Option<f64>,
 }
 
+/// A checked scale plan.
 #[derive(Debug, Clone)]
 pub struct ScalePlan {
     pub about: String,
@@ -236,8 +238,9 @@
 
 /// Parses a file; errors name the line and the key. `sidecars` replaces the sizes of the file.
 pub fn parse(text: &str, sidecars: Option<usize>) -> Result<ScalePlan, ConfigError> {
-    let file: PlanFile = toml::from_str(text)
-        .map_err(|e| ConfigError::from_parser(text, e.span().map(|s| s.start), e.message()))?;
+    let file: PlanFile = toml::from_str(text).map_err(|e| {
+        ConfigError::from_parser(text, e.span().map(|span| span.start), e.message())
+    })?;
     let error = |span: Range<usize>, message: String| {
         Err(ConfigError {
             line: line_number(text, span.start),
@@ -340,20 +343,20 @@
                 return error(event.kind.span(), message);
             }
         };
-        let (at, duration) = (event.at.get_ref().0, event.duration.get_ref().0);
+        let (start, duration) = (event.at.get_ref().0, event.duration.get_ref().0);
         if duration < Duration::from_secs(1) {
             return error(event.duration.span(), "for: must be at least 1s".into());
         }
         if events
             .last()
-            .is_some_and(|previous| at < previous.span().end)
+            .is_some_and(|previous| start < previous.span().end)
         {
             return error(
                 event.at.span(),
                 "at: earlier than the end of the previous event".into(),
             );
         }
-        if at + duration >= length {
+        if start + duration >= length {
             return error(
                 event.at.span(),
                 "at: the event ends after the length of the run".into(),
@@ -373,7 +376,7 @@
         events.push(Event {
             name,
             kind,
-            at,
+            start,
             duration,
             detection_delay: event.noticed.0,
         });
@@ -485,7 +488,7 @@
         };
         let mut conditions = vec![(Duration::ZERO, steady.to_string())];
         for event in &self.events {
-            conditions.push((event.at, format!("event:{}", event.name)));
+            conditions.push((event.start, format!("event:{}", event.name)));
             conditions.push((event.span().end, format!("return:{}", event.name)));
         }
         conditions
@@ -528,6 +531,7 @@
         text
     }
 
+    /// The text of the fleet file, which all sidecars share.
     pub fn fleet_file(&self, resource: std::net::SocketAddr) -> String {
         let ms = |time: HumanDuration| format!("\"{}ms\"", time.0.as_millis());
         let fleet = &self.fleet;
@@ -551,8 +555,8 @@
             let below = hold
                 .at_most
                 .is_none_or(|bound| value.is_some_and(|value| value <= bound));
-            let bound = |word: &str, bound: Option<f64>| {
-                bound.map_or(String::new(), |bound| format!(" {word} {bound}"))
+            let bound = |label: &str, bound: Option<f64>| {
+                bound.map_or(String::new(), |bound| format!(" {label} {bound}"))
             };
             let (lower, upper) = (
                 bound("at least", hold.at_least),
--- a/crates/passroad-rig/src/scale/processes.rs
+++ b/crates/passroad-rig/src/scale/processes.rs
@@ -1,5 +1,5 @@
-//! The processes of a scale run: hosts of simulated sidecars, and real sidecars. All of them end with the rig. Their CPU
-//! time and memory are read from /proc, their member states and status from the lines that the hosts print.
+//! The processes of a scale run: hosts of simulated sidecars, and real sidecars. All of them end with the rig. Their
+//! CPU time and memory are read from /proc, their member states and status from the lines that the hosts print.
 
 use super::{lock, status_summary};
 use passroad_peers::MemberState;
@@ -35,12 +35,14 @@
     pub errors: Vec<String>,
 }
 
+/// A host process and the simulated sidecars in it.
 struct Host {
     child: Child,
     stdin: ChildStdin,
     sidecars: Vec<usize>,
 }
 
+/// All processes of a run.
 pub struct Processes {
     program: PathBuf,
     folder: PathBuf,
@@ -50,6 +52,7 @@
     pub reports: Arc<Mutex<HostReports>>,
 }
 
+/// The command of a process, with a clean environment, its log file and a pipe as standard input.
 fn base_command(program: &Path, folder: &Path, log: &str) -> io::Result<Command> {
     let mut command = Command::new(program);
     let log = File::options()
@@ -78,11 +81,11 @@
 /// Parses a line that a host printed, and adds it to the reports.
 fn add_report(reports: &mut HostReports, line: &str) {
     let mut words = line.split(' ');
-    let word = words.next().unwrap_or_default();
+    let kind = words.next().unwrap_or_default();
     let Some(sidecar) = words.next().and_then(|number| number.parse::<usize>().ok()) else {
         return;
     };
-    match word {
+    match kind {
         "up" => {
             reports.threads[sidecar] = words.map(|path| Path::new("/proc").join(path)).collect()
         }
@@ -169,14 +172,14 @@
         self.management_addresses.contains_key(&sidecar)
     }
 
-    fn send_command(&self, word: &str, sidecar: usize) -> io::Result<()> {
+    fn send_command(&self, command: &str, sidecar: usize) -> io::Result<()> {
         let mut hosts = lock(&self.hosts);
         match hosts
             .iter_mut()
             .find(|host| host.sidecars.contains(&sidecar))
         {
             Some(host) => {
-                writeln!(host.stdin, "{word} {sidecar}").and_then(|()| host.stdin.flush())
+                writeln!(host.stdin, "{command} {sidecar}").and_then(|()| host.stdin.flush())
             }
             None => Err(io::Error::other(format!("sidecar {sidecar} has no host"))),
         }
@@ -328,8 +331,8 @@
         statuses
     }
 
-    /// CPU time so far by sidecar: of the discovery thread (in a real process, of all threads but the fleet thread), and of
-    /// the fleet thread.
+    /// CPU time so far by sidecar: of the discovery thread (in a real process, of all threads but the fleet thread),
+    /// and of the fleet thread.
     pub fn cpu(&self) -> Vec<[Duration; 2]> {
         let threads = lock(&self.reports).threads.clone();
         let by_thread = |paths: &Vec<PathBuf>| {
--- a/crates/passroad-rig/src/scale/requirements.rs
+++ b/crates/passroad-rig/src/scale/requirements.rs
@@ -1,4 +1,5 @@
-//! The resources that a run needs of the machine: printed before it starts, which is refused if they exceed the machine's.
+//! The resources that a run needs of the machine: printed before it starts, which is refused if they exceed the
+//! machine's.
 
 use super::plan::ScalePlan;
 
@@ -10,6 +11,7 @@
 /// Descriptors reserved in each process.
 const DESCRIPTOR_RESERVE: usize = 64;
 
+/// The resources that a run needs.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Requirements {
     pub processes: usize,
--- a/crates/passroad-rig/src/scale/run.rs
+++ b/crates/passroad-rig/src/scale/run.rs
@@ -159,7 +159,7 @@
         tokio::spawn(Arc::clone(&run).churn_endpoints(end));
     }
     for event in &plan.events {
-        sleep_until((started + event.at).into()).await;
+        sleep_until((started + event.start).into()).await;
         run.apply_event(event, started + event.span().end).await?;
     }
     sleep_until(end.into()).await;
--- a/crates/passroad-rig/src/sockets/clients.rs
+++ b/crates/passroad-rig/src/sockets/clients.rs
@@ -1,5 +1,5 @@
-//! The applications that send commands to the sidecars. The load is open-loop: each command is sent at its planned time by a
-//! task of its own, so that a slow sidecar does not delay later commands.
+//! The applications that send commands to the sidecars. The load is open-loop: each command is sent at its planned time
+//! by a task of its own, so that a slow sidecar does not delay later commands.
 
 use super::http::{HttpConnection, Message};
 use super::run_state::{RunState, lock, request_id};
@@ -17,7 +17,8 @@
 /// A sidecar as seen by its application.
 pub struct SidecarClient {
     pub address: SocketAddr,
-    /// The sidecar is down. An application stops and starts together with its sidecar, so it sends nothing new meanwhile.
+    /// The sidecar is down. An application stops and starts together with its sidecar, so it sends nothing new
+    /// meanwhile.
     pub away: AtomicBool,
     idle: Mutex<Vec<HttpConnection>>,
 }
@@ -32,6 +33,7 @@
     }
 }
 
+/// The load and the clients that send it.
 pub struct Clients {
     pub run_state: Arc<RunState>,
     pub targets: Vec<Arc<SidecarClient>>,
@@ -73,7 +75,8 @@
         }
     }
 
-    /// A warning where the load itself was sent late: the machine was too busy, and the run says little of the sidecars.
+    /// A warning where the load itself was sent late: the machine was too busy, and the run says little of the
+    /// sidecars.
     pub fn lateness_warning(&self) -> Option<String> {
         let mut sorted = lock(&self.lateness).clone();
         sorted.sort_unstable();
@@ -86,6 +89,7 @@
         })
     }
 
+    /// The bytes of a request.
     fn encode(&self, request: &ClientRequest, id: &str) -> Vec<u8> {
         let plan = &self.run_state.plan;
         let class = &plan.classes[request.class];
@@ -113,6 +117,7 @@
         format!("{line}{head}\r\n{body}").into_bytes()
     }
 
+    /// Sends a request and its retries, and records the answers.
     async fn send(self: Arc<Self>, mut request: ClientRequest, mut planned: Duration) {
         loop {
             let client = Arc::clone(&self.targets[request.instance]);
@@ -129,7 +134,8 @@
                 .instant(self.run_state.now() + class.time_limit + ANSWER_SLACK);
             let answer = match timeout_at(end, exchange(&client, &bytes)).await {
                 Ok(Ok(answer)) => answer,
-                // The connection ended without an answer, or none arrived in time: the ledger shows that there is no answer.
+                // The connection ended without an answer, or none arrived in time: the ledger shows that there is no
+                // answer.
                 Ok(Err(_)) if client.away.load(Relaxed) => return,
                 Ok(Err(error)) => {
                     log::debug!("command {command}: {error}");
@@ -176,8 +182,8 @@
     }
 }
 
-/// Sends one request and reads its answer, over an idle connection where there is one. An idle connection that turns out to
-/// be closed has not delivered the request, which is then sent once more over a new one.
+/// Sends one request and reads its answer, over an idle connection where there is one. An idle connection that turns
+/// out to be closed has not delivered the request, which is then sent once more over a new one.
 async fn exchange(client: &SidecarClient, request: &[u8]) -> io::Result<Message> {
     let idle = lock(&client.idle).pop();
     if let Some(mut connection) = idle
@@ -194,6 +200,7 @@
     Ok(answer)
 }
 
+/// Sends one request and reads its answer on a given connection; None if the connection was closed before an answer.
 async fn exchange_on(
     connection: &mut HttpConnection,
     request: &[u8],
@@ -202,10 +209,11 @@
     connection.read_response().await
 }
 
+/// Keeps a connection for later requests, unless the answer closes it or bytes are left unread.
 fn keep_idle(client: &SidecarClient, connection: HttpConnection, answer: &Message) {
     let closes = answer
         .header("connection")
-        .is_some_and(|v| v.eq_ignore_ascii_case("close"));
+        .is_some_and(|value| value.eq_ignore_ascii_case("close"));
     if !closes && !connection.has_buffered_bytes() {
         lock(&client.idle).push(connection);
     }
--- a/crates/passroad-rig/src/sockets/discovery.rs
+++ b/crates/passroad-rig/src/sockets/discovery.rs
@@ -15,8 +15,10 @@
 use tokio::sync::watch;
 use tokio::time::{sleep, timeout};
 
+/// Longest time that a long poll is held open.
 const MAX_HOLD: Duration = Duration::from_secs(60);
 
+/// Serves the list of endpoints at a separate address for each sidecar.
 pub struct Discovery {
     run_state: Arc<RunState>,
     servers: Vec<Arc<EndpointServer>>,
@@ -87,6 +89,7 @@
         self.list_json(instance, &list, None)
     }
 
+    /// Applies the part of a change that concerns discovery.
     pub fn apply(self: &Arc<Self>, change: &ScheduledChange) {
         match change {
             ScheduledChange::DiscoveryDelay(delay) => lock(&self.list).delay = *delay,
@@ -111,8 +114,8 @@
         }
     }
 
-    /// Sets the state after a delay if it still matches the endpoint then: one that crashed may be up again, and one that
-    /// started may have crashed.
+    /// Sets the state after a delay if it still matches the endpoint then: one that crashed may be up again, and one
+    /// that started may have crashed.
     pub fn set_state_later(self: &Arc<Self>, index: usize, after: Duration, state: EndpointState) {
         let discovery = Arc::clone(self);
         tokio::spawn(async move {
@@ -132,6 +135,7 @@
         }
     }
 
+    /// An entry of the list, with the address of the endpoint for this sidecar.
     fn member(&self, instance: usize, index: usize, state: EndpointState) -> Value {
         let (plan, server) = (&self.run_state.plan, &self.servers[index]);
         let endpoint = &plan.endpoints[index];
--- a/crates/passroad-rig/src/sockets/endpoint.rs
+++ b/crates/passroad-rig/src/sockets/endpoint.rs
@@ -23,6 +23,7 @@
 /// How long to wait until an address is free again.
 const ADDRESS_REUSE_TIMEOUT: Duration = Duration::from_secs(2);
 
+/// One endpoint: its model, its listeners and its connections.
 pub struct EndpointServer {
     run_state: Arc<RunState>,
     index: usize,
@@ -30,7 +31,7 @@
     model: Mutex<ModelState>,
     model_changed: Notify, // the time of the model's next event may have changed
     unblocked: Notify,     // a stall or a cut may be over
-    cut_off: Vec<AtomicBool>,
+    cut_off: Vec<AtomicBool>, // by instance
     connection_tasks: Mutex<HashMap<u64, AbortHandle>>,
     listener_tasks: Mutex<Vec<Option<AbortHandle>>>, // by instance
     next_connection: AtomicU64,
@@ -39,6 +40,7 @@
 
 struct ModelState {
     endpoint: Endpoint,
+    /// Where the results of running jobs are sent.
     waiting: HashMap<JobId, oneshot::Sender<(JobResult, EndpointLoad)>>,
 }
 
@@ -122,6 +124,7 @@
         model.endpoint.next_event_at()
     }
 
+    /// Advances the model at each of its events, and restarts the endpoint after the model has crashed.
     async fn run_model(self: Arc<Self>) {
         loop {
             let wake = self.advance_model();
@@ -464,6 +467,7 @@
         }
     }
 
+    /// The header of a load report, if endpoints attach reports to their answers.
     fn load_header(&self, load: EndpointLoad) -> String {
         match self.run_state.plan.report_mode() {
             ReportMode::Piggyback => format!("Srv-Load: {}\r\n", load_text(load)),
@@ -486,7 +490,8 @@
     socket.listen(backlog)
 }
 
-/// Binds a listener to an address that a listener just closed may still hold: its task has to be polled once more to end.
+/// Binds a listener to an address that a listener just closed may still hold: its task has to be polled once more to
+/// end.
 async fn bind_listener_with_retry(address: SocketAddr, backlog: u32) -> io::Result<TcpListener> {
     let started = std::time::Instant::now();
     loop {
--- a/crates/passroad-rig/src/sockets/fenced_resource.rs
+++ b/crates/passroad-rig/src/sockets/fenced_resource.rs
@@ -1,5 +1,5 @@
-//! The resource that owners of leased duties act on: it keeps the highest epoch seen of each duty, and records each act and
-//! each refusal.
+//! The resource that owners of leased roles act on: it keeps the highest epoch seen for each role, and records each
+//! accepted and each refused act.
 
 use super::http::{HttpConnection, response};
 use super::run_state::{RunState, lock, loopback_address};
@@ -12,6 +12,7 @@
 use tokio::sync::watch;
 use tokio::time::sleep;
 
+/// A resource behind HTTP that refuses acts of old epochs, unless the plan disables the fence.
 pub struct FencedResource {
     pub address: SocketAddr,
     run_state: Arc<RunState>,
@@ -20,6 +21,7 @@
     acts: Mutex<Vec<Act>>,
     /// The instances whose calls are held back, by the number of the fault.
     delayed: watch::Sender<Vec<(usize, Vec<usize>)>>,
+    /// How often a fault held a call back.
     hits: Mutex<usize>,
 }
 
@@ -54,23 +56,23 @@
         let mut connection = HttpConnection::new(stream);
         while let Ok(Some(call)) = connection.read_request().await {
             let header = |name| call.header(name).map(str::to_string).unwrap_or_default();
-            let duty = self
+            let role = self
                 .plan
-                .duties
+                .leased_roles
                 .iter()
-                .position(|duty| duty.name == header("duty"));
+                .position(|role| role.name == header("duty"));
             let (epoch, owner) = (
                 header("epoch").parse::<u64>(),
                 header("owner").parse::<usize>(),
             );
-            let (Some(duty), Ok(epoch), Ok(owner)) = (duty, epoch, owner) else {
+            let (Some(role), Ok(epoch), Ok(owner)) = (role, epoch, owner) else {
                 let _ = connection.write(&response("400 Bad Request", "", "")).await;
                 return;
             };
             // A call that has arrived is carried out, whether or not its caller still waits.
             self.wait_until_released(owner).await;
-            sleep(self.plan.duties[duty].act_duration).await;
-            let answer = match self.commit(duty, epoch, owner) {
+            sleep(self.plan.leased_roles[role].act_duration).await;
+            let answer = match self.commit(role, epoch, owner) {
                 None => response("200 OK", "", ""),
                 Some(highest) => response("409 Conflict", &format!("Epoch: {highest}\r\n"), ""),
             };
@@ -94,18 +96,18 @@
     }
 
     /// Records an act; the highest epoch seen where the act is refused because of it.
-    fn commit(&self, duty: usize, epoch: u64, owner: usize) -> Option<u64> {
+    fn commit(&self, role: usize, epoch: u64, owner: usize) -> Option<u64> {
         let (mut fence, mut acts) = (lock(&self.fence), lock(&self.acts));
-        let accepted = fence.admit(duty as u64, epoch, owner as u16).is_ok() || !self.plan.fence;
+        let accepted = fence.admit(role as u64, epoch, owner as u16).is_ok() || !self.plan.fence;
         acts.push(Act {
             time: self.run_state.now(),
-            duty,
+            role,
             epoch,
             owner,
             accepted,
         });
         fence
-            .highest(duty as u64)
+            .highest(role as u64)
             .map(|(highest, _)| highest)
             .filter(|_| !accepted)
     }
--- a/crates/passroad-rig/src/sockets/fleet_environment.rs
+++ b/crates/passroad-rig/src/sockets/fleet_environment.rs
@@ -1,5 +1,5 @@
-//! The environment of a fleet of communicating sidecars on loopback sockets: the network between them, the resource that
-//! lease owners act on, the faults of both, and the operators who maintain machines.
+//! The environment of a fleet of communicating sidecars on loopback sockets: the network between them, the resource
+//! that lease owners act on, the faults of both, and the operators who maintain machines.
 
 use super::Sidecars;
 use super::clients::Clients;
@@ -22,9 +22,10 @@
 /// A process resumed after SIGSTOP has this long to notice the pause before its clients send again.
 const RESUME_DELAY: Duration = Duration::from_millis(500);
 
-/// How often operators poll the order of maintenance, and retry a call that was not accepted.
+/// How often operators poll the state of maintenance, and retry a call that was not accepted.
 const OPERATOR_INTERVAL: Duration = Duration::from_millis(50);
 
+/// Everything around the sidecars of a fleet: network, resource, faults and operators.
 pub struct FleetEnvironment {
     pub plan: FleetPlan,
     run_state: Arc<RunState>,
@@ -90,13 +91,13 @@
                 maintenance.max_concurrent
             );
         }
-        for duty in &plan.duties {
-            let (name, address) = (&duty.name, self.resource.address);
+        for role in &plan.leased_roles {
+            let (name, address) = (&role.name, self.resource.address);
             text += &format!("\n[[duty]]\nname = \"{name}\"\ncall = \"http://{address}/{name}\"\n");
             text += &format!(
                 "every = {}\nwithin = {}\n",
-                ms(duty.interval),
-                ms(duty.timeout)
+                ms(role.interval),
+                ms(role.timeout)
             );
         }
         text
@@ -104,15 +105,15 @@
 
     /// Schedules all faults of the plan.
     pub fn schedule_faults(self: &Arc<Self>, clients: &Arc<Clients>, sidecars: &Sidecars) {
-        let own = Arc::clone(self);
+        let environment = Arc::clone(self);
         tokio::spawn(async move {
-            sleep_until(own.run_state.instant(Duration::ZERO)).await;
-            *lock(&own.sent_before_run) = own.peers.counts();
+            sleep_until(environment.run_state.instant(Duration::ZERO)).await;
+            *lock(&environment.sent_before_run) = environment.peers.counts();
         });
         for index in 0..self.plan.faults.len() {
-            let (own, clients, sidecars) =
+            let (environment, clients, sidecars) =
                 (Arc::clone(self), Arc::clone(clients), Arc::clone(sidecars));
-            tokio::spawn(async move { own.apply_fault(index, clients, sidecars).await });
+            tokio::spawn(async move { environment.apply_fault(index, clients, sidecars).await });
         }
     }
 
@@ -196,33 +197,35 @@
             return;
         };
         for (number, (at, instance, endpoints)) in maintenance.requests.into_iter().enumerate() {
-            let (own, sidecars) = (Arc::clone(self), Arc::clone(sidecars));
+            let (environment, sidecars) = (Arc::clone(self), Arc::clone(sidecars));
             tokio::spawn(async move {
-                sleep_until(own.run_state.instant(at)).await;
+                sleep_until(environment.run_state.instant(at)).await;
                 let machines: Vec<String> = endpoints
                     .iter()
                     .map(|endpoint| format!("e{endpoint}"))
                     .collect();
                 let body = json!({ "machines": machines, "for_s": 3600, "name": format!("request {number}") });
-                own.call_until_accepted(
-                    &sidecars,
-                    instance,
-                    "POST",
-                    "/admin/work",
-                    &body.to_string(),
-                )
-                .await;
+                environment
+                    .call_until_accepted(
+                        &sidecars,
+                        instance,
+                        "POST",
+                        "/admin/work",
+                        &body.to_string(),
+                    )
+                    .await;
             });
         }
-        let (own, sidecars) = (Arc::clone(self), Arc::clone(sidecars));
+        let (environment, sidecars) = (Arc::clone(self), Arc::clone(sidecars));
         tokio::spawn(async move {
-            own.perform_maintenance(sidecars, maintenance.duration)
+            environment
+                .perform_maintenance(sidecars, maintenance.duration)
                 .await
         });
     }
 
-    /// Calls the management endpoint of a sidecar until the call is accepted or conflicts; where one does not answer, the next
-    /// ones are tried in turn.
+    /// Calls the management endpoint of a sidecar until the call is accepted or conflicts; where one does not answer,
+    /// the next ones are tried in turn.
     async fn call_until_accepted(
         &self,
         sidecars: &Sidecars,
@@ -271,17 +274,18 @@
                 else {
                     continue;
                 };
-                let (own, sidecars, from) = (
+                let (environment, sidecars, from) = (
                     Arc::clone(&self),
                     Arc::clone(&sidecars),
                     self.run_state.now(),
                 );
                 tokio::spawn(async move {
                     sleep(duration).await;
-                    let to = own.run_state.now();
-                    lock(&own.maintenance).push(MaintenanceInterval { endpoint, from, to });
+                    let to = environment.run_state.now();
+                    lock(&environment.maintenance).push(MaintenanceInterval { endpoint, from, to });
                     let body = json!({ "machine": machine }).to_string();
-                    own.call_until_accepted(&sidecars, instance, "POST", "/admin/work/done", &body)
+                    environment
+                        .call_until_accepted(&sidecars, instance, "POST", "/admin/work/done", &body)
                         .await;
                 });
             }
--- a/crates/passroad-rig/src/sockets/http.rs
+++ b/crates/passroad-rig/src/sockets/http.rs
@@ -7,6 +7,7 @@
 const MAX_MESSAGE_BYTES: usize = 256 << 10;
 const MAX_HEADERS: usize = 32;
 
+/// A request or a response.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Message {
     /// The method of a request; empty for a response.
@@ -22,8 +23,8 @@
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers
             .iter()
-            .find(|(n, _)| n.eq_ignore_ascii_case(name))
-            .map(|(_, v)| v.as_str())
+            .find(|(key, _)| key.eq_ignore_ascii_case(name))
+            .map(|(_, value)| value.as_str())
     }
 }
 
@@ -93,7 +94,7 @@
     pub async fn wait_closed(&mut self) {
         while !self.has_buffered_bytes() {
             match self.stream.read_buf(&mut self.buffer).await {
-                Ok(n) if n > 0 => {}
+                Ok(count) if count > 0 => {}
                 _ => return,
             }
         }
@@ -162,6 +163,7 @@
     Ok(Some((message, head, length)))
 }
 
+/// The bytes of a response; each line of `headers` ends with a line break.
 pub fn response(status: &str, headers: &str, body: &str) -> Vec<u8> {
     format!(
         "HTTP/1.1 {status}\r\n{headers}Content-Length: {}\r\n\r\n{body}",
--- a/crates/passroad-rig/src/sockets/mod.rs
+++ b/crates/passroad-rig/src/sockets/mod.rs
@@ -1,5 +1,5 @@
-//! Runs an experiment in real time on loopback sockets: endpoint models behind HTTP/1.1, real sidecar processes, clients
-//! with an open-loop load, and discovery. Measured figures depend on the machine; the checked rules do not.
+//! Runs an experiment in real time on loopback sockets: endpoint models behind HTTP/1.1, real sidecar processes,
+//! clients with an open-loop load, and discovery. Measured figures depend on the machine; the checked rules do not.
 
 mod clients;
 mod discovery;
@@ -95,6 +95,7 @@
 /// The sidecars by instance.
 type Sidecars = Arc<Vec<Mutex<Sidecar>>>;
 
+/// Starts all parts, applies the changes of the plan at their times, stops all parts and collects the results.
 async fn run_plan(
     plan: &Plan,
     seed: u64,
@@ -229,11 +230,11 @@
             run_state.record(Entry::SidecarCrashed { instance });
         } else {
             if let Some(usage) = sidecar.resource_usage() {
-                let own = commands.get(instance).copied().unwrap_or_default().max(1);
-                let each = usage.cpu.as_secs_f64() * 1e6 / own as f64;
+                let count = commands.get(instance).copied().unwrap_or_default().max(1);
+                let each = usage.cpu.as_secs_f64() * 1e6 / count as f64;
                 let (cpu, mb) = (usage.cpu.as_secs_f64(), usage.memory_kb as f64 / 1024.0);
                 remarks.push(format!(
-                    "sidecar {instance}: {own} commands, {cpu:.2} s CPU, {each:.0} us each, {mb:.1} MB"
+                    "sidecar {instance}: {count} commands, {cpu:.2} s CPU, {each:.0} us each, {mb:.1} MB"
                 ));
             }
             let sidecars = Arc::clone(&sidecars);
@@ -301,6 +302,7 @@
     }
 }
 
+/// Samples outstanding commands and connections of all endpoints during the run.
 async fn sample_endpoints(
     run_state: Arc<RunState>,
     servers: Vec<Arc<EndpointServer>>,
--- a/crates/passroad-rig/src/sockets/peer_network.rs
+++ b/crates/passroad-rig/src/sockets/peer_network.rs
@@ -1,5 +1,5 @@
-//! The network between communicating sidecars: each has a proxy address by which the others know it, so that any datagram
-//! can be lost, delayed, duplicated, cut off in one direction or held back.
+//! The network between communicating sidecars: each has a proxy address by which the others know it, so that any
+//! datagram can be lost, delayed, duplicated, cut off in one direction or held back.
 
 use super::run_state::{lock, loopback_address};
 use crate::fleet::FleetFaultKind;
@@ -15,6 +15,7 @@
 /// Longer than any datagram between sidecars may be, so that an oversized one is noticed.
 const BUFFER_BYTES: usize = 2048;
 
+/// Forwards all datagrams between sidecars, subject to the faults in force.
 pub struct PeerNetwork {
     /// The address on which each sidecar listens.
     pub real: Vec<SocketAddr>,
@@ -94,6 +95,7 @@
         Ok(peers)
     }
 
+    /// Counts a datagram and delivers it as often and as late as the faults in force demand.
     async fn forward(self: &Arc<Self>, from: usize, to: usize, bytes: &[u8]) {
         self.sent[from].fetch_add(1, Relaxed);
         self.longest.fetch_max(bytes.len(), Relaxed);
@@ -119,6 +121,7 @@
         lock(&self.datagram_faults).begin_fault(id, from, to, kind);
     }
 
+    /// Ends a fault and delivers the datagrams that it held back.
     pub async fn end_fault(&self, id: usize) {
         let held_back = lock(&self.datagram_faults).end_fault(id);
         for (from, to, bytes) in held_back {
--- a/crates/passroad-rig/src/sockets/run_state.rs
+++ b/crates/passroad-rig/src/sockets/run_state.rs
@@ -8,13 +8,15 @@
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant, SystemTime};
 
+/// The shared state of a run.
 pub struct RunState {
     pub plan: Plan,
     started_at: Instant,
     unix_start: Duration, // the start of the run since the Unix epoch
     ledger: Mutex<Ledger>,
     requests: Mutex<Vec<ClientRequest>>,
-    relays: AtomicUsize,
+    next_relay: AtomicUsize,
+    /// Connections opened to endpoints so far.
     pub connections: AtomicUsize,
 }
 
@@ -35,7 +37,7 @@
                 + start_delay,
             ledger: Mutex::default(),
             requests: Mutex::default(),
-            relays: AtomicUsize::new(0),
+            next_relay: AtomicUsize::new(0),
             connections: AtomicUsize::new(0),
         }
     }
@@ -45,20 +47,23 @@
         Instant::now().saturating_duration_since(self.started_at)
     }
 
-    pub fn instant(&self, at: Duration) -> tokio::time::Instant {
-        (self.started_at + at).into()
+    /// The instant at a time since the start of the run.
+    pub fn instant(&self, time: Duration) -> tokio::time::Instant {
+        (self.started_at + time).into()
     }
 
-    pub fn unix_ms(&self, at: Duration) -> u64 {
-        (self.unix_start + at).as_millis() as u64
+    /// Milliseconds since the Unix epoch at a time since the start of the run.
+    pub fn unix_ms(&self, time: Duration) -> u64 {
+        (self.unix_start + time).as_millis() as u64
     }
 
+    /// Adds an entry to the ledger at the present time.
     pub fn record(&self, entry: Entry) {
         lock(&self.ledger).record(self.now(), entry);
     }
 
-    /// Records a request as sent and numbers its command. Its time counts from when it was planned, not from when it was
-    /// sent: a load generator that runs late must not make answers look quicker.
+    /// Records a request as sent and numbers its command. Its time counts from when it was planned, not from when it
+    /// was sent: a load generator that runs late must not make answers look quicker.
     pub fn record_request(
         &self,
         mut request: ClientRequest,
@@ -113,7 +118,7 @@
     }
 
     pub fn next_relay_id(&self) -> RelayId {
-        self.relays.fetch_add(1, Relaxed)
+        self.next_relay.fetch_add(1, Relaxed)
     }
 
     pub fn take_ledger(&self) -> Ledger {
@@ -121,12 +126,13 @@
     }
 }
 
+/// The id of a command, as sent in its request header.
 pub fn request_id(command: CommandId) -> String {
     format!("{command:016x}")
 }
 
-/// A loopback address of its own for each pair, so that a stand-in knows which sidecar calls it. The process id keeps the
-/// addresses of rigs that run side by side apart.
+/// A loopback address of its own for each pair, so that a stand-in knows which sidecar calls it. The process id keeps
+/// the addresses of rigs that run side by side apart.
 pub fn loopback_address(row: usize, column: usize) -> IpAddr {
     let block = 64 + (std::process::id() % 128) as u8;
     IpAddr::V4(Ipv4Addr::new(
--- a/crates/passroad-rig/src/sockets/sidecar.rs
+++ b/crates/passroad-rig/src/sockets/sidecar.rs
@@ -1,5 +1,5 @@
-//! A process of the sidecar program under test: started, killed, stopped, told to reload its configuration, and never left
-//! running when the rig ends.
+//! A process of the sidecar program under test: started, killed, stopped, signalled to reload its configuration, and
+//! never left running when the rig ends.
 
 use super::discovery::Discovery;
 use super::http::HttpConnection;
@@ -30,6 +30,7 @@
     pub arguments: Vec<String>,
 }
 
+/// A sidecar process, its configuration and its files.
 pub struct Sidecar {
     pub address: SocketAddr,
     program: Program,
@@ -38,7 +39,8 @@
     configuration: Value,
     child: Option<Child>,
     starts: usize,
-    /// For each successful start, the time from the start of the process until it accepted requests; the first start first.
+    /// For each successful start, the time from the start of the process until it accepted requests; the first start
+    /// first.
     pub ready_times: Vec<Duration>,
 }
 
@@ -106,7 +108,8 @@
         for _ in 0..START_ATTEMPTS {
             self.child = Some(self.spawn()?);
             match self.wait_until_ready("/healthz").await {
-                // The free port may have been taken by an outgoing connection meanwhile; the next attempt uses another one.
+                // The free port may have been taken by an outgoing connection meanwhile; the next attempt uses another
+                // one.
                 Err(error) if error.to_string().contains("Address already in use") => self.kill(),
                 other => return other,
             }
@@ -117,7 +120,8 @@
         )))
     }
 
-    /// Starts a new process that takes over from the old one, and stops the old one; returns the exit code of the old one.
+    /// Starts a new process that takes over from the old one, and stops the old one; returns the exit code of the old
+    /// one.
     pub async fn upgrade(&mut self) -> io::Result<Option<i32>> {
         let next = self.spawn()?;
         let mut old = self.child.replace(next);
@@ -157,6 +161,7 @@
             .map(str::to_string)
     }
 
+    /// Starts a process with a new management address; does not wait for it.
     fn spawn(&mut self) -> io::Result<Child> {
         // Each process has a management address of its own.
         let address =
@@ -200,6 +205,7 @@
         Ok(child)
     }
 
+    /// Waits until the process answers at a path; an error if it ends or takes too long.
     async fn wait_until_ready(&mut self, path: &str) -> io::Result<()> {
         let started = Instant::now();
         while !self.is_ready(path).await {
@@ -228,7 +234,8 @@
         Ok(())
     }
 
-    /// Paths under /admin are asked at the management address: during an upgrade both processes share the clients' address.
+    /// Paths under /admin are asked at the management address: during an upgrade both processes share the clients'
+    /// address.
     async fn is_ready(&self, path: &str) -> bool {
         let text = format!("GET {path} HTTP/1.1\r\nHost: rig\r\nConnection: close\r\n\r\n");
         let management = self.configuration["management"]
--- a/crates/passroad-rig/tests/scale.rs
+++ b/crates/passroad-rig/tests/scale.rs
@@ -129,8 +129,8 @@
     );
 }
 
-/// A run of simulated sidecars, one of which is killed and restarted, and a real one: every sidecar learns of the death and of
-/// the restart, and points of both kinds are written.
+/// A run of simulated sidecars, one of which is killed and restarted, and a real one: every sidecar learns of the death
+/// and of the restart, and points of both kinds are written.
 #[rstest]
 fn simulated_and_real_sidecars_are_measured_alike() {
     let text = SMALL
