--- a/crates/passroad/tests/harness/mod.rs
+++ b/crates/passroad/tests/harness/mod.rs
@@ -507,6 +507,8 @@
         round_trip(&mut self.connect(), request).expect("a response")
     }
 
+    /// Sends a signal. After `STOP` it returns once every thread has stopped: the signal takes
+    /// effect thread by thread, and on a busy machine one goes on running for some milliseconds.
     pub fn signal(&self, name: &str) {
         let kill = format!("kill -{name} {}", self.child.id());
         assert!(
@@ -516,6 +518,22 @@
                 .unwrap()
                 .success()
         );
+        if name == "STOP" {
+            wait_until(|| self.is_stopped());
+        }
+    }
+
+    fn is_stopped(&self) -> bool {
+        let tasks = std::fs::read_dir(format!("/proc/{}/task", self.child.id())).unwrap();
+        tasks
+            .map(|task| task.unwrap().path().join("stat"))
+            .all(|stat| {
+                // A thread that has ended meanwhile has no file any more. The state follows the name
+                // of the thread, which stands in parentheses.
+                std::fs::read_to_string(stat).map_or(true, |stat| {
+                    stat.rsplit_once(") ").unwrap().1.starts_with('T')
+                })
+            })
     }
 
     /// Replaces the configuration file atomically, then sends SIGHUP.
@@ -587,6 +605,35 @@
     )
 }
 
+/// Waits until the receiver of a connection has the end of it that the sender made. The loopback
+/// interface may deliver it some milliseconds later on a busy machine.
+pub fn wait_until_end_received(sender: SocketAddr, receiver: SocketAddr) {
+    const ESTABLISHED: &str = "01";
+    let socket = format!(
+        "{} {} ",
+        proc_net_address(receiver),
+        proc_net_address(sender)
+    );
+    wait_until(|| {
+        let sockets = std::fs::read_to_string("/proc/net/tcp").unwrap();
+        let state = sockets
+            .lines()
+            .find_map(|line| Some(line.split_once(&socket)?.1));
+        !state.is_some_and(|state| state.starts_with(ESTABLISHED))
+    });
+}
+
+/// An address as /proc/net/tcp writes it.
+fn proc_net_address(address: SocketAddr) -> String {
+    match address {
+        SocketAddr::V4(v4) => {
+            let ip = u32::from_le_bytes(v4.ip().octets());
+            format!("{ip:08X}:{:04X}", v4.port())
+        }
+        SocketAddr::V6(_) => panic!("the tests use IPv4 only"),
+    }
+}
+
 /// Polls a condition that usually holds within a few seconds; fails after 30 s, which allows for a
 /// busy machine.
 pub fn wait_until(mut condition: impl FnMut() -> bool) {
--- a/crates/passroad/tests/races.rs
+++ b/crates/passroad/tests/races.rs
@@ -22,7 +22,20 @@
     CloseAfterNextRequestLine,
 }
 
-fn disconnect(mut client: BufReader<TcpStream>, kind: Disconnect) -> Option<BufReader<TcpStream>> {
+/// Disconnects a client, and returns once the sidecar's system has the end. A half-closed
+/// connection is returned, as it stays open until it is dropped.
+fn disconnect(client: BufReader<TcpStream>, kind: Disconnect) -> Option<BufReader<TcpStream>> {
+    let sender = client.get_ref().local_addr().unwrap();
+    let receiver = client.get_ref().peer_addr().unwrap();
+    let half_closed = end_connection(client, kind);
+    wait_until_end_received(sender, receiver);
+    half_closed
+}
+
+fn end_connection(
+    mut client: BufReader<TcpStream>,
+    kind: Disconnect,
+) -> Option<BufReader<TcpStream>> {
     match kind {
         Disconnect::Close => drop(client),
         Disconnect::Reset => {
--- a/crates/passroad/tests/sidecar.rs
+++ b/crates/passroad/tests/sidecar.rs
@@ -969,6 +969,8 @@
     let sidecar = start_sidecar(&member("s-1", endpoint.address, "up"));
     for n in 0..10 {
         assert_eq!(sidecar.request(&post_book(&n.to_string())).status(), "200");
+        // A command sent in the moment of the close may have run, and would fail.
+        wait_until(|| endpoint.closed_at.lock().unwrap().len() > n);
         sleep(10 * MS);
     }
     assert_eq!(endpoint.request_count(), 10);
