--- a/crates/passroad-rig/src/scale/host.rs
+++ b/crates/passroad-rig/src/scale/host.rs
@@ -2,7 +2,7 @@
 //! and telling on standard output.
 
 use passroad::Files;
-use passroad::fleet::MemberStateChange;
+use passroad::fleet::{MemberStateChange, outer_name};
 use passroad::hollow::Hollow;
 use std::collections::BTreeMap;
 use std::io::{BufRead, Write};
@@ -98,7 +98,12 @@
     let mut some = Vec::new();
     while turned.recv_many(&mut some, 1024).await > 0 {
         let line = |turn: MemberStateChange| {
-            format!("turned {n} {} {:?} {}", turn.member, turn.state, unix_us())
+            format!(
+                "turned {n} {} {} {}",
+                turn.member,
+                outer_name(turn.state),
+                unix_us()
+            )
         };
         say(&some.drain(..).map(line).collect::<Vec<_>>().join("\n"));
     }
--- a/crates/passroad-rig/src/scale/processes.rs
+++ b/crates/passroad-rig/src/scale/processes.rs
@@ -88,9 +88,9 @@
         "turned" => {
             let of = words.next().and_then(|n| n.parse().ok());
             let standing = match words.next() {
-                Some("Alive") => Some(MemberState::Alive),
-                Some("Suspect") => Some(MemberState::Suspect),
-                Some("Dead") => Some(MemberState::Dead),
+                Some("Here") => Some(MemberState::Alive),
+                Some("Doubt") => Some(MemberState::Suspect),
+                Some("Gone") => Some(MemberState::Dead),
                 _ => None,
             };
             let at = words
--- a/crates/passroad/src/fleet/event_loop.rs
+++ b/crates/passroad/src/fleet/event_loop.rs
@@ -1,7 +1,6 @@
 //! The task that owns the fleet's socket: it receives datagrams, keeps timers, begins calls and answers operators. What
 //! to send and do is decided in `node`.
 
-use super::MemberStateChange;
 use super::calls::Calls;
 use super::config::{FleetConfig, LeasedTask, PeerConfig};
 use super::drops::DroppedDatagrams;
@@ -9,6 +8,7 @@
 use super::node::{CallOutcome, FleetNode, MachineView, NodeAction, NodeIdentity};
 use super::status::{FleetRequest, FleetRequests};
 use super::vote_store::VoteStore;
+use super::{MemberStateChange, outer_name};
 use crate::shutdown::{ShutdownStage, ShutdownWatch, stage_reached};
 use passroad_lease::{Clocks, Epoch};
 use passroad_upkeep::{MachineId, MaintenanceManager, Message, Rejection};
@@ -331,7 +331,7 @@
                 NodeAction::AbortCall { task } => self.calls.abort(task),
                 NodeAction::Log { level, line } => log::log!(level, "fleet: {line}"),
                 NodeAction::StateChanged { member, state } => {
-                    log::debug!("fleet: member {member}: {state:?}");
+                    log::debug!("fleet: member {member}: {}", outer_name(state));
                     if let Some(state_changes) = &self.state_changes {
                         let _ = state_changes.send(MemberStateChange { member, state });
                     }
--- a/crates/passroad/src/fleet/machines.rs
+++ b/crates/passroad/src/fleet/machines.rs
@@ -18,6 +18,7 @@
 
 /// Selects machines by their list entry.
 #[derive(Debug, Clone, Default, Deserialize)]
+#[serde(expecting = "struct Those")]
 pub struct MachineFilter {
     pub zone: Option<String>,
     pub kind: Option<String>,
@@ -182,7 +183,7 @@
 pub fn rejection_text(rejected: Rejection) -> &'static str {
     match rejected {
         Rejection::UnknownMachine => "no such machine is listed, or none was named",
-        Rejection::AlreadyStarted => "its maintenance has begun; it can only be ended with done",
+        Rejection::AlreadyStarted => "its work has begun; it can only be done",
         Rejection::NotUnderMaintenance => "it is not at work",
         Rejection::NotDraining => "it is not leaving",
     }
--- a/crates/passroad/src/fleet/mod.rs
+++ b/crates/passroad/src/fleet/mod.rs
@@ -17,6 +17,7 @@
 
 use crate::dispatcher::Dispatcher;
 use crate::shutdown::ShutdownWatch;
+use passroad_peers::MemberState;
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::sync::mpsc::UnboundedSender;
@@ -25,11 +26,20 @@
 const BIND_TIMEOUT: Duration = Duration::from_secs(60);
 const BIND_INTERVAL: Duration = Duration::from_millis(20);
 
+/// A member state's name in lines that another program reads, which may be older or newer than this one.
+pub fn outer_name(state: MemberState) -> &'static str {
+    match state {
+        MemberState::Alive => "Here",
+        MemberState::Suspect => "Doubt",
+        MemberState::Dead => "Gone",
+    }
+}
+
 /// A change of a member's state, as this sidecar sees it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct MemberStateChange {
     pub member: u16,
-    pub state: passroad_peers::MemberState,
+    pub state: MemberState,
 }
 
 /// A fleet member that is ready to start; its socket is not open yet.
--- a/crates/passroad/src/management.rs
+++ b/crates/passroad/src/management.rs
@@ -40,7 +40,9 @@
     stages: ShutdownWatch,
 }
 
+// Error texts in responses name the type of a body: by `expecting`, the same one whatever its name here.
 #[derive(Deserialize)]
+#[serde(expecting = "struct Which")]
 struct EndpointBody {
     id: String,
 }
@@ -128,7 +130,7 @@
 
 async fn health(State(app): State<AppState>) -> Response {
     match *app.stages.borrow() {
-        ShutdownStage::Serving => respond(StatusCode::OK, "clients are accepted"),
+        ShutdownStage::Serving => respond(StatusCode::OK, "clients are taken"),
         _ => respond(StatusCode::SERVICE_UNAVAILABLE, "stopping"),
     }
 }
@@ -137,7 +139,7 @@
     let Some(fleet) = app.fleet else {
         return respond(
             StatusCode::NOT_FOUND,
-            "this sidecar has no fleet file, or messages between sidecars are forbidden",
+            "this sidecar has no fleet's file, or may not talk to others",
         );
     };
     status_page(fleet.status().await)
@@ -156,13 +158,13 @@
         }
         None => respond(
             StatusCode::SERVICE_UNAVAILABLE,
-            "the fleet's thread has ended or is too busy",
+            "the fleet's part has ended or is too busy",
         ),
     }
 }
 
 #[derive(Deserialize)]
-#[serde(deny_unknown_fields)]
+#[serde(deny_unknown_fields, expecting = "struct Request")]
 struct MaintenanceRequest {
     #[serde(default)]
     machines: Vec<String>,
@@ -182,6 +184,7 @@
 }
 
 #[derive(Deserialize)]
+#[serde(expecting = "struct OfMachine")]
 struct MachineBody {
     machine: String,
 }
@@ -194,7 +197,7 @@
 fn no_maintenance() -> Response {
     respond(
         StatusCode::NOT_FOUND,
-        "no maintenance here: no fleet file with [upkeep], or messages between sidecars are forbidden",
+        "no order of work here: no fleet's file with [upkeep], or no leave to talk",
     )
 }
 
@@ -212,7 +215,7 @@
     let Ok(body) = to_bytes(body, MAX_BODY_BYTES).await else {
         return respond(
             StatusCode::PAYLOAD_TOO_LARGE,
-            "the body is too large or incomplete",
+            "the body is too large or breaks off",
         );
     };
     let mut request: MaintenanceRequest = match serde_json::from_slice(&body) {
@@ -228,14 +231,11 @@
         Some(_) if !request.machines.is_empty() => {
             return respond(
                 StatusCode::BAD_REQUEST,
-                "either machines by their ids or all of a zone, kind or cell, not both",
+                "machines by their ids, or all of some, not both",
             );
         }
         Some(all) if all.zone.is_none() && all.kind.is_none() && all.cell.is_none() => {
-            return respond(
-                StatusCode::BAD_REQUEST,
-                "all needs a zone, a kind or a cell",
-            );
+            return respond(StatusCode::BAD_REQUEST, "all of which zone, kind or cell");
         }
         Some(all) => request.machines = fleet.find_machines(all).await.unwrap_or_default(),
         None => {}
@@ -248,9 +248,8 @@
             request.machines.len(),
             passroad_upkeep::MAX_MACHINES_PER_REQUEST,
         );
-        let message = format!(
-            "from 1 to {max} machines, for a second to thirty days; the request has {count}"
-        );
+        let message =
+            format!("from 1 to {max} machines, for a second to thirty days; these are {count}");
         return respond(StatusCode::BAD_REQUEST, &message);
     }
     // Requests of the same name are one request.
@@ -263,7 +262,7 @@
         auto_return: request.auto_return,
         machines: request.machines.iter().map(|id| stable_hash(id)).collect(),
     };
-    operator_response(fleet.submit(message).await, "added to the queue")
+    operator_response(fleet.submit(message).await, "taken into the order")
 }
 
 async fn work_action(
@@ -313,7 +312,7 @@
         Some(Some(rejected)) => respond(StatusCode::CONFLICT, fleet::rejection_text(rejected)),
         None => respond(
             StatusCode::ACCEPTED,
-            "no coordinator has answered yet; the request is sent again until one does, see the status",
+            "no conductor has answered yet; it goes on being asked, see the status",
         ),
     }
 }
@@ -322,7 +321,7 @@
     let Ok(body) = to_bytes(body, MAX_BODY_BYTES).await else {
         return respond(
             StatusCode::PAYLOAD_TOO_LARGE,
-            "the body is too large or incomplete",
+            "the body is too large or breaks off",
         );
     };
     let endpoint: EndpointBody = match serde_json::from_slice(&body) {
--- a/crates/passroad/tests/fleet.rs
+++ b/crates/passroad/tests/fleet.rs
@@ -470,14 +470,14 @@
         upkeep
             .work(2, &["request", "s-1", "s-3", "--name", "patch"])
             .1
-            .contains("added to the queue")
+            .contains("taken into the order")
     });
     // Asked again by its name, and elsewhere, it stays one.
     until(|| {
         upkeep
             .work(0, &["request", "s-1", "s-3", "--name", "patch"])
             .1
-            .contains("added to the queue")
+            .contains("taken into the order")
     });
     upkeep.until(1, "s-1", "at work");
     assert_eq!(upkeep.state(1, "s-3"), "queued");
@@ -495,9 +495,9 @@
 
 // By what the list says of them; the rest, and what names none, is turned away with a reason.
 #[rstest]
-#[case::by_zone(&["request", "--zone", "a"], 0, "added to the queue")]
-#[case::by_kind_and_cell(&["request", "--kind", "m", "--cell", "0"], 0, "added to the queue")]
-#[case::none_there(&["request", "--zone", "x"], 2, "the request has 0")]
+#[case::by_zone(&["request", "--zone", "a"], 0, "taken into the order")]
+#[case::by_kind_and_cell(&["request", "--kind", "m", "--cell", "0"], 0, "taken into the order")]
+#[case::none_there(&["request", "--zone", "x"], 2, "these are 0")]
 #[case::both(&["request", "s-1", "--zone", "a"], 2, "cannot be used with")]
 #[case::neither(&["request"], 2, "required")]
 #[case::odd_time(&["request", "s-1", "--for", "5"], 2, "has no unit")]
@@ -521,7 +521,7 @@
     let mut last = (None, String::new());
     until(|| {
         last = upkeep.work(1, words);
-        !last.1.contains("no coordinator has answered yet")
+        !last.1.contains("no conductor has answered yet")
     });
     assert!(last.0 == Some(code) && last.1.contains(what), "{last:?}");
     if words.len() > 2 && code == 0 {
@@ -580,7 +580,7 @@
         upkeep
             .work(0, &["request", "s-1"])
             .1
-            .contains("added to the queue")
+            .contains("taken into the order")
     });
     upkeep.until(0, "s-1", "leaving");
     (0..3).for_each(|at| upkeep.until(at, "s-1", "leaving"));
@@ -598,7 +598,7 @@
         upkeep
             .work(2, &["request", "s-1", "s-3"])
             .1
-            .contains("added to the queue")
+            .contains("taken into the order")
     });
     // Where one alone knows, it may be leaving again when that one ends.
     (0..3).for_each(|at| upkeep.until(at, "s-1", "at work"));
@@ -635,7 +635,7 @@
         upkeep
             .work(2, &["request", "s-1"])
             .1
-            .contains("added to the queue")
+            .contains("taken into the order")
     });
     upkeep.until(0, "s-1", "at work");
     assert_eq!(upkeep.work(0, &["done", "s-1"]).0, Some(0));
@@ -653,7 +653,7 @@
         upkeep
             .work(conductor, &["request", "s-2"])
             .1
-            .contains("added to the queue")
+            .contains("taken into the order")
     });
     upkeep.until(conductor, "s-2", "leaving");
     assert_eq!(upkeep.work(conductor, &["done", "s-2"]).0, Some(2));
