--- a/crates/passroad-rig/src/added_latency/endpoint.rs
+++ b/crates/passroad-rig/src/added_latency/endpoint.rs
@@ -1,7 +1,7 @@
-//! Endpoints of one tier, the same whoever calls them: a thread for each connection, work that passes without a core,
-//! and a count of what came.
+//! Test endpoints of one tier, identical for all arms: one thread per connection, simulated work that sleeps instead of
+//! using a core, and counters of what was received.
 
-use super::door::{Door, Wire, held};
+use super::http::{Client, Connection, lock};
 use hdrhistogram::Histogram;
 use std::io;
 use std::net::{Ipv4Addr, SocketAddr, TcpListener, TcpStream};
@@ -9,164 +9,168 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-const STACK: usize = 128 << 10;
-/// Gaps behind an answer are kept up to this; longer ones count as this long.
-const LONGEST_GAP: u64 = 60_000_000;
+const THREAD_STACK_BYTES: usize = 128 << 10;
+/// Upper bound of recorded gaps between a response and the next request, in microseconds; longer ones count as this
+/// long.
+pub const MAX_REUSE_GAP_US: u64 = 60_000_000;
 
-/// What came to a tier.
+/// Counters over all endpoints of a tier.
 #[derive(Debug)]
-pub struct Tally {
+pub struct TierCounters {
     pub calls: AtomicU64,
     pub probes: AtomicU64,
     pub accepted: AtomicU64,
     pub open: AtomicU64,
-    /// Milliseconds that the calls said were left, in sum.
-    pub left_ms: AtomicU64,
-    /// Microseconds from a call's answer to the next request on the same connection.
-    pub behind: Mutex<Histogram<u64>>,
+    /// Sum of the remaining deadlines that calls carried, in milliseconds.
+    pub remaining_ms: AtomicU64,
+    /// Microseconds from the response to a call to the next request on the same connection.
+    pub reuse_gaps: Mutex<Histogram<u64>>,
 }
 
-impl Tally {
-    fn new() -> Result<Tally, hdrhistogram::CreationError> {
-        Ok(Tally {
+impl TierCounters {
+    fn new() -> Result<TierCounters, hdrhistogram::CreationError> {
+        Ok(TierCounters {
             calls: AtomicU64::new(0),
             probes: AtomicU64::new(0),
             accepted: AtomicU64::new(0),
             open: AtomicU64::new(0),
-            left_ms: AtomicU64::new(0),
-            behind: Mutex::new(Histogram::new_with_bounds(1, LONGEST_GAP, 3)?),
+            remaining_ms: AtomicU64::new(0),
+            reuse_gaps: Mutex::new(Histogram::new_with_bounds(1, MAX_REUSE_GAP_US, 3)?),
         })
     }
 }
 
-/// How the endpoints of a tier behave.
+/// Behaviour of the endpoints of a tier.
 #[derive(Clone)]
-pub struct Make {
+pub struct EndpointConfig {
+    /// Service time of a call.
     pub work: Duration,
-    /// Each answer to a call ends its connection.
-    pub closes: bool,
-    /// What a call calls in its turn.
-    pub next: Option<Arc<Door>>,
+    /// Close the connection after each response to a call.
+    pub close: bool,
+    /// Client of the tier that each call calls in turn.
+    pub downstream: Option<Arc<Client>>,
 }
 
 pub struct Tier {
     pub addresses: Vec<SocketAddr>,
-    pub tally: Arc<Tally>,
-    over: Arc<AtomicBool>,
+    pub counters: Arc<TierCounters>,
+    stopping: Arc<AtomicBool>,
 }
 
 impl Tier {
-    pub fn start(count: usize, make: &Make) -> io::Result<Tier> {
-        let tally = Arc::new(Tally::new().map_err(io::Error::other)?);
-        let over = Arc::new(AtomicBool::new(false));
+    pub fn start(count: usize, config: &EndpointConfig) -> io::Result<Tier> {
+        let counters = Arc::new(TierCounters::new().map_err(io::Error::other)?);
+        let stopping = Arc::new(AtomicBool::new(false));
         let mut addresses = Vec::new();
         for _ in 0..count {
             let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0))?;
             addresses.push(listener.local_addr()?);
             let endpoint = Arc::new(Endpoint {
-                make: make.clone(),
-                tally: Arc::clone(&tally),
+                config: config.clone(),
+                counters: Arc::clone(&counters),
                 inflight: AtomicUsize::new(0),
-                turn: AtomicUsize::new(0),
+                next_target: AtomicUsize::new(0),
             });
-            let over = Arc::clone(&over);
-            thread("endpoint", move || {
+            let stopping = Arc::clone(&stopping);
+            spawn_thread("endpoint", move || {
                 for stream in listener.incoming() {
-                    if over.load(Relaxed) {
+                    if stopping.load(Relaxed) {
                         return;
                     }
                     let Ok(stream) = stream else { continue };
                     let endpoint = Arc::clone(&endpoint);
-                    // Without a thread the connection ends at once, and its call counts as failed.
-                    let _ = thread("connection", move || endpoint.serve(stream));
+                    // If no thread can be started, the connection closes at once and its call counts as failed.
+                    let _ = spawn_thread("connection", move || endpoint.serve(stream));
                 }
             })?;
         }
         Ok(Tier {
             addresses,
-            tally,
-            over,
+            counters,
+            stopping,
         })
     }
 }
 
 impl Drop for Tier {
     fn drop(&mut self) {
-        self.over.store(true, Relaxed);
-        // Wakes each listener, so that it sees the end.
+        self.stopping.store(true, Relaxed);
+        // Wakes each listener so that it sees the stop flag.
         self.addresses
             .iter()
-            .for_each(|at| drop(TcpStream::connect(at)));
+            .for_each(|address| drop(TcpStream::connect(address)));
     }
 }
 
-pub fn thread(name: &str, run: impl FnOnce() + Send + 'static) -> io::Result<()> {
+pub fn spawn_thread(name: &str, run: impl FnOnce() + Send + 'static) -> io::Result<()> {
     std::thread::Builder::new()
         .name(name.into())
-        .stack_size(STACK)
+        .stack_size(THREAD_STACK_BYTES)
         .spawn(run)
         .map(drop)
 }
 
 struct Endpoint {
-    make: Make,
-    tally: Arc<Tally>,
+    config: EndpointConfig,
+    counters: Arc<TierCounters>,
     inflight: AtomicUsize,
-    turn: AtomicUsize,
+    next_target: AtomicUsize,
 }
 
 impl Endpoint {
     fn serve(&self, stream: TcpStream) {
-        self.tally.accepted.fetch_add(1, Relaxed);
-        self.tally.open.fetch_add(1, Relaxed);
-        if let Ok(mut wire) = Wire::new(stream) {
-            let _ = self.talk(&mut wire);
+        self.counters.accepted.fetch_add(1, Relaxed);
+        self.counters.open.fetch_add(1, Relaxed);
+        if let Ok(mut connection) = Connection::new(stream) {
+            let _ = self.handle_requests(&mut connection);
         }
-        self.tally.open.fetch_sub(1, Relaxed);
+        self.counters.open.fetch_sub(1, Relaxed);
     }
 
-    fn talk(&self, wire: &mut Wire) -> io::Result<()> {
-        let mut answered: Option<Instant> = None;
-        while wire.comes()? {
-            if let Some(at) = answered.take() {
-                let gap = (at.elapsed().as_micros() as u64).clamp(1, LONGEST_GAP);
-                held(&self.tally.behind).saturating_record(gap);
+    fn handle_requests(&self, connection: &mut Connection) -> io::Result<()> {
+        let mut responded_at: Option<Instant> = None;
+        while connection.wait_readable()? {
+            if let Some(response_time) = responded_at.take() {
+                let gap = (response_time.elapsed().as_micros() as u64).clamp(1, MAX_REUSE_GAP_US);
+                lock(&self.counters.reuse_gaps).saturating_record(gap);
             }
-            let Some(message) = wire.read(true)? else {
+            let Some(request) = connection.read_message(true)? else {
                 return Ok(());
             };
-            if ["/load", "/healthz"].contains(&message.target.as_str()) {
-                self.tally.probes.fetch_add(1, Relaxed);
-                wire.write(answer("200 OK", "", &self.load()).as_bytes())?;
+            if ["/load", "/healthz"].contains(&request.target.as_str()) {
+                self.counters.probes.fetch_add(1, Relaxed);
+                connection.write(response("200 OK", "", &self.load()).as_bytes())?;
                 continue;
             }
-            self.tally.calls.fetch_add(1, Relaxed);
-            self.tally.left_ms.fetch_add(message.left_ms, Relaxed);
+            self.counters.calls.fetch_add(1, Relaxed);
+            self.counters
+                .remaining_ms
+                .fetch_add(request.remaining_ms, Relaxed);
             self.inflight.fetch_add(1, Relaxed);
-            if !self.make.work.is_zero() {
-                std::thread::sleep(self.make.work);
+            if !self.config.work.is_zero() {
+                std::thread::sleep(self.config.work);
             }
-            let onward = self.make.next.as_ref().map_or(Ok(200), |next| {
-                next.call(
-                    self.turn.fetch_add(1, Relaxed),
-                    &message.id,
-                    message.left_ms,
+            let downstream_result = self.config.downstream.as_ref().map_or(Ok(200), |client| {
+                client.call(
+                    self.next_target.fetch_add(1, Relaxed),
+                    &request.id,
+                    request.remaining_ms,
                 )
             });
             self.inflight.fetch_sub(1, Relaxed);
-            let closes = self.make.closes || message.closes;
-            let close = if closes { "Connection: close\r\n" } else { "" };
-            let headers = format!("Srv-Load: {}\r\n{close}", self.load());
-            let status = if matches!(onward, Ok(200)) {
+            let close = self.config.close || request.close;
+            let close_header = if close { "Connection: close\r\n" } else { "" };
+            let headers = format!("Srv-Load: {}\r\n{close_header}", self.load());
+            let status = if matches!(downstream_result, Ok(200)) {
                 "200 OK"
             } else {
                 "500 Onward"
             };
-            wire.write(answer(status, &headers, "seat").as_bytes())?;
-            if closes {
+            connection.write(response(status, &headers, "seat").as_bytes())?;
+            if close {
                 return Ok(());
             }
-            answered = Some(Instant::now());
+            responded_at = Some(Instant::now());
         }
         Ok(())
     }
@@ -180,7 +184,7 @@
     }
 }
 
-fn answer(status: &str, headers: &str, body: &str) -> String {
+fn response(status: &str, headers: &str, body: &str) -> String {
     format!(
         "HTTP/1.1 {status}\r\n{headers}Content-Length: {}\r\n\r\n{body}",
         body.len()
--- a/crates/passroad-rig/src/added_latency/mod.rs
+++ b/crates/passroad-rig/src/added_latency/mod.rs
@@ -1,193 +1,205 @@
-//! What a call gains in the sidecar: the same open load straight to the endpoints and through real sidecars, by turns in
-//! one run, and where the difference goes. All figures are of real processes on loopback sockets.
+//! Latency that a sidecar adds to a call: the same open-loop load goes directly to the endpoints and through real
+//! sidecars, alternating within one run, and the difference is broken down by cause. All figures come from real
+//! processes on loopback sockets.
 
-mod between;
-mod door;
 mod endpoint;
+mod http;
+mod relay;
 mod report;
+mod sidecar;
 
 pub use report::{command, commit, json, text};
 
 use crate::rng::SeededRng;
 use crate::sockets::Program;
-use between::{Sidecar, Used, relay};
-use door::{Door, held};
-use endpoint::{Make, Tally, Tier};
+use endpoint::{EndpointConfig, MAX_REUSE_GAP_US, Tier, TierCounters};
 use hdrhistogram::Histogram;
+use http::{Client, lock};
+use relay::relay;
+use sidecar::{CpuUsage, Sidecar};
 use std::io;
 use std::path::{Path, PathBuf};
 use std::sync::atomic::{AtomicUsize, Ordering::Relaxed};
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// This part of a slice is played and not counted: calls of the arm before may still be out, and an arm that had no load
-/// for a while finds its way back.
-pub const SETTLE: f64 = 0.2;
-/// Calls that can be out at once; one more waits, which shows as lateness.
-const CALLERS: usize = 128;
-const LEAD: Duration = Duration::from_millis(500);
-/// What a call says that it has.
-const LIMIT_MS: u64 = 1000;
-/// Endpoints in place of the stated ones where none is to be used again soon.
-const SPREAD: usize = 4;
-/// The longest latency that is told apart, in microseconds.
-const LONGEST: u64 = 10_000_000;
-
-/// Whether connections outlive a call, on both sides of whatever stands between.
+/// Share of each slice that is sent but not counted: calls of the previous arm may still be in progress, and an arm that
+/// had no load for a while warms up again.
+pub const WARM_UP_SHARE: f64 = 0.2;
+/// Calls that can be in progress at once; any further call waits, which shows as lateness.
+const CALLER_THREADS: usize = 128;
+const START_DELAY: Duration = Duration::from_millis(500);
+/// Deadline that each call carries.
+const CALL_DEADLINE_MS: u64 = 1000;
+/// Times the configured number of endpoints, so that none is called again soon after a call.
+const MORE_ENDPOINTS_FACTOR: usize = 4;
+/// Upper bound of recorded latencies, in microseconds.
+const MAX_LATENCY_US: u64 = 10_000_000;
+
+/// Whether connections are kept after a call, both from the caller and to the endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Connections {
+pub enum ConnectionReuse {
     Warm,
     Cold,
 }
 
-impl Connections {
+impl ConnectionReuse {
     pub fn name(self) -> &'static str {
         match self {
-            Connections::Warm => "warm",
-            Connections::Cold => "cold",
+            ConnectionReuse::Warm => "warm",
+            ConnectionReuse::Cold => "cold",
         }
     }
 }
 
-/// What is to be measured.
 #[derive(Debug, Clone)]
-pub struct Asked {
-    /// Calls a second while an arm has the load.
+pub struct MeasurementConfig {
+    /// Calls per second while an arm has the load.
     pub rates: Vec<u32>,
-    pub connections: Vec<Connections>,
+    pub connections: Vec<ConnectionReuse>,
     /// Counted rounds; in each, every arm has the load for one slice.
     pub rounds: usize,
     pub slice: Duration,
-    /// Calls that a call is made of, one within the other, each with a sidecar of its own.
+    /// Length of the call chain: each call makes a nested call to the next tier, each tier with its own sidecar.
     pub depth: usize,
-    /// Of each tier.
+    /// Endpoints of each tier.
     pub endpoints: usize,
-    /// Of a call at an endpoint; it passes there without use of a core.
+    /// Service time of a call at an endpoint, which sleeps instead of using a core.
     pub work: Duration,
     pub seed: u64,
-    /// Also the arms that say where the difference goes.
-    pub parts: bool,
+    /// Also measure the arms that break the difference down by cause.
+    pub breakdown: bool,
 }
 
-/// Which way the calls of an arm go.
+/// What the calls of an arm pass through.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Way {
+pub enum CallPath {
     Direct,
-    /// Through a relay of bytes.
+    /// Through a byte relay.
     Relay,
-    /// Through a sidecar as it is shipped, but for what is named.
+    /// Through a sidecar in its default configuration, except for the differences in the fields.
     Sidecar {
         probes: bool,
-        spread: bool,
-        flipped: bool,
+        more_endpoints: bool,
+        other_endpoint_connections: bool,
     },
 }
 
-impl Way {
-    pub const SHIPPED: Way = Way::Sidecar {
+impl CallPath {
+    pub const AS_SHIPPED: CallPath = CallPath::Sidecar {
         probes: true,
-        spread: false,
-        flipped: false,
+        more_endpoints: false,
+        other_endpoint_connections: false,
     };
-    pub const UNPROBED: Way = Way::Sidecar {
+    pub const NO_PROBES: CallPath = CallPath::Sidecar {
         probes: false,
-        spread: false,
-        flipped: false,
+        more_endpoints: false,
+        other_endpoint_connections: false,
     };
-    pub const SPREAD: Way = Way::Sidecar {
+    pub const MORE_ENDPOINTS: CallPath = CallPath::Sidecar {
         probes: false,
-        spread: true,
-        flipped: false,
+        more_endpoints: true,
+        other_endpoint_connections: false,
     };
-    pub const FLIPPED: Way = Way::Sidecar {
+    pub const OTHER_ENDPOINT_CONNECTIONS: CallPath = CallPath::Sidecar {
         probes: true,
-        spread: false,
-        flipped: true,
+        more_endpoints: false,
+        other_endpoint_connections: true,
     };
 
-    pub fn all(depth: usize, parts: bool) -> Vec<Way> {
-        match (parts, depth) {
-            (false, _) => vec![Way::Direct, Way::SHIPPED],
+    pub fn all(depth: usize, breakdown: bool) -> Vec<CallPath> {
+        match (breakdown, depth) {
+            (false, _) => vec![CallPath::Direct, CallPath::AS_SHIPPED],
             (true, 1) => {
                 vec![
-                    Way::Direct,
-                    Way::Relay,
-                    Way::SHIPPED,
-                    Way::UNPROBED,
-                    Way::SPREAD,
-                    Way::FLIPPED,
+                    CallPath::Direct,
+                    CallPath::Relay,
+                    CallPath::AS_SHIPPED,
+                    CallPath::NO_PROBES,
+                    CallPath::MORE_ENDPOINTS,
+                    CallPath::OTHER_ENDPOINT_CONNECTIONS,
                 ]
             }
-            // Each arm is a tree of its own.
-            (true, _) => vec![Way::Direct, Way::Relay, Way::SHIPPED, Way::UNPROBED],
+            // Each arm needs its own endpoints and sidecars at every depth, so the other two are left out.
+            (true, _) => vec![
+                CallPath::Direct,
+                CallPath::Relay,
+                CallPath::AS_SHIPPED,
+                CallPath::NO_PROBES,
+            ],
         }
     }
 }
 
-/// What one arm came to.
+/// Result of one arm.
 pub struct Arm {
-    pub way: Way,
+    pub call_path: CallPath,
     /// Latencies in microseconds by counted round: from when a call was sent, and from when it was due.
-    pub sent: Vec<Histogram<u64>>,
-    pub due: Vec<Histogram<u64>>,
-    /// All of its calls from the first counted round on, and those not answered with 200.
+    pub from_sent: Vec<Histogram<u64>>,
+    pub from_due: Vec<Histogram<u64>>,
+    /// All calls from the first counted round on.
     pub calls: u64,
+    /// Calls not answered with 200.
     pub failed: u64,
-    /// What its endpoints saw while it had the load: calls at the last tier, probes of all tiers, connections.
-    pub seen: Seen,
-    /// What its sidecars were given while it had the load, and while others had it.
-    pub used: Used,
-    pub resting: Used,
+    /// Counts at its endpoints while it had the load.
+    pub counts: EndpointCounts,
+    /// CPU usage of its sidecars while it had the load, and while other arms had it.
+    pub loaded_cpu: CpuUsage,
+    pub idle_cpu: CpuUsage,
     pub sidecars: usize,
-    /// Microseconds from a call's answer to the next request on that connection, of all tiers.
-    pub behind: Histogram<u64>,
-    /// Kept connections that callers found closed.
-    pub stale: u64,
+    /// Microseconds from the response to a call to the next request on that connection, over all tiers.
+    pub reuse_gaps: Histogram<u64>,
+    /// Reused connections that callers found closed.
+    pub stale_connections: u64,
 }
 
-/// Counts at endpoints.
+/// Counts at the endpoints of all tiers.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Seen {
+pub struct EndpointCounts {
+    /// Calls at the tier that the callers reach.
     pub first_calls: u64,
+    /// Calls at the deepest tier.
     pub last_calls: u64,
     pub calls: u64,
     pub probes: u64,
     pub accepted: u64,
-    pub left_ms: u64,
-    /// Open at the end of a slice, at most.
+    /// Sum of the remaining deadlines of calls at the deepest tier.
+    pub remaining_ms: u64,
+    /// Highest number of connections open at the end of a slice.
     pub open: u64,
 }
 
-/// One rate with one kind of connections.
-pub struct Measured {
+/// Result for one rate and one connection reuse mode.
+pub struct Measurement {
     pub rate: u32,
-    pub connections: Connections,
+    pub connections: ConnectionReuse,
     pub arms: Vec<Arm>,
     /// Microseconds by which calls were sent after they were due.
-    pub late: Histogram<u64>,
-    /// The share of all cores' time that the machine's host gave to others meanwhile.
-    pub stolen: f64,
+    pub lateness: Histogram<u64>,
+    /// Share of all cores' time that the hypervisor gave to other guests during the measurement (steal time).
+    pub steal_share: f64,
 }
 
-impl Measured {
-    pub fn arm(&self, way: Way) -> Option<&Arm> {
-        self.arms.iter().find(|arm| arm.way == way)
+impl Measurement {
+    pub fn arm(&self, call_path: CallPath) -> Option<&Arm> {
+        self.arms.iter().find(|arm| arm.call_path == call_path)
     }
 
-    /// Whether every call of every arm was answered.
-    pub fn whole(&self) -> bool {
+    /// Whether every call of every arm was answered with 200.
+    pub fn all_succeeded(&self) -> bool {
         self.arms.iter().all(|arm| arm.calls > 0 && arm.failed == 0)
     }
 }
 
-/// Plays all that is asked, one after the other.
-pub fn run(asked: &Asked, program: &Program) -> Result<Vec<Measured>, String> {
-    let folder = Folder::new().map_err(|e| format!("folder for configurations: {e}"))?;
+/// Measures each combination of rate and connection reuse, one after the other.
+pub fn run(config: &MeasurementConfig, program: &Program) -> Result<Vec<Measurement>, String> {
+    let folder = TempFolder::new()
+        .map_err(|e| format!("cannot create the folder for sidecar configurations: {e}"))?;
     let mut all = Vec::new();
-    for rate in &asked.rates {
-        for connections in &asked.connections {
+    for rate in &config.rates {
+        for connections in &config.connections {
             all.push(
-                measure(asked, *rate, *connections, program, &folder.0)
+                measure(config, *rate, *connections, program, &folder.0)
                     .map_err(|e| e.to_string())?,
             );
         }
@@ -195,66 +207,74 @@
     Ok(all)
 }
 
-/// Where configurations and logs of sidecars are put; gone with it.
-struct Folder(PathBuf);
+/// Folder for configurations and logs of sidecars; deleted on drop.
+struct TempFolder(PathBuf);
 
-impl Folder {
-    fn new() -> io::Result<Folder> {
+impl TempFolder {
+    fn new() -> io::Result<TempFolder> {
         let path = std::env::temp_dir().join(format!("passroad-added-{}", std::process::id()));
         std::fs::create_dir_all(&path)?;
-        Ok(Folder(path))
+        Ok(TempFolder(path))
     }
 }
 
-impl Drop for Folder {
+impl Drop for TempFolder {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.0);
     }
 }
 
-/// An arm in place: callers come in at the door. Sidecars end before the endpoints behind them.
-struct Built {
-    way: Way,
-    door: Arc<Door>,
+/// The running processes and endpoints of an arm. The field order makes sidecars stop before the endpoints behind them.
+struct RunningArm {
+    call_path: CallPath,
+    client: Arc<Client>,
     sidecars: Vec<Sidecar>,
-    tiers: Vec<Tier>, // the last one first
+    /// The deepest tier first.
+    tiers: Vec<Tier>,
 }
 
-impl Built {
+impl RunningArm {
     fn new(
-        asked: &Asked,
-        connections: Connections,
-        way: Way,
+        config: &MeasurementConfig,
+        connections: ConnectionReuse,
+        call_path: CallPath,
         n: usize,
         program: &Program,
         folder: &Path,
-    ) -> io::Result<Built> {
-        let cold = connections == Connections::Cold;
-        let (count, closes) = match way {
-            Way::Sidecar {
-                spread, flipped, ..
+    ) -> io::Result<RunningArm> {
+        let cold = connections == ConnectionReuse::Cold;
+        let (count, close) = match call_path {
+            CallPath::Sidecar {
+                more_endpoints,
+                other_endpoint_connections,
+                ..
             } => (
-                asked.endpoints * if spread { SPREAD } else { 1 },
-                cold != flipped,
+                config.endpoints
+                    * if more_endpoints {
+                        MORE_ENDPOINTS_FACTOR
+                    } else {
+                        1
+                    },
+                cold != other_endpoint_connections,
             ),
-            Way::Direct | Way::Relay => (asked.endpoints, cold),
+            CallPath::Direct | CallPath::Relay => (config.endpoints, cold),
         };
-        let (mut sidecars, mut tiers, mut door) = (Vec::new(), Vec::new(), None);
-        for tier in 0..asked.depth {
+        let (mut sidecars, mut tiers, mut client) = (Vec::new(), Vec::new(), None);
+        for tier in 0..config.depth {
             let started = Tier::start(
                 count,
-                &Make {
-                    work: asked.work,
-                    closes,
-                    next: door.take(),
+                &EndpointConfig {
+                    work: config.work,
+                    close,
+                    downstream: client.take(),
                 },
             )?;
-            let addresses = match way {
-                Way::Direct => started.addresses.clone(),
-                Way::Relay => relay(&started.addresses)?,
-                Way::Sidecar { probes, .. } => {
+            let addresses = match call_path {
+                CallPath::Direct => started.addresses.clone(),
+                CallPath::Relay => relay(&started.addresses)?,
+                CallPath::Sidecar { probes, .. } => {
                     let name = format!("added-{n}-{tier}");
-                    let seed = SeededRng::stream(asked.seed, &name, 0).next_u64();
+                    let seed = SeededRng::stream(config.seed, &name, 0).next_u64();
                     let sidecar =
                         Sidecar::start(program, folder, &name, &started.addresses, probes, seed)?;
                     let address = sidecar.address;
@@ -263,67 +283,71 @@
                 }
             };
             tiers.push(started);
-            door = Some(Arc::new(Door::new(&addresses, cold)));
+            client = Some(Arc::new(Client::new(&addresses, cold)));
         }
-        let door = door.ok_or_else(|| io::Error::other("no tier"))?;
-        Ok(Built {
-            way,
-            door,
+        let client = client.ok_or_else(|| io::Error::other("depth must be at least 1"))?;
+        Ok(RunningArm {
+            call_path,
+            client,
             sidecars,
             tiers,
         })
     }
 
-    fn used(&self) -> Used {
+    fn cpu_usage(&self) -> CpuUsage {
         self.sidecars
             .iter()
-            .map(Sidecar::used)
-            .fold(Used::default(), Used::and)
+            .map(Sidecar::cpu_usage)
+            .fold(CpuUsage::default(), CpuUsage::plus)
     }
 
-    fn seen(&self) -> Seen {
-        let sum = |of: fn(&Tally) -> u64| self.tiers.iter().map(|tier| of(&tier.tally)).sum();
-        let of = |tier: Option<&Tier>| tier.map_or(0, |tier| tier.tally.calls.load(Relaxed));
-        Seen {
-            first_calls: of(self.tiers.last()),
-            last_calls: of(self.tiers.first()),
+    fn counts(&self) -> EndpointCounts {
+        let sum = |counter: fn(&TierCounters) -> u64| {
+            self.tiers.iter().map(|tier| counter(&tier.counters)).sum()
+        };
+        let calls = |tier: Option<&Tier>| tier.map_or(0, |tier| tier.counters.calls.load(Relaxed));
+        EndpointCounts {
+            first_calls: calls(self.tiers.last()),
+            last_calls: calls(self.tiers.first()),
             calls: sum(|t| t.calls.load(Relaxed)),
             probes: sum(|t| t.probes.load(Relaxed)),
             accepted: sum(|t| t.accepted.load(Relaxed)),
-            left_ms: self
+            remaining_ms: self
                 .tiers
                 .first()
-                .map_or(0, |tier| tier.tally.left_ms.load(Relaxed)),
+                .map_or(0, |tier| tier.counters.remaining_ms.load(Relaxed)),
             open: sum(|t| t.open.load(Relaxed)),
         }
     }
 }
 
-impl Seen {
-    fn add_since(&mut self, now: Seen, before: Seen) {
+impl EndpointCounts {
+    fn add_since(&mut self, now: EndpointCounts, before: EndpointCounts) {
         self.first_calls += now.first_calls - before.first_calls;
         self.last_calls += now.last_calls - before.last_calls;
         self.calls += now.calls - before.calls;
         self.probes += now.probes - before.probes;
         self.accepted += now.accepted - before.accepted;
-        self.left_ms += now.left_ms - before.left_ms;
+        self.remaining_ms += now.remaining_ms - before.remaining_ms;
         self.open = self.open.max(now.open);
     }
 }
 
-/// A call that is to be made.
 #[derive(Debug, Clone, Copy, PartialEq)]
-struct Due {
+struct ScheduledCall {
     at: Duration,
     arm: usize,
-    round: usize, // 0 is not counted
+    /// Round 0 is the warm-up and not counted.
+    round: usize,
+    /// Whether its latency is counted: neither in the warm-up round nor in the warm-up share of its slice.
     counted: bool,
+    /// Selects the endpoint of a direct call.
     pick: usize,
 }
 
-/// Which arm has the load in each slice of a round: in each round another one begins, and every other round goes
-/// backwards, so that none always follows the same.
-fn order(arms: usize, round: usize) -> Vec<usize> {
+/// Which arm has the load in each slice of a round. Rounds start with different arms and every other round is reversed,
+/// so that no arm always follows the same one.
+fn arm_order(arms: usize, round: usize) -> Vec<usize> {
     let mut order: Vec<usize> = (0..arms).map(|n| (n + round / 2) % arms).collect();
     if round % 2 == 1 {
         order.reverse();
@@ -331,24 +355,30 @@
     order
 }
 
-/// The calls of all rounds in the order of their times. Arrivals are Poisson; within a round all arms get the same.
-fn schedule(rate: u32, seed: u64, arms: usize, rounds: usize, slice: Duration) -> Vec<Due> {
+/// The calls of all rounds ordered by time. Arrivals are a Poisson process; within a round all arms get the same arrivals.
+fn schedule(
+    rate: u32,
+    seed: u64,
+    arms: usize,
+    rounds: usize,
+    slice: Duration,
+) -> Vec<ScheduledCall> {
     let mut all = Vec::new();
     for round in 0..=rounds {
-        let mut chance = SeededRng::stream(seed, "arrivals", round as u64);
+        let mut rng = SeededRng::stream(seed, "arrivals", round as u64);
         let mut arrivals = Vec::new();
-        let mut at = chance.exponential() / f64::from(rate);
+        let mut at = rng.exponential() / f64::from(rate);
         while at < slice.as_secs_f64() {
-            arrivals.push((Duration::from_secs_f64(at), chance.below(1 << 20)));
-            at += chance.exponential() / f64::from(rate);
+            arrivals.push((Duration::from_secs_f64(at), rng.below(1 << 20)));
+            at += rng.exponential() / f64::from(rate);
         }
-        for (slot, arm) in order(arms, round).into_iter().enumerate() {
-            let begins = slice * (round * arms + slot) as u32;
-            all.extend(arrivals.iter().map(|(at, pick)| Due {
-                at: begins + *at,
+        for (slot, arm) in arm_order(arms, round).into_iter().enumerate() {
+            let starts_at = slice * (round * arms + slot) as u32;
+            all.extend(arrivals.iter().map(|(at, pick)| ScheduledCall {
+                at: starts_at + *at,
                 arm,
                 round,
-                counted: round > 0 && *at >= slice.mul_f64(SETTLE),
+                counted: round > 0 && *at >= slice.mul_f64(WARM_UP_SHARE),
                 pick: *pick,
             }));
         }
@@ -357,7 +387,7 @@
 }
 
 fn histogram() -> io::Result<Histogram<u64>> {
-    Histogram::new_with_bounds(1, LONGEST, 3).map_err(io::Error::other)
+    Histogram::new_with_bounds(1, MAX_LATENCY_US, 3).map_err(io::Error::other)
 }
 
 fn sleep_until(at: Instant) {
@@ -367,58 +397,80 @@
     }
 }
 
-/// A call that was made: which, how late it was sent, how long it took, whether it was answered with 200.
-type Made = (usize, Duration, Duration, bool);
+/// Index of a call in the schedule, its lateness, its latency, and whether it was answered with 200.
+type CompletedCall = (usize, Duration, Duration, bool);
 
 fn measure(
-    asked: &Asked,
+    config: &MeasurementConfig,
     rate: u32,
-    connections: Connections,
+    connections: ConnectionReuse,
     program: &Program,
     folder: &Path,
-) -> io::Result<Measured> {
-    let ways = Way::all(asked.depth, asked.parts);
-    let mut built = Vec::new();
-    for (n, way) in ways.iter().enumerate() {
-        built.push(Built::new(asked, connections, *way, n, program, folder)?);
+) -> io::Result<Measurement> {
+    let call_paths = CallPath::all(config.depth, config.breakdown);
+    let mut running_arms = Vec::new();
+    for (n, call_path) in call_paths.iter().enumerate() {
+        running_arms.push(RunningArm::new(
+            config,
+            connections,
+            *call_path,
+            n,
+            program,
+            folder,
+        )?);
     }
-    let due = schedule(rate, asked.seed, built.len(), asked.rounds, asked.slice);
-    let (next, made, begins) = (
+    let calls = schedule(
+        rate,
+        config.seed,
+        running_arms.len(),
+        config.rounds,
+        config.slice,
+    );
+    let (next, completed, starts_at) = (
         AtomicUsize::new(0),
         Mutex::new(Vec::new()),
-        Instant::now() + LEAD,
+        Instant::now() + START_DELAY,
     );
-    let before = clock();
-    let mut sums = vec![(Seen::default(), Used::default(), Used::default()); built.len()];
+    let before = cpu_ticks();
+    let mut sums = vec![
+        (
+            EndpointCounts::default(),
+            CpuUsage::default(),
+            CpuUsage::default()
+        );
+        running_arms.len()
+    ];
     std::thread::scope(|scope| -> io::Result<()> {
-        for _ in 0..CALLERS {
+        for _ in 0..CALLER_THREADS {
             let caller = std::thread::Builder::new()
                 .name("caller".into())
                 .stack_size(256 << 10);
             caller.spawn_scoped(scope, || {
-                let own = call_all(&built, &due, &next, begins);
-                held(&made).extend(own);
+                let own_calls = run_caller(&running_arms, &calls, &next, starts_at);
+                lock(&completed).extend(own_calls);
             })?;
         }
-        let look = || {
-            built
+        let snapshot = || {
+            running_arms
                 .iter()
-                .map(|b| (b.seen(), b.used()))
+                .map(|arm| (arm.counts(), arm.cpu_usage()))
                 .collect::<Vec<_>>()
         };
-        sleep_until(begins);
-        let mut before = look();
-        for round in 0..=asked.rounds {
-            for (slot, arm) in order(built.len(), round).into_iter().enumerate() {
-                sleep_until(begins + asked.slice * (round * built.len() + slot + 1) as u32);
-                let now = look();
+        sleep_until(starts_at);
+        let mut before = snapshot();
+        for round in 0..=config.rounds {
+            for (slot, arm) in arm_order(running_arms.len(), round).into_iter().enumerate() {
+                sleep_until(
+                    starts_at + config.slice * (round * running_arms.len() + slot + 1) as u32,
+                );
+                let now = snapshot();
                 for (n, (now, then)) in now.iter().zip(&before).enumerate().filter(|_| round > 0) {
-                    let used = now.1.since(then.1);
+                    let loaded_cpu = now.1.since(then.1);
                     if n == arm {
                         sums[n].0.add_since(now.0, then.0);
-                        sums[n].1 = sums[n].1.and(used);
+                        sums[n].1 = sums[n].1.plus(loaded_cpu);
                     } else {
-                        sums[n].2 = sums[n].2.and(used);
+                        sums[n].2 = sums[n].2.plus(loaded_cpu);
                     }
                 }
                 before = now;
@@ -426,64 +478,65 @@
         }
         Ok(())
     })?;
-    let made: Vec<Made> = std::mem::take(&mut held(&made));
-    let mut late = histogram()?;
+    let completed: Vec<CompletedCall> = std::mem::take(&mut lock(&completed));
+    let mut lateness = histogram()?;
     let mut arms = Vec::new();
-    for (built, (seen, used, resting)) in built.iter().zip(sums) {
+    for (running, (counts, loaded_cpu, idle_cpu)) in running_arms.iter().zip(sums) {
         let rounds = || {
-            (0..asked.rounds)
+            (0..config.rounds)
                 .map(|_| histogram())
                 .collect::<io::Result<Vec<_>>>()
         };
-        let mut behind = Histogram::new_with_bounds(1, 60_000_000, 3).map_err(io::Error::other)?;
-        for tier in &built.tiers {
-            behind
-                .add(&*held(&tier.tally.behind))
+        let mut reuse_gaps =
+            Histogram::new_with_bounds(1, MAX_REUSE_GAP_US, 3).map_err(io::Error::other)?;
+        for tier in &running.tiers {
+            reuse_gaps
+                .add(&*lock(&tier.counters.reuse_gaps))
                 .map_err(io::Error::other)?;
         }
         arms.push(Arm {
-            way: built.way,
-            sent: rounds()?,
-            due: rounds()?,
+            call_path: running.call_path,
+            from_sent: rounds()?,
+            from_due: rounds()?,
             calls: 0,
             failed: 0,
-            seen,
-            used,
-            resting,
-            sidecars: built.sidecars.len(),
-            behind,
-            stale: built.door.stale.load(Relaxed),
+            counts,
+            loaded_cpu,
+            idle_cpu,
+            sidecars: running.sidecars.len(),
+            reuse_gaps,
+            stale_connections: running.client.stale_connections.load(Relaxed),
         });
     }
     let micros = |time: Duration| (time.as_micros() as u64).max(1);
-    for (n, lateness, took, answered) in made {
-        let call = due[n];
+    for (index, sent_late_by, took, answered) in completed {
+        let call = calls[index];
         if call.round == 0 {
             continue;
         }
         let arm = &mut arms[call.arm];
         arm.calls += 1;
         arm.failed += u64::from(!answered);
-        late.saturating_record(micros(lateness));
-        // One that failed has no latency; it is told beside.
+        lateness.saturating_record(micros(sent_late_by));
+        // A failed call has no latency; it is reported in `failed`.
         if call.counted && answered {
-            arm.sent[call.round - 1].saturating_record(micros(took));
-            arm.due[call.round - 1].saturating_record(micros(lateness + took));
+            arm.from_sent[call.round - 1].saturating_record(micros(took));
+            arm.from_due[call.round - 1].saturating_record(micros(sent_late_by + took));
         }
     }
-    let (all, stolen) = clock();
-    let stolen = (stolen - before.1) / (all - before.0).max(1.0);
-    Ok(Measured {
+    let (total, stolen) = cpu_ticks();
+    let steal_share = (stolen - before.1) / (total - before.0).max(1.0);
+    Ok(Measurement {
         rate,
         connections,
         arms,
-        late,
-        stolen,
+        lateness,
+        steal_share,
     })
 }
 
-/// Ticks of all cores so far, and of those the ones that the machine's host gave to others; none where it is not told.
-fn clock() -> (f64, f64) {
+/// Total ticks of all cores so far, and the steal ticks among them; zero where `/proc/stat` is not available.
+fn cpu_ticks() -> (f64, f64) {
     let stat = std::fs::read_to_string("/proc/stat").unwrap_or_default();
     let ticks = stat
         .lines()
@@ -498,24 +551,33 @@
     )
 }
 
-/// One caller: takes the next call that nobody has, waits until it is due, and makes it.
-fn call_all(built: &[Built], due: &[Due], next: &AtomicUsize, begins: Instant) -> Vec<Made> {
-    let mut made = Vec::new();
+/// Loop of one caller thread: takes the next call of the schedule, waits until it is due, and makes it.
+fn run_caller(
+    running_arms: &[RunningArm],
+    calls: &[ScheduledCall],
+    next: &AtomicUsize,
+    starts_at: Instant,
+) -> Vec<CompletedCall> {
+    let mut completed = Vec::new();
     loop {
-        let n = next.fetch_add(1, Relaxed);
-        let Some(call) = due.get(n) else { return made };
-        let at = begins + call.at;
+        let index = next.fetch_add(1, Relaxed);
+        let Some(call) = calls.get(index) else {
+            return completed;
+        };
+        let at = starts_at + call.at;
         sleep_until(at);
         let sent = Instant::now();
-        let status = built[call.arm]
-            .door
-            .call(call.pick, &format!("{n:016x}"), LIMIT_MS);
+        let status = running_arms[call.arm].client.call(
+            call.pick,
+            &format!("{index:016x}"),
+            CALL_DEADLINE_MS,
+        );
         let took = sent.elapsed();
-        if let Err(fault) = &status {
-            log::debug!("call {n}: {fault}");
+        if let Err(error) = &status {
+            log::debug!("call {index}: {error}");
         }
-        made.push((
-            n,
+        completed.push((
+            index,
             sent.saturating_duration_since(at),
             took,
             matches!(status, Ok(200)),
--- a/crates/passroad-rig/src/added_latency/report.rs
+++ b/crates/passroad-rig/src/added_latency/report.rs
@@ -1,213 +1,226 @@
-//! What a measurement says, as a table and as points of a slope.
+//! Renders measurements as a text table and as JSON points that capacity slopes are fitted to.
 
-use super::{Arm, Asked, Connections, Measured, Way};
+use super::{Arm, CallPath, ConnectionReuse, Measurement, MeasurementConfig};
 use crate::rng::SeededRng;
 use hdrhistogram::Histogram;
 use serde_json::{Value, json};
 use std::fmt::Write;
 
-/// What the operators set aside for what a call gains, for 99 in 100.
+/// Latency that a sidecar may add to a call at the 99th percentile.
 pub const BUDGET_MS: f64 = 0.53;
 const QUANTILES: [(&str, f64); 3] = [("p50", 0.5), ("p99", 0.99), ("p999", 0.999)];
-/// Rounds drawn anew to tell a figure's error.
-const REDRAWS: u64 = 100;
-/// A connection rests for a millisecond behind a call's answer; what comes this long behind one may have waited for it.
-const RESTED: (u64, u64) = (900, 2_500);
+/// Bootstrap resamples of the rounds, from which the standard error of a difference is estimated.
+const BOOTSTRAP_RESAMPLES: u64 = 100;
+/// A sidecar leaves a connection unused for a millisecond after a response; a request that arrives this many microseconds
+/// after one may have waited for that.
+const REST_GAP_US: (u64, u64) = (900, 2_500);
 
-fn sum<'a>(all: impl IntoIterator<Item = &'a Histogram<u64>>) -> Histogram<u64> {
-    let mut whole: Option<Histogram<u64>> = None;
-    for one in all {
-        match &mut whole {
-            // All are of one shape.
-            Some(whole) => whole.add(one).unwrap_or_default(),
-            None => whole = Some(one.clone()),
+fn merge<'a>(histograms: impl IntoIterator<Item = &'a Histogram<u64>>) -> Histogram<u64> {
+    let mut merged: Option<Histogram<u64>> = None;
+    for histogram in histograms {
+        match &mut merged {
+            // All have the same bounds and precision, so adding cannot fail.
+            Some(merged) => merged.add(histogram).unwrap_or_default(),
+            None => merged = Some(histogram.clone()),
         }
     }
-    whole.unwrap_or_else(|| Histogram::new(3).expect("three digits are allowed"))
+    merged.unwrap_or_else(|| Histogram::new(3).expect("three digits are allowed"))
 }
 
-/// The share of calls that took longer than the budget on top of the median straight call.
-fn over(arm: &Arm, direct: &Arm) -> f64 {
-    let most = sum(&direct.sent).value_at_quantile(0.5) + (BUDGET_MS * 1000.0) as u64;
-    let whole = sum(&arm.sent);
-    let within = whole.count_between(0, most);
-    (whole.len() - within) as f64 / whole.len().max(1) as f64
+/// The share of calls that took longer than the median direct call plus the budget.
+fn share_over_budget(arm: &Arm, direct: &Arm) -> f64 {
+    let limit_us = merge(&direct.from_sent).value_at_quantile(0.5) + (BUDGET_MS * 1000.0) as u64;
+    let latencies = merge(&arm.from_sent);
+    let within = latencies.count_between(0, limit_us);
+    (latencies.len() - within) as f64 / latencies.len().max(1) as f64
 }
 
-fn ms(of: &Histogram<u64>, quantile: f64) -> f64 {
-    of.value_at_quantile(quantile) as f64 / 1000.0
+fn quantile_ms(latencies: &Histogram<u64>, quantile: f64) -> f64 {
+    latencies.value_at_quantile(quantile) as f64 / 1000.0
 }
 
-/// A difference of quantiles of two arms, and twice its standard error by rounds drawn anew, the same of both arms.
+/// Difference between the same quantile of two arms, and twice its standard error from resampled rounds. Each resample
+/// takes the same rounds of both arms.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Gain {
+pub struct Difference {
     pub ms: f64,
     pub error: f64,
 }
 
-fn gains(more: &[Histogram<u64>], less: &[Histogram<u64>], seed: u64) -> [Gain; 3] {
-    let rounds = more.len().min(less.len());
+fn differences(
+    compared: &[Histogram<u64>],
+    baseline: &[Histogram<u64>],
+    seed: u64,
+) -> [Difference; 3] {
+    let rounds = compared.len().min(baseline.len());
     let differences = |rounds: &[usize]| {
-        let (more, less) = (
-            sum(rounds.iter().map(|n| &more[*n])),
-            sum(rounds.iter().map(|n| &less[*n])),
+        let (compared, baseline) = (
+            merge(rounds.iter().map(|n| &compared[*n])),
+            merge(rounds.iter().map(|n| &baseline[*n])),
         );
-        QUANTILES.map(|(_, quantile)| ms(&more, quantile) - ms(&less, quantile))
+        QUANTILES.map(|(_, quantile)| {
+            quantile_ms(&compared, quantile) - quantile_ms(&baseline, quantile)
+        })
     };
     let all = differences(&(0..rounds).collect::<Vec<_>>());
-    let mut chance = SeededRng::stream(seed, "redraw", 0);
-    let drawn: Vec<[f64; 3]> = (0..REDRAWS)
-        .map(|_| {
-            differences(
-                &(0..rounds)
-                    .map(|_| chance.below(rounds))
-                    .collect::<Vec<_>>(),
-            )
-        })
+    let mut rng = SeededRng::stream(seed, "redraw", 0);
+    let resampled: Vec<[f64; 3]> = (0..BOOTSTRAP_RESAMPLES)
+        .map(|_| differences(&(0..rounds).map(|_| rng.below(rounds)).collect::<Vec<_>>()))
         .collect();
     std::array::from_fn(|n| {
-        let mean = drawn.iter().map(|d| d[n]).sum::<f64>() / drawn.len() as f64;
-        let variance =
-            drawn.iter().map(|d| (d[n] - mean).powi(2)).sum::<f64>() / (drawn.len() - 1) as f64;
-        Gain {
+        let mean = resampled.iter().map(|d| d[n]).sum::<f64>() / resampled.len() as f64;
+        let variance = resampled.iter().map(|d| (d[n] - mean).powi(2)).sum::<f64>()
+            / (resampled.len() - 1) as f64;
+        Difference {
             ms: all[n],
             error: 2.0 * variance.sqrt(),
         }
     })
 }
 
-/// Where the difference goes: each part is one arm less another; those marked make up the whole.
-fn parts(measured: &Measured) -> Vec<(&'static str, &'static str, &Arm, &Arm)> {
+/// Breakdown of the added latency: name, description and the two arms whose difference is the part. The parts add up to
+/// the whole, except for those described as "not of the sum".
+fn breakdown(measurement: &Measurement) -> Vec<(&'static str, &'static str, &Arm, &Arm)> {
     let all = [
         (
             "process-on-the-way",
             "a relay of bytes less straight: sockets and wake-ups",
-            Way::Relay,
-            Way::Direct,
+            CallPath::Relay,
+            CallPath::Direct,
         ),
         (
             "http-and-desk",
             "never probed nor resting less the relay",
-            Way::SPREAD,
-            Way::Relay,
+            CallPath::MORE_ENDPOINTS,
+            CallPath::Relay,
         ),
         (
             "rest",
             "never probed, less the same with 4 x the endpoints",
-            Way::UNPROBED,
-            Way::SPREAD,
+            CallPath::NO_PROBES,
+            CallPath::MORE_ENDPOINTS,
         ),
         (
             "probe",
             "as shipped less probes forbidden",
-            Way::SHIPPED,
-            Way::UNPROBED,
+            CallPath::AS_SHIPPED,
+            CallPath::NO_PROBES,
         ),
         (
             "endpoint-connections",
-            flipped(measured.connections),
-            Way::FLIPPED,
-            Way::SHIPPED,
+            other_connections_text(measurement.connections),
+            CallPath::OTHER_ENDPOINT_CONNECTIONS,
+            CallPath::AS_SHIPPED,
         ),
     ];
     all.into_iter()
-        .filter_map(|(name, what, more, less)| {
-            Some((name, what, measured.arm(more)?, measured.arm(less)?))
+        .filter_map(|(name, what, compared, baseline)| {
+            Some((
+                name,
+                what,
+                measurement.arm(compared)?,
+                measurement.arm(baseline)?,
+            ))
         })
         .collect()
 }
 
-fn flipped(connections: Connections) -> &'static str {
+fn other_connections_text(connections: ConnectionReuse) -> &'static str {
     match connections {
-        Connections::Warm => "endpoints close behind each answer, less as shipped; not of the sum",
-        Connections::Cold => "endpoints keep connections, less as shipped; not of the sum",
+        ConnectionReuse::Warm => {
+            "endpoints close behind each answer, less as shipped; not of the sum"
+        }
+        ConnectionReuse::Cold => "endpoints keep connections, less as shipped; not of the sum",
     }
 }
 
-fn name(way: Way, asked: &Asked) -> String {
-    match way {
-        Way::Direct => "direct".into(),
-        Way::Relay => "relay of bytes".into(),
-        Way::SPREAD => format!(
+fn path_name(call_path: CallPath, config: &MeasurementConfig) -> String {
+    match call_path {
+        CallPath::Direct => "direct".into(),
+        CallPath::Relay => "relay of bytes".into(),
+        CallPath::MORE_ENDPOINTS => format!(
             "via, no probes, {} endpoints",
-            asked.endpoints * super::SPREAD
+            config.endpoints * super::MORE_ENDPOINTS_FACTOR
         ),
-        Way::UNPROBED => "via, no probes".into(),
-        Way::FLIPPED => "via, endpoints' connections other".into(),
-        Way::Sidecar { .. } => "via, as shipped".into(),
+        CallPath::NO_PROBES => "via, no probes".into(),
+        CallPath::OTHER_ENDPOINT_CONNECTIONS => "via, endpoints' connections other".into(),
+        CallPath::Sidecar { .. } => "via, as shipped".into(),
     }
 }
 
-/// Figures of a sidecar for each call that it had, and its share of a core.
+/// Costs per call at a sidecar, and its share of a core.
 struct Costs {
     cpu_us: f64,
     wait_us: f64,
-    wakes: f64,
+    wakeups: f64,
     probes: f64,
-    /// At the first tier, for each outer call.
+    /// Attempts at the first tier for each call of a caller.
     attempts: f64,
     cpu: f64,
     resting_cpu: f64,
 }
 
-fn costs(arm: &Arm, asked: &Asked, arms: usize) -> Costs {
-    let each = |n: f64| n / (arm.seen.calls.max(1) as f64);
+fn costs(arm: &Arm, config: &MeasurementConfig, arms: usize) -> Costs {
+    let per_call = |total: f64| total / (arm.counts.calls.max(1) as f64);
     let (sidecars, seconds) = (
         arm.sidecars.max(1) as f64,
-        asked.slice.as_secs_f64() * asked.rounds.max(1) as f64,
+        config.slice.as_secs_f64() * config.rounds.max(1) as f64,
     );
-    let resting = seconds * arms.saturating_sub(1).max(1) as f64;
+    let idle_seconds = seconds * arms.saturating_sub(1).max(1) as f64;
     Costs {
-        cpu_us: each(arm.used.running.as_secs_f64() * 1e6),
-        wait_us: each(arm.used.waiting.as_secs_f64() * 1e6),
-        wakes: each(arm.used.wakes as f64),
-        probes: each(arm.seen.probes as f64),
-        attempts: arm.seen.first_calls as f64 / arm.calls.max(1) as f64,
-        cpu: arm.used.running.as_secs_f64() / seconds / sidecars,
-        resting_cpu: arm.resting.running.as_secs_f64() / resting / sidecars,
+        cpu_us: per_call(arm.loaded_cpu.running.as_secs_f64() * 1e6),
+        wait_us: per_call(arm.loaded_cpu.waiting.as_secs_f64() * 1e6),
+        wakeups: per_call(arm.loaded_cpu.wakeups as f64),
+        probes: per_call(arm.counts.probes as f64),
+        attempts: arm.counts.first_calls as f64 / arm.calls.max(1) as f64,
+        cpu: arm.loaded_cpu.running.as_secs_f64() / seconds / sidecars,
+        resting_cpu: arm.idle_cpu.running.as_secs_f64() / idle_seconds / sidecars,
     }
 }
 
-/// Of the requests behind a call's answer on one connection, the share that may have waited for it to rest, and the
-/// median of those in milliseconds.
-fn rested(arm: &Arm) -> (f64, f64) {
-    let mut waited = Histogram::<u64>::new(3).expect("three digits are allowed");
+/// Of the requests that followed a response on the same connection, the share that may have waited until the connection
+/// could be used again, and the median gap of those in milliseconds.
+fn requests_after_rest(arm: &Arm) -> (f64, f64) {
+    let mut gaps = Histogram::<u64>::new(3).expect("three digits are allowed");
     let within = arm
-        .behind
+        .reuse_gaps
         .iter_recorded()
-        .filter(|v| (RESTED.0..=RESTED.1).contains(&v.value_iterated_to()));
+        .filter(|v| (REST_GAP_US.0..=REST_GAP_US.1).contains(&v.value_iterated_to()));
     for value in within {
-        waited
-            .record_n(value.value_iterated_to(), value.count_at_value())
-            .expect("it grows");
+        gaps.record_n(value.value_iterated_to(), value.count_at_value())
+            .expect("the histogram resizes itself");
     }
     (
-        waited.len() as f64 / arm.behind.len().max(1) as f64,
-        ms(&waited, 0.5),
+        gaps.len() as f64 / arm.reuse_gaps.len().max(1) as f64,
+        quantile_ms(&gaps, 0.5),
     )
 }
 
-/// A table for each rate and kind of connections.
-pub fn text(asked: &Asked, all: &[Measured]) -> String {
+/// One table per rate and connection reuse mode.
+pub fn text(config: &MeasurementConfig, all: &[Measurement]) -> String {
     let mut out = String::new();
-    for measured in all {
-        one(asked, measured, &mut out).expect("a string takes all");
+    for measurement in all {
+        write_table(config, measurement, &mut out).expect("writing to a string cannot fail");
     }
     out
 }
 
-fn one(asked: &Asked, measured: &Measured, out: &mut String) -> std::fmt::Result {
+fn write_table(
+    config: &MeasurementConfig,
+    measurement: &Measurement,
+    out: &mut String,
+) -> std::fmt::Result {
     writeln!(
         out,
         "{} calls a second, {} connections, {} deep, {} endpoints with {:.1} ms of work, seed {}, {:.1} s each arm by \
          turns, real processes on loopback",
-        measured.rate,
-        measured.connections.name(),
-        asked.depth,
-        asked.endpoints,
-        asked.work.as_secs_f64() * 1e3,
-        asked.seed,
-        asked.slice.as_secs_f64() * asked.rounds as f64
+        measurement.rate,
+        measurement.connections.name(),
+        config.depth,
+        config.endpoints,
+        config.work.as_secs_f64() * 1e3,
+        config.seed,
+        config.slice.as_secs_f64() * config.rounds as f64
     )?;
     writeln!(
         out,
@@ -223,34 +236,37 @@
         "p99.9",
         "over"
     )?;
-    for arm in &measured.arms {
+    for arm in &measurement.arms {
         write!(
             out,
             "{:<34} {:>7} {:>6} ",
-            name(arm.way, asked),
+            path_name(arm.call_path, config),
             arm.calls,
             arm.failed
         )?;
-        for rounds in [&arm.sent, &arm.due] {
-            let whole = sum(rounds);
+        for rounds in [&arm.from_sent, &arm.from_due] {
+            let latencies = merge(rounds);
             QUANTILES
                 .iter()
-                .try_for_each(|(_, q)| write!(out, " {:>8.3}", ms(&whole, *q)))?;
+                .try_for_each(|(_, q)| write!(out, " {:>8.3}", quantile_ms(&latencies, *q)))?;
             write!(out, "  ")?;
         }
-        match measured.arm(Way::Direct) {
-            Some(direct) => writeln!(out, "{:>7.2}%", over(arm, direct) * 100.0)?,
+        match measurement.arm(CallPath::Direct) {
+            Some(direct) => writeln!(out, "{:>7.2}%", share_over_budget(arm, direct) * 100.0)?,
             None => writeln!(out)?,
         }
     }
-    if let (Some(via), Some(direct)) = (measured.arm(Way::SHIPPED), measured.arm(Way::Direct)) {
-        let added = gains(&via.sent, &direct.sent, asked.seed);
-        line(out, "added", "as shipped less direct, from sent", added)?;
-        line(
+    if let (Some(via), Some(direct)) = (
+        measurement.arm(CallPath::AS_SHIPPED),
+        measurement.arm(CallPath::Direct),
+    ) {
+        let added = differences(&via.from_sent, &direct.from_sent, config.seed);
+        write_difference(out, "added", "as shipped less direct, from sent", added)?;
+        write_difference(
             out,
             "added",
             "the same, from due",
-            gains(&via.due, &direct.due, asked.seed),
+            differences(&via.from_due, &direct.from_due, config.seed),
         )?;
         let (p99, error) = (added[1].ms / BUDGET_MS, added[1].error / BUDGET_MS);
         writeln!(
@@ -260,147 +276,179 @@
         writeln!(
             out,
             "  over: share of calls that took {BUDGET_MS} ms longer than the median straight one; as shipped less direct {:.2}%",
-            (over(via, direct) - over(direct, direct)) * 100.0
+            (share_over_budget(via, direct) - share_over_budget(direct, direct)) * 100.0
         )?;
     }
-    for (part, what, more, less) in parts(measured) {
-        line(out, part, what, gains(&more.sent, &less.sent, asked.seed))?;
+    for (part, what, compared, baseline) in breakdown(measurement) {
+        write_difference(
+            out,
+            part,
+            what,
+            differences(&compared.from_sent, &baseline.from_sent, config.seed),
+        )?;
     }
-    for arm in measured.arms.iter().filter(|arm| arm.sidecars > 0) {
-        let costs = costs(arm, asked, measured.arms.len());
-        let (share, median) = rested(arm);
+    for arm in measurement.arms.iter().filter(|arm| arm.sidecars > 0) {
+        let costs = costs(arm, config, measurement.arms.len());
+        let (share, median) = requests_after_rest(arm);
         writeln!(
             out,
             "  {}: {:.0} us CPU a call, {:.0} us ready without a core, {:.2} wakes, {:.3} probes, {:.4} attempts, {} connections, \
              {:.3} of a core ({:.4} while others have the load); {:.1}% of requests 0.9 to 2.5 ms behind an answer, \
              median {:.2} ms",
-            name(arm.way, asked),
+            path_name(arm.call_path, config),
             costs.cpu_us,
             costs.wait_us,
-            costs.wakes,
+            costs.wakeups,
             costs.probes,
             costs.attempts,
-            arm.seen.open,
+            arm.counts.open,
             costs.cpu,
             costs.resting_cpu,
             share * 100.0,
             median
         )?;
-        if asked.depth > 1 {
+        if config.depth > 1 {
             writeln!(
                 out,
                 "    time left told at the last tier: {:.0} ms; calls there for each outer one: {:.4}",
-                arm.seen.left_ms as f64 / arm.seen.last_calls.max(1) as f64,
-                arm.seen.last_calls as f64 / arm.seen.first_calls.max(1) as f64
+                arm.counts.remaining_ms as f64 / arm.counts.last_calls.max(1) as f64,
+                arm.counts.last_calls as f64 / arm.counts.first_calls.max(1) as f64
             )?;
         }
     }
     writeln!(
         out,
         "  the load itself was late by p50 {:.3}, p99 {:.3}, p99.9 {:.3} ms; the machine's host took {:.2}% of its time",
-        ms(&measured.late, 0.5),
-        ms(&measured.late, 0.99),
-        ms(&measured.late, 0.999),
-        measured.stolen * 100.0
+        quantile_ms(&measurement.lateness, 0.5),
+        quantile_ms(&measurement.lateness, 0.99),
+        quantile_ms(&measurement.lateness, 0.999),
+        measurement.steal_share * 100.0
     )?;
     writeln!(
         out,
-        "  (a difference is that of the two arms' quantiles; +- is twice its standard error by {REDRAWS} redraws of \
+        "  (a difference is that of the two arms' quantiles; +- is twice its standard error by {BOOTSTRAP_RESAMPLES} redraws of \
          the rounds, paired)\n"
     )
 }
 
-fn line(out: &mut String, part: &str, what: &str, gains: [Gain; 3]) -> std::fmt::Result {
+fn write_difference(
+    out: &mut String,
+    part: &str,
+    what: &str,
+    differences: [Difference; 3],
+) -> std::fmt::Result {
     write!(out, "  {part:<22}")?;
-    for ((name, _), gain) in QUANTILES.iter().zip(gains) {
-        write!(out, " {name} {:>7.3} +- {:<6.3}", gain.ms, gain.error)?;
+    for ((name, _), difference) in QUANTILES.iter().zip(differences) {
+        write!(
+            out,
+            " {name} {:>7.3} +- {:<6.3}",
+            difference.ms, difference.error
+        )?;
     }
     writeln!(out, " ms  ({what})")
 }
 
-/// Points for slopes. `run` is the command that made them, `commit` the program measured.
-pub fn json(asked: &Asked, all: &[Measured], run: &str, commit: &str) -> Value {
+/// Points for capacity slopes. `run` is the command that produced them, `commit` the version of the measured program.
+pub fn json(config: &MeasurementConfig, all: &[Measurement], run: &str, commit: &str) -> Value {
     let points: Vec<Value> = all
         .iter()
-        .flat_map(|measured| points(asked, measured))
+        .flat_map(|measurement| points(config, measurement))
         .collect();
-    json!({ "run": run, "commit": commit, "seed": asked.seed, "simulated": false, "points": points })
+    json!({ "run": run, "commit": commit, "seed": config.seed, "simulated": false, "points": points })
 }
 
-fn points(asked: &Asked, measured: &Measured) -> Vec<Value> {
-    let role = if asked.depth == 9 {
+fn points(config: &MeasurementConfig, measurement: &Measurement) -> Vec<Value> {
+    let role = if config.depth == 9 {
         "client-nine-deep"
     } else {
         "call-path"
     };
     let mut points = Vec::new();
-    let mut put = |quantity: String, unit: &str, statistic: &str, value: f64| {
+    let mut add_point = |quantity: String, unit: &str, statistic: &str, value: f64| {
         points.push(json!({
             "role": role, "quantity": quantity, "unit": unit, "condition": "ordinary", "statistic": statistic,
             "kind": "real", "value": value,
             "at": {
-                "calls_per_second": measured.rate, "depth": asked.depth, "endpoints": asked.endpoints,
-                "connections": measured.connections.name(), "work_ms": asked.work.as_secs_f64() * 1e3,
+                "calls_per_second": measurement.rate, "depth": config.depth, "endpoints": config.endpoints,
+                "connections": measurement.connections.name(), "work_ms": config.work.as_secs_f64() * 1e3,
             },
         }));
     };
-    let (via, direct) = (measured.arm(Way::SHIPPED), measured.arm(Way::Direct));
+    let (via, direct) = (
+        measurement.arm(CallPath::AS_SHIPPED),
+        measurement.arm(CallPath::Direct),
+    );
     if let (Some(via), Some(direct)) = (via, direct) {
-        for (word, arm) in [("direct", direct), ("via", via)] {
-            let whole = sum(&arm.sent);
-            QUANTILES
-                .iter()
-                .for_each(|(q, at)| put(format!("{word}-{q}"), "ms", "mean", ms(&whole, *at)));
+        for (prefix, arm) in [("direct", direct), ("via", via)] {
+            let latencies = merge(&arm.from_sent);
+            QUANTILES.iter().for_each(|(q, quantile)| {
+                add_point(
+                    format!("{prefix}-{q}"),
+                    "ms",
+                    "mean",
+                    quantile_ms(&latencies, *quantile),
+                )
+            });
         }
-        let from_sent = gains(&via.sent, &direct.sent, asked.seed);
-        let from_due = gains(&via.due, &direct.due, asked.seed);
+        let from_sent = differences(&via.from_sent, &direct.from_sent, config.seed);
+        let from_due = differences(&via.from_due, &direct.from_due, config.seed);
         for (n, (q, _)) in QUANTILES.iter().enumerate() {
-            put(format!("added-{q}"), "ms", "mean", from_sent[n].ms);
-            put(
+            add_point(format!("added-{q}"), "ms", "mean", from_sent[n].ms);
+            add_point(
                 format!("added-{q}-error"),
                 "ms",
                 "twice-standard-error",
                 from_sent[n].error,
             );
-            put(format!("added-{q}-from-due"), "ms", "mean", from_due[n].ms);
+            add_point(format!("added-{q}-from-due"), "ms", "mean", from_due[n].ms);
         }
-        put(
+        add_point(
             "direct-over-budget".into(),
             "share",
             "mean",
-            over(direct, direct),
+            share_over_budget(direct, direct),
+        );
+        add_point(
+            "via-over-budget".into(),
+            "share",
+            "mean",
+            share_over_budget(via, direct),
+        );
+        let costs = costs(via, config, measurement.arms.len());
+        add_point("cpu-per-call".into(), "us", "mean", costs.cpu_us);
+        add_point("cpu".into(), "core", "mean", costs.cpu);
+        add_point("probes-per-call".into(), "count", "mean", costs.probes);
+        add_point("attempts-per-call".into(), "count", "mean", costs.attempts);
+        add_point(
+            "connections".into(),
+            "count",
+            "most",
+            via.counts.open as f64,
         );
-        put("via-over-budget".into(), "share", "mean", over(via, direct));
-        let costs = costs(via, asked, measured.arms.len());
-        put("cpu-per-call".into(), "us", "mean", costs.cpu_us);
-        put("cpu".into(), "core", "mean", costs.cpu);
-        put("probes-per-call".into(), "count", "mean", costs.probes);
-        put("attempts-per-call".into(), "count", "mean", costs.attempts);
-        put("connections".into(), "count", "most", via.seen.open as f64);
-        put("wakes-per-call".into(), "count", "mean", costs.wakes);
-        put(
+        add_point("wakes-per-call".into(), "count", "mean", costs.wakeups);
+        add_point(
             "ready-without-core-per-call".into(),
             "us",
             "mean",
             costs.wait_us,
         );
     }
-    for (part, _, more, less) in parts(measured) {
-        let gains = gains(&more.sent, &less.sent, asked.seed);
-        for ((q, _), gain) in QUANTILES.iter().zip(gains) {
-            put(format!("added-part:{part}"), "ms", q, gain.ms);
+    for (part, _, compared, baseline) in breakdown(measurement) {
+        let differences = differences(&compared.from_sent, &baseline.from_sent, config.seed);
+        for ((q, _), difference) in QUANTILES.iter().zip(differences) {
+            add_point(format!("added-part:{part}"), "ms", q, difference.ms);
         }
     }
     points
 }
 
-/// The command as it was given, but for where the points go.
+/// The command line of this process without the `--json` option.
 pub fn command() -> String {
     let mut words = vec!["passroad-rig".to_string()];
-    let mut given = std::env::args().skip(1);
-    while let Some(word) = given.next() {
+    let mut arguments = std::env::args().skip(1);
+    while let Some(word) = arguments.next() {
         match word.as_str() {
-            "--json" => drop(given.next()),
+            "--json" => drop(arguments.next()),
             other if other.starts_with("--json=") => {}
             _ => words.push(word),
         }
@@ -408,14 +456,15 @@
     words.join(" ")
 }
 
-/// The commit of the folder that it is run in, marked where files differ from it; right where the program was built there.
+/// The commit of the current folder, marked as dirty where files differ from it. It names the measured program only where
+/// that was built in this folder.
 pub fn commit() -> String {
-    let words = ["describe", "--always", "--dirty", "--exclude", "*"];
-    let said = std::process::Command::new("git")
-        .args(words)
+    let arguments = ["describe", "--always", "--dirty", "--exclude", "*"];
+    let output = std::process::Command::new("git")
+        .args(arguments)
         .output()
         .ok()
         .filter(|o| o.status.success());
-    let said = said.map(|o| String::from_utf8_lossy(&o.stdout).trim().to_string());
-    said.unwrap_or_else(|| "unknown".into())
+    let version = output.map(|o| String::from_utf8_lossy(&o.stdout).trim().to_string());
+    version.unwrap_or_else(|| "unknown".into())
 }
--- a/crates/passroad-rig/src/added_latency/between.rs
+++ b/crates/passroad-rig/src/added_latency/sidecar.rs
@@ -1,8 +1,7 @@
-//! What stands between callers and a tier: a real sidecar with a list of its own, or a plain relay of bytes, which shows
-//! what any process on the way costs.
+//! A real sidecar process with an endpoint list of its own.
 
-use super::door::{Door, Wire};
-use super::endpoint::thread;
+use super::endpoint::spawn_thread;
+use super::http::{Client, Connection};
 use crate::experiment;
 use crate::sockets::Program;
 use serde_json::{Value, json};
@@ -13,41 +12,41 @@
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
 
-/// How long a start may take.
-const PATIENCE: Duration = Duration::from_secs(8);
-const TRIES: usize = 5;
-/// Endpoints have been up since this time of the Unix clock: long enough for none to be cold.
-const UP_SINCE_MS: u64 = 1_700_000_000_000;
+const START_TIMEOUT: Duration = Duration::from_secs(8);
+const START_ATTEMPTS: usize = 5;
+/// Start time of the endpoints: long ago, so that no endpoint is in slow start.
+const ENDPOINT_START_UNIX_MS: u64 = 1_700_000_000_000;
 
-/// What a process was given by the kernel's scheduler, all its threads together.
+/// Scheduler counters of a process, summed over its threads.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Used {
-    /// On a core, and ready but waiting for one.
+pub struct CpuUsage {
+    /// Time on a core.
     pub running: Duration,
+    /// Time runnable but waiting for a core.
     pub waiting: Duration,
-    /// Times that it slept and was woken.
-    pub wakes: u64,
+    /// Voluntary context switches: each time that a thread slept and was woken.
+    pub wakeups: u64,
 }
 
-impl Used {
-    pub fn since(self, before: Used) -> Used {
-        Used {
+impl CpuUsage {
+    pub fn since(self, before: CpuUsage) -> CpuUsage {
+        CpuUsage {
             running: self.running.saturating_sub(before.running),
             waiting: self.waiting.saturating_sub(before.waiting),
-            wakes: self.wakes.saturating_sub(before.wakes),
+            wakeups: self.wakeups.saturating_sub(before.wakeups),
         }
     }
 
-    pub fn and(self, other: Used) -> Used {
-        Used {
+    pub fn plus(self, other: CpuUsage) -> CpuUsage {
+        CpuUsage {
             running: self.running + other.running,
             waiting: self.waiting + other.waiting,
-            wakes: self.wakes + other.wakes,
+            wakeups: self.wakeups + other.wakeups,
         }
     }
 }
 
-/// A sidecar process before one tier; ends with its owner.
+/// A sidecar process in front of one tier; killed on drop.
 pub struct Sidecar {
     pub address: SocketAddr,
     child: Child,
@@ -62,10 +61,10 @@
         probes: bool,
         seed: u64,
     ) -> io::Result<Sidecar> {
-        let list = list(endpoints);
-        let discovery = discovery(list.clone())?;
-        for _ in 0..TRIES {
-            match Sidecar::once(
+        let list = endpoint_list(endpoints);
+        let discovery = serve_discovery(list.clone())?;
+        for _ in 0..START_ATTEMPTS {
+            match Sidecar::try_start(
                 program,
                 folder,
                 name,
@@ -75,18 +74,21 @@
                 probes,
                 seed,
             ) {
-                // A port that was free may have been taken for a connection meanwhile; the next one is another.
-                Err(fault) if fault.to_string().contains("Address already in use") => {}
+                // A connection may have taken the port since it was found free; the next attempt uses another one.
+                Err(error) if error.to_string().contains("Address already in use") => {}
                 other => return other,
             }
         }
         Err(io::Error::other(format!(
-            "sidecar {name}: no free port in {TRIES} tries"
+            "sidecar {name}: no free port in {START_ATTEMPTS} attempts"
         )))
     }
 
-    #[expect(clippy::too_many_arguments, reason = "what one process is told")]
-    fn once(
+    #[expect(
+        clippy::too_many_arguments,
+        reason = "all inputs of one process's configuration"
+    )]
+    fn try_start(
         program: &Program,
         folder: &Path,
         name: &str,
@@ -96,20 +98,20 @@
         probes: bool,
         seed: u64,
     ) -> io::Result<Sidecar> {
-        let free = || {
+        let free_address = || {
             TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).and_then(|listener| listener.local_addr())
         };
-        let (listen, door) = (free()?, free()?);
-        let told = json!({
-            "name": name, "listen": listen.to_string(), "management": door.to_string(),
+        let (listen, management) = (free_address()?, free_address()?);
+        let config = json!({
+            "name": name, "listen": listen.to_string(), "management": management.to_string(),
             "discovery": discovery.to_string(), "seed": format!("{seed:x}"), "known": list,
             "limits": { "sockets": 1024, "memory_mb": 64 }, "settings": settings(endpoints, probes)?,
         });
-        let (file, log) = (
+        let (config_file, log_file) = (
             folder.join(format!("{name}.json")),
             folder.join(format!("{name}.log")),
         );
-        std::fs::write(&file, told.to_string())?;
+        std::fs::write(&config_file, config.to_string())?;
         let child = Command::new(&program.path)
             .args(&program.arguments)
             .env_remove("LB_LISTEN")
@@ -117,29 +119,35 @@
             .env_remove("LB_ROUTES")
             .env_remove("LB_FLEET")
             .env("TMPDIR", folder)
-            .env("LB_CONFIG", file)
-            // Its end tells the process that the rig is gone.
+            .env("LB_CONFIG", config_file)
+            // End of file tells the process that the rig has exited.
             .stdin(Stdio::piped())
             .stdout(Stdio::null())
-            .stderr(File::create(&log)?)
+            .stderr(File::create(&log_file)?)
             .spawn()
             .map_err(|e| io::Error::new(e.kind(), format!("{}: {e}", program.path.display())))?;
         let mut sidecar = Sidecar {
             address: listen,
             child,
         };
-        let began = Instant::now();
+        let started_at = Instant::now();
         while !sidecar.ready() {
             let ended = sidecar.child.try_wait()?;
-            if ended.is_some() || began.elapsed() > PATIENCE {
-                let said = std::fs::read_to_string(&log).unwrap_or_default();
-                let last = said.lines().last().unwrap_or("it said nothing").to_string();
-                let word = if ended.is_some() {
-                    "ended"
+            if ended.is_some() || started_at.elapsed() > START_TIMEOUT {
+                let log_text = std::fs::read_to_string(&log_file).unwrap_or_default();
+                let last_line = log_text
+                    .lines()
+                    .last()
+                    .unwrap_or("no log output")
+                    .to_string();
+                let problem = if ended.is_some() {
+                    "exited during startup"
                 } else {
-                    "did not come up"
+                    "was not ready in time"
                 };
-                return Err(io::Error::other(format!("sidecar {name} {word}: {last}")));
+                return Err(io::Error::other(format!(
+                    "sidecar {name} {problem}: {last_line}"
+                )));
             }
             std::thread::sleep(Duration::from_millis(10));
         }
@@ -147,51 +155,51 @@
     }
 
     fn ready(&self) -> bool {
-        Door::new(&[self.address], true)
+        Client::new(&[self.address], true)
             .call(0, "0", 1000)
             .is_ok_and(|status| status == 200)
     }
 
-    /// From the kernel's counters; nothing where it tells none.
-    pub fn used(&self) -> Used {
+    /// From the kernel's counters in `/proc`; zero where they are not available.
+    pub fn cpu_usage(&self) -> CpuUsage {
         let tasks = std::fs::read_dir(format!("/proc/{}/task", self.child.id()));
         tasks
             .into_iter()
             .flatten()
             .flatten()
-            .map(|task| used(&task.path()))
-            .fold(Used::default(), Used::and)
+            .map(|task| task_cpu_usage(&task.path()))
+            .fold(CpuUsage::default(), CpuUsage::plus)
     }
 }
 
 impl Drop for Sidecar {
     fn drop(&mut self) {
-        // Nothing is out any more; an orderly end would wait for nobody.
+        // No call is in progress any more, so there is nothing for an orderly shutdown to wait for.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 }
 
-fn used(task: &Path) -> Used {
+fn task_cpu_usage(task: &Path) -> CpuUsage {
     let text = |name: &str| std::fs::read_to_string(task.join(name)).unwrap_or_default();
     let (stat, status) = (text("schedstat"), text("status"));
     let mut times = stat
         .split_whitespace()
         .filter_map(|n| n.parse().ok())
         .map(Duration::from_nanos);
-    let wakes = status
+    let wakeups = status
         .lines()
         .find_map(|line| line.strip_prefix("voluntary_ctxt_switches:"));
-    Used {
+    CpuUsage {
         running: times.next().unwrap_or_default(),
         waiting: times.next().unwrap_or_default(),
-        wakes: wakes
+        wakeups: wakeups
             .and_then(|n| n.trim().parse().ok())
             .unwrap_or_default(),
     }
 }
 
-/// The settings that an experiment with such endpoints gives its sidecars.
+/// The settings that an experiment with these endpoints gives to its sidecars.
 fn settings(endpoints: usize, probes: bool) -> io::Result<Value> {
     let text = format!(
         "about = \"added latency\"\nlength = \"10s\"\ninstances = 1\n[fleet.kind.plain]\ncores = 8\n\
@@ -200,46 +208,46 @@
          [load]\nper_second = 230\n[allowed]\nprobes = {probes}\n"
     );
     experiment::parse(&text)
-        .map(|plan| plan.settings(0))
-        .map_err(|wrong| io::Error::other(wrong.to_string()))
+        .map(|experiment| experiment.settings(0))
+        .map_err(|error| io::Error::other(error.to_string()))
 }
 
-fn list(endpoints: &[SocketAddr]) -> Value {
-    let member = |(n, at): (usize, &SocketAddr)| {
+fn endpoint_list(endpoints: &[SocketAddr]) -> Value {
+    let member = |(index, address): (usize, &SocketAddr)| {
         json!({
-            "id": format!("e{n}"), "host_port": at.to_string(), "locality": "a", "flavor": "plain", "cell": 0,
-            "phase": "up", "size": 1.0, "up_since_ms": UP_SINCE_MS,
+            "id": format!("e{index}"), "host_port": address.to_string(), "locality": "a", "flavor": "plain", "cell": 0,
+            "phase": "up", "size": 1.0, "up_since_ms": ENDPOINT_START_UNIX_MS,
         })
     };
     let members: Vec<Value> = endpoints.iter().enumerate().map(member).collect();
     json!({ "revision": 1, "complete": true, "members": members })
 }
 
-/// A list that never changes: whoever watches it is answered when his time is up.
-fn discovery(list: Value) -> io::Result<SocketAddr> {
+/// Serves a list that never changes: a long poll is answered with no changes when its hold time is over.
+fn serve_discovery(list: Value) -> io::Result<SocketAddr> {
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0))?;
     let address = listener.local_addr()?;
-    thread("discovery", move || {
+    spawn_thread("discovery", move || {
         for stream in listener.incoming().flatten() {
             let list = list.clone();
-            let _ = thread("discovery", move || {
-                let Ok(mut wire) = Wire::new(stream) else {
+            let _ = spawn_thread("discovery", move || {
+                let Ok(mut connection) = Connection::new(stream) else {
                     return;
                 };
-                while let Ok(Some(message)) = wire.read(true) {
-                    let hold = message
+                while let Ok(Some(request)) = connection.read_message(true) {
+                    let hold_ms = request
                         .target
                         .split_once("&hold_ms=")
                         .and_then(|(_, ms)| ms.parse().ok());
-                    let text = match hold {
+                    let body = match hold_ms {
                         Some(ms) => {
                             std::thread::sleep(Duration::from_millis(ms));
                             json!({ "revision": 1, "complete": false, "members": [] }).to_string()
                         }
                         None => list.to_string(),
                     };
-                    let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", text.len());
-                    if wire.write((head + &text).as_bytes()).is_err() {
+                    let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", body.len());
+                    if connection.write((head + &body).as_bytes()).is_err() {
                         return;
                     }
                 }
@@ -248,43 +256,3 @@
     })?;
     Ok(address)
 }
-
-/// Passes bytes on as they come, on one thread as a sidecar does; an address for each endpoint.
-pub fn relay(endpoints: &[SocketAddr]) -> io::Result<Vec<SocketAddr>> {
-    let mut listeners = Vec::new();
-    for _ in endpoints {
-        let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0))?;
-        listener.set_nonblocking(true)?;
-        listeners.push(listener);
-    }
-    let addresses = listeners
-        .iter()
-        .map(TcpListener::local_addr)
-        .collect::<io::Result<_>>()?;
-    let runtime = tokio::runtime::Builder::new_current_thread()
-        .enable_all()
-        .build()?;
-    let pairs: Vec<_> = listeners.into_iter().zip(endpoints.to_vec()).collect();
-    thread("relay", move || {
-        runtime.block_on(async move {
-            for (listener, endpoint) in pairs {
-                tokio::spawn(async move {
-                    let listener = tokio::net::TcpListener::from_std(listener)?;
-                    loop {
-                        let (mut near, _) = listener.accept().await?;
-                        tokio::spawn(async move {
-                            let mut far = tokio::net::TcpStream::connect(endpoint).await?;
-                            near.set_nodelay(true)?;
-                            far.set_nodelay(true)?;
-                            tokio::io::copy_bidirectional(&mut near, &mut far).await
-                        });
-                    }
-                    #[expect(unreachable_code, reason = "its type")]
-                    io::Result::Ok(())
-                });
-            }
-            std::future::pending::<()>().await;
-        });
-    })?;
-    Ok(addresses)
-}
--- a/crates/passroad-rig/src/main.rs
+++ b/crates/passroad-rig/src/main.rs
@@ -1,7 +1,7 @@
 //! `passroad-rig`: experiments from files, played and judged.
 
 use clap::{Parser, Subcommand};
-use passroad_rig::added_latency::{self, Asked, Connections};
+use passroad_rig::added_latency::{self, ConnectionReuse, MeasurementConfig};
 use passroad_rig::experiment::{self, POLICIES, Plan, SocketMode};
 use passroad_rig::sockets::{self, Program};
 use passroad_rig::{compare, report, run};
@@ -126,7 +126,7 @@
     rate: Vec<u32>,
     /// Whether connections outlive a call: warm, cold.
     #[arg(long, value_delimiter = ',', default_value = "warm,cold", value_parser = connections)]
-    connections: Vec<Connections>,
+    connections: Vec<ConnectionReuse>,
     /// How long each arm has the load, all its turns together.
     #[arg(long, default_value_t = 20, value_parser = clap::value_parser!(u32).range(1..=600))]
     seconds: u32,
@@ -155,17 +155,17 @@
     json: Option<PathBuf>,
 }
 
-fn connections(text: &str) -> Result<Connections, String> {
+fn connections(text: &str) -> Result<ConnectionReuse, String> {
     match text {
-        "warm" => Ok(Connections::Warm),
-        "cold" => Ok(Connections::Cold),
+        "warm" => Ok(ConnectionReuse::Warm),
+        "cold" => Ok(ConnectionReuse::Cold),
         _ => Err(format!("'{text}' is neither warm nor cold")),
     }
 }
 
 /// Whether every call was answered.
 fn added(told: AddedLatency) -> Result<bool, String> {
-    let asked = Asked {
+    let asked = MeasurementConfig {
         rates: told.rate,
         connections: told.connections,
         // Two at least: of one there is no error.
@@ -175,7 +175,7 @@
         endpoints: told.endpoints as usize,
         work: Duration::from_millis(told.work_ms),
         seed: told.seed,
-        parts: !told.no_parts,
+        breakdown: !told.no_parts,
     };
     let all = added_latency::run(&asked, &program(told.sidecar)?)?;
     print!("{}", added_latency::text(&asked, &all));
@@ -191,7 +191,7 @@
             &serde_json::to_string_pretty(&points).map_err(|e| e.to_string())?,
         )?;
     }
-    Ok(all.iter().all(added_latency::Measured::whole))
+    Ok(all.iter().all(added_latency::Measurement::all_succeeded))
 }
 
 /// Where reports go beside standard output.
--- a/crates/passroad-rig/tests/added_latency.rs
+++ b/crates/passroad-rig/tests/added_latency.rs
@@ -1,4 +1,4 @@
-//! What a call gains, as a short run measures it. Judged by what was asked, answered and counted; no time is judged.
+//! Short runs of the added-latency measurement. They check what was sent, answered and counted; no test depends on timing.
 
 use rstest::rstest;
 use serde_json::Value;
@@ -7,45 +7,48 @@
 use std::sync::atomic::{AtomicUsize, Ordering::SeqCst};
 use std::sync::{Mutex, PoisonError};
 
-/// A file of its own, gone with it.
-struct Json(PathBuf);
+/// A temporary output file, deleted on drop.
+struct JsonFile(PathBuf);
 
-impl Json {
-    fn new() -> Json {
+impl JsonFile {
+    fn new() -> JsonFile {
         static COUNT: AtomicUsize = AtomicUsize::new(0);
         let name = format!(
             "rig-added-{}-{}.json",
             std::process::id(),
             COUNT.fetch_add(1, SeqCst)
         );
-        Json(std::env::temp_dir().join(name))
+        JsonFile(std::env::temp_dir().join(name))
     }
 
     fn points(&self) -> Vec<Value> {
-        let told: Value = serde_json::from_str(&std::fs::read_to_string(&self.0).unwrap()).unwrap();
-        assert_eq!(told["simulated"], false);
-        let run = told["run"].as_str().unwrap();
+        let report: Value =
+            serde_json::from_str(&std::fs::read_to_string(&self.0).unwrap()).unwrap();
+        assert_eq!(report["simulated"], false);
+        let run = report["run"].as_str().unwrap();
         assert!(
             run.starts_with("passroad-rig added-latency --rate") && !run.contains("json"),
             "{run}"
         );
-        told["points"].as_array().unwrap().clone()
+        report["points"].as_array().unwrap().clone()
     }
 }
 
-impl Drop for Json {
+impl Drop for JsonFile {
     fn drop(&mut self) {
         let _ = std::fs::remove_file(&self.0);
     }
 }
 
-/// One run at a time: each starts processes and threads of its own.
-static ALONE: Mutex<()> = Mutex::new(());
+/// Runs one measurement at a time, as each starts many processes and threads.
+static RUN_LOCK: Mutex<()> = Mutex::new(());
 
-fn rig(words: &str, json: Option<&Json>) -> Output {
-    let _alone = ALONE.lock().unwrap_or_else(PoisonError::into_inner);
+fn run_rig(arguments: &str, json: Option<&JsonFile>) -> Output {
+    let _guard = RUN_LOCK.lock().unwrap_or_else(PoisonError::into_inner);
     let mut command = Command::new(env!("CARGO_BIN_EXE_passroad-rig"));
-    command.arg("added-latency").args(words.split_whitespace());
+    command
+        .arg("added-latency")
+        .args(arguments.split_whitespace());
     if let Some(json) = json {
         command.arg("--json").arg(&json.0);
     }
@@ -56,7 +59,7 @@
     String::from_utf8_lossy(bytes).into_owned()
 }
 
-/// Calls and failures of each arm, in the table's order.
+/// Name, calls and failures of each arm, in the order of the table.
 fn arms(table: &str) -> Vec<(String, u64, u64)> {
     let rows = table
         .lines()
@@ -73,15 +76,20 @@
     .collect()
 }
 
-/// All arms answer; on a machine without a free core a call may pass its limit, and the exit code says so.
-fn assert_verdict(arms: &[(String, u64, u64)], output: &Output) {
-    let said = text(&output.stdout);
+/// Checks that every arm has answered calls and that the exit code reports failed calls. Without a free core a call may
+/// exceed its deadline.
+fn assert_exit_code(arms: &[(String, u64, u64)], output: &Output) {
+    let stdout = text(&output.stdout);
     assert!(
         arms.iter().all(|(_, calls, failed)| failed < calls),
-        "{said}"
+        "{stdout}"
+    );
+    let all_succeeded = arms.iter().all(|(_, _, failed)| *failed == 0);
+    assert_eq!(
+        output.status.code(),
+        Some(i32::from(!all_succeeded)),
+        "{stdout}"
     );
-    let whole = arms.iter().all(|(_, _, failed)| *failed == 0);
-    assert_eq!(output.status.code(), Some(i32::from(!whole)), "{said}");
 }
 
 fn value(points: &[Value], quantity: &str) -> f64 {
@@ -95,23 +103,23 @@
 #[case::warm("warm", 1)]
 #[case::cold("cold", 1)]
 #[case::nested("warm", 3)]
-fn every_arm_is_asked_the_same_and_answers(#[case] connections: &str, #[case] depth: usize) {
-    let json = Json::new();
-    let words = format!(
+fn all_arms_receive_the_same_calls_and_answer(#[case] connections: &str, #[case] depth: usize) {
+    let json = JsonFile::new();
+    let arguments = format!(
         "--rate 60 --seconds 1 --turn-ms 250 --endpoints 3 --no-parts --connections {connections} --depth {depth}"
     );
-    let output = rig(&words, Some(&json));
-    let said = text(&output.stdout);
-    let (direct, via) = match &arms(&said)[..] {
+    let output = run_rig(&arguments, Some(&json));
+    let stdout = text(&output.stdout);
+    let (direct, via) = match &arms(&stdout)[..] {
         [direct, via] => (direct.clone(), via.clone()),
-        other => panic!("{other:?} in {said}"),
+        other => panic!("{other:?} in {stdout}"),
     };
     assert_eq!(
         (direct.0.as_str(), via.0.as_str()),
         ("direct", "via, as shipped")
     );
-    assert_eq!(via.1, direct.1, "{said}");
-    assert_verdict(&[direct, via], &output);
+    assert_eq!(via.1, direct.1, "{stdout}");
+    assert_exit_code(&[direct, via], &output);
     let points = json.points();
     for point in &points {
         let at = &point["at"];
@@ -125,9 +133,9 @@
         );
     }
     for quantile in ["p50", "p99", "p999"] {
-        let [added, direct, via] =
-            ["added", "direct", "via"].map(|word| value(&points, &format!("{word}-{quantile}")));
-        // The work alone takes a millisecond at each endpoint.
+        let [added, direct, via] = ["added", "direct", "via"]
+            .map(|prefix| value(&points, &format!("{prefix}-{quantile}")));
+        // The work alone takes one millisecond at each endpoint.
         assert!(
             direct >= depth as f64 && (via - direct - added).abs() < 1e-6,
             "{quantile}: {added}"
@@ -135,34 +143,35 @@
     }
     assert!(
         value(&points, "probes-per-call") > 0.0 && value(&points, "cpu-per-call") > 0.0,
-        "{said}"
+        "{stdout}"
     );
 }
 
-/// The arms differ in what they say that they differ in.
+/// The arm without probes sends none, and the parts of the breakdown add up to the added latency.
 #[test]
-fn parts_are_told_by_arms_that_differ_in_one_thing() {
-    let json = Json::new();
-    let output = rig(
+fn breakdown_parts_add_up_to_the_added_latency() {
+    let json = JsonFile::new();
+    let output = run_rig(
         "--rate 60 --seconds 1 --turn-ms 250 --endpoints 3 --connections warm",
         Some(&json),
     );
-    let said = text(&output.stdout);
-    let arms = arms(&said);
-    assert_eq!(arms.len(), 6, "{said}");
+    let stdout = text(&output.stdout);
+    let arms = arms(&stdout);
+    assert_eq!(arms.len(), 6, "{stdout}");
     assert!(
         arms.iter().all(|(_, calls, _)| *calls == arms[0].1),
-        "{said}"
+        "{stdout}"
     );
-    assert_verdict(&arms, &output);
-    let of = |arm: &str| {
+    assert_exit_code(&arms, &output);
+    let costs_line = |arm: &str| {
         let start = format!("  {arm}: ");
-        said.lines()
+        stdout
+            .lines()
             .find(|line| line.starts_with(&start))
-            .unwrap_or_else(|| panic!("{arm} in {said}"))
+            .unwrap_or_else(|| panic!("{arm} in {stdout}"))
     };
     let probes = |arm: &str| {
-        of(arm)
+        costs_line(arm)
             .split(", ")
             .find_map(|t| t.strip_suffix(" probes"))
             .unwrap()
@@ -170,7 +179,7 @@
     };
     assert_ne!(probes("via, as shipped"), "0.000");
     assert_eq!(probes("via, no probes"), "0.000");
-    // The parts of which the whole is made up give the whole.
+    // "endpoint-connections" is not one of the parts that add up.
     let points = json.points();
     for quantile in ["p50", "p99"] {
         let part = |name: &str| {
@@ -199,12 +208,12 @@
 #[case::depth("--depth 10", "'10'")]
 #[case::seconds("--seconds 0", "'0'")]
 #[case::program("--sidecar /nowhere/passroad", "/nowhere/passroad")]
-fn bad_input_is_told_and_exits_with_2(#[case] words: &str, #[case] said: &str) {
-    let output = rig(words, None);
-    let told = text(&output.stderr);
+fn invalid_input_is_reported_with_exit_code_2(#[case] arguments: &str, #[case] expected: &str) {
+    let output = run_rig(arguments, None);
+    let stderr = text(&output.stderr);
     assert_eq!(
-        (output.status.code(), told.contains(said)),
+        (output.status.code(), stderr.contains(expected)),
         (Some(2), true),
-        "{told}"
+        "{stderr}"
     );
 }
