--- a/crates/passroad-rig/src/added_latency/mod.rs
+++ b/crates/passroad-rig/src/added_latency/mod.rs
@@ -23,7 +23,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// Share of each slice that is sent but not counted: calls of the previous arm may still be in progress, and an arm that
+/// Share of each slice whose latencies are not counted: calls of the previous arm may still be in progress, and an arm that
 /// had no load for a while warms up again.
 pub const WARM_UP_SHARE: f64 = 0.2;
 /// Calls that can be in progress at once; any further call waits, which shows as lateness.
--- a/crates/passroad-rig/src/added_latency/report.rs
+++ b/crates/passroad-rig/src/added_latency/report.rs
@@ -11,9 +11,9 @@
 const QUANTILES: [(&str, f64); 3] = [("p50", 0.5), ("p99", 0.99), ("p999", 0.999)];
 /// Bootstrap resamples of the rounds, from which the standard error of a difference is estimated.
 const BOOTSTRAP_RESAMPLES: u64 = 100;
-/// A sidecar leaves a connection unused for a millisecond after a response; a request that arrives this many microseconds
-/// after one may have waited for that.
-const REST_GAP_US: (u64, u64) = (900, 2_500);
+/// A sidecar does not reuse a connection for a millisecond after a response (reuse hold-off); a request that arrives this
+/// many microseconds after a response may have waited for that.
+const HOLD_OFF_GAP_US: (u64, u64) = (900, 2_500);
 
 fn merge<'a>(histograms: impl IntoIterator<Item = &'a Histogram<u64>>) -> Histogram<u64> {
     let mut merged: Option<Histogram<u64>> = None;
@@ -178,14 +178,14 @@
     }
 }
 
-/// Of the requests that followed a response on the same connection, the share that may have waited until the connection
-/// could be used again, and the median gap of those in milliseconds.
-fn requests_after_rest(arm: &Arm) -> (f64, f64) {
+/// Of the requests that followed a response on the same connection, the share that may have waited for the reuse
+/// hold-off, and the median gap of those in milliseconds.
+fn requests_after_hold_off(arm: &Arm) -> (f64, f64) {
     let mut gaps = Histogram::<u64>::new(3).expect("three digits are allowed");
     let within = arm
         .reuse_gaps
         .iter_recorded()
-        .filter(|v| (REST_GAP_US.0..=REST_GAP_US.1).contains(&v.value_iterated_to()));
+        .filter(|v| (HOLD_OFF_GAP_US.0..=HOLD_OFF_GAP_US.1).contains(&v.value_iterated_to()));
     for value in within {
         gaps.record_n(value.value_iterated_to(), value.count_at_value())
             .expect("the histogram resizes itself");
@@ -289,7 +289,7 @@
     }
     for arm in measurement.arms.iter().filter(|arm| arm.sidecars > 0) {
         let costs = costs(arm, config, measurement.arms.len());
-        let (share, median) = requests_after_rest(arm);
+        let (share, median) = requests_after_hold_off(arm);
         writeln!(
             out,
             "  {}: {:.0} us CPU a call, {:.0} us ready without a core, {:.2} wakes, {:.3} probes, {:.4} attempts, {} connections, \
@@ -310,7 +310,7 @@
         if config.depth > 1 {
             writeln!(
                 out,
-                "    time left told at the last tier: {:.0} ms; calls there for each outer one: {:.4}",
+                "    remaining deadline at the last tier: {:.0} ms; calls there for each outer one: {:.4}",
                 arm.counts.remaining_ms as f64 / arm.counts.last_calls.max(1) as f64,
                 arm.counts.last_calls as f64 / arm.counts.first_calls.max(1) as f64
             )?;
@@ -444,16 +444,16 @@
 
 /// The command line of this process without the `--json` option.
 pub fn command() -> String {
-    let mut words = vec!["passroad-rig".to_string()];
+    let mut command = vec!["passroad-rig".to_string()];
     let mut arguments = std::env::args().skip(1);
-    while let Some(word) = arguments.next() {
-        match word.as_str() {
+    while let Some(argument) = arguments.next() {
+        match argument.as_str() {
             "--json" => drop(arguments.next()),
             other if other.starts_with("--json=") => {}
-            _ => words.push(word),
+            _ => command.push(argument),
         }
     }
-    words.join(" ")
+    command.join(" ")
 }
 
 /// The commit of the current folder, marked as dirty where files differ from it. It names the measured program only where
--- a/crates/passroad-rig/src/capacity/fit.rs
+++ b/crates/passroad-rig/src/capacity/fit.rs
@@ -1,9 +1,9 @@
-//! How a figure grows with what it grows by: least squares, the form chosen by how well each form foretells a size that
-//! it was not fitted to.
+//! Fits how a quantity grows with a size: least squares for each form of growth, and the form chosen by leave-one-size-out
+//! cross-validation.
 
 use serde::{Deserialize, Serialize};
 
-/// The form of growth; a figure is constant + slope x the form of the size.
+/// Form of growth: a value is constant + slope x transform(size).
 #[derive(Serialize, Deserialize, Debug, Clone, Copy, PartialEq, Eq)]
 #[serde(rename_all = "lowercase")]
 pub enum Form {
@@ -14,16 +14,16 @@
     Quadratic,
 }
 
-const GROWING: [Form; 4] = [Form::Linear, Form::Sqrt, Form::Log, Form::Quadratic];
-/// A form with more to it is taken where it foretells this much better, as a part of the simpler one's error.
-const BETTER: f64 = 0.7;
-/// A rise from the smallest size to the largest below this part of the mean is none: chance makes as much.
-const NO_GROWTH: f64 = 0.02;
-/// Below so many sizes a bent curve is not told from a straight one.
-const SIZES_FOR_CURVES: usize = 4;
+const GROWING_FORMS: [Form; 4] = [Form::Linear, Form::Sqrt, Form::Log, Form::Quadratic];
+/// A more complex form is chosen only if its cross-validation error is below this share of the simpler one's.
+const MAX_ERROR_RATIO: f64 = 0.7;
+/// A rise from the smallest size to the largest of at most this share of the mean counts as constant: noise causes as much.
+const MIN_RISE_SHARE: f64 = 0.02;
+/// With fewer sizes a curve cannot be distinguished from a line.
+const MIN_SIZES_FOR_CURVES: usize = 4;
 
 impl Form {
-    pub fn of(self, x: f64) -> f64 {
+    pub fn transform(self, x: f64) -> f64 {
         match self {
             Form::Constant => 0.0,
             Form::Linear => x,
@@ -34,60 +34,66 @@
     }
 }
 
-/// What was fitted. The error is the root of the mean squared residual, in the figure's unit.
+/// A fitted form. The error is the root mean square residual, in the unit of the values.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Fit {
     pub form: Form,
     pub constant: f64,
     pub slope: f64,
     pub error: f64,
+    /// Number of distinct sizes.
     pub sizes: usize,
 }
 
 impl Fit {
-    pub fn at(&self, x: f64) -> f64 {
-        self.constant + self.slope * self.form.of(x)
+    pub fn value_at(&self, x: f64) -> f64 {
+        self.constant + self.slope * self.form.transform(x)
     }
 }
 
-/// Constant and slope of one form by least squares; none where the sizes don't differ.
-fn squares(form: Form, points: &[(f64, f64)]) -> Option<(f64, f64)> {
+/// Constant and slope of one form by least squares; `None` where all sizes are the same.
+fn least_squares(form: Form, points: &[(f64, f64)]) -> Option<(f64, f64)> {
     let n = points.len() as f64;
     let mean = points.iter().map(|p| p.1).sum::<f64>() / n;
     if form == Form::Constant {
         return (!points.is_empty()).then_some((mean, 0.0));
     }
-    let middle = points.iter().map(|p| form.of(p.0)).sum::<f64>() / n;
-    let spread: f64 = points.iter().map(|p| (form.of(p.0) - middle).powi(2)).sum();
-    if spread <= 0.0 {
+    let mean_x = points.iter().map(|p| form.transform(p.0)).sum::<f64>() / n;
+    let x_squares: f64 = points
+        .iter()
+        .map(|p| (form.transform(p.0) - mean_x).powi(2))
+        .sum();
+    if x_squares <= 0.0 {
         return None;
     }
     let slope = points
         .iter()
-        .map(|p| (form.of(p.0) - middle) * (p.1 - mean))
+        .map(|p| (form.transform(p.0) - mean_x) * (p.1 - mean))
         .sum::<f64>()
-        / spread;
-    Some((mean - slope * middle, slope))
+        / x_squares;
+    Some((mean - slope * mean_x, slope))
 }
 
-fn residual(form: Form, (constant, slope): (f64, f64), points: &[(f64, f64)]) -> f64 {
+fn rms_residual(form: Form, (constant, slope): (f64, f64), points: &[(f64, f64)]) -> f64 {
     let sum: f64 = points
         .iter()
-        .map(|p| (constant + slope * form.of(p.0) - p.1).powi(2))
+        .map(|p| (constant + slope * form.transform(p.0) - p.1).powi(2))
         .sum();
     (sum / points.len().max(1) as f64).sqrt()
 }
 
-/// Error where each size in turn is foretold from the others.
-fn foretelling(form: Form, points: &[(f64, f64)], sizes: &[f64]) -> f64 {
-    let one = |size: &f64| {
-        let (left, rest): (Vec<_>, Vec<_>) = points.iter().partition(|p| p.0 == *size);
-        squares(form, &rest).map_or(f64::INFINITY, |line| residual(form, line, &left).powi(2))
+/// Root mean square error of predicting each size from a fit to the others.
+fn cross_validation_error(form: Form, points: &[(f64, f64)], sizes: &[f64]) -> f64 {
+    let squared_error = |size: &f64| {
+        let (held_out, rest): (Vec<_>, Vec<_>) = points.iter().partition(|p| p.0 == *size);
+        least_squares(form, &rest).map_or(f64::INFINITY, |coefficients| {
+            rms_residual(form, coefficients, &held_out).powi(2)
+        })
     };
-    (sizes.iter().map(one).sum::<f64>() / sizes.len().max(1) as f64).sqrt()
+    (sizes.iter().map(squared_error).sum::<f64>() / sizes.len().max(1) as f64).sqrt()
 }
 
-/// The form and its figures; none without points.
+/// Chooses a form and fits it to points of (size, value); `None` without points.
 pub fn fit(points: &[(f64, f64)]) -> Option<Fit> {
     let mut sizes: Vec<f64> = points.iter().map(|p| p.0).collect();
     sizes.sort_by(f64::total_cmp);
@@ -98,43 +104,43 @@
         1 => Form::Constant,
         2 => Form::Linear,
         count => {
-            let error = |form: Form| foretelling(form, points, &sizes);
-            // What is nought but for rounding is as good as nought.
+            let error = |form: Form| cross_validation_error(form, points, &sizes);
+            // An error below the rounding error of the mean counts as zero.
             let floor = 1e-9 * mean.abs().max(1e-9);
-            let bent = if count < SIZES_FOR_CURVES {
+            let form_count = if count < MIN_SIZES_FOR_CURVES {
                 1
             } else {
-                GROWING.len()
+                GROWING_FORMS.len()
             };
-            let line = GROWING[..bent].iter().copied();
-            let growing = line
+            let forms = GROWING_FORMS[..form_count].iter().copied();
+            let growing = forms
                 .min_by(|a, b| error(*a).total_cmp(&error(*b)))
                 .unwrap_or(Form::Linear);
-            let straight = if error(growing) < BETTER * error(Form::Linear) {
+            let best = if error(growing) < MAX_ERROR_RATIO * error(Form::Linear) {
                 growing
             } else {
                 Form::Linear
             };
-            let grows =
-                error(Form::Constant) > floor && error(straight) < BETTER * error(Form::Constant);
-            if grows { straight } else { Form::Constant }
+            let grows = error(Form::Constant) > floor
+                && error(best) < MAX_ERROR_RATIO * error(Form::Constant);
+            if grows { best } else { Form::Constant }
         }
     };
     let rise = |form: Form| {
-        let slope = squares(form, points).map_or(0.0, |line| line.1);
-        slope * (form.of(sizes[sizes.len() - 1]) - form.of(sizes[0]))
+        let slope = least_squares(form, points).map_or(0.0, |coefficients| coefficients.1);
+        slope * (form.transform(sizes[sizes.len() - 1]) - form.transform(sizes[0]))
     };
-    let form = if rise(form).abs() <= NO_GROWTH * mean.abs() {
+    let form = if rise(form).abs() <= MIN_RISE_SHARE * mean.abs() {
         Form::Constant
     } else {
         form
     };
-    let line = squares(form, points)?;
-    let error = residual(form, line, points);
+    let coefficients = least_squares(form, points)?;
+    let error = rms_residual(form, coefficients, points);
     Some(Fit {
         form,
-        constant: line.0,
-        slope: line.1,
+        constant: coefficients.0,
+        slope: coefficients.1,
         error,
         sizes: sizes.len(),
     })
--- a/crates/passroad-rig/src/capacity/mod.rs
+++ b/crates/passroad-rig/src/capacity/mod.rs
@@ -1,9 +1,13 @@
-//! What an installation of a given size needs: laws fitted to points of runs, a target, and the tables of the page that
-//! they make.
+//! Capacity planning: scaling laws fitted to measured points, a target size with budgets, and the tables of the capacity
+//! page computed from both.
 
+pub mod estimate;
 pub mod fit;
+pub mod number_format;
 pub mod page;
 pub mod plot;
+pub mod ranking;
+mod report;
 pub mod roles;
 pub mod simulate;
 pub mod slopes;
@@ -18,31 +22,32 @@
 const ASSUMED: &str = "capacity/assumed.toml";
 const PAGE: &str = "docs/CAPACITY.md";
 
-/// What `passroad-rig capacity` is told.
+/// Arguments of `passroad-rig capacity`.
 #[derive(clap::Args)]
-pub struct Told {
-    /// Another installation's size and budgets; its tables are printed, the page stays.
+pub struct CapacityArgs {
+    /// Print the tables for another installation's size and budgets; the page is not changed.
     #[arg(long, value_name = "FILE")]
     target: Option<PathBuf>,
-    /// Fit anew: write the laws from the points and from what is assumed.
+    /// Fit the laws to the points again and write them, with the assumed laws.
     #[arg(long, conflicts_with_all = ["check", "target"])]
     fit: bool,
-    /// Change nothing; fail where the laws are not those of the points, or the page's tables not those of the laws.
+    /// Write nothing; fail if the laws differ from those fitted to the points, or the page's tables from those computed.
     #[arg(long, conflicts_with_all = ["json", "html", "target"])]
     check: bool,
-    /// Write all that is worked out as JSON to this file, - for standard output.
+    /// Write all estimates as JSON to this file, - for standard output.
     #[arg(long, value_name = "FILE")]
     json: Option<PathBuf>,
-    /// Write a page with each figure's curve and its budget as a line.
+    /// Write an HTML page with a curve for each row that has a budget.
     #[arg(long, value_name = "FILE")]
     html: Option<PathBuf>,
-    /// Play this experiment in virtual time and write its points to the file of --json, {seed} in its name being the seed.
+    /// Simulate this experiment in virtual time and write its points to the file of --json; {seed} in its name is replaced by
+    /// the seed.
     #[arg(long, value_name = "FILE", requires = "json", conflicts_with_all = ["fit", "check", "target", "html"])]
     simulate: Option<PathBuf>,
-    /// Of --simulate: so many sidecars, endpoints and load in proportion; else as the file says.
+    /// Numbers of sidecars for --simulate, with endpoints and load in proportion; by default as in the file.
     #[arg(long, value_delimiter = ',', requires = "simulate")]
     sizes: Vec<usize>,
-    /// Of --simulate.
+    /// Seeds for --simulate.
     #[arg(
         long,
         value_delimiter = ',',
@@ -50,7 +55,7 @@
         requires = "simulate"
     )]
     seeds: Vec<u64>,
-    /// Of --simulate: the commit of what was played.
+    /// Commit of the simulated program, for --simulate.
     #[arg(long, default_value = "unknown", requires = "simulate")]
     commit: String,
     /// The folder that holds capacity/ and docs/.
@@ -60,14 +65,17 @@
 
 fn read_target(path: &Path) -> Result<Target, String> {
     let text = std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))?;
-    target::read(&text).map_err(|wrong| format!("{}: {wrong}", path.display()))
+    target::read(&text).map_err(|error| format!("{}: {error}", path.display()))
 }
 
-/// Whether all held; a fault names what can't be used.
-pub fn act(told: &Told, write: impl Fn(&Path, &str) -> Result<(), String>) -> Result<bool, String> {
-    if let (Some(file), Some(path)) = (&told.simulate, &told.json) {
-        for seed in &told.seeds {
-            let points = simulate::points(file, &told.sizes, *seed, &told.commit)?;
+/// Runs the command; returns whether a check passed. An error names the input that can't be used.
+pub fn run(
+    args: &CapacityArgs,
+    write: impl Fn(&Path, &str) -> Result<(), String>,
+) -> Result<bool, String> {
+    if let (Some(file), Some(path)) = (&args.simulate, &args.json) {
+        for seed in &args.seeds {
+            let points = simulate::points(file, &args.sizes, *seed, &args.commit)?;
             let text = serde_json::to_string_pretty(&points).map_err(|e| e.to_string())?;
             let path = path
                 .display()
@@ -77,82 +85,83 @@
         }
         return Ok(true);
     }
-    let at = |name: &str| told.root.join(name);
-    let target = read_target(told.target.as_deref().unwrap_or(&at(TARGET)))?;
-    let fitted = || -> Result<String, String> {
-        let assumed = slopes::read_assumed(&at(ASSUMED), &target)?;
-        slopes::text(&slopes::from_points(
-            &slopes::read_points(&at(POINTS))?,
+    let path_of = |name: &str| args.root.join(name);
+    let target = read_target(args.target.as_deref().unwrap_or(&path_of(TARGET)))?;
+    let fitted_text = || -> Result<String, String> {
+        let assumed = slopes::read_assumed(&path_of(ASSUMED), &target)?;
+        slopes::text(&slopes::fit_laws(
+            &slopes::read_points(&path_of(POINTS))?,
             assumed,
         ))
     };
-    if told.fit {
-        write(&at(SLOPES), &fitted()?)?;
+    if args.fit {
+        write(&path_of(SLOPES), &fitted_text()?)?;
     }
-    let slopes = slopes::read(&at(SLOPES))?;
-    if told.check {
+    let slopes = slopes::read(&path_of(SLOPES))?;
+    if args.check {
         let text =
-            |name: &str| std::fs::read_to_string(at(name)).map_err(|e| format!("{name}: {e}"));
-        let mut good = same(SLOPES, &text(SLOPES)?, &fitted()?);
+            |name: &str| std::fs::read_to_string(path_of(name)).map_err(|e| format!("{name}: {e}"));
+        let mut matches = is_same(SLOPES, &text(SLOPES)?, &fitted_text()?);
         let old = text(PAGE)?;
-        let new = page::with_tables(&old, &page::tables(&slopes, &target)).ok_or_else(no_marks)?;
-        good &= same(PAGE, &old, &new);
-        if good {
-            println!("{PAGE}: its tables are those of {SLOPES} and {TARGET}");
+        let new =
+            page::with_tables(&old, &page::tables(&slopes, &target)).ok_or_else(missing_marks)?;
+        matches &= is_same(PAGE, &old, &new);
+        if matches {
+            println!("{PAGE}: the tables match {SLOPES} and {TARGET}");
         }
-        return Ok(good);
+        return Ok(matches);
     }
-    let on_output = told.json.as_deref() == Some(Path::new("-"));
-    if let Some(path) = &told.json {
-        let text = serde_json::to_string_pretty(&page::json(&slopes, &target))
+    let to_stdout = args.json.as_deref() == Some(Path::new("-"));
+    if let Some(path) = &args.json {
+        let text = serde_json::to_string_pretty(&report::json(&slopes, &target))
             .map_err(|e| e.to_string())?;
-        match on_output {
+        match to_stdout {
             true => println!("{text}"),
             false => write(path, &(text + "\n"))?,
         }
     }
-    if let Some(path) = &told.html {
+    if let Some(path) = &args.html {
         write(path, &plot::page(&slopes, &target))?;
     }
     let tables = page::tables(&slopes, &target);
-    if told.target.is_some() {
-        if !on_output {
+    if args.target.is_some() {
+        if !to_stdout {
             print!("{tables}");
         }
         return Ok(true);
     }
-    if told.json.is_none() && told.html.is_none() {
-        let old = std::fs::read_to_string(at(PAGE)).map_err(|e| format!("{PAGE}: {e}"))?;
+    if args.json.is_none() && args.html.is_none() {
+        let old = std::fs::read_to_string(path_of(PAGE)).map_err(|e| format!("{PAGE}: {e}"))?;
         write(
-            &at(PAGE),
-            &page::with_tables(&old, &tables).ok_or_else(no_marks)?,
+            &path_of(PAGE),
+            &page::with_tables(&old, &tables).ok_or_else(missing_marks)?,
         )?;
         println!("{PAGE}: written from {SLOPES} and {TARGET}");
     }
     Ok(true)
 }
 
-fn no_marks() -> String {
+fn missing_marks() -> String {
     format!(
-        "{PAGE}: the marks are not there once each: {} and {}",
+        "{PAGE}: each of these marks has to occur once, in this order: {} and {}",
         page::BEGIN,
         page::END
     )
 }
 
-/// Tells the first line that differs.
-fn same(name: &str, old: &str, new: &str) -> bool {
+/// Whether the texts are equal; prints the first line that differs.
+fn is_same(name: &str, old: &str, new: &str) -> bool {
     if old == new {
         return true;
     }
     let differs = old.lines().zip(new.lines()).position(|(a, b)| a != b);
     let line = differs.unwrap_or_else(|| old.lines().count().min(new.lines().count()));
     println!(
-        "{name}: line {} is not what the figures make; passroad-rig capacity --fit writes it",
+        "{name}: line {} differs from the computed text; passroad-rig capacity --fit writes it",
         line + 1
     );
     if let (Some(a), Some(b)) = (old.lines().nth(line), new.lines().nth(line)) {
-        println!("  there: {a}\n  made:  {b}");
+        println!("  found:    {a}\n  computed: {b}");
     }
     false
 }
--- a/crates/passroad-rig/src/capacity/roles.rs
+++ b/crates/passroad-rig/src/capacity/roles.rs
@@ -1,5 +1,5 @@
-//! What the page has a row for: roles, what each holds and spends, the budget that binds it and the mechanism that
-//! carries it.
+//! The rows of the capacity page: the roles, the state and resources of each, the budget that limits a row and the
+//! mechanism that bounds it.
 
 pub const CONDITIONS: [&str; 2] = ["rest", "ordinary"];
 pub const STATISTICS: [&str; 8] = [
@@ -13,7 +13,7 @@
     "twice-standard-error",
 ];
 
-/// Events, as conditions name them after `event:` and `return:`, and as the page does.
+/// Events: the name in a condition after `event:` or `return:`, and the title on the page.
 pub const EVENTS: [(&str, &str); 10] = [
     ("two-gone", "2 machines gone"),
     ("restarts-day", "55 restarts over a day"),
@@ -27,7 +27,7 @@
     ("discovery-down", "discovery down"),
 ];
 
-/// A budget of the target: the product of the values of these keys, in the row's unit.
+/// A budget of the target: the product of the values of these keys and a factor that converts it to the row's unit.
 #[derive(Debug)]
 pub struct Budget {
     pub keys: &'static [&'static str],
@@ -58,70 +58,70 @@
     keys: &["control_machines", "memory_mb"],
     factor: 1.0,
 });
-const ADDED: Option<Budget> = Some(Budget {
+const ADDED_LATENCY: Option<Budget> = Some(Budget {
     keys: &["added_p99"],
     factor: 1000.0,
 });
-const ADDED_EACH_HOP: Option<Budget> = Some(Budget {
+const ADDED_LATENCY_PER_HOP: Option<Budget> = Some(Budget {
     keys: &["added_p99", "depth"],
     factor: 1000.0,
 });
-const IN_FORCE: Option<Budget> = Some(Budget {
+const CHANGE_IN_FORCE: Option<Budget> = Some(Budget {
     keys: &["change_in_force"],
     factor: 1.0,
 });
 
-/// What carries it: what it does, and the file; no file where nothing carries it.
+/// What bounds a figure, and the source file that does it; no file where no mechanism exists.
 #[derive(Debug, Clone, Copy)]
 pub struct Mechanism {
     pub what: &'static str,
     pub file: Option<&'static str>,
 }
 
-const fn by(what: &'static str, file: &'static str) -> Mechanism {
+const fn bounded_by(what: &'static str, file: &'static str) -> Mechanism {
     Mechanism {
         what,
         file: Some(file),
     }
 }
 
-const fn none(what: &'static str) -> Mechanism {
+const fn no_mechanism(what: &'static str) -> Mechanism {
     Mechanism { what, file: None }
 }
 
 #[derive(Debug)]
 pub struct Row {
     pub title: &'static str,
-    /// Quantities that are added up.
-    pub parts: &'static [&'static str],
+    /// Quantities whose sum is the figure of the row.
+    pub quantities: &'static [&'static str],
     pub unit: &'static str,
-    /// A word that the points were taken at, where a row is of those only.
-    pub with: Option<(&'static str, &'static str)>,
+    /// Attribute and value: the row takes only points that have it.
+    pub filter: Option<(&'static str, &'static str)>,
     pub budget: Option<Budget>,
-    pub carried: Mechanism,
-    /// Of another reading of the target than the page goes by; it stands in the tables, and is not counted among the first.
-    pub otherwise: bool,
+    pub mechanism: Mechanism,
+    /// Belongs to an alternative interpretation of the target: shown in the tables, but not among the rows that break first.
+    pub alternative: bool,
 }
 
 const fn row(
     title: &'static str,
-    parts: &'static [&'static str],
+    quantities: &'static [&'static str],
     unit: &'static str,
     budget: Option<Budget>,
-    carried: Mechanism,
+    mechanism: Mechanism,
 ) -> Row {
     Row {
         title,
-        parts,
+        quantities,
         unit,
-        with: None,
+        filter: None,
         budget,
-        carried,
-        otherwise: false,
+        mechanism,
+        alternative: false,
     }
 }
 
-/// What is held: what, by what it grows, what bounds it.
+/// State that a role holds: what it is, what it grows with, what bounds it.
 pub type State = (&'static str, &'static str, Mechanism);
 
 #[derive(Debug)]
@@ -132,37 +132,40 @@
     pub rows: &'static [Row],
 }
 
-const DESK: &str = "crates/passroad/src/dispatcher.rs";
+const DISPATCHER: &str = "crates/passroad/src/dispatcher.rs";
 const RELAY: &str = "crates/passroad/src/relay.rs";
 const ENDPOINT_POOL: &str = "crates/passroad/src/relay/pool.rs";
-const PROBE: &str = "crates/passroad/src/probe.rs";
-const LIST: &str = "crates/passroad/src/discovery.rs";
-const FRONT: &str = "crates/passroad/src/listener.rs";
-const ROOM: &str = "crates/passroad/src/descriptors.rs";
-const CHOICE: &str = "crates/passroad-choice/src/choice.rs";
-const STATE: &str = "crates/passroad-choice/src/choice/endpoint.rs";
-const PEERS: &str = "crates/passroad-peers/src/lib.rs";
-const TALK: &str = "crates/passroad/src/fleet/event_loop.rs";
+const DISCOVERY_CLIENT: &str = "crates/passroad/src/discovery.rs";
+const LISTENER: &str = "crates/passroad/src/listener.rs";
+const REQUEST_HANDLER: &str = "crates/passroad/src/request_handler.rs";
+const CHOICE_PARAMETERS: &str = "crates/passroad-choice/src/choice/parameters.rs";
+const PROBING: &str = "crates/passroad-choice/src/choice/probing.rs";
+const SCORING: &str = "crates/passroad-choice/src/choice/scoring.rs";
+const ENDPOINT_STATE: &str = "crates/passroad-choice/src/choice/endpoint.rs";
+const MEMBERSHIP: &str = "crates/passroad-peers/src/lib.rs";
+const FLEET_EVENT_LOOP: &str = "crates/passroad/src/fleet/event_loop.rs";
 const LEASE: &str = "crates/passroad-lease/src/lib.rs";
+const VOTER_SELECTION: &str = "crates/passroad-lease/src/voter_selection.rs";
 const VOTER: &str = "crates/passroad-lease/src/voter.rs";
-const CALLS: &str = "crates/passroad/src/fleet/calls.rs";
-const UPKEEP: &str = "crates/passroad-upkeep/src/lib.rs";
-const BOOK: &str = "crates/passroad-upkeep/src/operation_log.rs";
-const WORK: &str = "crates/passroad/src/fleet/machines.rs";
+const LEASED_CALLS: &str = "crates/passroad/src/fleet/calls.rs";
+const MAINTENANCE: &str = "crates/passroad-upkeep/src/lib.rs";
+const COORDINATOR_FILE: &str = "crates/passroad-upkeep/src/coordinator.rs";
+const OPERATION_LOG: &str = "crates/passroad-upkeep/src/operation_log.rs";
+const FLEET_MACHINES: &str = "crates/passroad/src/fleet/machines.rs";
 
-const GOSSIP: Mechanism = by(
+const GOSSIP: Mechanism = bounded_by(
     "one question a period, 8 datagrams of 256 bytes a second at most",
-    PEERS,
+    MEMBERSHIP,
 );
-const WHOLE_LIST: Mechanism =
-    none("each sidecar is sent the whole list; no subset, no cap on bytes");
-const ONE_WATCH: Mechanism = by(
+const FULL_LIST: Mechanism =
+    no_mechanism("each sidecar is sent the whole list; no subset, no cap on bytes");
+const DISCOVERY_WATCH: Mechanism = bounded_by(
     "one watch, changes only, renewed at a quarter of `ask_every`",
-    LIST,
+    DISCOVERY_CLIENT,
 );
 
-const WARM: Option<(&str, &str)> = Some(("connections", "warm"));
-const COLD: Option<(&str, &str)> = Some(("connections", "cold"));
+const WARM_POINTS: Option<(&str, &str)> = Some(("connections", "warm"));
+const COLD_POINTS: Option<(&str, &str)> = Some(("connections", "cold"));
 const CALL_PATH: Role = Role {
     key: "call-path",
     title: "A sidecar on a call's way",
@@ -170,78 +173,81 @@
         (
             "calls open, with their bodies",
             "calls open",
-            by("a quarter of `limits.memory_mb` for bodies", ROOM),
+            bounded_by(
+                "a quarter of `limits.memory_mb` for bodies",
+                REQUEST_HANDLER,
+            ),
         ),
         (
             "connections, 16 idle ones kept an endpoint",
             "endpoints called, calls open",
-            by("`Dialer`", ENDPOINT_POOL),
+            bounded_by("`Dialer`", ENDPOINT_POOL),
         ),
         (
             "what is known of each endpoint and class",
             "endpoints x classes",
-            by("the module's tables", STATE),
+            bounded_by("the module's tables", ENDPOINT_STATE),
         ),
     ],
     rows: &[
         Row {
-            with: WARM,
+            filter: WARM_POINTS,
             ..row(
                 "added to a call, p99, warm connections",
                 &["added-p99"],
                 "ms",
-                ADDED,
-                by("the request's life", RELAY),
+                ADDED_LATENCY,
+                bounded_by("the request's life", RELAY),
             )
         },
         Row {
-            with: COLD,
+            filter: COLD_POINTS,
             ..row(
                 "added to a call, p99, cold connections",
                 &["added-p99"],
                 "ms",
-                ADDED,
-                by("the connector", ENDPOINT_POOL),
+                ADDED_LATENCY,
+                bounded_by("the connector", ENDPOINT_POOL),
             )
         },
         Row {
-            with: WARM,
+            filter: WARM_POINTS,
             ..row(
                 "added to a call, p50, warm connections",
                 &["added-p50"],
                 "ms",
                 None,
-                by("the request's life", RELAY),
+                bounded_by("the request's life", RELAY),
             )
         },
         Row {
-            with: WARM,
+            filter: WARM_POINTS,
             ..row(
                 "added to a call, p99.9, warm connections",
                 &["added-p999"],
                 "ms",
                 None,
-                by("the request's life", RELAY),
+                bounded_by("the request's life", RELAY),
             )
         },
         Row {
-            with: WARM,
+            filter: WARM_POINTS,
             ..row(
                 "share of calls over the straight median and the budget, warm",
                 &["via-over-budget"],
                 "",
                 None,
-                by("the request's life", RELAY),
+                bounded_by("the request's life", RELAY),
             )
         },
         Row {
-            with: WARM,
+            filter: WARM_POINTS,
             ..row(
                 "the same share of straight calls, warm",
                 &["direct-over-budget"],
                 "",
                 None,
-                none("for comparison: no sidecar on the way"),
+                no_mechanism("for comparison: no sidecar on the way"),
             )
         },
         row(
@@ -249,36 +255,36 @@
             &["calls"],
             "1/s",
             None,
-            by("intake and desk", DESK),
+            bounded_by("intake and desk", DISPATCHER),
         ),
         Row {
-            with: WARM,
+            filter: WARM_POINTS,
             ..row(
                 "processor time of a call",
                 &["cpu-per-call"],
                 "us",
                 None,
-                by("desk and relay", DESK),
+                bounded_by("desk and relay", DISPATCHER),
             )
         },
         Row {
-            with: WARM,
+            filter: WARM_POINTS,
             ..row(
                 "processor",
                 &["cpu"],
                 "of a core",
                 None,
-                by("desk and relay", DESK),
+                bounded_by("desk and relay", DISPATCHER),
             )
         },
         Row {
-            with: WARM,
+            filter: WARM_POINTS,
             ..row(
                 "probes for each call",
                 &["probes-per-call"],
                 "",
                 None,
-                by("`trust`, `prices.probe`", CHOICE),
+                bounded_by("`recovery_interval`, `prices.probe`", CHOICE_PARAMETERS),
             )
         },
         row(
@@ -286,29 +292,35 @@
             &["messages-in"],
             "1/s",
             None,
-            by("front", FRONT),
+            bounded_by("front", LISTENER),
         ),
         row(
             "messages out",
             &["messages-out"],
             "1/s",
             None,
-            by("relay and probe", RELAY),
+            bounded_by("relay and probe", RELAY),
+        ),
+        row(
+            "bytes in",
+            &["bytes-in"],
+            "B/s",
+            None,
+            bounded_by("front", LISTENER),
         ),
-        row("bytes in", &["bytes-in"], "B/s", None, by("front", FRONT)),
         row(
             "bytes out",
             &["bytes-out"],
             "B/s",
             None,
-            by("relay and probe", RELAY),
+            bounded_by("relay and probe", RELAY),
         ),
         row(
             "memory",
             &["memory"],
             "MB",
             None,
-            by("`limits.memory_mb`", ROOM),
+            bounded_by("`limits.memory_mb`", REQUEST_HANDLER),
         ),
     ],
 };
@@ -317,26 +329,26 @@
     key: "control",
     title: "A sidecar's control: list, probes, membership, leases, configuration, operators' door, log",
     state: &[
-        ("the list", "endpoints of all services", WHOLE_LIST),
+        ("the list", "endpoints of all services", FULL_LIST),
         (
             "members: standing, incarnation, when",
             "sidecars",
-            by("a table, 32 bytes each", PEERS),
+            bounded_by("a table, 32 bytes each", MEMBERSHIP),
         ),
         (
             "what is still to be told on",
             "changes of the last seconds",
-            by("told 3 log2(n) times each", PEERS),
+            bounded_by("told 3 log2(n) times each", MEMBERSHIP),
         ),
         (
             "entries of work",
             "machines out for work",
-            by("500 at most", UPKEEP),
+            bounded_by("500 at most", MAINTENANCE),
         ),
         (
             "the operators' door",
             "callers",
-            by(
+            bounded_by(
                 "48 at once, 3 s a call",
                 "crates/passroad/src/management.rs",
             ),
@@ -344,7 +356,7 @@
         (
             "the log",
             "changes",
-            by(
+            bounded_by(
                 "standard error; lines told once a minute a cause",
                 "crates/passroad/src/logging.rs",
             ),
@@ -358,7 +370,7 @@
             &["bytes-in"],
             "B/s",
             CONTROL_BYTES,
-            WHOLE_LIST,
+            FULL_LIST,
         ),
         row(
             "bytes out, probes apart",
@@ -372,18 +384,18 @@
             &["bytes-in", "bytes-out"],
             "B/s",
             CONTROL_BYTES,
-            WHOLE_LIST,
+            FULL_LIST,
         ),
         Row {
-            otherwise: true,
+            alternative: true,
             ..row(
                 "bytes in and out, where a probe is control",
                 &["bytes-in", "bytes-out", "probe-bytes"],
                 "B/s",
                 CONTROL_BYTES,
-                by(
+                bounded_by(
                     "what is heard of an endpoint stands for a while, so probes grow less than calls; no cap on bytes",
-                    CHOICE,
+                    PROBING,
                 ),
             )
         },
@@ -392,28 +404,28 @@
             &["cpu"],
             "of a core",
             CONTROL_CPU,
-            by("one thread for talk between sidecars", TALK),
+            bounded_by("one thread for talk between sidecars", FLEET_EVENT_LOOP),
         ),
         row(
             "memory",
             &["memory"],
             "MB",
             CONTROL_MEMORY,
-            by("tables by index", STATE),
+            bounded_by("tables by index", ENDPOINT_STATE),
         ),
         row(
             "until all know of a death or a start",
             &["known-by-all"],
             "s",
             None,
-            by("told on with each datagram", PEERS),
+            bounded_by("told on with each datagram", MEMBERSHIP),
         ),
         row(
             "false doubts",
             &["false-doubts"],
             "",
             None,
-            by("helpers, and a starved one doubts nobody", PEERS),
+            bounded_by("helpers, and a starved one doubts nobody", MEMBERSHIP),
         ),
     ],
 };
@@ -422,134 +434,229 @@
     key: "discovery",
     title: "Discovery, as the sidecars ask it",
     state: &[
-        ("open watches", "sidecars", ONE_WATCH),
+        ("open watches", "sidecars", DISCOVERY_WATCH),
         (
             "the list with its revisions",
             "endpoints, changes",
-            none("it is outside; the rig has a stand-in"),
+            no_mechanism("it is outside; the rig has a stand-in"),
         ),
     ],
     rows: &[
-        row("open watches", &["open-watches"], "", None, ONE_WATCH),
-        row("calls", &["calls"], "1/s", None, ONE_WATCH),
+        row("open watches", &["open-watches"], "", None, DISCOVERY_WATCH),
+        row("calls", &["calls"], "1/s", None, DISCOVERY_WATCH),
         row(
             "until all have a change of the list",
             &["known-by-all"],
             "s",
             None,
-            ONE_WATCH,
+            DISCOVERY_WATCH,
+        ),
+        row(
+            "messages in",
+            &["messages-in"],
+            "1/s",
+            None,
+            DISCOVERY_WATCH,
+        ),
+        row(
+            "messages out",
+            &["messages-out"],
+            "1/s",
+            None,
+            DISCOVERY_WATCH,
+        ),
+        row(
+            "bytes in",
+            &["bytes-in"],
+            "B/s",
+            MACHINES_BYTES,
+            DISCOVERY_WATCH,
         ),
-        row("messages in", &["messages-in"], "1/s", None, ONE_WATCH),
-        row("messages out", &["messages-out"], "1/s", None, ONE_WATCH),
-        row("bytes in", &["bytes-in"], "B/s", MACHINES_BYTES, ONE_WATCH),
         row(
             "bytes out",
             &["bytes-out"],
             "B/s",
             MACHINES_BYTES,
-            WHOLE_LIST,
+            FULL_LIST,
         ),
         row(
             "processor",
             &["cpu"],
             "cores",
             MACHINES_CPU,
-            none("outside; nothing spreads the callers over the machines"),
+            no_mechanism("outside; nothing spreads the callers over the machines"),
         ),
         row(
             "memory",
             &["memory"],
             "MB",
             MACHINES_MEMORY,
-            none("outside; nothing spreads the callers over the machines"),
+            no_mechanism("outside; nothing spreads the callers over the machines"),
         ),
     ],
 };
 
-const VOTES: Mechanism = by("a word and an answer for each renewal", VOTER);
+const VOTE_MESSAGES: Mechanism = bounded_by("a word and an answer for each renewal", VOTER);
 const VOTER_ROLE: Role = Role {
     key: "voter",
     title: "A voter, beside its sidecar's own control",
     state: &[(
         "for each duty the promise, the grant, whom it turned away",
         "duties",
-        by("five fixed voters a duty", LEASE),
+        bounded_by("five fixed voters a duty", VOTER_SELECTION),
     )],
     rows: &[
-        row("messages in", &["messages-in"], "1/s", None, VOTES),
-        row("messages out", &["messages-out"], "1/s", None, VOTES),
-        row("bytes in", &["bytes-in"], "B/s", CONTROL_BYTES, VOTES),
-        row("bytes out", &["bytes-out"], "B/s", CONTROL_BYTES, VOTES),
-        row("processor", &["cpu"], "of a core", CONTROL_CPU, VOTES),
-        row("memory", &["memory"], "MB", CONTROL_MEMORY, VOTES),
+        row("messages in", &["messages-in"], "1/s", None, VOTE_MESSAGES),
+        row(
+            "messages out",
+            &["messages-out"],
+            "1/s",
+            None,
+            VOTE_MESSAGES,
+        ),
+        row(
+            "bytes in",
+            &["bytes-in"],
+            "B/s",
+            CONTROL_BYTES,
+            VOTE_MESSAGES,
+        ),
+        row(
+            "bytes out",
+            &["bytes-out"],
+            "B/s",
+            CONTROL_BYTES,
+            VOTE_MESSAGES,
+        ),
+        row(
+            "processor",
+            &["cpu"],
+            "of a core",
+            CONTROL_CPU,
+            VOTE_MESSAGES,
+        ),
+        row("memory", &["memory"], "MB", CONTROL_MEMORY, VOTE_MESSAGES),
     ],
 };
 
-const RENEWS: Mechanism = by("renews at a third of the lease, with five voters", LEASE);
+const LEASE_RENEWAL: Mechanism =
+    bounded_by("renews at a third of the lease, with five voters", LEASE);
 const DUTY_OWNER: Role = Role {
     key: "duty-owner",
     title: "The owner of a duty, beside its sidecar's own control",
     state: &[
-        ("the epoch, and which voters granted it", "voters", RENEWS),
+        (
+            "the epoch, and which voters granted it",
+            "voters",
+            LEASE_RENEWAL,
+        ),
         (
             "the one call that is out",
             "nothing",
-            by("one at a time", CALLS),
+            bounded_by("one at a time", LEASED_CALLS),
         ),
     ],
     rows: &[
-        row("messages in", &["messages-in"], "1/s", None, RENEWS),
-        row("messages out", &["messages-out"], "1/s", None, RENEWS),
-        row("bytes in", &["bytes-in"], "B/s", CONTROL_BYTES, RENEWS),
-        row("bytes out", &["bytes-out"], "B/s", CONTROL_BYTES, RENEWS),
-        row("processor", &["cpu"], "of a core", CONTROL_CPU, RENEWS),
-        row("memory", &["memory"], "MB", CONTROL_MEMORY, RENEWS),
+        row("messages in", &["messages-in"], "1/s", None, LEASE_RENEWAL),
+        row(
+            "messages out",
+            &["messages-out"],
+            "1/s",
+            None,
+            LEASE_RENEWAL,
+        ),
+        row(
+            "bytes in",
+            &["bytes-in"],
+            "B/s",
+            CONTROL_BYTES,
+            LEASE_RENEWAL,
+        ),
+        row(
+            "bytes out",
+            &["bytes-out"],
+            "B/s",
+            CONTROL_BYTES,
+            LEASE_RENEWAL,
+        ),
+        row(
+            "processor",
+            &["cpu"],
+            "of a core",
+            CONTROL_CPU,
+            LEASE_RENEWAL,
+        ),
+        row("memory", &["memory"], "MB", CONTROL_MEMORY, LEASE_RENEWAL),
     ],
 };
 
-const ASKS: Mechanism = by(
+const COORDINATOR_UPDATES: Mechanism = bounded_by(
     "asks each sidecar for each step, again after 400 ms; 5 words at a 50 ms turn at most, above the budget",
-    UPKEEP,
+    MAINTENANCE,
 );
-const CONDUCTOR: Role = Role {
+const COORDINATOR: Role = Role {
     key: "conductor",
     title: "The conductor of work, beside its sidecar's own control",
     state: &[
         (
             "entries of work with their versions",
             "machines asked for",
-            by("500 at most", BOOK),
+            bounded_by("500 at most", OPERATION_LOG),
         ),
         (
             "who has acknowledged which step",
             "sidecars x machines out",
-            by("the conductor's book", UPKEEP),
+            bounded_by("the conductor's book", COORDINATOR_FILE),
         ),
     ],
     rows: &[
-        row("messages in", &["messages-in"], "1/s", None, ASKS),
-        row("messages out", &["messages-out"], "1/s", None, ASKS),
-        row("bytes in", &["bytes-in"], "B/s", CONTROL_BYTES, ASKS),
-        row("bytes out", &["bytes-out"], "B/s", CONTROL_BYTES, ASKS),
+        row(
+            "messages in",
+            &["messages-in"],
+            "1/s",
+            None,
+            COORDINATOR_UPDATES,
+        ),
+        row(
+            "messages out",
+            &["messages-out"],
+            "1/s",
+            None,
+            COORDINATOR_UPDATES,
+        ),
+        row(
+            "bytes in",
+            &["bytes-in"],
+            "B/s",
+            CONTROL_BYTES,
+            COORDINATOR_UPDATES,
+        ),
+        row(
+            "bytes out",
+            &["bytes-out"],
+            "B/s",
+            CONTROL_BYTES,
+            COORDINATOR_UPDATES,
+        ),
         row(
             "processor",
             &["cpu"],
             "of a core",
             CONTROL_CPU,
-            by("the fleet's thread", WORK),
+            bounded_by("the fleet's thread", FLEET_MACHINES),
         ),
         row(
             "memory",
             &["memory"],
             "MB",
             CONTROL_MEMORY,
-            by("500 entries at most", BOOK),
+            bounded_by("500 entries at most", OPERATION_LOG),
         ),
     ],
 };
 
-const NOTHING_BRINGS: Mechanism =
-    none("a file and a SIGHUP at each process; nothing carries it to all");
+const NO_CONFIG_DELIVERY: Mechanism =
+    no_mechanism("a file and a SIGHUP at each process; nothing carries it to all");
 const CONFIGURATION: Role = Role {
     key: "configuration",
     title: "What brings configuration, on the machines set aside",
@@ -557,12 +664,12 @@
         (
             "the configuration and its versions",
             "changes",
-            NOTHING_BRINGS,
+            NO_CONFIG_DELIVERY,
         ),
         (
             "who has which version in force",
             "sidecars",
-            none("nothing says that a change got there"),
+            no_mechanism("nothing says that a change got there"),
         ),
     ],
     rows: &[
@@ -570,158 +677,182 @@
             "until a change is in force everywhere",
             &["known-by-all"],
             "s",
-            IN_FORCE,
-            NOTHING_BRINGS,
+            CHANGE_IN_FORCE,
+            NO_CONFIG_DELIVERY,
+        ),
+        row(
+            "messages in",
+            &["messages-in"],
+            "1/s",
+            None,
+            NO_CONFIG_DELIVERY,
         ),
-        row("messages in", &["messages-in"], "1/s", None, NOTHING_BRINGS),
         row(
             "messages out (deliveries)",
             &["messages-out"],
             "1/s",
             None,
-            NOTHING_BRINGS,
+            NO_CONFIG_DELIVERY,
         ),
         row(
             "bytes in",
             &["bytes-in"],
             "B/s",
             MACHINES_BYTES,
-            NOTHING_BRINGS,
+            NO_CONFIG_DELIVERY,
         ),
         row(
             "bytes out",
             &["bytes-out"],
             "B/s",
             MACHINES_BYTES,
-            NOTHING_BRINGS,
+            NO_CONFIG_DELIVERY,
+        ),
+        row(
+            "processor",
+            &["cpu"],
+            "cores",
+            MACHINES_CPU,
+            NO_CONFIG_DELIVERY,
+        ),
+        row(
+            "memory",
+            &["memory"],
+            "MB",
+            MACHINES_MEMORY,
+            NO_CONFIG_DELIVERY,
         ),
-        row("processor", &["cpu"], "cores", MACHINES_CPU, NOTHING_BRINGS),
-        row("memory", &["memory"], "MB", MACHINES_MEMORY, NOTHING_BRINGS),
     ],
 };
 
-const SERVICE: Option<(&str, &str)> = Some(("of", "service"));
-const POOL: Option<(&str, &str)> = Some(("of", "pool"));
-const DRAW: Mechanism = by("the weighted draw", CHOICE);
-const NEAR: Mechanism = by("`near`, the price of a handshake", CHOICE);
-const PROBES: Mechanism = by("`trust`, the price of a probe", PROBE);
+const SERVICE_POINTS: Option<(&str, &str)> = Some(("of", "service"));
+const POOL_POINTS: Option<(&str, &str)> = Some(("of", "pool"));
+const WEIGHTED_DRAW: Mechanism = bounded_by("the weighted draw", SCORING);
+const ZONE_AND_HANDSHAKE: Mechanism = bounded_by(
+    "`other_zone_weight`, the price of a handshake",
+    CHOICE_PARAMETERS,
+);
+const PROBE_COST: Mechanism = bounded_by(
+    "`recovery_interval`, the price of a probe",
+    CHOICE_PARAMETERS,
+);
 const ENDPOINT: Role = Role {
     key: "endpoint",
     title: "An endpoint: what it sees of the sidecars",
     state: &[(
         "connections",
         "sidecars that call its service",
-        by(
+        bounded_by(
             "the price of a handshake; 16 idle ones kept by each",
             ENDPOINT_POOL,
         ),
     )],
     rows: &[
         Row {
-            with: SERVICE,
+            filter: SERVICE_POINTS,
             ..row(
                 "connections, a service of ten called by thirty",
                 &["connections"],
                 "",
                 None,
-                NEAR,
+                ZONE_AND_HANDSHAKE,
             )
         },
         Row {
-            with: POOL,
+            filter: POOL_POINTS,
             ..row(
                 "connections, one pool for all, a twentieth of the calls",
                 &["connections"],
                 "",
                 None,
-                NEAR,
+                ZONE_AND_HANDSHAKE,
             )
         },
         Row {
-            with: SERVICE,
-            ..row("attempts", &["calls"], "1/s", None, DRAW)
+            filter: SERVICE_POINTS,
+            ..row("attempts", &["calls"], "1/s", None, WEIGHTED_DRAW)
         },
         Row {
-            with: SERVICE,
+            filter: SERVICE_POINTS,
             ..row(
                 "probes for each call, a service of ten",
                 &["probes-per-call"],
                 "",
                 None,
-                PROBES,
+                PROBE_COST,
             )
         },
         Row {
-            with: POOL,
+            filter: POOL_POINTS,
             ..row(
                 "probes for each call, one pool, a twentieth of the calls",
                 &["probes-per-call"],
                 "",
                 None,
-                PROBES,
+                PROBE_COST,
             )
         },
         Row {
-            with: SERVICE,
+            filter: SERVICE_POINTS,
             ..row(
                 "messages in (attempts and probes)",
                 &["messages-in"],
                 "1/s",
                 None,
-                DRAW,
+                WEIGHTED_DRAW,
             )
         },
-        row("bytes in", &["bytes-in"], "B/s", None, DRAW),
-        row("bytes out", &["bytes-out"], "B/s", None, DRAW),
+        row("bytes in", &["bytes-in"], "B/s", None, WEIGHTED_DRAW),
+        row("bytes out", &["bytes-out"], "B/s", None, WEIGHTED_DRAW),
         Row {
-            with: SERVICE,
+            filter: SERVICE_POINTS,
             ..row(
                 "the busiest over its fair share, a service of ten",
                 &["busiest"],
                 "",
                 None,
-                DRAW,
+                WEIGHTED_DRAW,
             )
         },
         Row {
-            with: POOL,
+            filter: POOL_POINTS,
             ..row(
                 "the busiest over its fair share, one pool",
                 &["busiest"],
                 "",
                 None,
-                DRAW,
+                WEIGHTED_DRAW,
             )
         },
     ],
 };
 
-const HOPS: Mechanism =
-    none("no hop knows how deep it is; retries multiply, the limit isn't handed down");
-const NINE_DEEP: Role = Role {
+const NO_DEPTH_LIMIT: Mechanism =
+    no_mechanism("no hop knows how deep it is; retries multiply, the limit isn't handed down");
+const CLIENT_NINE_DEEP: Role = Role {
     key: "client-nine-deep",
     title: "A client at the top of the deepest tree",
-    state: &[("calls open at every hop below", "depth", HOPS)],
+    state: &[("calls open at every hop below", "depth", NO_DEPTH_LIMIT)],
     rows: &[
         Row {
-            with: WARM,
+            filter: WARM_POINTS,
             ..row(
                 "added to the outer call, p99, the budget being each hop's",
                 &["added-p99"],
                 "ms",
-                ADDED_EACH_HOP,
-                HOPS,
+                ADDED_LATENCY_PER_HOP,
+                NO_DEPTH_LIMIT,
             )
         },
         Row {
-            with: WARM,
-            otherwise: true,
+            filter: WARM_POINTS,
+            alternative: true,
             ..row(
                 "added to the outer call, p99, the budget being the whole tree's",
                 &["added-p99"],
                 "ms",
-                ADDED,
-                HOPS,
+                ADDED_LATENCY,
+                NO_DEPTH_LIMIT,
             )
         },
         row(
@@ -729,14 +860,14 @@
             &["messages-out"],
             "",
             None,
-            HOPS,
+            NO_DEPTH_LIMIT,
         ),
         row(
             "attempts at the leaf for each outer call, leaf fails",
             &["attempts-leaf"],
             "",
             None,
-            HOPS,
+            NO_DEPTH_LIMIT,
         ),
     ],
 };
@@ -747,8 +878,8 @@
     DISCOVERY,
     VOTER_ROLE,
     DUTY_OWNER,
-    CONDUCTOR,
+    COORDINATOR,
     CONFIGURATION,
     ENDPOINT,
-    NINE_DEEP,
+    CLIENT_NINE_DEEP,
 ];
--- a/crates/passroad-rig/src/capacity/simulate.rs
+++ b/crates/passroad-rig/src/capacity/simulate.rs
@@ -1,6 +1,7 @@
-//! Points from virtual time, for what no run on sockets measures: what an endpoint sees, and what voters and owners send.
+//! Points from virtual time for quantities that no run on sockets measures: the load that an endpoint sees, and what voters
+//! and owners of leases send.
 
-use super::slopes::six;
+use super::slopes::round_to_six_digits;
 use crate::distribution;
 use crate::experiment::{self, Plan};
 use crate::run::{Run, simulate_all};
@@ -8,13 +9,13 @@
 use serde_json::{Value, json};
 use std::path::Path;
 
-/// The points of one seed, at all sizes: so many sidecars, with endpoints and load in proportion.
+/// The points of one seed at all sizes (numbers of sidecars); endpoints and load scale in proportion.
 ///
 /// # Errors
-/// What is wrong with the file, by its line; a plan that can't be played.
+/// The file is invalid, with its line, or the experiment can't be simulated.
 pub fn points(file: &Path, sizes: &[usize], seed: u64, commit: &str) -> Result<Value, String> {
     let text = std::fs::read_to_string(file).map_err(|e| format!("{}: {e}", file.display()))?;
-    let plan = experiment::parse(&text).map_err(|wrong| format!("{}: {wrong}", file.display()))?;
+    let plan = experiment::parse(&text).map_err(|error| format!("{}: {error}", file.display()))?;
     let name = file
         .file_stem()
         .unwrap_or_default()
@@ -43,8 +44,8 @@
         }
         for run in simulate_all(&sized, 1)? {
             match &run.fleet {
-                Some(_) => all.extend(talk(&sized, &run)),
-                None => all.extend(endpoint(&sized, &run, &name)),
+                Some(_) => all.extend(fleet_points(&sized, &run)),
+                None => all.extend(endpoint_points(&sized, &run, &name)),
             }
         }
     }
@@ -60,8 +61,9 @@
     Ok(json!({ "run": run, "commit": commit, "seed": seed, "simulated": true, "points": all }))
 }
 
-/// What an endpoint sees, over the day after its settling; `of` names the experiment, so that its law stays apart.
-fn endpoint(plan: &Plan, run: &Run, of: &str) -> Vec<Value> {
+/// What an endpoint sees after the settling time. `experiment` names the experiment, so that laws of different ones stay
+/// separate.
+fn endpoint_points(plan: &Plan, run: &Run, experiment: &str) -> Vec<Value> {
     let window = plan.settle..plan.length;
     let seconds = (window.end - window.start).as_secs_f64();
     let (count, sidecars) = (plan.endpoints.len() as f64, plan.instances);
@@ -78,17 +80,17 @@
         .filter(|r| window.contains(&r.sent_at))
         .count() as f64;
     let probes = run.history.probes.len() as f64 / run.history.commands.len().max(1) as f64;
-    let looks: Vec<_> = run
+    let samples: Vec<_> = run
         .samples
         .iter()
-        .filter(|look| window.contains(&look.time))
+        .filter(|sample| window.contains(&sample.time))
         .collect();
-    let links: usize = looks.iter().flat_map(|look| &look.connections).sum();
+    let connections: usize = samples.iter().flat_map(|sample| &sample.connections).sum();
     let busiest = distribution::relative_loads(run, plan, &window)
         .into_iter()
         .fold(0.0, f64::max);
-    let held = links as f64 / (looks.len() as f64 * count).max(1.0);
-    let each = calls / seconds / count;
+    let mean_connections = connections as f64 / (samples.len() as f64 * count).max(1.0);
+    let calls_per_endpoint = calls / seconds / count;
     let rows = [
         ("calls", "1/s", "mean", attempts / seconds / count),
         ("probes-per-call", "", "mean", probes),
@@ -96,9 +98,9 @@
             "messages-in",
             "1/s",
             "mean",
-            attempts / seconds / count + probes * each,
+            attempts / seconds / count + probes * calls_per_endpoint,
         ),
-        ("connections", "", "mean", held),
+        ("connections", "", "mean", mean_connections),
         (
             "connections",
             "",
@@ -108,46 +110,54 @@
         ("busiest", "", "busiest", busiest),
     ];
     let at = json!({
-        "of": of, "sidecars": sidecars, "endpoints": plan.endpoints.len(), "calls_per_second": (plan.per_second / count).round(),
+        "of": experiment, "sidecars": sidecars, "endpoints": plan.endpoints.len(), "calls_per_second": (plan.per_second / count).round(),
     });
     let point = |(quantity, unit, statistic, value): (&str, &str, &str, f64)| {
         json!({
             "role": "endpoint", "quantity": quantity, "unit": unit, "condition": "ordinary", "statistic": statistic,
-            "kind": "virtual", "at": at, "value": six(value),
+            "kind": "virtual", "at": at, "value": round_to_six_digits(value),
         })
     };
     rows.into_iter().map(point).collect()
 }
 
-/// Datagrams that sidecars send: those that are neither voters nor owners, and what voters and owners send beside it.
-fn talk(plan: &Plan, run: &Run) -> Vec<Value> {
-    let (Some(day), Some(fleet)) = (&run.fleet, &plan.fleet) else {
+/// Datagrams that sidecars send: the rate of those that are neither voters nor owners, and what voters and owners send in
+/// addition.
+fn fleet_points(plan: &Plan, run: &Run) -> Vec<Value> {
+    let (Some(fleet_run), Some(fleet)) = (&run.fleet, &plan.fleet) else {
         return Vec::new();
     };
-    let owners: Vec<usize> = day.reigns().iter().map(|reign| reign.owner).collect();
+    let owners: Vec<usize> = fleet_run.reigns().iter().map(|reign| reign.owner).collect();
     let voters: Vec<usize> = fleet
         .duties
         .iter()
         .flat_map(|duty| voters_for(duty.mark(), plan.instances, fleet.voters))
         .map(usize::from)
         .collect();
-    let rate = |n: usize| day.datagrams[n] as f64 / day.seconds.max(1e-9);
-    let mean =
-        |these: &[usize]| these.iter().map(|n| rate(*n)).sum::<f64>() / these.len().max(1) as f64;
-    let plain: Vec<usize> = (0..plan.instances)
-        .filter(|n| !owners.contains(n) && !voters.contains(n))
+    let rate = |index: usize| fleet_run.datagrams[index] as f64 / fleet_run.seconds.max(1e-9);
+    let mean = |indices: &[usize]| {
+        indices.iter().map(|index| rate(*index)).sum::<f64>() / indices.len().max(1) as f64
+    };
+    let others: Vec<usize> = (0..plan.instances)
+        .filter(|index| !owners.contains(index) && !voters.contains(index))
         .collect();
     let only_voters: Vec<usize> = voters
         .iter()
         .copied()
-        .filter(|n| !owners.contains(n))
+        .filter(|index| !owners.contains(index))
         .collect();
-    let control = mean(&plain);
-    let most = plain.iter().map(|n| rate(*n)).fold(0.0, f64::max);
+    let control = mean(&others);
+    let busiest = others.iter().map(|index| rate(*index)).fold(0.0, f64::max);
     let rows = [
         ("control", "messages-out", "1/s", "mean", control),
-        ("control", "messages-out", "1/s", "busiest", most),
-        ("control", "false-doubts", "", "mean", day.doubts as f64),
+        ("control", "messages-out", "1/s", "busiest", busiest),
+        (
+            "control",
+            "false-doubts",
+            "",
+            "mean",
+            fleet_run.doubts as f64,
+        ),
         (
             "voter",
             "messages-out",
@@ -166,7 +176,7 @@
     let point = |(role, quantity, unit, statistic, value): (&str, &str, &str, &str, f64)| {
         json!({
             "role": role, "quantity": quantity, "unit": unit, "condition": "rest", "statistic": statistic,
-            "kind": "virtual, datagrams", "at": { "sidecars": plan.instances }, "value": six(value),
+            "kind": "virtual, datagrams", "at": { "sidecars": plan.instances }, "value": round_to_six_digits(value),
         })
     };
     rows.into_iter().map(point).collect()
--- a/crates/passroad-rig/src/capacity/slopes.rs
+++ b/crates/passroad-rig/src/capacity/slopes.rs
@@ -1,4 +1,4 @@
-//! Points as runs left them, and the laws fitted to them: what `capacity/slopes.json` holds.
+//! Measured points and the scaling laws fitted to them, which `capacity/slopes.json` holds.
 
 use super::fit::{Form, fit};
 use super::roles::{CONDITIONS, ROLES, STATISTICS};
@@ -8,7 +8,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::Path;
 
-/// One run's points, as `capacity/points/*.json` holds them.
+/// The points of one run: a file in `capacity/points`.
 #[derive(Deserialize, Debug, Clone)]
 #[serde(deny_unknown_fields)]
 pub struct PointsFile {
@@ -38,7 +38,7 @@
     pub note: String,
 }
 
-/// Where a figure comes from.
+/// Where a value comes from; the weakest source is the greatest.
 #[derive(Serialize, Deserialize, Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 #[serde(rename_all = "lowercase")]
 pub enum Source {
@@ -47,9 +47,9 @@
     Assumed,
 }
 
-/// A run that points are from.
+/// The run that points come from.
 #[derive(Serialize, Deserialize, Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
-pub struct RunOf {
+pub struct RunInfo {
     pub file: String,
     pub run: String,
     pub commit: String,
@@ -58,13 +58,14 @@
 }
 
 #[derive(Serialize, Deserialize, Debug, Clone, PartialEq)]
-pub struct Dot {
+pub struct LawPoint {
     pub x: f64,
     pub value: f64,
+    /// Index into [`Slopes::runs`].
     pub run: usize,
 }
 
-/// How one figure grows.
+/// How one quantity of a role grows.
 #[derive(Serialize, Deserialize, Debug, Clone, PartialEq)]
 pub struct Law {
     pub role: String,
@@ -74,21 +75,21 @@
     pub statistic: String,
     #[serde(default, skip_serializing_if = "String::is_empty")]
     pub kind: String,
-    /// What it was taken at beside what it grows by.
+    /// Attributes that all points share, other than the variable it grows by.
     #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
     pub fixed: BTreeMap<String, Value>,
     pub source: Source,
-    /// What it grows by: variables of the target, with `*` between them; empty for a constant of one size.
+    /// The variables of the target it grows by, separated by `*`; empty for a constant from one size.
     pub by: String,
     pub form: Form,
     pub constant: f64,
     pub slope: f64,
-    /// Root of the mean squared residual, in the unit; none of what is assumed.
+    /// Root mean square residual, in the unit; `None` for an assumed law.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub error: Option<f64>,
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub points: Vec<Dot>,
-    /// Of what is assumed, from what.
+    pub points: Vec<LawPoint>,
+    /// What an assumed law is based on.
     #[serde(default, skip_serializing_if = "String::is_empty")]
     pub why: String,
 }
@@ -96,20 +97,20 @@
 #[derive(Serialize, Deserialize, Debug, Clone, PartialEq, Default)]
 #[serde(deny_unknown_fields)]
 pub struct Slopes {
-    pub runs: Vec<RunOf>,
+    pub runs: Vec<RunInfo>,
     pub laws: Vec<Law>,
 }
 
-/// What is assumed, as `capacity/assumed.toml` holds it.
+/// The assumed laws in `capacity/assumed.toml`.
 #[derive(Deserialize, Debug)]
 #[serde(deny_unknown_fields)]
-struct AssumedFile {
-    law: Vec<Assumed>,
+struct AssumedLaws {
+    law: Vec<AssumedLaw>,
 }
 
 #[derive(Deserialize, Debug)]
 #[serde(deny_unknown_fields)]
-struct Assumed {
+struct AssumedLaw {
     role: String,
     quantity: String,
     unit: String,
@@ -130,10 +131,10 @@
     Form::Linear
 }
 
-/// Sizes that differ by no more than this part of the target's are the target's.
-const NEAR: f64 = 0.03;
-/// What may grow by itself, those first that a figure is told by.
-const DRIVERS: [&str; 6] = [
+/// A size counts as the target's if it differs from it by at most this share.
+const SIZE_TOLERANCE: f64 = 0.03;
+/// Variables that a quantity may grow by, in order of preference.
+const GROWTH_VARIABLES: [&str; 6] = [
     "sidecars",
     "endpoints",
     "services",
@@ -142,17 +143,17 @@
     "voters",
 ];
 
-/// Six digits: more would make each run another file, and no run knows more.
-pub fn six(value: f64) -> f64 {
+/// Rounds to six digits, so that refitting the same points gives the same file; no measurement is more precise.
+pub fn round_to_six_digits(value: f64) -> f64 {
     format!("{value:.5e}").parse().unwrap_or(value)
 }
 
-/// All points of a folder, by file name.
-pub fn read_points(folder: &Path) -> Result<Vec<(RunOf, Vec<Point>)>, String> {
-    let at = |what: &Path, e: &dyn std::fmt::Display| format!("{}: {e}", what.display());
+/// Reads all points files of a folder, ordered by file name.
+pub fn read_points(folder: &Path) -> Result<Vec<(RunInfo, Vec<Point>)>, String> {
+    let error_in = |what: &Path, e: &dyn std::fmt::Display| format!("{}: {e}", what.display());
     let mut files = Vec::new();
-    for entry in std::fs::read_dir(folder).map_err(|e| at(folder, &e))? {
-        let path = entry.map_err(|e| at(folder, &e))?.path();
+    for entry in std::fs::read_dir(folder).map_err(|e| error_in(folder, &e))? {
+        let path = entry.map_err(|e| error_in(folder, &e))?.path();
         if path.extension().is_some_and(|e| e == "json") {
             files.push(path);
         }
@@ -161,15 +162,17 @@
     files.iter().map(|path| read_file(path)).collect()
 }
 
-fn read_file(path: &Path) -> Result<(RunOf, Vec<Point>), String> {
-    let at = |e: String| format!("{}: {e}", path.display());
-    let text = std::fs::read_to_string(path).map_err(|e| at(e.to_string()))?;
-    let file: PointsFile = serde_json::from_str(&text).map_err(|e| at(e.to_string()))?;
-    for (n, point) in file.points.iter().enumerate() {
-        known(&point.role, &point.condition, &point.statistic)
-            .map_err(|e| at(format!("point {n}: {e}")))?;
+fn read_file(path: &Path) -> Result<(RunInfo, Vec<Point>), String> {
+    let error_in = |e: String| format!("{}: {e}", path.display());
+    let text = std::fs::read_to_string(path).map_err(|e| error_in(e.to_string()))?;
+    let file: PointsFile = serde_json::from_str(&text).map_err(|e| error_in(e.to_string()))?;
+    for (index, point) in file.points.iter().enumerate() {
+        check_names(&point.role, &point.condition, &point.statistic)
+            .map_err(|e| error_in(format!("point {index}: {e}")))?;
         if !point.value.is_finite() {
-            return Err(at(format!("point {n}: value is no number")));
+            return Err(error_in(format!(
+                "point {index}: value is not a finite number"
+            )));
         }
     }
     let name = path
@@ -186,7 +189,7 @@
         ..
     } = file;
     Ok((
-        RunOf {
+        RunInfo {
             file: name,
             run,
             commit,
@@ -197,7 +200,7 @@
     ))
 }
 
-fn known(role: &str, condition: &str, statistic: &str) -> Result<(), String> {
+fn check_names(role: &str, condition: &str, statistic: &str) -> Result<(), String> {
     if !ROLES.iter().any(|r| r.key == role) {
         return Err(format!("role: unknown '{role}'"));
     }
@@ -213,47 +216,47 @@
     Ok(())
 }
 
-/// Laws that are assumed; a fault is told with file and line.
+/// Reads the assumed laws; an error names the file and the line or law.
 pub fn read_assumed(path: &Path, target: &Target) -> Result<Vec<Law>, String> {
     let text = std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))?;
-    let file: AssumedFile = toml::from_str(&text).map_err(|e| {
-        let wrong =
+    let file: AssumedLaws = toml::from_str(&text).map_err(|e| {
+        let error =
             passroad_units::ConfigError::from_parser(&text, e.span().map(|s| s.start), e.message());
-        format!("{}: {wrong}", path.display())
+        format!("{}: {error}", path.display())
     })?;
-    let one = |(n, told): (usize, Assumed)| {
-        let wrong = |e: String| format!("{}: law {}: {e}", path.display(), n + 1);
-        known(&told.role, &told.condition, &told.statistic).map_err(wrong)?;
-        if size(&told.by, target, 1.0).is_none() {
-            return Err(wrong(format!("by: unknown '{}'", told.by)));
+    let to_law = |(index, entry): (usize, AssumedLaw)| {
+        let law_error = |e: String| format!("{}: law {}: {e}", path.display(), index + 1);
+        check_names(&entry.role, &entry.condition, &entry.statistic).map_err(law_error)?;
+        if growth_size(&entry.by, target, 1.0).is_none() {
+            return Err(law_error(format!("by: unknown '{}'", entry.by)));
         }
         Ok(Law {
-            role: told.role,
-            quantity: told.quantity,
-            unit: told.unit,
-            condition: told.condition,
-            statistic: told.statistic,
+            role: entry.role,
+            quantity: entry.quantity,
+            unit: entry.unit,
+            condition: entry.condition,
+            statistic: entry.statistic,
             kind: String::new(),
             fixed: BTreeMap::new(),
             source: Source::Assumed,
-            form: if told.by.is_empty() {
+            form: if entry.by.is_empty() {
                 Form::Constant
             } else {
-                told.form
+                entry.form
             },
-            by: told.by,
-            constant: told.constant,
-            slope: told.slope,
+            by: entry.by,
+            constant: entry.constant,
+            slope: entry.slope,
             error: None,
             points: Vec::new(),
-            why: told.why,
+            why: entry.why,
         })
     };
-    file.law.into_iter().enumerate().map(one).collect()
+    file.law.into_iter().enumerate().map(to_law).collect()
 }
 
-/// What a law grows by, of a target at so many times its size; none where it names what there isn't.
-pub fn size(by: &str, target: &Target, times: f64) -> Option<f64> {
+/// The product of the variables that a law grows by, for a target scaled by `times`; `None` for an unknown variable.
+pub fn growth_size(by: &str, target: &Target, times: f64) -> Option<f64> {
     by.split('*')
         .map(str::trim)
         .filter(|n| !n.is_empty())
@@ -261,30 +264,31 @@
         .product()
 }
 
-/// Laws of all points, and what is assumed where there are none.
-pub fn from_points(files: &[(RunOf, Vec<Point>)], assumed: Vec<Law>) -> Slopes {
-    let runs: Vec<RunOf> = files.iter().map(|(run, _)| run.clone()).collect();
+/// Fits laws to all points, and adds the assumed laws for quantities without points.
+pub fn fit_laws(files: &[(RunInfo, Vec<Point>)], assumed: Vec<Law>) -> Slopes {
+    let runs: Vec<RunInfo> = files.iter().map(|(run, _)| run.clone()).collect();
     let mut groups: BTreeMap<[String; 7], Vec<(usize, &Point)>> = BTreeMap::new();
-    for (n, (run, points)) in files.iter().enumerate() {
-        for p in points {
-            // What is not a number parts the points: figures with warm connections are no figures with cold ones.
-            let words: Vec<String> =
-                p.at.iter()
-                    .filter(|(_, v)| !v.is_number())
-                    .map(|(k, v)| format!("{k}={v}"))
-                    .collect();
+    for (run_index, (run, points)) in files.iter().enumerate() {
+        for point in points {
+            // Text attributes separate points: values with warm connections are not comparable to those with cold ones.
+            let text_attributes: Vec<String> = point
+                .at
+                .iter()
+                .filter(|(_, v)| !v.is_number())
+                .map(|(k, v)| format!("{k}={v}"))
+                .collect();
             let origin = if run.simulated {
                 "simulated"
             } else {
                 "measured"
             };
             let key = [
-                &p.role,
-                &p.quantity,
-                &p.condition,
-                &p.statistic,
-                &p.kind,
-                &p.unit,
+                &point.role,
+                &point.quantity,
+                &point.condition,
+                &point.statistic,
+                &point.kind,
+                &point.unit,
             ]
             .map(String::clone);
             let [role, quantity, condition, statistic, kind, unit] = key;
@@ -295,14 +299,14 @@
                 statistic,
                 kind,
                 unit,
-                format!("{origin} {}", words.join(" ")),
+                format!("{origin} {}", text_attributes.join(" ")),
             ];
-            groups.entry(key).or_default().push((n, p));
+            groups.entry(key).or_default().push((run_index, point));
         }
     }
     let mut laws: Vec<Law> = groups
         .into_values()
-        .flat_map(|group| laws_of(&group, &runs))
+        .flat_map(|group| fit_group(&group, &runs))
         .collect();
     for law in assumed {
         let same = |l: &Law| {
@@ -312,91 +316,96 @@
             laws.push(law);
         }
     }
-    let place = |law: &Law| ROLES.iter().position(|r| r.key == law.role);
+    let role_index = |law: &Law| ROLES.iter().position(|r| r.key == law.role);
     laws.sort_by_key(|law| {
-        let words = [&law.quantity, &law.condition, &law.statistic, &law.kind].map(String::clone);
-        (place(law), words)
+        let names = [&law.quantity, &law.condition, &law.statistic, &law.kind].map(String::clone);
+        (role_index(law), names)
     });
     Slopes { runs, laws }
 }
 
-fn number(p: &Point, name: &str) -> Option<f64> {
-    p.at.get(name).and_then(Value::as_f64)
+fn number(point: &Point, name: &str) -> Option<f64> {
+    point.at.get(name).and_then(Value::as_f64)
 }
 
-/// Laws of one figure: what varies most is what it grows by; what varies beside it, and does not follow it, parts them.
-fn laws_of(group: &[(usize, &Point)], runs: &[RunOf]) -> Vec<Law> {
+/// Fits the laws of one quantity. It grows by the variable with the most distinct values; other variables that vary
+/// independently of it separate the points into several laws.
+fn fit_group(group: &[(usize, &Point)], runs: &[RunInfo]) -> Vec<Law> {
     let distinct = |name: &str| -> BTreeSet<u64> {
         group
             .iter()
-            .filter_map(|(_, p)| number(p, name))
+            .filter_map(|(_, point)| number(point, name))
             .map(f64::to_bits)
             .collect()
     };
     let named = group
         .iter()
-        .flat_map(|(_, p)| p.at.keys().map(String::as_str));
+        .flat_map(|(_, point)| point.at.keys().map(String::as_str));
     let names: BTreeSet<&str> = named.filter(|name| !distinct(name).is_empty()).collect();
     let rank = |name: &str| {
-        DRIVERS
+        GROWTH_VARIABLES
             .iter()
             .position(|d| *d == name)
-            .unwrap_or(DRIVERS.len())
+            .unwrap_or(GROWTH_VARIABLES.len())
     };
     let by = names
         .iter()
         .copied()
         .filter(|name| distinct(name).len() > 1)
         .max_by_key(|name| (distinct(name).len(), usize::MAX - rank(name)));
-    // One that rises with what it grows by: of every size just one value, and more of a larger one.
+    // A variable follows the growth variable if it has one value per size and increases with it.
     let follows = |name: &str| {
         let Some(by) = by else { return false };
         let mut pairs: Vec<(f64, f64)> = group
             .iter()
-            .filter_map(|(_, p)| Some((number(p, by)?, number(p, name)?)))
+            .filter_map(|(_, point)| Some((number(point, by)?, number(point, name)?)))
             .collect();
         pairs.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.1.total_cmp(&b.1)));
         pairs.dedup();
         pairs.windows(2).all(|w| w[0].0 < w[1].0 && w[0].1 < w[1].1)
     };
-    let parting: Vec<&str> = names
+    let separating: Vec<&str> = names
         .iter()
         .copied()
         .filter(|name| Some(*name) != by && distinct(name).len() > 1 && !follows(name))
         .collect();
     let mut parts: BTreeMap<Vec<Option<u64>>, Vec<(usize, &Point)>> = BTreeMap::new();
-    for (run, p) in group {
-        let key = parting
+    for (run, point) in group {
+        let key = separating
             .iter()
-            .map(|name| number(p, name).map(f64::to_bits))
+            .map(|name| number(point, name).map(f64::to_bits))
             .collect();
-        parts.entry(key).or_default().push((*run, p));
+        parts.entry(key).or_default().push((*run, point));
     }
     parts
         .into_values()
-        .filter_map(|part| law_of(&part, by, runs))
+        .filter_map(|part| fit_law(&part, by, runs))
         .collect()
 }
 
-fn law_of(part: &[(usize, &Point)], by: Option<&str>, runs: &[RunOf]) -> Option<Law> {
-    let x = |p: &Point| by.and_then(|by| number(p, by)).unwrap_or(0.0);
-    let pairs: Vec<(f64, f64)> = part.iter().map(|(_, p)| (x(p), p.value)).collect();
+fn fit_law(part: &[(usize, &Point)], by: Option<&str>, runs: &[RunInfo]) -> Option<Law> {
+    let x = |point: &Point| by.and_then(|by| number(point, by)).unwrap_or(0.0);
+    let pairs: Vec<(f64, f64)> = part
+        .iter()
+        .map(|(_, point)| (x(point), point.value))
+        .collect();
     let fit = fit(&pairs)?;
     let (first_run, first) = *part.first()?;
-    // What is the same at all of them.
+    // Attributes that all points share.
     let same = |(name, value): &(&String, &Value)| {
-        part.iter().all(|(_, p)| p.at.get(*name) == Some(value))
+        part.iter()
+            .all(|(_, point)| point.at.get(*name) == Some(value))
     };
     let fixed = first
         .at
         .iter()
         .filter(same)
         .map(|(k, v)| (k.clone(), v.clone()));
-    let mut points: Vec<Dot> = part
+    let mut points: Vec<LawPoint> = part
         .iter()
-        .map(|(run, p)| Dot {
-            x: six(x(p)),
-            value: six(p.value),
+        .map(|(run, point)| LawPoint {
+            x: round_to_six_digits(x(point)),
+            value: round_to_six_digits(point.value),
             run: *run,
         })
         .collect();
@@ -405,7 +414,7 @@
             .then(a.run.cmp(&b.run))
             .then(a.value.total_cmp(&b.value))
     });
-    let grows = by.filter(|by| {
+    let growth_variable = by.filter(|by| {
         !first
             .at
             .get(*by)
@@ -424,17 +433,17 @@
         } else {
             Source::Measured
         },
-        by: grows.unwrap_or_default().into(),
+        by: growth_variable.unwrap_or_default().into(),
         form: fit.form,
-        constant: six(fit.constant),
-        slope: six(fit.slope),
-        error: Some(six(fit.error)),
+        constant: round_to_six_digits(fit.constant),
+        slope: round_to_six_digits(fit.slope),
+        error: Some(round_to_six_digits(fit.error)),
         points,
         why: String::new(),
     })
 }
 
-/// The file's text; the same points make the same text, to the byte.
+/// The text of `slopes.json`; the same points give the same bytes.
 pub fn text(slopes: &Slopes) -> Result<String, String> {
     Ok(serde_json::to_string_pretty(slopes).map_err(|e| e.to_string())? + "\n")
 }
@@ -445,62 +454,65 @@
 }
 
 impl Law {
-    /// The figure at so many times the target's size; none where the target has no such size.
-    pub fn at(&self, target: &Target, times: f64) -> Option<f64> {
+    /// The value for a target scaled by `times`; `None` where the target lacks a variable.
+    pub fn value_at(&self, target: &Target, times: f64) -> Option<f64> {
         let x = if self.by.is_empty() {
             0.0
         } else {
-            size(&self.by, target, times)?
+            growth_size(&self.by, target, times)?
         };
-        let value = self.constant + self.slope * self.form.of(x);
-        // What is counted can't be less than nothing; differences may be, and then some point is.
-        let difference = self.points.iter().any(|dot| dot.value < 0.0);
+        let value = self.constant + self.slope * self.form.transform(x);
+        // A count cannot be negative. A difference can, and then some of its points are.
+        let difference = self.points.iter().any(|point| point.value < 0.0);
         Some(if difference { value } else { value.max(0.0) })
     }
 
-    /// Mean of the points at the target's own size, where it was played.
-    pub fn played(&self, target: &Target) -> Option<f64> {
+    /// Mean of the points at the target's own size, where there are any.
+    pub fn mean_at_target(&self, target: &Target) -> Option<f64> {
         let x = if self.by.is_empty() {
             None
         } else {
-            size(&self.by, target, 1.0)
+            growth_size(&self.by, target, 1.0)
         };
-        let at_size = |dot: &&Dot| x.is_some_and(|x| (dot.x - x).abs() <= NEAR * x);
-        let here: Vec<f64> = match &self.by[..] {
-            // Of one size only, if that is the target's.
-            "" if self.fixed_is_target(target) => self.points.iter().map(|d| d.value).collect(),
+        let at_size =
+            |point: &&LawPoint| x.is_some_and(|x| (point.x - x).abs() <= SIZE_TOLERANCE * x);
+        let at_target: Vec<f64> = match &self.by[..] {
+            // Points of one size only, which has to be the target's.
+            "" if self.measured_at_target_size(target) => {
+                self.points.iter().map(|point| point.value).collect()
+            }
             _ => self
                 .points
                 .iter()
                 .filter(at_size)
-                .map(|d| d.value)
+                .map(|point| point.value)
                 .collect(),
         };
-        (!here.is_empty()).then(|| here.iter().sum::<f64>() / here.len() as f64)
+        (!at_target.is_empty()).then(|| at_target.iter().sum::<f64>() / at_target.len() as f64)
     }
 
-    /// Whether all that it was taken at is what the target says.
-    fn fixed_is_target(&self, target: &Target) -> bool {
-        self.strangeness(target) == 0
+    /// Whether all fixed sizes match the target.
+    fn measured_at_target_size(&self, target: &Target) -> bool {
+        self.mismatched_sizes(target) == 0
     }
 
-    /// In how many sizes what it was taken at differs from the target. Endpoints and services are left out: where sidecars
-    /// don't grow with them they are what one sidecar sees.
-    pub fn strangeness(&self, target: &Target) -> usize {
+    /// How many fixed sizes differ from the target. Endpoints and services are left out: where the number of sidecars is not
+    /// varied with them, they are those that one sidecar sees.
+    pub fn mismatched_sizes(&self, target: &Target) -> usize {
         let differs = |(name, value): (&String, &Value)| {
             let (Some(value), Some(wanted)) = (value.as_f64(), target.variable(name, 1.0)) else {
                 return false;
             };
-            let seen = name == "endpoints" || name == "services";
-            !seen && (value - wanted).abs() > NEAR * wanted
+            let seen_by_one_sidecar = name == "endpoints" || name == "services";
+            !seen_by_one_sidecar && (value - wanted).abs() > SIZE_TOLERANCE * wanted
         };
         self.fixed.iter().filter(|pair| differs(*pair)).count()
     }
 
-    pub fn sizes(&self) -> usize {
+    pub fn distinct_sizes(&self) -> usize {
         self.points
             .iter()
-            .map(|d| d.x.to_bits())
+            .map(|point| point.x.to_bits())
             .collect::<BTreeSet<_>>()
             .len()
     }
--- a/crates/passroad-rig/src/main.rs
+++ b/crates/passroad-rig/src/main.rs
@@ -92,7 +92,7 @@
     /// Measure what a call gains in a sidecar: the same load straight to the endpoints and through it, by turns.
     AddedLatency(AddedLatency),
     /// Write the tables of docs/CAPACITY.md: what each role needs at the target's size, and what breaks first.
-    Capacity(passroad_rig::capacity::Told),
+    Capacity(passroad_rig::capacity::CapacityArgs),
     /// Play scale runs: as many sidecars as a target has, hollow ones beside real ones, on loopback.
     Scale {
         /// Files, as experiments/scale-*.toml.
@@ -319,7 +319,7 @@
 fn act(what: What) -> Result<bool, String> {
     match what {
         What::AddedLatency(told) => added(told),
-        What::Capacity(told) => passroad_rig::capacity::act(&told, write),
+        What::Capacity(told) => passroad_rig::capacity::run(&told, write),
         What::Sidecar | What::Hollow { .. } => Ok(true),
         What::Scale {
             files,
--- a/crates/passroad-rig/tests/capacity.rs
+++ b/crates/passroad-rig/tests/capacity.rs
@@ -1,9 +1,11 @@
-//! The page of capacity: fits that find laws, targets that are refused, and a check that sees a changed figure.
+//! Tests of capacity planning: fitting of laws, validation of targets and points, and the check of the generated page.
 
 use passroad_rig::capacity::fit::{Form, fit};
-use passroad_rig::capacity::page::{BEGIN, END, breaking, figure, tables, with_tables};
+use passroad_rig::capacity::number_format::format_number;
+use passroad_rig::capacity::page::{BEGIN, END, tables, with_tables};
+use passroad_rig::capacity::ranking::rank_rows;
 use passroad_rig::capacity::roles::ROLES;
-use passroad_rig::capacity::slopes::{self, Source, from_points, read_points};
+use passroad_rig::capacity::slopes::{self, Source, fit_laws, read_points};
 use passroad_rig::capacity::target;
 use proptest::prelude::*;
 use rstest::rstest;
@@ -21,18 +23,18 @@
     std::fs::read_to_string(repository().join("capacity/target.toml")).unwrap()
 }
 
-/// A folder with what the command reads and a page, gone with it.
-struct Folder(PathBuf);
+/// A temporary root folder with the inputs of the command and an empty page, deleted on drop.
+struct TempFolder(PathBuf);
 
-impl Folder {
-    fn new() -> Folder {
+impl TempFolder {
+    fn new() -> TempFolder {
         static COUNT: AtomicUsize = AtomicUsize::new(0);
         let name = format!(
             "rig-capacity-{}-{}",
             std::process::id(),
             COUNT.fetch_add(1, SeqCst)
         );
-        let folder = Folder(std::env::temp_dir().join(name));
+        let folder = TempFolder(std::env::temp_dir().join(name));
         std::fs::create_dir_all(folder.0.join("capacity/points")).unwrap();
         std::fs::create_dir_all(folder.0.join("docs")).unwrap();
         folder.put("capacity/target.toml", &target_text());
@@ -60,24 +62,24 @@
         std::fs::read_to_string(self.0.join(name)).unwrap()
     }
 
-    fn rig(&self, words: &[&str]) -> Output {
+    fn run_rig(&self, arguments: &[&str]) -> Output {
         let mut command = Command::new(env!("CARGO_BIN_EXE_passroad-rig"));
         command
             .args(["capacity", "--root"])
             .arg(&self.0)
-            .args(words)
+            .args(arguments)
             .output()
             .unwrap()
     }
 }
 
-impl Drop for Folder {
+impl Drop for TempFolder {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.0);
     }
 }
 
-/// Bytes into a sidecar at rest, at all sizes.
+/// A points file with the bytes into a sidecar at rest, at all sizes.
 fn points(run: &str, simulated: bool, law: impl Fn(f64) -> f64) -> String {
     let point = |n: &f64| {
         serde_json::json!({
@@ -96,31 +98,31 @@
 
 proptest! {
     #[test]
-    fn fits_find_the_law_they_are_given(
+    fn fit_recovers_the_generating_law(
         form in prop::sample::select(vec![Form::Constant, Form::Linear, Form::Sqrt, Form::Log, Form::Quadratic]),
         constant in 1.0..100.0f64,
-        rise in 1.0..20.0f64, // of the largest size, over the constant
+        rise in 1.0..20.0f64, // rise at the largest size over the constant
         noise in prop::collection::vec(-1.0..1.0f64, 15),
     ) {
-        let slope = constant * rise / form.of(1220.0).max(1.0);
-        let law = |x: f64| constant + slope * form.of(x);
-        // Three seeds at each size, a thousandth apart.
-        let dots: Vec<(f64, f64)> = (0..15)
+        let slope = constant * rise / form.transform(1220.0).max(1.0);
+        let law = |x: f64| constant + slope * form.transform(x);
+        // Three points at each size, with noise of a thousandth of the constant.
+        let points: Vec<(f64, f64)> = (0..15)
             .map(|n| (SIZES[n % 5], law(SIZES[n % 5]) + noise[n] * 1e-3 * constant))
             .collect();
-        let found = fit(&dots).expect("points");
-        prop_assert_eq!(found.form, form);
+        let fitted = fit(&points).expect("points");
+        prop_assert_eq!(fitted.form, form);
         for x in [100.0, 610.0, 3050.0] {
-            prop_assert!((found.at(x) / law(x) - 1.0).abs() < 0.02, "{} for {} at {}", found.at(x), law(x), x);
+            prop_assert!((fitted.value_at(x) / law(x) - 1.0).abs() < 0.02, "{} for {} at {}", fitted.value_at(x), law(x), x);
         }
-        prop_assert!(found.error <= 1.1e-3 * constant);
+        prop_assert!(fitted.error <= 1.1e-3 * constant);
     }
 
     #[test]
-    fn noise_alone_is_no_growth_that_leads_far_away(noise in prop::collection::vec(-1.0..1.0f64, 15)) {
-        let dots: Vec<(f64, f64)> = (0..15).map(|n| (SIZES[n % 5], 50.0 + noise[n])).collect();
-        let found = fit(&dots).expect("points");
-        prop_assert!((found.at(610.0) - 50.0).abs() < 2.0);
+    fn noise_alone_does_not_extrapolate_to_growth(noise in prop::collection::vec(-1.0..1.0f64, 15)) {
+        let points: Vec<(f64, f64)> = (0..15).map(|n| (SIZES[n % 5], 50.0 + noise[n])).collect();
+        let fitted = fit(&points).expect("points");
+        prop_assert!((fitted.value_at(610.0) - 50.0).abs() < 2.0);
     }
 }
 
@@ -129,25 +131,25 @@
 #[case(&[(610.0, 4.0), (610.0, 6.0)], Some((Form::Constant, 5.0, 1.0, 1)))]
 #[case(&[(61.0, 10.0), (610.0, 10.1)], Some((Form::Constant, 10.05, 0.05, 2)))]
 #[case(&[(61.0, 10.0), (610.0, 100.0)], Some((Form::Linear, 100.0, 0.0, 2)))]
-// A rise by chance: a tenth of a percent is none, whatever foretells it best.
+// A rise of less than a tenth of a percent counts as constant, whichever form fits best.
 #[case(&[(61.0, 10.0), (122.0, 10.001), (305.0, 10.003), (610.0, 10.006)], Some((Form::Constant, 10.0025, 0.002291, 4)))]
-// Three sizes make no curve.
+// Three sizes are not enough for a curve.
 #[case(&[(1.0, 1.0), (2.0, 4.0), (3.0, 9.0)], Some((Form::Linear, 2436.666667, 0.471405, 3)))]
-fn few_sizes_make_no_curves(
-    #[case] dots: &[(f64, f64)],
+fn curves_need_four_sizes(
+    #[case] points: &[(f64, f64)],
     #[case] expected: Option<(Form, f64, f64, usize)>,
 ) {
-    let found = fit(dots);
-    match (found, expected) {
+    let fitted = fit(points);
+    match (fitted, expected) {
         (None, None) => {}
-        (Some(found), Some((form, at_610, error, sizes))) => {
-            assert_eq!((found.form, found.sizes), (form, sizes));
+        (Some(fitted), Some((form, at_610, error, sizes))) => {
+            assert_eq!((fitted.form, fitted.sizes), (form, sizes));
             assert!(
-                (found.at(610.0) - at_610).abs() < 1e-4,
+                (fitted.value_at(610.0) - at_610).abs() < 1e-4,
                 "{}",
-                found.at(610.0)
+                fitted.value_at(610.0)
             );
-            assert!((found.error - error).abs() < 1e-4, "{}", found.error);
+            assert!((fitted.error - error).abs() < 1e-4, "{}", fitted.error);
         }
         other => panic!("{other:?}"),
     }
@@ -166,32 +168,32 @@
     "endpoints = 610",
     "endpoints = 610.5",
     7,
-    "size.endpoints: 610.5 is no whole number"
+    "size.endpoints: 610.5 is not an integer"
 )]
 #[case(
     "endpoints = 610",
     "endpoints = \"many\"",
     7,
-    "size.endpoints: \"many\" is no number"
+    "size.endpoints: \"many\" is not a number"
 )]
 #[case(
     "calls_per_second = 140000",
     "calls_per_second = 0",
     11,
-    "size.calls_per_second: 0 is not above nought"
+    "size.calls_per_second: 0 is not positive"
 )]
 #[case(
     "calls_per_second = 140000",
     "calls_per_second = nan",
     11,
-    "size.calls_per_second: nan is no number"
+    "size.calls_per_second: nan is not a number"
 )]
 #[case("zones = 11", "zones = 2", 10, "size.zones: fewer than regions")]
 #[case(
     "added_p99 = \"0.53ms\"",
     "added_p99 = 0.53",
     16,
-    "budget.added_p99: 0.53 is no time"
+    "budget.added_p99: 0.53 is not a duration"
 )]
 #[case(
     "added_p99 = \"0.53ms\"",
@@ -206,102 +208,108 @@
     "budget.control_cpu: \"290%\" is above one"
 )]
 #[case("[machine]", "[machines]", 24, "machines: unknown key")]
-#[case("about = \"In about two years\"", "about = 2", 3, "about: not a text")]
+#[case(
+    "about = \"In about two years\"",
+    "about = 2",
+    3,
+    "about: not a string"
+)]
 #[case("regions = 3", "regions 3", 9, "key")]
-fn a_bad_target_is_told_with_file_line_and_key(
+fn invalid_target_is_reported_with_file_line_and_key(
     #[case] old: &str,
     #[case] new: &str,
     #[case] line: usize,
-    #[case] what: &str,
+    #[case] expected: &str,
 ) {
-    let folder = Folder::new();
+    let folder = TempFolder::new();
     assert!(target_text().contains(old));
     folder.put("bad.toml", &target_text().replacen(old, new, 1));
     let path = folder.0.join("bad.toml");
-    let out = folder.rig(&["--target", path.to_str().unwrap()]);
-    let said = text(&out.stderr);
+    let out = folder.run_rig(&["--target", path.to_str().unwrap()]);
+    let printed = text(&out.stderr);
     assert_eq!(
-        (out.status.code(), said.trim_end().lines().count()),
+        (out.status.code(), printed.trim_end().lines().count()),
         (Some(2), 1),
-        "{said}"
+        "{printed}"
     );
     assert!(
-        said.contains(&format!("{}: line {line}: ", path.display())) && said.contains(what),
-        "{said}"
+        printed.contains(&format!("{}: line {line}: ", path.display()))
+            && printed.contains(expected),
+        "{printed}"
     );
     assert!(out.stdout.is_empty());
 }
 
 #[rstest]
-fn a_check_sees_what_was_changed_by_hand() {
-    let folder = Folder::new();
-    assert!(folder.rig(&["--fit"]).status.success());
+fn check_detects_manual_changes() {
+    let folder = TempFolder::new();
+    assert!(folder.run_rig(&["--fit"]).status.success());
     let page = folder.get("docs/CAPACITY.md");
     assert!(page.starts_with("# Capacity\n") && page.ends_with("\nEnd.\n"));
-    assert!(folder.rig(&["--check"]).status.success());
+    assert!(folder.run_rig(&["--check"]).status.success());
     // 100 + 2 x 610.
     let (from, to) = ("1,320", "1,310");
     assert!(page.contains(from));
     folder.put("docs/CAPACITY.md", &page.replacen(from, to, 1));
-    let out = folder.rig(&["--check"]);
-    let said = text(&out.stdout);
+    let out = folder.run_rig(&["--check"]);
+    let printed = text(&out.stdout);
     assert_eq!(out.status.code(), Some(1));
     assert!(
-        said.contains("docs/CAPACITY.md: line") && said.contains(to),
-        "{said}"
+        printed.contains("docs/CAPACITY.md: line") && printed.contains(to),
+        "{printed}"
     );
     assert!(
         folder.get("docs/CAPACITY.md").contains(to),
-        "a check changes nothing"
+        "--check must not write"
     );
-    // What is around the tables is not the command's.
+    // Text outside the marks is not checked.
     folder.put("docs/CAPACITY.md", &page.replace("End.", "Another end."));
-    assert!(folder.rig(&["--check"]).status.success());
-    // Nor may a law be changed by hand, or the points beneath it.
+    assert!(folder.run_rig(&["--check"]).status.success());
+    // A changed law or changed points are detected as well.
     let slopes = folder.get("capacity/slopes.json");
     folder.put(
         "capacity/slopes.json",
         &slopes.replacen("\"slope\": 2.0", "\"slope\": 1.0", 1),
     );
     assert_ne!(slopes, folder.get("capacity/slopes.json"));
-    assert_eq!(folder.rig(&["--check"]).status.code(), Some(1));
+    assert_eq!(folder.run_rig(&["--check"]).status.code(), Some(1));
     folder.put("capacity/slopes.json", &slopes);
     folder.put(
         "capacity/points/two.json",
         &points("two", false, |n| 90.0 + 2.0 * n),
     );
-    assert_eq!(folder.rig(&["--check"]).status.code(), Some(1));
+    assert_eq!(folder.run_rig(&["--check"]).status.code(), Some(1));
 }
 
 #[rstest]
-fn another_target_gets_its_own_tables_and_leaves_the_page() {
-    let folder = Folder::new();
-    assert!(folder.rig(&["--fit"]).status.success());
+fn another_target_prints_tables_and_keeps_the_page() {
+    let folder = TempFolder::new();
+    assert!(folder.run_rig(&["--fit"]).status.success());
     let page = folder.get("docs/CAPACITY.md");
     let small = target_text()
         .replace("sidecars = 610 #", "sidecars = 100 #")
         .replace("about two years", "our house");
     folder.put("small.toml", &small);
     let path = folder.0.join("small.toml");
-    let out = folder.rig(&["--target", path.to_str().unwrap()]);
-    let said = text(&out.stdout);
+    let out = folder.run_rig(&["--target", path.to_str().unwrap()]);
+    let printed = text(&out.stdout);
     assert!(
-        out.status.success() && said.contains("In our house: 100 sidecars"),
-        "{said}"
+        out.status.success() && printed.contains("In our house: 100 sidecars"),
+        "{printed}"
     );
-    // 100 + 2 x 100, and nothing played at that size.
+    // 100 + 2 x 100, and no points at that size.
     assert!(
-        said.contains("| 300 |") && !said.contains("1,320 |"),
-        "{said}"
+        printed.contains("| 300 |") && !printed.contains("1,320 |"),
+        "{printed}"
     );
     assert_eq!(page, folder.get("docs/CAPACITY.md"));
 }
 
 #[rstest]
-fn json_and_curves_are_whole() {
-    let folder = Folder::new();
-    assert!(folder.rig(&["--fit"]).status.success());
-    let out = folder.rig(&["--json", "-"]);
+fn json_and_html_contain_all_estimates() {
+    let folder = TempFolder::new();
+    assert!(folder.run_rig(&["--fit"]).status.success());
+    let out = folder.run_rig(&["--json", "-"]);
     let json: serde_json::Value = serde_json::from_slice(&out.stdout).expect("JSON alone");
     let rows = json["rows"].as_array().expect("rows");
     let row = rows
@@ -321,7 +329,7 @@
     let path = folder.0.join("curves.html");
     assert!(
         folder
-            .rig(&["--html", path.to_str().unwrap()])
+            .run_rig(&["--html", path.to_str().unwrap()])
             .status
             .success()
     );
@@ -334,34 +342,34 @@
         page.matches("<svg").count() >= 2
             && page.matches("<svg").count() == page.matches("</svg>").count()
     );
-    for outside in ["http://", "https://", "<script", "<link", "NaN", "inf\""] {
-        assert!(!page.contains(outside), "{outside}");
+    for forbidden in ["http://", "https://", "<script", "<link", "NaN", "inf\""] {
+        assert!(!page.contains(forbidden), "{forbidden}");
     }
 }
 
 #[rstest]
-fn what_is_assumed_gives_way_to_what_is_simulated_and_that_to_what_is_measured() {
-    let folder = Folder::new();
+fn measured_laws_are_preferred_to_simulated_laws() {
+    let folder = TempFolder::new();
     let target = target::read(&target_text()).expect("a target");
-    let of = |law: &dyn Fn(f64) -> f64, simulated, name: &str| {
+    let write_points = |law: &dyn Fn(f64) -> f64, simulated, name: &str| {
         std::fs::write(
             folder.0.join("capacity/points").join(name),
             points(name, simulated, law),
         )
         .unwrap();
     };
-    of(&|_| 7.0, true, "simulated.json");
+    write_points(&|_| 7.0, true, "simulated.json");
     let files = read_points(&folder.0.join("capacity/points")).expect("points");
-    let slopes = from_points(&files, Vec::new());
+    let slopes = fit_laws(&files, Vec::new());
     assert_eq!(slopes.laws.len(), 2);
-    let shown = tables(&slopes, &target);
+    let page_tables = tables(&slopes, &target);
     assert!(
-        shown.contains("| bytes in, probes apart, B/s | 1,320 |"),
-        "{shown}"
+        page_tables.contains("| bytes in, probes apart, B/s | 1,320 |"),
+        "{page_tables}"
     );
     std::fs::remove_file(folder.0.join("capacity/points/one.json")).unwrap();
     let files = read_points(&folder.0.join("capacity/points")).expect("points");
-    let slopes = from_points(&files, Vec::new());
+    let slopes = fit_laws(&files, Vec::new());
     assert_eq!(slopes.laws[0].source, Source::Simulated);
     assert!(tables(&slopes, &target).contains("| bytes in, probes apart, B/s | 7 s |"));
 }
@@ -383,19 +391,25 @@
     "statistic: unknown 'least'"
 )]
 #[case("\"seed\":1", "\"seeds\":1", "unknown field `seeds`")]
-fn points_that_can_not_be_used_are_told_with_their_file(
+fn invalid_points_are_reported_with_their_file(
     #[case] old: &str,
     #[case] new: &str,
-    #[case] what: &str,
+    #[case] expected: &str,
 ) {
-    let folder = Folder::new();
-    let text_of = folder.get("capacity/points/one.json");
-    assert!(text_of.contains(old), "{text_of}");
-    folder.put("capacity/points/one.json", &text_of.replacen(old, new, 1));
-    let out = folder.rig(&["--fit"]);
-    let said = text(&out.stderr);
+    let folder = TempFolder::new();
+    let points_text = folder.get("capacity/points/one.json");
+    assert!(points_text.contains(old), "{points_text}");
+    folder.put(
+        "capacity/points/one.json",
+        &points_text.replacen(old, new, 1),
+    );
+    let out = folder.run_rig(&["--fit"]);
+    let printed = text(&out.stderr);
     assert_eq!(out.status.code(), Some(2));
-    assert!(said.contains("one.json: ") && said.contains(what), "{said}");
+    assert!(
+        printed.contains("one.json: ") && printed.contains(expected),
+        "{printed}"
+    );
 }
 
 #[rstest]
@@ -409,8 +423,8 @@
 #[case(999.7, "1,000")]
 #[case(1234.0, "1,230")]
 #[case(55_815_000.0, "55,800,000")]
-fn figures_have_three_digits(#[case] value: f64, #[case] shown: &str) {
-    assert_eq!(figure(value), shown);
+fn numbers_have_three_significant_digits(#[case] value: f64, #[case] shown: &str) {
+    assert_eq!(format_number(value), shown);
 }
 
 #[rstest]
@@ -418,43 +432,46 @@
 #[case("a <B>x<E> b", Some("a <B>\n\ntables\n<E> b"))]
 #[case("a <E><B>", None)]
 #[case("<B><E><B><E>", None)]
-fn tables_go_between_the_marks(#[case] page: &str, #[case] whole: Option<&str>) {
+fn tables_are_placed_between_the_marks(#[case] page: &str, #[case] expected: Option<&str>) {
     let marked = |text: &str| text.replace("<B>", BEGIN).replace("<E>", END);
-    assert_eq!(with_tables(&marked(page), "tables\n"), whole.map(marked));
+    assert_eq!(with_tables(&marked(page), "tables\n"), expected.map(marked));
 }
 
 #[rstest]
-fn every_mechanism_is_in_the_file_that_it_names() {
+fn mechanism_files_exist() {
     for role in &ROLES {
-        let files = role.rows.iter().filter_map(|r| r.carried.file);
+        let files = role.rows.iter().filter_map(|r| r.mechanism.file);
         for file in files.chain(role.state.iter().filter_map(|(_, _, m)| m.file)) {
             assert!(repository().join(file).is_file(), "{}: {file}", role.key);
         }
     }
 }
 
-/// Of the page that stands: the order of what breaks, and that nothing is called measured that isn't.
 #[rstest]
-fn the_first_to_break_come_first() {
+fn rows_are_ranked_by_what_breaks_first() {
     let target = target::read(&target_text()).expect("a target");
-    let folder = Folder::new();
+    let folder = TempFolder::new();
     let files = read_points(&folder.0.join("capacity/points")).expect("points");
-    let slopes = from_points(&files, Vec::new());
-    let all = breaking(&slopes, &target);
-    // Nothing is known of most rows here: those without a mechanism come first, those with one last.
-    let at = |wanted: &dyn Fn(&str) -> bool| {
-        all.iter().position(|b| wanted(b.row.title)).expect("a row")
+    let slopes = fit_laws(&files, Vec::new());
+    let ranked_rows = rank_rows(&slopes, &target);
+    // Most rows have no estimate here: those without a mechanism come first, those with one last.
+    let position = |wanted: &dyn Fn(&str) -> bool| {
+        ranked_rows
+            .iter()
+            .position(|ranked| wanted(ranked.row.title))
+            .expect("a row")
     };
-    assert!(all[0].figure.is_none() && all[0].row.carried.file.is_none());
+    assert!(ranked_rows[0].estimate.is_none() && ranked_rows[0].row.mechanism.file.is_none());
     assert!(
-        at(&|t| t.starts_with("bytes in, probes")) < at(&|t| t.starts_with("added to a call, p99"))
+        position(&|t| t.starts_with("bytes in, probes"))
+            < position(&|t| t.starts_with("added to a call, p99"))
     );
 }
 
-/// Points taken at other things than the size make laws of their own.
+/// Points with other attributes than the size become separate laws.
 #[rstest]
-fn what_varies_beside_the_size_parts_the_points() {
-    let folder = Folder::new();
+fn other_varying_attributes_separate_laws() {
+    let folder = TempFolder::new();
     let point = |n: usize, services: usize, connections: &str, value: f64| {
         serde_json::json!({
             "role": "call-path", "quantity": "added-p99", "unit": "ms", "condition": "ordinary", "statistic": "mean",
@@ -474,7 +491,7 @@
             .to_string(),
     );
     let files = read_points(&folder.0.join("capacity/points")).expect("points");
-    let slopes = from_points(&files, Vec::new());
+    let slopes = fit_laws(&files, Vec::new());
     let mut sizes: Vec<(usize, String)> = slopes
         .laws
         .iter()
@@ -499,10 +516,16 @@
         .find(|l| l.points.len() == 3)
         .expect("a law");
     assert_eq!((&law.by[..], law.form), ("sidecars", Form::Linear));
-    assert!((law.at(&target::read(&target_text()).unwrap(), 1.0).unwrap() - 10.0).abs() < 1e-3);
+    assert!(
+        (law.value_at(&target::read(&target_text()).unwrap(), 1.0)
+            .unwrap()
+            - 10.0)
+            .abs()
+            < 1e-3
+    );
 }
 
-const TALK: &str = r#"
+const FLEET_EXPERIMENT: &str = r#"
 about = "talk"
 length = "6s"
 settle = "2s"
@@ -530,16 +553,16 @@
 work = "5ms"
 "#;
 
-/// The points of a day in virtual time are what the command reads, one file a seed, and called simulated.
+/// --simulate writes one points file per seed, which the command can read and which is marked as simulated.
 #[rstest]
-#[case::talk(TALK, "duty-owner", 5)]
-#[case::calls(TALK.split_once("[peers]").unwrap().0, "endpoint", 6)]
-fn a_simulated_day_leaves_points(
+#[case::fleet(FLEET_EXPERIMENT, "duty-owner", 5)]
+#[case::calls(FLEET_EXPERIMENT.split_once("[peers]").unwrap().0, "endpoint", 6)]
+fn simulation_writes_points(
     #[case] experiment: &str,
     #[case] role: &str,
-    #[case] each: usize,
+    #[case] points_per_size: usize,
 ) {
-    let folder = Folder::new();
+    let folder = TempFolder::new();
     folder.put("e.toml", experiment);
     std::fs::remove_file(folder.0.join("capacity/points/one.json")).unwrap();
     let (file, points) = (
@@ -547,7 +570,7 @@
         folder.0.join("capacity/points/{seed}.json"),
     );
     let [file, points] = [&file, &points].map(|p| p.to_str().unwrap());
-    let words = [
+    let arguments = [
         "--simulate",
         file,
         "--sizes",
@@ -559,7 +582,7 @@
         "--json",
         points,
     ];
-    let out = folder.rig(&words);
+    let out = folder.run_rig(&arguments);
     assert!(out.status.success(), "{}", text(&out.stderr));
     let files = read_points(&folder.0.join("capacity/points")).expect("points");
     assert_eq!(
@@ -567,32 +590,32 @@
             .iter()
             .map(|(run, p)| (run.seed, p.len()))
             .collect::<Vec<_>>(),
-        [(1, 3 * each), (2, 3 * each)]
+        [(1, 3 * points_per_size), (2, 3 * points_per_size)]
     );
     assert!(
         files
             .iter()
             .all(|(run, _)| run.simulated && run.commit == "abc")
     );
-    let slopes = from_points(&files, Vec::new());
+    let slopes = fit_laws(&files, Vec::new());
     let law = slopes.laws.iter().find(|l| l.role == role).expect("a law");
     assert_eq!((law.source, law.points.len()), (Source::Simulated, 6));
 }
 
-/// Of the page that stands: no row is silent but those that nothing carries.
+/// Checks the committed laws: only rows without a mechanism may lack a law.
 #[rstest]
-fn every_row_is_measured_or_marked() {
+fn rows_with_a_mechanism_have_laws() {
     let target = target::read(&target_text()).expect("a target");
     let slopes = slopes::read(&repository().join("capacity/slopes.json")).expect("laws");
     for role in &ROLES {
         for row in role.rows {
-            let known = row.parts.iter().all(|part| {
+            let known = row.quantities.iter().all(|part| {
                 slopes.laws.iter().any(|l| {
-                    l.role == role.key && l.quantity == *part && l.at(&target, 1.0).is_some()
+                    l.role == role.key && l.quantity == *part && l.value_at(&target, 1.0).is_some()
                 })
             });
             assert!(
-                known || row.carried.file.is_none(),
+                known || row.mechanism.file.is_none(),
                 "{}: {}",
                 role.key,
                 row.title
@@ -601,15 +624,15 @@
     }
 }
 
-/// Of one size nothing is known of growth, and nothing is said of it.
+/// With points of one size the growth is unknown, and the tables say so.
 #[rstest]
 #[case(
     7000.0,
     "| **1.17** | not known | not known | 610 sidecars or fewer, of one size |"
 )]
 #[case(600.0, "| 0.100 | not known | not known | not known, of one size |")]
-fn one_size_makes_no_growth(#[case] value: f64, #[case] shown: &str) {
-    let folder = Folder::new();
+fn one_size_gives_no_growth(#[case] value: f64, #[case] shown: &str) {
+    let folder = TempFolder::new();
     let point = serde_json::json!({
         "role": "control", "quantity": "bytes-out", "unit": "B/s", "condition": "rest", "statistic": "busiest",
         "kind": "hollow", "at": { "sidecars": 610 }, "value": value,
@@ -617,27 +640,27 @@
     let file = serde_json::json!({ "run": "r", "commit": "c", "seed": 1, "simulated": false, "points": [point] });
     folder.put("capacity/points/one.json", &file.to_string());
     let files = read_points(&folder.0.join("capacity/points")).expect("points");
-    let made = tables(
-        &from_points(&files, Vec::new()),
+    let page_tables = tables(
+        &fit_laws(&files, Vec::new()),
         &target::read(&target_text()).expect("a target"),
     );
-    assert!(made.contains(shown), "{made}");
+    assert!(page_tables.contains(shown), "{page_tables}");
 }
 
-/// Hollow beside real at one size: by how much and which way.
+/// The tables show by how much simulated sidecar processes ("hollow") differ from real ones at one size.
 #[rstest]
 #[case(100.0, 95.0, "| 60 | 100 | 95 | within a tenth (-5.0%) |")]
 #[case(100.0, 56.0, "| 60 | 100 | 56 | **44.0% too low** |")]
 #[case(0.0, 1.0, "| 60 | 0 | 1 | no telling |")]
-fn hollow_is_told_beside_real(#[case] real: f64, #[case] hollow: f64, #[case] shown: &str) {
-    let folder = Folder::new();
+fn hollow_is_compared_with_real(#[case] real: f64, #[case] hollow: f64, #[case] shown: &str) {
+    let folder = TempFolder::new();
     let point = |kind: &str, sidecars: usize, value: f64| {
         serde_json::json!({
             "role": "control", "quantity": "cpu", "unit": "core", "condition": "rest", "statistic": "mean",
             "kind": kind, "at": { "sidecars": sidecars }, "value": value,
         })
     };
-    // Hollow ones were played at another size as well, so that theirs is a law.
+    // Hollow ones also have points at another size, so that theirs is a law that grows.
     let all = [
         point("real", 60, real),
         point("hollow", 60, hollow),
@@ -646,9 +669,9 @@
     let file = serde_json::json!({ "run": "r", "commit": "c", "seed": 1, "simulated": false, "points": all });
     folder.put("capacity/points/one.json", &file.to_string());
     let files = read_points(&folder.0.join("capacity/points")).expect("points");
-    let made = tables(
-        &from_points(&files, Vec::new()),
+    let page_tables = tables(
+        &fit_laws(&files, Vec::new()),
         &target::read(&target_text()).expect("a target"),
     );
-    assert!(made.contains(shown), "{made}");
+    assert!(page_tables.contains(shown), "{page_tables}");
 }
