--- a/crates/passroad-rig/src/added_latency/mod.rs
+++ b/crates/passroad-rig/src/added_latency/mod.rs
@@ -86,6 +86,7 @@
 }
 
 impl CallPath {
+    /// A sidecar in its default configuration.
     pub const AS_SHIPPED: CallPath = CallPath::Sidecar {
         probes: true,
         more_endpoints: false,
@@ -101,6 +102,7 @@
         more_endpoints: true,
         other_endpoint_connections: false,
     };
+    /// Endpoints close connections where callers keep theirs, and the reverse.
     pub const OTHER_ENDPOINT_CONNECTIONS: CallPath = CallPath::Sidecar {
         probes: true,
         more_endpoints: false,
@@ -238,7 +240,7 @@
         config: &MeasurementConfig,
         connections: ConnectionReuse,
         call_path: CallPath,
-        n: usize,
+        arm_index: usize,
         program: &Program,
         folder: &Path,
     ) -> io::Result<RunningArm> {
@@ -273,7 +275,7 @@
                 CallPath::Direct => started.addresses.clone(),
                 CallPath::Relay => relay(&started.addresses)?,
                 CallPath::Sidecar { probes, .. } => {
-                    let name = format!("added-{n}-{tier}");
+                    let name = format!("added-{arm_index}-{tier}");
                     let seed = SeededRng::stream(config.seed, &name, 0).next_u64();
                     let sidecar =
                         Sidecar::start(program, folder, &name, &started.addresses, probes, seed)?;
@@ -335,13 +337,14 @@
 
 #[derive(Debug, Clone, Copy, PartialEq)]
 struct ScheduledCall {
-    at: Duration,
+    /// When it is due, from the start of the measurement.
+    due: Duration,
     arm: usize,
     /// Round 0 is the warm-up and not counted.
     round: usize,
-    /// Whether its latency is counted: neither in the warm-up round nor in the warm-up share of its slice.
+    /// Whether its latency is counted: false in the warm-up round and in the warm-up share of a slice.
     counted: bool,
-    /// Selects the endpoint of a direct call.
+    /// Selects the address where the client has several.
     pick: usize,
 }
 
@@ -375,7 +378,7 @@
         for (slot, arm) in arm_order(arms, round).into_iter().enumerate() {
             let starts_at = slice * (round * arms + slot) as u32;
             all.extend(arrivals.iter().map(|(at, pick)| ScheduledCall {
-                at: starts_at + *at,
+                due: starts_at + *at,
                 arm,
                 round,
                 counted: round > 0 && *at >= slice.mul_f64(WARM_UP_SHARE),
@@ -409,12 +412,12 @@
 ) -> io::Result<Measurement> {
     let call_paths = CallPath::all(config.depth, config.breakdown);
     let mut running_arms = Vec::new();
-    for (n, call_path) in call_paths.iter().enumerate() {
+    for (arm_index, call_path) in call_paths.iter().enumerate() {
         running_arms.push(RunningArm::new(
             config,
             connections,
             *call_path,
-            n,
+            arm_index,
             program,
             folder,
         )?);
@@ -564,8 +567,8 @@
         let Some(call) = calls.get(index) else {
             return completed;
         };
-        let at = starts_at + call.at;
-        sleep_until(at);
+        let due = starts_at + call.due;
+        sleep_until(due);
         let sent = Instant::now();
         let status = running_arms[call.arm].client.call(
             call.pick,
@@ -578,7 +581,7 @@
         }
         completed.push((
             index,
-            sent.saturating_duration_since(at),
+            sent.saturating_duration_since(due),
             took,
             matches!(status, Ok(200)),
         ));
--- a/crates/passroad-rig/src/capacity/estimate.rs
+++ b/crates/passroad-rig/src/capacity/estimate.rs
@@ -21,20 +21,21 @@
 /// Two standard errors of a quantity, where its run wrote them as points of `<quantity>-error`.
 pub fn two_standard_errors(slopes: &Slopes, law: &Law, target: &Target) -> Option<f64> {
     let name = format!("{}-error", law.quantity);
-    let key = |l: &Law| {
+    let key = |law: &Law| {
         (
-            l.role.clone(),
-            l.condition.clone(),
-            l.kind.clone(),
-            l.source,
+            law.role.clone(),
+            law.condition.clone(),
+            law.kind.clone(),
+            law.source,
         )
     };
-    let same = |l: &&Law| l.quantity == name && key(l) == key(law) && l.fixed == law.fixed;
+    let same =
+        |other: &&Law| other.quantity == name && key(other) == key(law) && other.fixed == law.fixed;
     slopes
         .laws
         .iter()
         .find(same)
-        .and_then(|l| l.value_at(target, 1.0))
+        .and_then(|law| law.value_at(target, 1.0))
 }
 
 impl<'a> Estimate<'a> {
@@ -62,10 +63,11 @@
         })
     }
 
+    /// The estimate for the target scaled by `times`.
     pub fn value_at(&self, times: f64) -> f64 {
         self.laws
             .iter()
-            .filter_map(|l| l.value_at(self.target, times))
+            .filter_map(|law| law.value_at(self.target, times))
             .sum()
     }
 
@@ -73,7 +75,7 @@
     pub fn source(&self) -> Source {
         self.laws
             .iter()
-            .map(|l| l.source)
+            .map(|law| law.source)
             .max()
             .unwrap_or(Source::Assumed)
     }
@@ -82,15 +84,15 @@
     pub fn mean_at_target(&self) -> Option<f64> {
         self.laws
             .iter()
-            .map(|l| l.mean_at_target(self.target))
+            .map(|law| law.mean_at_target(self.target))
             .sum()
     }
 
     /// Whether a law has points at one number of sidecars only, so that its growth is unknown. Points of a single sidecar
     /// carry no such number and do not grow, as the calls of one sidecar stay the same.
     pub fn has_one_size(&self) -> bool {
-        let has_one_size = |l: &&Law| {
-            l.source != Source::Assumed && l.by.is_empty() && l.fixed.contains_key("sidecars")
+        let has_one_size = |law: &&Law| {
+            law.source != Source::Assumed && law.by.is_empty() && law.fixed.contains_key("sidecars")
         };
         self.laws.iter().any(has_one_size)
     }
