--- a/crates/passroad-rig/src/main.rs
+++ b/crates/passroad-rig/src/main.rs
@@ -1,7 +1,7 @@
 //! `passroad-rig`: runs experiments from files, checks their expectations and writes reports.
 
 use clap::{Parser, Subcommand};
-use passroad_rig::added_latency::{self, Asked, Connections};
+use passroad_rig::added_latency::{self, ConnectionReuse, MeasurementConfig};
 use passroad_rig::experiment::{self, POLICIES, Plan, SocketMode};
 use passroad_rig::sockets::{self, Program};
 use passroad_rig::{compare, report, run};
@@ -92,7 +92,7 @@
     /// Measure the latency that a sidecar adds to a call: the same load to the endpoints directly and through it, in turns.
     AddedLatency(AddedLatencyArguments),
     /// Write the tables of docs/CAPACITY.md: what each role needs at the target's size, and what breaks first.
-    Capacity(passroad_rig::capacity::Told),
+    Capacity(passroad_rig::capacity::CapacityArgs),
     /// Run scale experiments: as many sidecars as a target has, simulated ones beside real ones, on loopback.
     Scale {
         /// Files, as experiments/scale-*.toml.
@@ -126,7 +126,7 @@
     rate: Vec<u32>,
     /// Whether connections are kept between calls: warm, cold.
     #[arg(long, value_delimiter = ',', default_value = "warm,cold", value_parser = connections)]
-    connections: Vec<Connections>,
+    connections: Vec<ConnectionReuse>,
     /// How long each arm has the load, all its turns together.
     #[arg(long, default_value_t = 20, value_parser = clap::value_parser!(u32).range(1..=600))]
     seconds: u32,
@@ -155,17 +155,17 @@
     json: Option<PathBuf>,
 }
 
-fn connections(text: &str) -> Result<Connections, String> {
+fn connections(text: &str) -> Result<ConnectionReuse, String> {
     match text {
-        "warm" => Ok(Connections::Warm),
-        "cold" => Ok(Connections::Cold),
+        "warm" => Ok(ConnectionReuse::Warm),
+        "cold" => Ok(ConnectionReuse::Cold),
         _ => Err(format!("'{text}' is neither warm nor cold")),
     }
 }
 
 /// Measures added latency; returns whether every call was answered.
 fn measure_added_latency(arguments: AddedLatencyArguments) -> Result<bool, String> {
-    let settings = Asked {
+    let settings = MeasurementConfig {
         rates: arguments.rate,
         connections: arguments.connections,
         // At least two, as a single round has no standard error.
@@ -177,7 +177,7 @@
         endpoints: arguments.endpoints as usize,
         work: Duration::from_millis(arguments.work_ms),
         seed: arguments.seed,
-        parts: !arguments.no_parts,
+        breakdown: !arguments.no_parts,
     };
     let results = added_latency::run(&settings, &sidecar_program(arguments.sidecar)?)?;
     print!("{}", added_latency::text(&settings, &results));
@@ -193,7 +193,9 @@
             &serde_json::to_string_pretty(&points).map_err(|error| error.to_string())?,
         )?;
     }
-    Ok(results.iter().all(added_latency::Measured::whole))
+    Ok(results
+        .iter()
+        .all(added_latency::Measurement::all_succeeded))
 }
 
 /// Where reports are written beside standard output.
@@ -324,7 +326,7 @@
 fn execute(command: Command) -> Result<bool, String> {
     match command {
         Command::AddedLatency(arguments) => measure_added_latency(arguments),
-        Command::Capacity(arguments) => passroad_rig::capacity::act(&arguments, write),
+        Command::Capacity(arguments) => passroad_rig::capacity::run(&arguments, write),
         Command::Sidecar | Command::SimulatedSidecars { .. } => Ok(true),
         Command::Scale {
             files,
--- a/crates/passroad-rig/src/scale/host.rs
+++ b/crates/passroad-rig/src/scale/host.rs
@@ -2,7 +2,7 @@
 //! when that is closed, and reports on standard output.
 
 use passroad::Files;
-use passroad::fleet::MemberStateChange;
+use passroad::fleet::{MemberStateChange, outer_name};
 use passroad::hollow::Hollow;
 use std::collections::BTreeMap;
 use std::io::{BufRead, Write};
@@ -106,9 +106,9 @@
     while state_changes.recv_many(&mut batch, 1024).await > 0 {
         let line = |change: MemberStateChange| {
             format!(
-                "turned {sidecar} {} {:?} {}",
+                "turned {sidecar} {} {} {}",
                 change.member,
-                change.state,
+                outer_name(change.state),
                 unix_micros()
             )
         };
--- a/crates/passroad-rig/src/scale/processes.rs
+++ b/crates/passroad-rig/src/scale/processes.rs
@@ -93,9 +93,9 @@
         "turned" => {
             let member = words.next().and_then(|number| number.parse().ok());
             let state = match words.next() {
-                Some("Alive") => Some(MemberState::Alive),
-                Some("Suspect") => Some(MemberState::Suspect),
-                Some("Dead") => Some(MemberState::Dead),
+                Some("Here") => Some(MemberState::Alive),
+                Some("Doubt") => Some(MemberState::Suspect),
+                Some("Gone") => Some(MemberState::Dead),
                 _ => None,
             };
             let time = words
