--- a/crates/passroad-rig/src/capacity/simulate.rs
+++ b/crates/passroad-rig/src/capacity/simulate.rs
@@ -127,14 +127,18 @@
     let (Some(fleet_run), Some(fleet)) = (&run.fleet, &plan.fleet) else {
         return Vec::new();
     };
-    let owners: Vec<usize> = fleet_run.reigns().iter().map(|reign| reign.owner).collect();
+    let owners: Vec<usize> = fleet_run
+        .ownerships()
+        .iter()
+        .map(|ownership| ownership.owner)
+        .collect();
     let voters: Vec<usize> = fleet
-        .duties
+        .leased_roles
         .iter()
-        .flat_map(|duty| voters_for(duty.mark(), plan.instances, fleet.voters))
+        .flat_map(|role| voters_for(role.lease_key(), plan.instances, fleet.voters))
         .map(usize::from)
         .collect();
-    let rate = |index: usize| fleet_run.datagrams[index] as f64 / fleet_run.seconds.max(1e-9);
+    let rate = |index: usize| fleet_run.datagrams_sent[index] as f64 / fleet_run.seconds.max(1e-9);
     let mean = |indices: &[usize]| {
         indices.iter().map(|index| rate(*index)).sum::<f64>() / indices.len().max(1) as f64
     };
@@ -156,7 +160,7 @@
             "false-doubts",
             "",
             "mean",
-            fleet_run.doubts as f64,
+            fleet_run.suspicions as f64,
         ),
         (
             "voter",
--- a/crates/passroad-rig/src/fleet/mod.rs
+++ b/crates/passroad-rig/src/fleet/mod.rs
@@ -1,170 +1,194 @@
-//! Sidecars that talk: what an experiment says of it, the faults between them, the acts at the resource, and the same in
-//! virtual time.
+//! Communicating sidecars: the plan of their leases, maintenance and faults, the acts at the fenced resource, and the
+//! results; with a simulation in virtual time.
 
-pub mod histories;
-pub mod wires;
-pub mod world;
+pub mod datagram_faults;
+pub mod random_histories;
+pub mod simulation;
 
 use passroad::fleet::LeasedTask;
 use passroad_lease::{candidate_order, voters_for};
 use std::time::Duration;
 
-/// What an experiment says of sidecars that talk.
+/// The part of an experiment that concerns communication between sidecars.
 #[derive(Debug, Clone)]
 pub struct FleetPlan {
     pub lease: Duration,
     pub period: Duration,
     pub voters: usize,
-    /// Whether voters keep what they have said on a disk.
-    pub state: bool,
-    pub duties: Vec<DutyPlan>,
+    /// Whether voters persist their votes.
+    pub persist_votes: bool,
+    pub leased_roles: Vec<LeasedRolePlan>,
     pub faults: Vec<FleetFault>,
-    /// Whether the resource refuses lower epochs; without, an experiment shows what the fence is for.
+    /// Whether the resource refuses lower epochs. Experiments disable it to show what it prevents.
     pub fence: bool,
-    pub work: Option<WorkPlan>,
+    pub maintenance: Option<MaintenancePlan>,
 }
 
-/// Machines that operators ask for.
+/// Maintenance that operators request.
 #[derive(Debug, Clone)]
-pub struct WorkPlan {
-    /// How long somebody works on one.
-    pub lasts: Duration,
-    pub at_once: usize,
-    /// When, at which sidecar, which.
+pub struct MaintenancePlan {
+    /// How long the maintenance of one machine takes.
+    pub duration: Duration,
+    /// Maximum number of machines under maintenance at the same time.
+    pub max_concurrent: usize,
+    /// Time, sidecar that receives the request, and endpoints.
     pub requests: Vec<(Duration, usize, Vec<usize>)>,
 }
 
-/// Somebody worked on a machine.
+/// A period in which a machine was under maintenance.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Worked {
+pub struct MaintenanceInterval {
     pub endpoint: usize,
     pub from: Duration,
     pub to: Duration,
 }
 
+/// A leased role, whose owner repeatedly acts at the resource.
 #[derive(Debug, Clone)]
-pub struct DutyPlan {
+pub struct LeasedRolePlan {
     pub name: String,
-    pub every: Duration,
-    pub within: Duration,
-    pub work: Duration, // of an act at the resource
+    /// Time between two acts.
+    pub interval: Duration,
+    /// Timeout of a call to the resource.
+    pub timeout: Duration,
+    /// How long the resource takes for an act.
+    pub act_duration: Duration,
 }
 
+/// A fault of processes, of datagrams between them, or of calls to the resource.
 #[derive(Debug, Clone)]
 pub struct FleetFault {
     pub from: Duration,
     pub to: Option<Duration>,
-    pub whom: Whom,
-    /// Of faults between sidecars, the other side; left out, all others.
+    pub target: FleetFaultTarget,
+    /// For faults between sidecars, the other side; None for all others.
     pub others: Option<Vec<usize>>,
-    pub what: What,
+    pub kind: FleetFaultKind,
 }
 
-/// Whom a fault is to hit; who that is may be known only when it comes.
+/// The sidecars that a fault affects; which ones these are may be known only when it begins.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Whom {
-    These(Vec<usize>),
-    /// Whose act was last accepted.
+pub enum FleetFaultTarget {
+    Instances(Vec<usize>),
+    /// The owner whose act was accepted last.
     Owner,
-    /// The owner and others, together just short of a majority of the voters.
+    /// The owner and as many other voters as stay short of a majority.
     Minority,
-    /// A majority of the voters on the first duty.
+    /// A majority of the voters for the first leased role.
     Voters,
 }
 
+/// What a fault does to its target.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum What {
-    Cut {
-        out: bool,
-        back: bool,
+pub enum FleetFaultKind {
+    /// Datagrams are lost from the target to the other side (`out`), in the other direction (`back`), or in both.
+    Cut { out: bool, back: bool },
+    /// Datagrams are lost with this probability.
+    Loss(f64),
+    /// Datagrams are delayed.
+    Delay {
+        delay: Duration,
+        /// Up to this much more, drawn for each datagram.
+        jitter: Duration,
     },
-    Lose(f64),
-    Late {
-        by: Duration,
-        spread: Duration,
-    },
-    Twice(f64),
-    /// Held until the fault ends, then all delivered.
-    Keep,
+    /// Datagrams are duplicated with this probability.
+    Duplication(f64),
+    /// Datagrams are held back until the fault ends, then all delivered.
+    HoldBack,
+    /// The process is paused as by SIGSTOP.
     Pause,
+    /// The process is killed and restarted.
     Kill,
+    /// The process is gracefully stopped and restarted.
     Stop,
-    /// Calls to the resource are held until the fault ends, then all delivered.
-    ActsKeep,
+    /// Calls to the resource are held back until the fault ends, then all delivered.
+    HoldBackCalls,
 }
 
-impl What {
-    pub fn between(self) -> bool {
-        !matches!(self, What::Pause | What::Kill | What::Stop | What::ActsKeep)
+impl FleetFaultKind {
+    /// Whether the fault concerns datagrams between sidecars.
+    pub fn is_between_sidecars(self) -> bool {
+        !matches!(
+            self,
+            FleetFaultKind::Pause
+                | FleetFaultKind::Kill
+                | FleetFaultKind::Stop
+                | FleetFaultKind::HoldBackCalls
+        )
     }
 }
 
-/// Starts anew after so long where a fault does not say.
-pub const RESTART: Duration = Duration::from_millis(500);
+/// Restart delay of a killed or stopped sidecar, unless the fault has its own.
+pub const RESTART_DELAY: Duration = Duration::from_millis(500);
 
-impl Whom {
-    /// Who that is now.
-    pub fn find(&self, plan: &FleetPlan, instances: usize, owner: Option<usize>) -> Vec<usize> {
-        let mark = match plan.duties.first() {
-            Some(duty) => duty.mark(),
+impl FleetFaultTarget {
+    /// The instances that are affected now.
+    pub fn resolve(&self, plan: &FleetPlan, instances: usize, owner: Option<usize>) -> Vec<usize> {
+        let key = match plan.leased_roles.first() {
+            Some(role) => role.lease_key(),
             None => passroad_choice::interner::stable_hash("upkeep"),
         };
-        let voters: Vec<usize> = voters_for(mark, instances, plan.voters)
+        let voters: Vec<usize> = voters_for(key, instances, plan.voters)
             .into_iter()
             .map(usize::from)
             .collect();
-        let first = || {
-            candidate_order(mark, instances)
+        let first_candidate = || {
+            candidate_order(key, instances)
                 .first()
-                .map_or(0, |n| usize::from(*n))
+                .map_or(0, |instance| usize::from(*instance))
         };
         match self {
-            Whom::These(list) => list.clone(),
-            Whom::Owner => vec![owner.unwrap_or_else(first)],
-            Whom::Minority => {
-                let owner = owner.unwrap_or_else(first);
-                let most = voters.len() / 2;
-                let mut some: Vec<usize> = voters.iter().copied().filter(|n| *n != owner).collect();
-                some.truncate(most - usize::from(voters.contains(&owner)));
-                some.push(owner);
-                some
+            FleetFaultTarget::Instances(list) => list.clone(),
+            FleetFaultTarget::Owner => vec![owner.unwrap_or_else(first_candidate)],
+            FleetFaultTarget::Minority => {
+                let owner = owner.unwrap_or_else(first_candidate);
+                let half = voters.len() / 2;
+                let mut minority: Vec<usize> = voters
+                    .iter()
+                    .copied()
+                    .filter(|voter| *voter != owner)
+                    .collect();
+                minority.truncate(half - usize::from(voters.contains(&owner)));
+                minority.push(owner);
+                minority
             }
-            Whom::Voters => voters[..voters.len() / 2 + 1].to_vec(),
+            FleetFaultTarget::Voters => voters[..voters.len() / 2 + 1].to_vec(),
         }
     }
 }
 
-impl DutyPlan {
-    pub fn mark(&self) -> u64 {
+impl LeasedRolePlan {
+    pub fn lease_key(&self) -> u64 {
         passroad_choice::interner::stable_hash(&self.name)
     }
 
-    pub fn orders(&self) -> LeasedTask {
+    /// The task as the code of a sidecar has it; the simulation makes its calls itself.
+    pub fn leased_task(&self) -> LeasedTask {
         let call = Some(hyper::Uri::from_static("http://127.0.0.1:1/"));
         LeasedTask {
             name: self.name.clone(),
-            key: self.mark(),
-            interval: self.every,
+            key: self.lease_key(),
+            interval: self.interval,
             call,
-            timeout: self.within,
+            timeout: self.timeout,
         }
     }
 }
 
-/// What came to the resource.
+/// A call that the resource accepted or refused.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Act {
-    pub at: Duration,
-    pub duty: usize,
+    pub time: Duration,
+    pub role: usize,
     pub epoch: u64,
     pub owner: usize,
     pub accepted: bool,
 }
 
-/// One ownership, as the resource saw it.
+/// One ownership of a leased role, as seen by the resource.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Reign {
-    pub duty: usize,
+pub struct Ownership {
+    pub role: usize,
     pub epoch: u64,
     pub owner: usize,
     pub first: Duration,
@@ -172,67 +196,71 @@
     pub acts: usize,
 }
 
-/// What is known of a day of sidecars that talk.
+/// The results of a run of communicating sidecars.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct FleetDay {
+pub struct FleetResults {
     pub acts: Vec<Act>,
-    pub datagrams: Vec<u64>, // that each sent
-    pub longest: usize,      // bytes of a datagram
+    pub datagrams_sent: Vec<u64>, // by sidecar
+    pub longest_datagram_bytes: usize,
+    /// Length of the run in seconds.
     pub seconds: f64,
-    /// Most that took themselves for the owner of a duty at the same time; seen in virtual time only.
-    pub believers: Option<usize>,
-    pub doubts: u64,
+    /// Largest number of sidecars that believed to own the first leased role at the same time; known in virtual time
+    /// only.
+    pub max_believed_owners: Option<usize>,
+    pub suspicions: u64,
     pub refuted: u64,
-    pub works: Vec<Worked>,
-    pub hits: usize, // what faults did: datagrams lost, kept, doubled or late, processes stopped
+    pub maintenance: Vec<MaintenanceInterval>,
+    /// Effects of faults: datagrams lost, held back, duplicated or delayed, calls held back, processes stopped.
+    pub fault_hits: usize,
 }
 
-impl FleetDay {
-    /// Of each duty, accepted acts in order.
-    fn accepted(&self, duty: usize) -> impl Iterator<Item = &Act> {
+impl FleetResults {
+    /// The accepted acts of a leased role in order.
+    fn accepted(&self, role: usize) -> impl Iterator<Item = &Act> {
         self.acts
             .iter()
-            .filter(move |a| a.accepted && a.duty == duty)
+            .filter(move |act| act.accepted && act.role == role)
     }
 
-    fn duties(&self) -> std::ops::Range<usize> {
-        0..self.acts.iter().map(|a| a.duty + 1).max().unwrap_or(0)
+    fn leased_roles(&self) -> std::ops::Range<usize> {
+        0..self.acts.iter().map(|act| act.role + 1).max().unwrap_or(0)
     }
 
-    /// Most epochs of a duty whose accepted acts lie between each other's: more than one, and two were obeyed at once.
+    /// Largest number of epochs of a leased role whose accepted acts are interleaved; more than one means that the
+    /// resource accepted two owners at the same time.
     pub fn owners_at_once(&self) -> usize {
-        let mut most = 0;
-        for duty in self.duties() {
+        let mut maximum = 0;
+        for role in self.leased_roles() {
             let mut spans: Vec<(u64, usize, usize)> = Vec::new();
-            for (n, act) in self.accepted(duty).enumerate() {
+            for (position, act) in self.accepted(role).enumerate() {
                 match spans.iter_mut().find(|(epoch, ..)| *epoch == act.epoch) {
-                    Some((_, _, last)) => *last = n,
-                    None => spans.push((act.epoch, n, n)),
+                    Some((_, _, last)) => *last = position,
+                    None => spans.push((act.epoch, position, position)),
                 }
             }
-            let at = |n: usize| {
+            let overlapping = |position: usize| {
                 spans
                     .iter()
-                    .filter(|(_, first, last)| (*first..=*last).contains(&n))
+                    .filter(|(_, first, last)| (*first..=*last).contains(&position))
                     .count()
             };
-            most = most.max(
+            maximum = maximum.max(
                 spans
                     .iter()
-                    .map(|(_, first, _)| at(*first))
+                    .map(|(_, first, _)| overlapping(*first))
                     .max()
                     .unwrap_or(0),
             );
         }
-        most
+        maximum
     }
 
-    /// Accepted though a higher epoch had been, or though the same was another's.
+    /// Acts that were accepted although a higher epoch, or the same epoch of another owner, had been accepted before.
     pub fn stale_acts(&self) -> usize {
         let mut stale = 0;
-        for duty in self.duties() {
+        for role in self.leased_roles() {
             let mut highest = (0, usize::MAX);
-            for act in self.accepted(duty) {
+            for act in self.accepted(role) {
                 stale += usize::from(
                     act.epoch < highest.0 || act.epoch == highest.0 && act.owner != highest.1,
                 );
@@ -244,78 +272,92 @@
         stale
     }
 
-    pub fn stale_tries(&self) -> usize {
-        self.acts.iter().filter(|a| !a.accepted).count()
+    /// Acts that were refused.
+    pub fn refused_acts(&self) -> usize {
+        self.acts.iter().filter(|act| !act.accepted).count()
     }
 
-    /// Longest time with no accepted act of some duty, in seconds.
-    pub fn unowned(&self, window: &std::ops::Range<Duration>, duties: usize) -> f64 {
-        let longest = |duty: usize| {
-            let (mut last, mut most) = (window.start, Duration::ZERO);
-            let own = self
-                .accepted(duty)
-                .map(|a| a.at)
-                .filter(|at| window.contains(at));
-            for at in own.chain([window.end]) {
-                most = most.max(at.saturating_sub(last));
-                last = at;
+    /// Longest time in a window without an accepted act of any one leased role, in seconds.
+    pub fn longest_unowned_seconds(
+        &self,
+        window: &std::ops::Range<Duration>,
+        leased_roles: usize,
+    ) -> f64 {
+        let longest = |role: usize| {
+            let (mut last, mut longest_gap) = (window.start, Duration::ZERO);
+            let times = self
+                .accepted(role)
+                .map(|act| act.time)
+                .filter(|time| window.contains(time));
+            for time in times.chain([window.end]) {
+                longest_gap = longest_gap.max(time.saturating_sub(last));
+                last = time;
             }
-            most.as_secs_f64()
+            longest_gap.as_secs_f64()
         };
-        (0..duties).map(longest).fold(0.0, f64::max)
+        (0..leased_roles).map(longest).fold(0.0, f64::max)
     }
 
-    /// Of the one that sent most, a second.
-    pub fn peer_datagrams(&self) -> f64 {
-        self.datagrams.iter().copied().max().unwrap_or(0) as f64 / self.seconds.max(1e-9)
+    /// Datagrams per second of the sidecar that sent the most.
+    pub fn busiest_sender_rate(&self) -> f64 {
+        self.datagrams_sent.iter().copied().max().unwrap_or(0) as f64 / self.seconds.max(1e-9)
     }
 
-    /// Who owned what, in order of the first act: duty, epoch, owner, first and last accepted act, how many.
-    pub fn reigns(&self) -> Vec<Reign> {
-        let mut reigns: Vec<Reign> = Vec::new();
-        for act in self.acts.iter().filter(|a| a.accepted) {
-            let same =
-                |r: &&mut Reign| (r.duty, r.epoch, r.owner) == (act.duty, act.epoch, act.owner);
-            match reigns.iter_mut().find(same) {
-                Some(reign) => (reign.last, reign.acts) = (act.at, reign.acts + 1),
-                None => reigns.push(Reign {
-                    duty: act.duty,
+    /// The ownerships by order of their first accepted act.
+    pub fn ownerships(&self) -> Vec<Ownership> {
+        let mut ownerships: Vec<Ownership> = Vec::new();
+        for act in self.acts.iter().filter(|act| act.accepted) {
+            let same = |ownership: &&mut Ownership| {
+                (ownership.role, ownership.epoch, ownership.owner)
+                    == (act.role, act.epoch, act.owner)
+            };
+            match ownerships.iter_mut().find(same) {
+                Some(ownership) => {
+                    (ownership.last, ownership.acts) = (act.time, ownership.acts + 1)
+                }
+                None => ownerships.push(Ownership {
+                    role: act.role,
                     epoch: act.epoch,
                     owner: act.owner,
-                    first: act.at,
-                    last: act.at,
+                    first: act.time,
+                    last: act.time,
                     acts: 1,
                 }),
             }
         }
-        reigns
+        ownerships
     }
 
-    /// Most machines at work at once.
-    pub fn at_work(&self) -> usize {
-        let at = |t: Duration| {
-            self.works
+    /// Largest number of machines under maintenance at the same time.
+    pub fn max_machines_under_maintenance(&self) -> usize {
+        let at = |time: Duration| {
+            self.maintenance
                 .iter()
-                .filter(|w| w.from <= t && t < w.to)
+                .filter(|work| work.from <= time && time < work.to)
                 .count()
         };
-        self.works.iter().map(|w| at(w.from)).max().unwrap_or(0)
+        self.maintenance
+            .iter()
+            .map(|work| at(work.from))
+            .max()
+            .unwrap_or(0)
     }
 
-    /// Machines on which work was done.
-    pub fn worked(&self) -> usize {
-        let mut all: Vec<usize> = self.works.iter().map(|w| w.endpoint).collect();
-        all.sort_unstable();
-        all.dedup();
-        all.len()
+    /// Number of machines that were under maintenance.
+    pub fn machines_maintained(&self) -> usize {
+        let mut machines: Vec<usize> = self.maintenance.iter().map(|work| work.endpoint).collect();
+        machines.sort_unstable();
+        machines.dedup();
+        machines.len()
     }
 
-    pub fn owners(&self) -> usize {
+    /// Number of ownerships: pairs of leased role and epoch with an accepted act.
+    pub fn ownership_count(&self) -> usize {
         let mut epochs: Vec<_> = self
             .acts
             .iter()
-            .filter(|a| a.accepted)
-            .map(|a| (a.duty, a.epoch))
+            .filter(|act| act.accepted)
+            .map(|act| (act.role, act.epoch))
             .collect();
         epochs.sort_unstable();
         epochs.dedup();
@@ -324,45 +366,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-    use rstest::rstest;
-
-    fn day(acts: &[(u64, usize, bool)]) -> FleetDay {
-        let act = |(n, &(epoch, owner, accepted)): (usize, &(u64, usize, bool))| Act {
-            at: Duration::from_millis(100 * n as u64),
-            duty: 0,
-            epoch,
-            owner,
-            accepted,
-        };
-        FleetDay {
-            acts: acts.iter().enumerate().map(act).collect(),
-            ..FleetDay::default()
-        }
-    }
-
-    #[rstest]
-    #[case::in_order(&[(5, 1, true), (5, 1, true), (7, 2, true)], (1, 0, 0))]
-    #[case::refused(&[(5, 1, true), (7, 2, true), (5, 1, false), (7, 2, true)], (1, 0, 1))]
-    #[case::obeyed(&[(5, 1, true), (7, 2, true), (5, 1, true), (7, 2, true)], (2, 1, 0))]
-    #[case::same_epoch(&[(5, 1, true), (5, 2, true)], (1, 1, 0))]
-    fn acts_are_judged_by_their_order(
-        #[case] acts: &[(u64, usize, bool)],
-        #[case] figures: (usize, usize, usize),
-    ) {
-        let day = day(acts);
-        assert_eq!(
-            (day.owners_at_once(), day.stale_acts(), day.stale_tries()),
-            figures
-        );
-    }
-
-    #[rstest]
-    fn the_longest_gap_counts_from_the_window_and_to_its_end() {
-        let day = day(&[(5, 1, true), (5, 1, true), (5, 1, false)]);
-        let window = Duration::ZERO..Duration::from_secs(1);
-        assert!((day.unowned(&window, 1) - 0.9).abs() < 1e-9);
-        assert!((day.unowned(&window, 2) - 1.0).abs() < 1e-9);
-    }
-}
+mod tests;
--- a/crates/passroad-rig/tests/command_line.rs
+++ b/crates/passroad-rig/tests/command_line.rs
@@ -122,7 +122,7 @@
         "{error}"
     );
     assert!(
-        error.contains("sidecar 0 ended: it said nothing"),
+        error.contains("sidecar 0 ended: its log is empty"),
         "{error}"
     );
 }
